--- a/benchmarks/admission_cost.py
+++ b/benchmarks/admission_cost.py
@@ -35,8 +35,14 @@
     for i in range(10):
         book.levels[f"o{i}"] = Terms(f"o{i}", "organisation", budget=Budget(units_per_s=1e7))
     for i in range(teams):
-        terms = Terms(f"t{i}", "team", f"o{i % 10}", 1.0 + i % 3, Reserve(5.0),
-                      Budget(units_per_s=50_000.0, attempts_per_s=50_000.0, units_per_hour=1e9))
+        terms = Terms(
+            f"t{i}",
+            "team",
+            f"o{i % 10}",
+            1.0 + i % 3,
+            Reserve(5.0),
+            Budget(units_per_s=50_000.0, attempts_per_s=50_000.0, units_per_hour=1e9),
+        )
         contract = Contract(terms, "gold", frozenset({"read"}), volumes=frozenset({f"{i:016x}"}))
         book.add(contract)
         book.own(contract.path, contract.volumes, ())
@@ -105,9 +111,11 @@
     for (teams, active), got in figures.items():
         ratios = [a / b for a, b in zip(got, figures[least, active], strict=True)]
         cost = statistics.median(got)
-        print(f"{teams:7} teams, {'active' if active else 'all   '}: {cost * 1e6:6.1f} us, {cost / whole:5.1%} of a "
-              f"request; ratio to {least} teams: median {statistics.median(ratios):.2f} "
-              f"({min(ratios):.2f} to {max(ratios):.2f})")
+        print(
+            f"{teams:7} teams, {'active' if active else 'all   '}: {cost * 1e6:6.1f} us, {cost / whole:5.1%} of a "
+            f"request; ratio to {least} teams: median {statistics.median(ratios):.2f} "
+            f"({min(ratios):.2f} to {max(ratios):.2f})"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/core_times.py
+++ b/benchmarks/core_times.py
@@ -107,8 +107,18 @@
             self.start(number)
 
     def start(self, number: int) -> None:
-        command = [sys.executable, "-m", "benchmarks.core_times", "serve", "--number", str(number),
-                   "--port", str(self._port), "--folder", f"{self._folder}/{number}"]
+        command = [
+            sys.executable,
+            "-m",
+            "benchmarks.core_times",
+            "serve",
+            "--number",
+            str(number),
+            "--port",
+            str(self._port),
+            "--folder",
+            f"{self._folder}/{number}",
+        ]
         self._processes[number] = subprocess.Popen(command)
 
     def end(self, number: int, sent: signal.Signals) -> None:
@@ -241,8 +251,9 @@
     began = world.now
     new = world.add(len(world.seeds) + 1)
     new.start(world.seeds, bootstrap=False)
-    while not all(replica.core.is_voter and not replica.core.configuration.joint
-                  for replica in new.table.replicas.values()):
+    while not all(
+        replica.core.is_voter and not replica.core.configuration.joint for replica in new.table.replicas.values()
+    ):
         world.run(STEP_S)
     return world.now - began
 
--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -1,6 +1,6 @@
 """Many routers before modelled engines: the scheduler's decisions at sizes that sockets do not reach.
 
-    python -m benchmarks.fleet_model --routers 9 --servers 6 --seconds 40 --load 1.0
+python -m benchmarks.fleet_model --routers 9 --servers 6 --seconds 40 --load 1.0
 """
 
 from __future__ import annotations
--- a/benchmarks/front_parts.py
+++ b/benchmarks/front_parts.py
@@ -106,8 +106,11 @@
         for shape in ("even", "zipf", "moving"):
             for demand in (0.5 * RATE, 4 * RATE):
                 even, heard = (run(fronts, parts, shape, demand, chosen.seconds) for parts in ("even", "heard"))
-                print(f"{fronts:6}  {shape:7}  {demand:6.0f}   {even[0]:+11.1%}  {even[1]:4.2f}    "
-                      f"{heard[0]:+12.1%}  {heard[1]:4.2f}", flush=True)
+                print(
+                    f"{fronts:6}  {shape:7}  {demand:6.0f}   {even[0]:+11.1%}  {even[1]:4.2f}    "
+                    f"{heard[0]:+12.1%}  {heard[1]:4.2f}",
+                    flush=True,
+                )
 
 
 if __name__ == "__main__":
--- a/benchmarks/hollow/live.py
+++ b/benchmarks/hollow/live.py
@@ -117,11 +117,16 @@
         folder = Path(self._folder.name) / str(number)
         folder.mkdir()
         settings = {
-            "node": f"core-{number}", "ip": self.hosts[number], "zone": f"zone-{number % documents.ZONES}",
+            "node": f"core-{number}",
+            "ip": self.hosts[number],
+            "zone": f"zone-{number % documents.ZONES}",
             "port_range": [self._peer_port, self._peer_port],
             "seeds": [f"{host}:{self._control_port}" for host in self.hosts[:3]],
-            "listen": {"control": f"{self.hosts[number]}:{self._control_port}"}, "bootstrap": True,
-            "data_dir": str(folder), "heartbeat_ms": self._heartbeat_ms, "fault_tolerance": {"machines": 1},
+            "listen": {"control": f"{self.hosts[number]}:{self._control_port}"},
+            "bootstrap": True,
+            "data_dir": str(folder),
+            "heartbeat_ms": self._heartbeat_ms,
+            "fault_tolerance": {"machines": 1},
         }
         path = folder / "node.yaml"
         path.write_text(yaml.safe_dump(settings))
@@ -143,8 +148,9 @@
         for first in range(0, count, ROUTERS_A_PROCESS):
             size = min(ROUTERS_A_PROCESS, count - first)
             arguments = ["--count", str(size), "--first", str(first), "--seeds", *self.controllers.peer_addresses[:3]]
-            self.processes.append(Child(
-                "benchmarks.hollow.router_process", *arguments, *(["--tables"] if tables else [])))
+            self.processes.append(
+                Child("benchmarks.hollow.router_process", *arguments, *(["--tables"] if tables else []))
+            )
         self.routers = count
         started = max(self._told_version(child, START_LIMIT_S) for child in self.processes)
         return started - began
@@ -195,11 +201,20 @@
         controllers_s = fleet.controllers.processor_s() - before - steady_controllers * elapsed
         routers_s = fleet.routers_processor_s() - routers_before - steady_routers * elapsed
         return LiveRun(
-            routers, controllers, start_s, start_controllers_s, start_routers_s * 1e3 / routers,
-            steady_controllers * 1e6, steady_routers * 1e6 / routers,
-            median(acknowledged for acknowledged, _ in changes), median(last for _, last in changes),
-            max(last for _, last in changes), controllers_s * 1e6 / CHANGES, routers_s * 1e6 / CHANGES / routers,
-            median(child.resident_bytes() for child in fleet.controllers.children), fleet.routers_bytes() / routers,
+            routers,
+            controllers,
+            start_s,
+            start_controllers_s,
+            start_routers_s * 1e3 / routers,
+            steady_controllers * 1e6,
+            steady_routers * 1e6 / routers,
+            median(acknowledged for acknowledged, _ in changes),
+            median(last for _, last in changes),
+            max(last for _, last in changes),
+            controllers_s * 1e6 / CHANGES,
+            routers_s * 1e6 / CHANGES / routers,
+            median(child.resident_bytes() for child in fleet.controllers.children),
+            fleet.routers_bytes() / routers,
         )
     finally:
         fleet.stop()
@@ -245,8 +260,13 @@
     servers = round(per_s * HEARTBEAT_MS / 1000)
     fleet = LiveFleet(controllers, documents.MODELS, 0)
     child = Child(
-        "benchmarks.hollow.server_process", "--count", str(servers), "--per-s", str(per_s),
-        "--controllers", *fleet.controllers.control_addresses,
+        "benchmarks.hollow.server_process",
+        "--count",
+        str(servers),
+        "--per-s",
+        str(per_s),
+        "--controllers",
+        *fleet.controllers.control_addresses,
     )
     try:
         child.wait_for(lambda line: line.get("taken", 0) > servers, servers / per_s * 4 + START_LIMIT_S)
@@ -257,8 +277,13 @@
         taken = last["taken"] - first["taken"]
         medians = [line["median"] for line in child.told if line["median"] is not None]
         return HeartbeatRun(
-            per_s, servers, taken / elapsed, last["failed"] - first["failed"], (after - before) * 1e6 / elapsed,
-            median(medians), max(line["largest"] or 0.0 for line in child.told[-int(seconds) :]),
+            per_s,
+            servers,
+            taken / elapsed,
+            last["failed"] - first["failed"],
+            (after - before) * 1e6 / elapsed,
+            median(medians),
+            max(line["largest"] or 0.0 for line in child.told[-int(seconds) :]),
         )
     finally:
         child.stop()
--- a/benchmarks/hollow/members.py
+++ b/benchmarks/hollow/members.py
@@ -202,7 +202,13 @@
     steady = fleet.span(steady_s)
     first, last = fleet.kill_one()
     return MembershipRun(
-        routers + controllers, start_s, start, steady, first, last, fleet.wrongly_dead(1),
+        routers + controllers,
+        start_s,
+        start,
+        steady,
+        first,
+        last,
+        fleet.wrongly_dead(1),
         table_bytes(routers + controllers),
     )
 
--- a/benchmarks/hollow/orders.py
+++ b/benchmarks/hollow/orders.py
@@ -128,8 +128,10 @@
     return [
         ("read and check the JSON body", microseconds(lambda: read_json(body, CHECK_INSTANCE), 2000)),
         ("make the record", microseconds(lambda: record_of(instance_id, documents.report(7, 3)), 2000)),
-        ("fields of the record, encoded for the owner", microseconds(
-            lambda: encode(InstanceReport(SHARD, record_fields(record))), 2000)),
+        (
+            "fields of the record, encoded for the owner",
+            microseconds(lambda: encode(InstanceReport(SHARD, record_fields(record))), 2000),
+        ),
         ("decoded at the owner", microseconds(lambda: decode(call), 2000)),
         ("bytes to the owner", float(len(call))),
         ("bytes of a registration in the log", float(len(command))),
--- a/benchmarks/hollow/processes.py
+++ b/benchmarks/hollow/processes.py
@@ -29,8 +29,11 @@
         self.told: list[dict[str, Any]] = []
         self._news = Event()
         self._process = subprocess.Popen(
-            [sys.executable, "-m", module, *arguments], env={**os.environ, **(environment or {})},
-            stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True,
+            [sys.executable, "-m", module, *arguments],
+            env={**os.environ, **(environment or {})},
+            stdout=subprocess.PIPE,
+            stderr=subprocess.DEVNULL,
+            text=True,
         )
         self._reader = gevent.spawn(self._read)
 
--- a/benchmarks/hollow/router_process.py
+++ b/benchmarks/hollow/router_process.py
@@ -1,6 +1,6 @@
 """A process with many hollow routers: each runs the real feed client, and the real tables where that is asked for.
 
-    python -m benchmarks.hollow.router_process --count 100 --first 0 --seeds 127.0.1.1:7500 --tables
+python -m benchmarks.hollow.router_process --count 100 --first 0 --seeds 127.0.1.1:7500 --tables
 """
 
 from __future__ import annotations
--- a/benchmarks/hollow/schedulers.py
+++ b/benchmarks/hollow/schedulers.py
@@ -20,8 +20,15 @@
 def servers(count: int) -> list[Server]:
     """The servers of one service."""
     return [
-        Server(id=f"i-{number:08x}", service=SERVICE, address=("10.128.0.1", number + 1), zone=f"zone-{number % 13}",
-               capacity=CAPACITY, kv_tokens=598_962, max_connections=610)
+        Server(
+            id=f"i-{number:08x}",
+            service=SERVICE,
+            address=("10.128.0.1", number + 1),
+            zone=f"zone-{number % 13}",
+            capacity=CAPACITY,
+            kv_tokens=598_962,
+            max_connections=610,
+        )
         for number in range(count)
     ]
 
@@ -46,9 +53,21 @@
         self._number += 1
         prefix = f"{self._random.randrange(self._prefixes):08x}"
         request = Request(
-            id=str(self._number), service=SERVICE, tenant=f"tenant-{self._number % 50}", route="route-0", priority=0,
-            safe=False, resumable=False, streaming=True, aim=0.8, deadline=self.now + 15, max_servers=2,
-            tokens_in=1460, tokens_out=80, prefix=((prefix, 1000), (str(self._number), 460)), arrived=self.now,
+            id=str(self._number),
+            service=SERVICE,
+            tenant=f"tenant-{self._number % 50}",
+            route="route-0",
+            priority=0,
+            safe=False,
+            resumable=False,
+            streaming=True,
+            aim=0.8,
+            deadline=self.now + 15,
+            max_servers=2,
+            tokens_in=1460,
+            tokens_out=80,
+            prefix=((prefix, 1000), (str(self._number), 460)),
+            arrived=self.now,
         )
         for action in self.scheduler.submit(self.now, request):
             if isinstance(action, Send):
--- a/benchmarks/hollow/series.py
+++ b/benchmarks/hollow/series.py
@@ -69,9 +69,7 @@
     count = len(sizes)
     mean_size, mean_value = sum(sizes) / count, sum(values) / count
     spread = sum((size - mean_size) ** 2 for size in sizes)
-    together = sum(
-        (size - mean_size) * (value - mean_value) for size, value in zip(sizes, values, strict=True)
-    )
+    together = sum((size - mean_size) * (value - mean_value) for size, value in zip(sizes, values, strict=True))
     slope = together / spread if spread else 0.0
     start = mean_value - slope * mean_size
     variance = sum((value - mean_value) ** 2 for value in values)
--- a/benchmarks/hollow/server_process.py
+++ b/benchmarks/hollow/server_process.py
@@ -1,6 +1,6 @@
 """A process with many hollow servers, which send their heartbeats to the controllers over HTTP at a steady rate.
 
-    python -m benchmarks.hollow.server_process --count 600 --per-s 100 --controllers 127.0.1.1:8367
+python -m benchmarks.hollow.server_process --count 600 --per-s 100 --controllers 127.0.1.1:8367
 """
 
 from __future__ import annotations
@@ -32,8 +32,9 @@
         self._interval_s = 1 / per_s
         self._clients = []
         for host, port in map(parse_address, controllers):
-            self._clients.append(HTTPClient(
-                host, port, concurrency=CONNECTIONS, connection_timeout=TIMEOUT_S, network_timeout=TIMEOUT_S))
+            self._clients.append(
+                HTTPClient(host, port, concurrency=CONNECTIONS, connection_timeout=TIMEOUT_S, network_timeout=TIMEOUT_S)
+            )
         self._taken = 0
         self._failed = 0
         self._latencies: list[float] = []
--- a/benchmarks/http2_load.py
+++ b/benchmarks/http2_load.py
@@ -47,8 +47,13 @@
 
 def headers(number: int) -> dict[str, str]:
     """The head of a request in the platform's protocol."""
-    return {"X-Trace-Id": f"b{number}", "X-Qos": "photo-read", "X-Plan": "standard", "X-Expires-In-Ms": "750",
-            "X-IO": f"units=1,shard={number % 3},hosts=1"}
+    return {
+        "X-Trace-Id": f"b{number}",
+        "X-Qos": "photo-read",
+        "X-Plan": "standard",
+        "X-Expires-In-Ms": "750",
+        "X-IO": f"units=1,shard={number % 3},hosts=1",
+    }
 
 
 async def many(ask, at_once: int, seconds: float) -> tuple[int, int]:
@@ -75,6 +80,7 @@
     found: dict[tuple[int, str], list[tuple[float, float]]] = {}
     for _ in range(rounds):
         for at_once in (1, 10, 100):
+
             async def measure(name: str, ask, at_once=at_once) -> None:
                 before = cpu_of(testbed.processes[0].pid)
                 asked, _ = await many(ask, at_once, seconds)
@@ -82,6 +88,7 @@
                 found.setdefault((at_once, name), []).append((asked / seconds, spent / asked * 1e3))
 
             async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session:
+
                 async def plain(session=session) -> int:
                     url = f"http://127.0.0.1:{testbed.ports[0]}{path}"
                     async with session.get(url, headers=headers(next(numbers))) as answer:
@@ -91,13 +98,17 @@
                 await measure("HTTP/1.1", plain)
             # opened only now: the front closes a connection that has sent no request for two seconds
             async with Client(port) as client:
+
                 async def stream(client=client) -> int:
                     return (await client.call("GET", path, b"", headers(next(numbers)))).status
 
                 await measure("HTTP/2", stream)
     for (at_once, name), got in found.items():
-        print(f"{at_once:4} at a time, {name:8}: {statistics.median(r for r, _ in got):6.0f} requests a second, "
-              f"{statistics.median(c for _, c in got):5.2f} ms of processor time each", flush=True)
+        print(
+            f"{at_once:4} at a time, {name:8}: {statistics.median(r for r, _ in got):6.0f} requests a second, "
+            f"{statistics.median(c for _, c in got):5.2f} ms of processor time each",
+            flush=True,
+        )
 
 
 async def latency(port: int, seconds: float) -> None:
@@ -125,8 +136,10 @@
         beside_large = await p99()
         if not client.streams[large].done.is_set():
             client.reset(large)
-        print(f"p99 of a small read: {alone:.1f} ms alone, {beside_slow:.1f} beside a slow reader "
-              f"({beside_slow / alone:.2f}), {beside_large:.1f} beside a read of 32 MiB ({beside_large / alone:.2f})")
+        print(
+            f"p99 of a small read: {alone:.1f} ms alone, {beside_slow:.1f} beside a slow reader "
+            f"({beside_slow / alone:.2f}), {beside_large:.1f} beside a read of 32 MiB ({beside_large / alone:.2f})"
+        )
 
 
 async def run(seconds: float, rounds: int) -> None:
--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -29,9 +29,21 @@
 
     def __init__(self, servers: int) -> None:
         self.settings = api.Settings(
-            seed=1, heads=200, shards=servers, classes={"read": READ}, plans={"gold": api.Plan("gold", reserve=50.0)},
-            list_on_request=True, ask_within=10.0, max_attempts=3, mean_units=2.0, most_units=8.0, cold_units=8.0,
-            start_capacity=0.2, warm_up=16.0, overload_window=1.0)
+            seed=1,
+            heads=200,
+            shards=servers,
+            classes={"read": READ},
+            plans={"gold": api.Plan("gold", reserve=50.0)},
+            list_on_request=True,
+            ask_within=10.0,
+            max_attempts=3,
+            mean_units=2.0,
+            most_units=8.0,
+            cold_units=8.0,
+            start_capacity=0.2,
+            warm_up=16.0,
+            overload_window=1.0,
+        )
         self.now, self.count, self.lot = 1000.0, 0, random.Random(servers)
         self.head = Scheduler(self.settings, self.now)
         self.nodes = [api.NodeEntry(f"n{i}", shard=i) for i in range(servers)]
@@ -63,7 +75,10 @@
 
 
 EVENTS: dict[str, Callable[[Front], None]] = {
-    "request and answer": Front.served, "timer": Front.timer, "list change": Front.news}
+    "request and answer": Front.served,
+    "timer": Front.timer,
+    "list change": Front.news,
+}
 
 
 def main() -> None:
--- a/benchmarks/soak_core.py
+++ b/benchmarks/soak_core.py
@@ -49,8 +49,15 @@
 
 
 def explore(
-    *, timeouts: int = 2, orders: int = 1, crashes: int = 0, wipes: int = 0, cuts: int = 0, changes: int = 0,
-    power: int = 0, most_states: int = 100_000,
+    *,
+    timeouts: int = 2,
+    orders: int = 1,
+    crashes: int = 0,
+    wipes: int = 0,
+    cuts: int = 0,
+    changes: int = 0,
+    power: int = 0,
+    most_states: int = 100_000,
 ) -> int:
     """Searches every schedule of a budget.
 
--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -30,7 +30,9 @@
     """Seconds until ready, and megabytes then."""
     port = free_port()
     told = json.loads((HERE / "examples" / "config.json").read_text()) | {
-        "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{free_port()}"}
+        "listen": f"127.0.0.1:{port}",
+        "discovery": f"127.0.0.1:{free_port()}",
+    }
     path = Path(folder, "config.json")
     path.write_text(json.dumps(told))
     env = {k: v for k, v in os.environ.items() if not k.startswith("BALANCER_")} | {"BALANCER_CONFIG": str(path)}
@@ -67,8 +69,10 @@
                     figures[name].append(got)
     print(f"{machine()}; {chosen.runs} pairs")
     for name, got in figures.items():
-        print(f"{name:6} ready {statistics.median(r for r, _ in got) * 1000:6.0f} ms   "
-              f"memory {statistics.median(m for _, m in got):6.2f} MB")
+        print(
+            f"{name:6} ready {statistics.median(r for r, _ in got) * 1000:6.0f} ms   "
+            f"memory {statistics.median(m for _, m in got):6.2f} MB"
+        )
     ratios = [a[0] / b[0] for a, b in zip(figures["this"], figures["other"], strict=True)]
     print(f"ratio of times, this to other: median {statistics.median(ratios):.3f}")
 
--- a/benchmarks/teams_run.py
+++ b/benchmarks/teams_run.py
@@ -66,9 +66,12 @@
                 in_burst = abs(got.units_a_second - wanted) * seconds <= BURSTS[team.name]
                 held = abs(error) <= 0.02 or in_burst
                 good = good and held
-                print(f"{team.name:6} asked {asked:6.1f}, contract {wanted:6.1f}, got {got.units_a_second:6.1f} "
-                      f"({error:+.1%}{', within one burst' if in_burst else ''}), over budget {got.statuses[429]}, "
-                      f"refused {got.statuses[503]}, in time {got.in_time / max(1, got.asked):.1%}", flush=True)
+                print(
+                    f"{team.name:6} asked {asked:6.1f}, contract {wanted:6.1f}, got {got.units_a_second:6.1f} "
+                    f"({error:+.1%}{', within one burst' if in_burst else ''}), over budget {got.statuses[429]}, "
+                    f"refused {got.statuses[503]}, in time {got.in_time / max(1, got.asked):.1%}",
+                    flush=True,
+                )
             for pair in range(pairs):
                 for words, teams in (("alone", (QUIET,)), ("beside the surge", (QUIET, FLOOD, EAGER))):
                     got = (await play(testbed, teams, seconds / 4, seed=pair + 2))["quiet"]
@@ -78,8 +81,10 @@
                 got = (await play(testbed, (QUIET, FLOOD, EAGER), seconds / 4, seed=pair + 2))["quiet"]
                 shares["without contracts"].append(got.in_time / got.asked)
     for words, got in shares.items():
-        print(f"the quiet team's share in time, {words}: median {statistics.median(got):.1%} "
-              f"({min(got):.1%} to {max(got):.1%})")
+        print(
+            f"the quiet team's share in time, {words}: median {statistics.median(got):.1%} "
+            f"({min(got):.1%} to {max(got):.1%})"
+        )
     apart = abs(statistics.median(shares["alone"]) - statistics.median(shares["beside the surge"]))
     print(f"apart by {apart * 100:.2f} points; {'held' if good and apart <= 0.02 else 'NOT held'}")
     return good and apart <= 0.02
--- a/examples/teams.py
+++ b/examples/teams.py
@@ -76,8 +76,15 @@
 class Testbed:
     """Chunk servers and discovery in this process, fronts in processes of their own."""
 
-    def __init__(self, fronts: int = 1, servers: int = 3, slow: float = 0.01, slots: int = 4,
-                 operator: Path | None = HERE / "contracts.toml", environ: Mapping[str, str] | None = None) -> None:
+    def __init__(
+        self,
+        fronts: int = 1,
+        servers: int = 3,
+        slow: float = 0.01,
+        slots: int = 4,
+        operator: Path | None = HERE / "contracts.toml",
+        environ: Mapping[str, str] | None = None,
+    ) -> None:
         self.servers = [ChunkServer(i, slow, f"127.0.0.1:{free_port()}", slots, quiet=True) for i in range(servers)]
         self.operator, self.environ = operator, dict(environ or {})
         self.ports = [free_port() for _ in range(fronts)]
@@ -101,9 +108,15 @@
             path.write_text(json.dumps(told))
             env = {k: v for k, v in os.environ.items() if not k.startswith("BALANCER_")} | self.environ
             words = ["-m", "ochrespan", "serve", *(["--operator", str(self.operator)] if self.operator else [])]
-            self.processes.append(await asyncio.create_subprocess_exec(
-                sys.executable, *words, env=env | {"BALANCER_CONFIG": str(path)}, cwd=HERE.parent,
-                stderr=asyncio.subprocess.DEVNULL))
+            self.processes.append(
+                await asyncio.create_subprocess_exec(
+                    sys.executable,
+                    *words,
+                    env=env | {"BALANCER_CONFIG": str(path)},
+                    cwd=HERE.parent,
+                    stderr=asyncio.subprocess.DEVNULL,
+                )
+            )
         async with aiohttp.ClientSession() as session:
             for port in self.ports:
                 await self._up(session, port)
@@ -137,8 +150,15 @@
     return found
 
 
-async def _send(testbed: Testbed, team: Team, got: Got, lot: random.Random, until: float,
-                session: aiohttp.ClientSession, tasks: asyncio.TaskGroup) -> None:
+async def _send(
+    testbed: Testbed,
+    team: Team,
+    got: Got,
+    lot: random.Random,
+    until: float,
+    session: aiohttp.ClientSession,
+    tasks: asyncio.TaskGroup,
+) -> None:
     loop = asyncio.get_running_loop()
     at = loop.time() + lot.random() / team.rate
     while at < until:
@@ -154,9 +174,12 @@
     path = f"/api/{team.volume}/{lot.getrandbits(64):016x}"
     testbed.servers[shard].kept.setdefault(path, b"photo")  # whatever is asked for is there
     headers = {
-        "X-Trace-Id": f"{lot.getrandbits(64):016x}", "X-Qos": team.cls, "X-Plan": team.plan,
+        "X-Trace-Id": f"{lot.getrandbits(64):016x}",
+        "X-Qos": team.cls,
+        "X-Plan": team.plan,
         "X-Expires-In-Ms": str(int(team.deadline * 1000)),
-        "X-IO": f"units={UNITS},shard={shard},hosts={len(testbed.ports)}"}
+        "X-IO": f"units={UNITS},shard={shard},hosts={len(testbed.ports)}",
+    }
     if team.token:
         headers["Authorization"] = f"Bearer {team.token}"
     began = loop.time()
@@ -197,12 +220,23 @@
         why = held(team, got)
         good = good and not why
         share = got.in_time / max(1, got.statuses[200])
-        rows.append((team.name, f"{team.reserve:g}", f"{team.budget:g}", f"{got.asked * UNITS / got.seconds:.0f}",
-                     f"{got.units_a_second:.1f}", f"{share:.1%}", str(got.statuses[429]), str(got.statuses[503]),
-                     "yes" if not why else "NO: " + "; ".join(why)))
+        rows.append(
+            (
+                team.name,
+                f"{team.reserve:g}",
+                f"{team.budget:g}",
+                f"{got.asked * UNITS / got.seconds:.0f}",
+                f"{got.units_a_second:.1f}",
+                f"{share:.1%}",
+                str(got.statuses[429]),
+                str(got.statuses[503]),
+                "yes" if not why else "NO: " + "; ".join(why),
+            )
+        )
     widths = [max(len(row[i]) for row in rows) for i in range(len(head))]
-    return ["  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
-            for row in rows], good
+    return [
+        "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip() for row in rows
+    ], good
 
 
 async def main(fronts: int, seconds: float) -> int:
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -24,8 +24,16 @@
     @property
     def entry(self) -> dict[str, object]:
         """Its entry in the list of chunk servers."""
-        return {"id": f"toy-{self.shard}", "host_port": self.address, "locality": "room",
-                "flavor": "toy", "cell": self.shard, "phase": self.phase, "size": 1.0, "up_since_ms": 0}
+        return {
+            "id": f"toy-{self.shard}",
+            "host_port": self.address,
+            "locality": "room",
+            "flavor": "toy",
+            "cell": self.shard,
+            "phase": self.phase,
+            "size": 1.0,
+            "up_since_ms": 0,
+        }
 
     async def handle(self, request: web.BaseRequest) -> web.Response:
         """Stores or returns a chunk."""
--- a/ochrespan/__main__.py
+++ b/ochrespan/__main__.py
@@ -9,10 +9,12 @@
 def main() -> int:
     if len(sys.argv) > 1:
         from .cli import main as command_line
+
         return command_line()
     # before all else is loaded, which takes a while: what is asked meanwhile is heard once the front can act on it
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
     from .front import run  # a platform's front need not build the tree of commands
+
     return run()
 
 
--- a/ochrespan/broker.py
+++ b/ochrespan/broker.py
@@ -162,9 +162,20 @@
         self._held[request] = self._by_id[held.id] = held
         held.step = self._loop.create_future()
         held.usage.taken += 1
-        self._handle(api.Request(
-            held.id, request.volume, request.cls, request.plan, request.time_left.total_seconds(),
-            request.units, request.shard, request.key, request.hosts, self._most_attempts(held)))
+        self._handle(
+            api.Request(
+                held.id,
+                request.volume,
+                request.cls,
+                request.plan,
+                request.time_left.total_seconds(),
+                request.units,
+                request.shard,
+                request.key,
+                request.hosts,
+                self._most_attempts(held),
+            )
+        )
         return held
 
     def _check(self, request: Request) -> None:
@@ -201,10 +212,19 @@
         held.ran += status not in NEVER_RAN
         if outcome.elsewhere and held.hold is not None and self._gate is not None:
             self._gate.heard(self._now(), held.hold, outcome.elsewhere)
-        self._handle(api.Outcome(
-            held.id, outcome.attempt.number, outcome.attempt.node, status, outcome.latency.total_seconds(),
-            closed=served or held.final is not None, report=outcome.load, elsewhere=outcome.elsewhere,
-            most_attempts=0 if served or held.final else self._paid(held)))
+        self._handle(
+            api.Outcome(
+                held.id,
+                outcome.attempt.number,
+                outcome.attempt.node,
+                status,
+                outcome.latency.total_seconds(),
+                closed=served or held.final is not None,
+                report=outcome.load,
+                elsewhere=outcome.elsewhere,
+                most_attempts=0 if served or held.final else self._paid(held),
+            )
+        )
         if not served:
             return
         held.usage.units += held.request.units
@@ -266,9 +286,17 @@
 
     def listing(self, kind: ListKind, nodes: list[Node] | None = None) -> None:
         """What discovery told."""
-        self._handle(api.NodeList(kind, [
-            api.NodeEntry(n.id, n.shard, n.state, n.started_at.timestamp() if n.started_at else None, n.zone,
-                          n.weight) for n in nodes or []]))
+        self._handle(
+            api.NodeList(
+                kind,
+                [
+                    api.NodeEntry(
+                        n.id, n.shard, n.state, n.started_at.timestamp() if n.started_at else None, n.zone, n.weight
+                    )
+                    for n in nodes or []
+                ],
+            )
+        )
 
     # ---- the module's side ----
 
--- a/ochrespan/cli.py
+++ b/ochrespan/cli.py
@@ -14,11 +14,19 @@
 from .logs import FORMATS
 
 OPERATOR = click.option(
-    "--operator", type=click.Path(path_type=Path), metavar="FILE",
-    help="The operator's file: contracts, object API, exporters. Without it all of these are off.")
+    "--operator",
+    type=click.Path(path_type=Path),
+    metavar="FILE",
+    help="The operator's file: contracts, object API, exporters. Without it all of these are off.",
+)
 CONFIG = click.option(
-    "--config", "config_file", type=click.Path(path_type=Path), metavar="FILE", envvar="BALANCER_CONFIG",
-    help="The platform's configuration; else what BALANCER_CONFIG names.")
+    "--config",
+    "config_file",
+    type=click.Path(path_type=Path),
+    metavar="FILE",
+    envvar="BALANCER_CONFIG",
+    help="The platform's configuration; else what BALANCER_CONFIG names.",
+)
 
 
 class DefaultToServe(click.Group):
@@ -54,6 +62,7 @@
     what needs a restart is named in the log. Exit 0 after a drain, 2 where a file is wrong.
     """
     from .front import run
+
     sys.exit(run(operator, log_format or ""))
 
 
@@ -70,6 +79,7 @@
         faults.append(f"{operator_file}: not checked: its names are those of the configuration's settings")
     elif operator_file is not None:
         from . import operator
+
         try:
             extra = operator.load(operator_file, told.settings)
         except config.BadConfig as why:
@@ -92,8 +102,10 @@
     if faults:
         sys.exit(2)
     settings = told.settings
-    click.echo(f"configuration: {len(settings.classes)} classes, {len(settings.plans)} plans, "
-               f"{len((told.known or {}).get('members', []))} known chunk servers")
+    click.echo(
+        f"configuration: {len(settings.classes)} classes, {len(settings.plans)} plans, "
+        f"{len((told.known or {}).get('members', []))} known chunk servers"
+    )
     if extra is not None:
         click.echo("operator's file: " + ", ".join(sorted(extra.sections) or ["nothing switched on"]))
 
@@ -126,8 +138,21 @@
         click.echo("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip())
 
 
-ROW = ("level", "kind", "plan", "classes", "known by", "reserve/s", "weight", "units/s", "attempts/s", "open",
-       "units/hour", "units/day", "state")
+ROW = (
+    "level",
+    "kind",
+    "plan",
+    "classes",
+    "known by",
+    "reserve/s",
+    "weight",
+    "units/s",
+    "attempts/s",
+    "open",
+    "units/hour",
+    "units/day",
+    "state",
+)
 
 
 def contract_rows(book: Any, one_front: bool) -> Iterator[tuple[str, ...]]:
@@ -141,29 +166,44 @@
             return "-" if not value else f"{value / fronts:g}"
 
         yield (
-            path, terms.kind, contract.plan if contract else "-",
+            path,
+            terms.kind,
+            contract.plan if contract else "-",
             ",".join(sorted(contract.classes - contract.withdrawn_classes)) if contract else "-",
-            _known_by(book, path, contract), figure(terms.reserve.units_per_s), f"{terms.weight:g}",
-            figure(budget.units_per_s), figure(budget.attempts_per_s), figure(budget.open),
-            figure(budget.units_per_hour), figure(budget.units_per_day), _state(contract))
+            _known_by(book, path, contract),
+            figure(terms.reserve.units_per_s),
+            f"{terms.weight:g}",
+            figure(budget.units_per_s),
+            figure(budget.attempts_per_s),
+            figure(budget.open),
+            figure(budget.units_per_hour),
+            figure(budget.units_per_day),
+            _state(contract),
+        )
 
 
 def _known_by(book: Any, path: str, contract: Any) -> str:
-    counts = {"token": len(contract.tokens) if contract else 0,
-              "volume": sum(owner == path for owner in book.by_volume.values()),
-              "bucket": sum(owner == path for owner in book.by_bucket.values())}
+    counts = {
+        "token": len(contract.tokens) if contract else 0,
+        "volume": sum(owner == path for owner in book.by_volume.values()),
+        "bucket": sum(owner == path for owner in book.by_bucket.values()),
+    }
     return ", ".join(f"{n} {what}{'s' * (n > 1)}" for what, n in counts.items() if n) or "-"
 
 
 def _state(contract: Any) -> str:
     from datetime import UTC, datetime
     from math import isfinite
+
     if contract is None:
         return "-"
     if contract.withdrawn:
         return "withdrawn"
-    words = [f"{word} {datetime.fromtimestamp(at, UTC):%Y-%m-%dT%H:%MZ}"
-             for word, at in (("from", contract.begins), ("until", contract.ends)) if isfinite(at)]
+    words = [
+        f"{word} {datetime.fromtimestamp(at, UTC):%Y-%m-%dT%H:%MZ}"
+        for word, at in (("from", contract.begins), ("until", contract.ends))
+        if isfinite(at)
+    ]
     return " ".join(words) or "in force"
 
 
--- a/ochrespan/contracts/accounts.py
+++ b/ochrespan/contracts/accounts.py
@@ -37,8 +37,9 @@
 
 
 def _of(level: Level, name: str, bucket: Bucket) -> Account:
-    return Account(level.path, name, *(
-        amount / PARTS for amount in (bucket.granted, bucket.spent, bucket.held, bucket.left)))
+    return Account(
+        level.path, name, *(amount / PARTS for amount in (bucket.granted, bucket.spent, bucket.held, bucket.left))
+    )
 
 
 def accounts(admission: Admission, now: float) -> Iterator[Account]:
@@ -47,15 +48,25 @@
     for level in list(admission.levels.values()):
         if not level.counts and level.path:
             continue  # it has not asked for anything yet
-        for name, bucket in (("units", level.units), ("attempts", level.attempts), ("extra-attempts", level.extras),
-                             ("reserve", level.reserve)):
+        for name, bucket in (
+            ("units", level.units),
+            ("attempts", level.attempts),
+            ("extra-attempts", level.extras),
+            ("reserve", level.reserve),
+        ):
             if bucket is not None:
                 bucket.sync(micros(now))
                 yield _of(level, name, bucket)
         for window in level.windows:
             window.sync(micros(now))
-            yield Account(level.path, f"units-per-{NAMES[window.span]}", units(window.quota), units(window.spent),
-                          units(window.held), units(window.left))
+            yield Account(
+                level.path,
+                f"units-per-{NAMES[window.span]}",
+                units(window.quota),
+                units(window.spent),
+                units(window.held),
+                units(window.left),
+            )
 
 
 def figures(admission: Admission, now: float) -> Iterator[Figures]:
@@ -66,5 +77,6 @@
             lent = level.lent
             if level.lending_since is not None and level.reserve is not None:
                 lent += level.reserve.rate * max(0, micros(now) - level.lending_since)
-            yield Figures(level.path, level.terms.kind, level.open, units(lent), units(level.borrowed),
-                          dict(level.counts))
+            yield Figures(
+                level.path, level.terms.kind, level.open, units(lent), units(level.borrowed), dict(level.counts)
+            )
--- a/ochrespan/contracts/admission.py
+++ b/ochrespan/contracts/admission.py
@@ -64,9 +64,7 @@
 
     # ---- requests ----
 
-    def admit(
-        self, now: float, demand: Demand, vouched: Contract | None = None
-    ) -> Grant | NotCovered | OverBudget:
+    def admit(self, now: float, demand: Demand, vouched: Contract | None = None) -> Grant | NotCovered | OverBudget:
         """`vouched`: the contract under which earlier steps of the same work were taken; withdrawing it, or a class
         or token of it, lets that work end."""
         contract = vouched or self.identify(demand)
--- a/ochrespan/contracts/front_share.py
+++ b/ochrespan/contracts/front_share.py
@@ -66,7 +66,7 @@
             # while all use less than half, all may double at once; near the budget the root lets no front chase
             # what the others change in the same step. GROW is added below: what is aimed at is as much less
             aim = self.rate * (1 - 2 * GROW) / whole
-            part = part * (min(MOST, aim) if aim > MOST else max(1 / MOST, aim ** 0.5)) + GROW * even * self._refused
+            part = part * (min(MOST, aim) if aim > MOST else max(1 / MOST, aim**0.5)) + GROW * even * self._refused
         elif not self._refused:
             wanted = max(min(part, even), min(part, LOOSE * self.spent))
             part += FADE * (wanted - part)
--- a/ochrespan/contracts/gate.py
+++ b/ochrespan/contracts/gate.py
@@ -104,8 +104,12 @@
         was = set(self.admission.book.contracts)
         self.admission.replace(book, self.now())
         self._set_parts()
-        log.info("contracts read anew", contracts=len(book.contracts), new=len(set(book.contracts) - was),
-                 gone=len(was - set(book.contracts)))
+        log.info(
+            "contracts read anew",
+            contracts=len(book.contracts),
+            new=len(set(book.contracts) - was),
+            gone=len(was - set(book.contracts)),
+        )
 
     def _set_parts(self) -> None:
         book, was = self.admission.book, self._parts
--- a/ochrespan/contracts/section.py
+++ b/ochrespan/contracts/section.py
@@ -29,9 +29,7 @@
     platform: bool  # whether requests in the platform's protocol need a contract
 
 
-def read(
-    tables_: Mapping[str, Any], settings: api.Settings, faults: Faults, earlier: Mapping[str, Any]
-) -> Contracts:
+def read(tables_: Mapping[str, Any], settings: api.Settings, faults: Faults, earlier: Mapping[str, Any]) -> Contracts:
     """The book of contracts; faults are collected in `faults`."""
     told = ContractsTable(platform="open")  # teams alone are the object API's
     if "contracts" in tables_:
@@ -145,15 +143,19 @@
         for name in ("burst_units", "units_per_hour", "units_per_day"):
             self._bears(f"{place} budget {name}", getattr(budget, name))
         if budget.units_per_s is not None and reserve.units_per_s > budget.units_per_s:
-            self._faults.add(f"{place} reserve units_per_s", reserve.units_per_s,
-                             f"at most its budget of {budget.units_per_s:g} units a second")
+            self._faults.add(
+                f"{place} reserve units_per_s",
+                reserve.units_per_s,
+                f"at most its budget of {budget.units_per_s:g} units a second",
+            )
 
     def _bears(self, place: str, figure: float | None) -> None:
         """Every front holds its part of it, and a part that bears no whole request would refuse all for good."""
         least = self.book.most_units * self.book.fronts
         if figure is not None and figure < least:
-            self._faults.add(place, figure, f"at least {least:g}: the largest request at each of "
-                                            f"{self.book.fronts} fronts")
+            self._faults.add(
+                place, figure, f"at least {least:g}: the largest request at each of {self.book.fronts} fronts"
+            )
 
     # ---- senders ----
 
@@ -169,15 +171,25 @@
             self._faults.add(place, "nothing that it is known by", "tokens_sha256, volumes or buckets")
         for token in told.tokens_sha256:
             self._once(f"{place} tokens_sha256", "token", token, terms.path)
-        self.book.add(Contract(
-            terms, team.plan, frozenset(told.classes), frozenset(told.withdrawn_classes),
-            frozenset(told.tokens_sha256), frozenset(name.lower() for name in told.volumes),
-            begins=told.begins.timestamp() if told.begins else -inf,
-            ends=told.until.timestamp() if told.until else inf,
-            withdrawn=told.withdrawn or team.withdrawn,
-            attempts_per_request=told.attempts_per_request or team.attempts_per_request,
-            fronts=told.fronts or team.fronts or 0, parts=told.parts,
-            read=team.read, write=team.write, export=team.export))
+        self.book.add(
+            Contract(
+                terms,
+                team.plan,
+                frozenset(told.classes),
+                frozenset(told.withdrawn_classes),
+                frozenset(told.tokens_sha256),
+                frozenset(name.lower() for name in told.volumes),
+                begins=told.begins.timestamp() if told.begins else -inf,
+                ends=told.until.timestamp() if told.until else inf,
+                withdrawn=told.withdrawn or team.withdrawn,
+                attempts_per_request=told.attempts_per_request or team.attempts_per_request,
+                fronts=told.fronts or team.fronts or 0,
+                parts=told.parts,
+                read=team.read,
+                write=team.write,
+                export=team.export,
+            )
+        )
 
     def _classes(self, place: str, told: list[str], allowed: Collection[str]) -> None:
         if not told:
@@ -210,10 +222,14 @@
             place = self._places.get(path, "[contracts]")
             own = book.capacity.units_per_s if not path and book.capacity else terms.reserve.units_per_s
             if children > own and (own or not path):
-                self._faults.add(f"{place} {'reserve' if path else 'capacity'}_units_per_s", own,
-                                 f"at least {children:g}, the reserves below it")
+                self._faults.add(
+                    f"{place} {'reserve' if path else 'capacity'}_units_per_s",
+                    own,
+                    f"at least {children:g}, the reserves below it",
+                )
             for name, seconds in (("units_per_s", 1), ("units_per_hour", 3600), ("units_per_day", 86400)):
                 bound = getattr(terms.budget, name)
                 if bound is not None and bound < children * seconds:
-                    self._faults.add(f"{place} budget {name}", bound,
-                                     f"at least {children * seconds:g}, the reserves below it")
+                    self._faults.add(
+                        f"{place} budget {name}", bound, f"at least {children * seconds:g}, the reserves below it"
+                    )
--- a/ochrespan/control/front.py
+++ b/ochrespan/control/front.py
@@ -32,9 +32,7 @@
 class ControlFront:
     """One answer to each call; every answer ends its connection."""
 
-    def __init__(
-        self, lifecycle: Lifecycle, servers: ServerSwitch, figures: Callable[[], Iterator[Reading]]
-    ) -> None:
+    def __init__(self, lifecycle: Lifecycle, servers: ServerSwitch, figures: Callable[[], Iterator[Reading]]) -> None:
         self._lifecycle, self._servers, self._figures = lifecycle, servers, figures
 
     async def handle(self, request: Exchange) -> Reply:
--- a/ochrespan/control_plane/disk_writer.py
+++ b/ochrespan/control_plane/disk_writer.py
@@ -26,7 +26,11 @@
     """Calls `take()` for records whenever it is woken, and `durable()` when they are on the disk."""
 
     def __init__(
-        self, store: Store, disk_bytes: int, take: Callable[[], list[bytes]], durable: Callable[[], None],
+        self,
+        store: Store,
+        disk_bytes: int,
+        take: Callable[[], list[bytes]],
+        durable: Callable[[], None],
         image: Callable[[], bytes],
     ) -> None:
         self._store, self._take, self._durable, self._image = store, take, durable, image
--- a/ochrespan/control_plane/membership.py
+++ b/ochrespan/control_plane/membership.py
@@ -38,7 +38,11 @@
 
 
 _KINDS: tuple[type, ...] = (
-    swim_messages.Ping, swim_messages.Ack, swim_messages.Nack, swim_messages.PingRequest, swim_messages.Sync,
+    swim_messages.Ping,
+    swim_messages.Ack,
+    swim_messages.Nack,
+    swim_messages.PingRequest,
+    swim_messages.Sync,
 )
 _news_fields = tuple(News.__dataclass_fields__)
 
--- a/ochrespan/control_plane/presence.py
+++ b/ochrespan/control_plane/presence.py
@@ -133,5 +133,6 @@
         self._lag.told(presence.offsets, applied_offsets(self._groups), now)
 
     def _own_presence(self) -> Presence:
-        return Presence(*self._address, self._zone, self._census.readers(), applied_offsets(self._groups),
-                        self._groups.cluster())
+        return Presence(
+            *self._address, self._zone, self._census.readers(), applied_offsets(self._groups), self._groups.cluster()
+        )
--- a/ochrespan/control_plane/raft_wire.py
+++ b/ochrespan/control_plane/raft_wire.py
@@ -20,13 +20,24 @@
 
 # The place of a type in this list is its number on the wire: types are added at the end only.
 _MESSAGE_TYPES: tuple[type, ...] = (
-    messages.VoteRequest, messages.VoteReply, messages.Append, messages.AppendReply, messages.Heartbeat,
-    messages.HeartbeatReply, messages.SnapshotChunk, messages.SnapshotReply, messages.CampaignNow,
-    formation.Join, formation.JoinReply, formation.Found, formation.Leave,
+    messages.VoteRequest,
+    messages.VoteReply,
+    messages.Append,
+    messages.AppendReply,
+    messages.Heartbeat,
+    messages.HeartbeatReply,
+    messages.SnapshotChunk,
+    messages.SnapshotReply,
+    messages.CampaignNow,
+    formation.Join,
+    formation.JoinReply,
+    formation.Found,
+    formation.Leave,
 )
 _numbers = {message_type: number for number, message_type in enumerate(_MESSAGE_TYPES)}
-_fields = {message_type: tuple(field.name for field in dataclasses.fields(message_type))
-           for message_type in _MESSAGE_TYPES}
+_fields = {
+    message_type: tuple(field.name for field in dataclasses.fields(message_type)) for message_type in _MESSAGE_TYPES
+}
 _APPEND = _numbers[messages.Append]
 _ENTRIES_FIELD = _fields[messages.Append].index("entries")
 
@@ -100,10 +111,17 @@
 def pack_record(change: Identity | DurableChange) -> bytes:
     if isinstance(change, Identity):
         return ormsgpack.packb([_IDENTITY, change.replica_id, change.cluster, change.founders])
-    return ormsgpack.packb([
-        _CHANGE, change.group, change.term, change.vote, _pack_snapshot(change.snapshot), change.first_index,
-        _pack_entries(change.entries),
-    ])
+    return ormsgpack.packb(
+        [
+            _CHANGE,
+            change.group,
+            change.term,
+            change.vote,
+            _pack_snapshot(change.snapshot),
+            change.first_index,
+            _pack_entries(change.entries),
+        ]
+    )
 
 
 def pack_image(identity: Identity, changes: list[DurableChange]) -> bytes:
--- a/ochrespan/control_plane/replica_host.py
+++ b/ochrespan/control_plane/replica_host.py
@@ -196,8 +196,13 @@
         self._table = GroupTable(
             formation, tuple(self._applier.machines), identity, durable, random.SystemRandom(), time.monotonic()
         )
-        log.info("replica host started node=%s replica=%d empty=%s bootstrap=%s",
-                 settings.node, self._table.id, identity is None, settings.bootstrap)
+        log.info(
+            "replica host started node=%s replica=%d empty=%s bootstrap=%s",
+            settings.node,
+            self._table.id,
+            identity is None,
+            settings.bootstrap,
+        )
         disk_bytes = settings.disk_mb * MEGABYTE
         self._disk = DiskWriter(store, disk_bytes, self._take_records, self._durable, self._image)
         self._disk.start()
@@ -272,8 +277,12 @@
         if losses != self._bearable_losses.get(shard):
             self._bearable_losses[shard] = losses
             if losses is not None:
-                log.info("bearable losses shard=%d losses=%d voters=%d", shard, losses,
-                         len(replica.core.configuration.voters))
+                log.info(
+                    "bearable losses shard=%d losses=%d voters=%d",
+                    shard,
+                    losses,
+                    len(replica.core.configuration.voters),
+                )
 
     def _note_leadership(self, shard: int, leads: bool) -> None:
         if leads != (shard in self._leading):
--- a/ochrespan/coordination/configuration.py
+++ b/ochrespan/coordination/configuration.py
@@ -47,8 +47,7 @@
     def has_majority(self, agreeing: Callable[[int], bool]) -> bool:
         """Whether the replicas for which `agreeing` holds decide for the group."""
         return bool(self.voters) and all(
-            2 * sum(agreeing(member.id) for member in side) > len(side)
-            for side in (self.voters, self.outgoing) if side
+            2 * sum(agreeing(member.id) for member in side) > len(side) for side in (self.voters, self.outgoing) if side
         )
 
     def majority_value(self, value_of: Callable[[int], float]) -> float:
--- a/ochrespan/coordination/formation.py
+++ b/ochrespan/coordination/formation.py
@@ -133,9 +133,7 @@
         self._blank_since: float | None = None
 
     @classmethod
-    def begin(
-        cls, settings: FormationSettings, known: Identity | None, source: random.Random, now: float
-    ) -> Formation:
+    def begin(cls, settings: FormationSettings, known: Identity | None, source: random.Random, now: float) -> Formation:
         """Continues as `known`, or draws a new id; a founder's disk gets its mark."""
         founders = tuple(sorted(set(settings.seeds)))
         is_founder = settings.bootstrap and settings.address in founders
@@ -175,15 +173,17 @@
         if not self.empty or own not in founders:
             return None
         empty = {
-            address: holding for address, holding in self._fresh(now).items()
+            address: holding
+            for address, holding in self._fresh(now).items()
             if holding.empty and holding.founders in ((), founders)
         }
         empty[own] = Holding(self.identity.replica_id, True, True, founders, self._began_at, now)
         proposer = min(address for address, holding in empty.items() if holding.founders)
         if own != proposer or not (self._is_word_of_all(empty) or self._enough_for_first_start(now, empty)):
             return None
-        ids = {address: empty[address].replica_id if address in empty else draw_id(self._random)
-               for address in founders}
+        ids = {
+            address: empty[address].replica_id if address in empty else draw_id(self._random) for address in founders
+        }
         return Found([[ids[address], *address] for address in founders])
 
     def accepts(self, message: Found) -> bool:
@@ -233,7 +233,8 @@
     def _fresh(self, now: float) -> dict[Address, Holding]:
         """What the other founders have said lately."""
         return {
-            address: holding for address, holding in self._holdings.items()
+            address: holding
+            for address, holding in self._holdings.items()
             if address in self.identity.founders and now - holding.heard_at < FRESH_S
         }
 
--- a/ochrespan/coordination/group_table.py
+++ b/ochrespan/coordination/group_table.py
@@ -52,8 +52,14 @@
     """Routes messages to the replicas and collects what they send and write."""
 
     def __init__(
-        self, settings: FormationSettings, groups: tuple[int, ...], known: Identity | None,
-        durable: dict[int, DurableState], source: random.Random, now: float, timing: Timing | None = None,
+        self,
+        settings: FormationSettings,
+        groups: tuple[int, ...],
+        known: Identity | None,
+        durable: dict[int, DurableState],
+        source: random.Random,
+        now: float,
+        timing: Timing | None = None,
     ) -> None:
         self.settings, self.timing = settings, timing or Timing()
         self.formation = Formation.begin(settings, known, source, now)
@@ -202,8 +208,12 @@
                 self._send_process(envelope.address, 0, self._join_reply(now, []))
         if envelope.address not in self._strangers:
             self._strangers.add(envelope.address)
-            log.warning("other cluster peer=%s:%d found=%d own=%d",
-                        *envelope.address, envelope.cluster, self.formation.identity.cluster)
+            log.warning(
+                "other cluster peer=%s:%d found=%d own=%d",
+                *envelope.address,
+                envelope.cluster,
+                self.formation.identity.cluster,
+            )
 
     def _prefers(self, message: Found) -> bool:
         """Whether another founding is to be taken in place of this process's own: all choose the same one."""
@@ -305,8 +315,9 @@
         return Replica(group, self.id, durable, self._random, self.timing, smallest, now)
 
     def _members(self) -> list[Member]:
-        return [member for replica in self.replicas.values()
-                for member in replica.core.configuration.members().values()]
+        return [
+            member for replica in self.replicas.values() for member in replica.core.configuration.members().values()
+        ]
 
     def _balance(self, now: float) -> None:
         """Hands one group to the voter that should lead it, once that voter has been steady for a while."""
--- a/ochrespan/coordination/messages.py
+++ b/ochrespan/coordination/messages.py
@@ -113,6 +113,13 @@
 
 
 Message = (
-    VoteRequest | VoteReply | Append | AppendReply | Heartbeat | HeartbeatReply | SnapshotChunk | SnapshotReply
+    VoteRequest
+    | VoteReply
+    | Append
+    | AppendReply
+    | Heartbeat
+    | HeartbeatReply
+    | SnapshotChunk
+    | SnapshotReply
     | CampaignNow
 )
--- a/ochrespan/coordination/replica.py
+++ b/ochrespan/coordination/replica.py
@@ -43,7 +43,13 @@
 
 class Replica:
     def __init__(
-        self, group: int, replica_id: int, durable: DurableState, source: random.Random, timing: Timing, smallest: int,
+        self,
+        group: int,
+        replica_id: int,
+        durable: DurableState,
+        source: random.Random,
+        timing: Timing,
+        smallest: int,
         now: float,
     ) -> None:
         self.core = ReplicaCore(group, replica_id, timing, durable, source)
--- a/ochrespan/coordination/replication.py
+++ b/ochrespan/coordination/replication.py
@@ -73,7 +73,7 @@
     def resend_after(self, resend_s: float) -> float:
         """Seconds without an answer after which what is under way counts as lost; longer with each time in a row."""
         carried_s = self.bytes_under_way / SLOWEST_LINK_BYTES_PER_S
-        return min(LONGEST_RESEND_S, resend_s * 2**min(self.resends, 10)) + carried_s
+        return min(LONGEST_RESEND_S, resend_s * 2 ** min(self.resends, 10)) + carried_s
 
 
 class Replication:
@@ -251,9 +251,17 @@
         core, previous = self._core, progress.next - 1
         entries = core.log.slice(progress.next, MAX_APPEND_ENTRIES, MAX_APPEND_BYTES)
         stamp = self._note_sent(progress, sum(len(entry.data) for entry in entries))
-        core.send(member_id, Append(
-            core.term, previous, core.log.term_at(previous), entries, core.commit_index, stamp,
-        ))
+        core.send(
+            member_id,
+            Append(
+                core.term,
+                previous,
+                core.log.term_at(previous),
+                entries,
+                core.commit_index,
+                stamp,
+            ),
+        )
         if progress.mode is Mode.PIPELINE:
             progress.next += len(entries)
 
@@ -266,9 +274,19 @@
         piece = snapshot.data[offset : offset + SNAPSHOT_CHUNK_BYTES]
         progress.snapshot_sent = offset + len(piece)
         stamp = self._note_sent(progress, len(piece))
-        core.send(member_id, SnapshotChunk(
-            core.term, snapshot.index, snapshot.term, snapshot.configuration.to_bytes(), offset, size, piece, stamp,
-        ))
+        core.send(
+            member_id,
+            SnapshotChunk(
+                core.term,
+                snapshot.index,
+                snapshot.term,
+                snapshot.configuration.to_bytes(),
+                offset,
+                size,
+                piece,
+                stamp,
+            ),
+        )
 
     def _note_sent(self, progress: Progress, size: int) -> float:
         """Counts a message as under way and gives its stamp."""
--- a/ochrespan/coordination/swim.py
+++ b/ochrespan/coordination/swim.py
@@ -160,8 +160,11 @@
 
     def _warn_suspects(self, target: Address | None) -> None:
         """Pings some suspects besides, so that they hear of their suspicion and can refute it in time."""
-        suspects = [record.member.address for record in self.table.living()
-                    if record.state is MemberState.SUSPECT and record.member.address != target]
+        suspects = [
+            record.member.address
+            for record in self.table.living()
+            if record.state is MemberState.SUSPECT and record.member.address != target
+        ]
         for address in self._random.sample(suspects, min(WARNED_SUSPECTS, len(suspects))):
             self._send(address, Ping(self._next_number(), self._news_for(address)))
 
--- a/ochrespan/data_plane/dispatcher.py
+++ b/ochrespan/data_plane/dispatcher.py
@@ -38,9 +38,7 @@
 class Dispatcher:
     """Owns the scheduler. Each request is known here from `submit` to `close`."""
 
-    def __init__(
-        self, scheduler: SchedulerLike, deadlines: DeadlineHeap, figures: RouterFigures | None = None
-    ) -> None:
+    def __init__(self, scheduler: SchedulerLike, deadlines: DeadlineHeap, figures: RouterFigures | None = None) -> None:
         self._scheduler = scheduler
         self._deadlines = deadlines
         self._figures = figures or RouterFigures(Registry())
--- a/ochrespan/data_plane/router_node.py
+++ b/ochrespan/data_plane/router_node.py
@@ -100,9 +100,7 @@
 
     def _add_gauges(self, registry: Registry) -> None:
         registry.gauge("ochrespan_router_requests", "Requests that are held.", lambda: self._dispatcher.running)
-        registry.gauge(
-            "ochrespan_router_connections", "Connections of clients.", lambda: self.ingress.open_connections
-        )
+        registry.gauge("ochrespan_router_connections", "Connections of clients.", lambda: self.ingress.open_connections)
         registry.gauge("ochrespan_router_ready", "Whether new connections are welcome.", self.is_ready)
         registry.gauge("ochrespan_configuration_version", "The configuration in force.", lambda: self._version)
 
--- a/ochrespan/data_plane/scheduler.py
+++ b/ochrespan/data_plane/scheduler.py
@@ -38,9 +38,7 @@
 class Scheduler:
     """All decisions of one router about requests."""
 
-    def __init__(
-        self, own_zone: str, seed: int, retry_ratio: float, retry_slack: float, retry_window: float
-    ) -> None:
+    def __init__(self, own_zone: str, seed: int, retry_ratio: float, retry_slack: float, retry_window: float) -> None:
         self._zone, self._random = own_zone, random.Random(seed)
         self._retry = (retry_ratio, retry_slack, retry_window)
         self._routers = 1
--- a/ochrespan/exchange.py
+++ b/ochrespan/exchange.py
@@ -65,9 +65,7 @@
         """Tells a client that waits for it to send the body (100 Continue)."""
 
     @abstractmethod
-    async def start(
-        self, status: int, headers: Mapping[str, str], length: int | None, close: bool = False
-    ) -> None:
+    async def start(self, status: int, headers: Mapping[str, str], length: int | None, close: bool = False) -> None:
         """The head of a streamed answer of so many bytes; None: as many as come before it is finished."""
 
     @abstractmethod
--- a/ochrespan/front.py
+++ b/ochrespan/front.py
@@ -78,6 +78,7 @@
 
     async def _operator(self, path: Path) -> None:
         from . import operator
+
         while self._wanted:
             self._wanted = False
             try:  # thousands of contracts take a second to read: requests go on meanwhile
@@ -92,20 +93,23 @@
             for name, section in new.sections.items():
                 if name in self._running and (take := self._running[name].reload) is not None:
                     take(section)
-            fixed = [name for name in new.sections.keys() | self._running.keys()
-                     if name not in self._running or name not in new.sections or self._running[name].reload is None]
+            fixed = [
+                name
+                for name in new.sections.keys() | self._running.keys()
+                if name not in self._running or name not in new.sections or self._running[name].reload is None
+            ]
             log.info("operator's file read anew", extra={"only_by_restart": ",".join(sorted(fixed)) or "-"})
 
 
 def start(extra: Operator | None, core: Core) -> dict[str, Running]:
     """Each subsystem that the operator's file names, by its package's name."""
-    return {name: importlib.import_module(f".{name}.start", __package__).start(section, core)
-            for name, section in (extra.sections if extra else {}).items()}
+    return {
+        name: importlib.import_module(f".{name}.start", __package__).start(section, core)
+        for name, section in (extra.sections if extra else {}).items()
+    }
 
 
-async def drain(
-    told: config.Config, broker: Broker, listeners: list[Listener], lifecycle: Lifecycle
-) -> None:
+async def drain(told: config.Config, broker: Broker, listeners: list[Listener], lifecycle: Lifecycle) -> None:
     """From SIGTERM on: serves for as long as the platform lets us, and ends with nothing unanswered."""
 
     async def wait(until: timedelta, wanted: Callable[[], object] = lambda: True) -> None:
@@ -214,7 +218,8 @@
     """The clients' addresses: the platform's and those of subsystems, until the stack ends."""
     told = core.told
     fronts: list[tuple[Server, tuple[str, int]]] = [
-        (Http1Server(core.handlers["platform"], MOST_BODY, MOST_WHOLE), told.listen)]
+        (Http1Server(core.handlers["platform"], MOST_BODY, MOST_WHOLE), told.listen)
+    ]
     fronts += [front for one in running.values() for front in one.fronts]
     listeners = []
     for server, address in fronts:
@@ -243,8 +248,12 @@
 
 
 async def follow_processes(
-    roster: Roster, switch: ServerSwitch, lifecycle: Lifecycle, sockets: Sockets,
-    session: aiohttp.ClientSession, listeners: list[Listener],
+    roster: Roster,
+    switch: ServerSwitch,
+    lifecycle: Lifecycle,
+    sockets: Sockets,
+    session: aiohttp.ClientSession,
+    listeners: list[Listener],
 ) -> None:
     """Keeps in step with the other process of an upgrade: what operators told it, and its part of the limits."""
     known, loop = roster.size(), asyncio.get_running_loop()
@@ -274,6 +283,7 @@
         told = config.load(os.environ)
         if path is not None:
             from . import operator
+
             extra = operator.load(path, told.settings)
     except config.BadConfig as why:
         for fault in why.args:
--- a/ochrespan/http2/connection.py
+++ b/ochrespan/http2/connection.py
@@ -86,7 +86,7 @@
         """Whether the first frame is one of settings, as far as it has come."""
         if len(self._start) >= FIRST_FRAME:
             return True
-        self._start += data[:FIRST_FRAME - len(self._start)]
+        self._start += data[: FIRST_FRAME - len(self._start)]
         return len(self._start) < FIRST_FRAME or self._start[-1] == SETTINGS
 
     def _handle(self, event: Event, now: float, told: list[ConnectionEvent]) -> None:
@@ -177,7 +177,7 @@
             self._end(code, "a malformed PRIORITY_UPDATE", told)
         elif self._allowed(PeerAction.PRIORITY, now, told):
             stream = int.from_bytes(body[:4]) & HIGHEST_STREAM
-            field = body[4:4 + PRIORITY_FIELD].decode("ascii", "replace")
+            field = body[4 : 4 + PRIORITY_FIELD].decode("ascii", "replace")
             self._streams.change_priority(stream, read_priority(field, Priority()))
 
     # ---- out ----
--- a/ochrespan/http2/exchange.py
+++ b/ochrespan/http2/exchange.py
@@ -100,9 +100,7 @@
         """Tells a client that waits for it to send its body."""
         self._connection.send_interim(self.stream, HTTPStatus.CONTINUE)
 
-    async def start(
-        self, status: int, headers: Mapping[str, str], length: int | None, close: bool = False
-    ) -> None:
+    async def start(self, status: int, headers: Mapping[str, str], length: int | None, close: bool = False) -> None:
         """Sends the head of an answer whose body follows in pieces."""
         self.started = True
         fields = _fields(headers)
--- a/ochrespan/http2/h2_adapter.py
+++ b/ochrespan/http2/h2_adapter.py
@@ -21,8 +21,7 @@
     """h2's connection on the server's side, set up by our limits."""
 
     def __init__(self, limits: Limits) -> None:
-        super().__init__(
-            H2Configuration(client_side=False, header_encoding="utf-8", validate_outbound_headers=False))
+        super().__init__(H2Configuration(client_side=False, header_encoding="utf-8", validate_outbound_headers=False))
         self.local_settings = _initial_settings(limits)
         self.decoder.max_header_list_size = limits.headers
         self.initiate_connection()
@@ -54,11 +53,14 @@
 
 
 def _initial_settings(limits: Limits) -> Settings:
-    return Settings(client=False, initial_values={
-        SettingCodes.MAX_CONCURRENT_STREAMS: limits.streams,
-        SettingCodes.MAX_HEADER_LIST_SIZE: limits.headers,
-        SettingCodes.INITIAL_WINDOW_SIZE: limits.stream_window,
-        SettingCodes.ENABLE_PUSH: 0,
-        SettingCodes.HEADER_TABLE_SIZE: FIELD_TABLE_SIZE,
-        SettingCodes.MAX_FRAME_SIZE: LARGEST_FRAME,
-    })
+    return Settings(
+        client=False,
+        initial_values={
+            SettingCodes.MAX_CONCURRENT_STREAMS: limits.streams,
+            SettingCodes.MAX_HEADER_LIST_SIZE: limits.headers,
+            SettingCodes.INITIAL_WINDOW_SIZE: limits.stream_window,
+            SettingCodes.ENABLE_PUSH: 0,
+            SettingCodes.HEADER_TABLE_SIZE: FIELD_TABLE_SIZE,
+            SettingCodes.MAX_FRAME_SIZE: LARGEST_FRAME,
+        },
+    )
--- a/ochrespan/http2/protocol.py
+++ b/ochrespan/http2/protocol.py
@@ -132,8 +132,10 @@
 
     def _end(self, code: int, why: str) -> None:
         if code:
-            log.info("connection ended", extra={"code": ErrorCodes(code).name if code in list(ErrorCodes) else code,
-                                                "why": why})
+            log.info(
+                "connection ended",
+                extra={"code": ErrorCodes(code).name if code in list(ErrorCodes) else code, "why": why},
+            )
         for task in list(self._tasks.values()):
             task.cancel()
         self._leave()
--- a/ochrespan/http2/section.py
+++ b/ochrespan/http2/section.py
@@ -39,15 +39,16 @@
     stall_timeout: timedelta  # for a client that takes nothing of its answer
 
 
-def read(
-    tables: Mapping[str, Any], settings: api.Settings, faults: Faults, earlier: Mapping[str, Any]
-) -> Http2 | None:
+def read(tables: Mapping[str, Any], settings: api.Settings, faults: Faults, earlier: Mapping[str, Any]) -> Http2 | None:
     """The checked section; None where the table cannot be read. Faults are collected in `faults`."""
     told = table(Http2Table, tables["http2"], "[http2]", faults)
     if told is None:
         return None
-    listen = {name: address(where, f"[http2] {name}", faults)
-              for name in ("platform", "objects") if (where := getattr(told, name)) is not None}
+    listen = {
+        name: address(where, f"[http2] {name}", faults)
+        for name in ("platform", "objects")
+        if (where := getattr(told, name)) is not None
+    }
     if not listen:
         faults.add("[http2]", "no address", "platform, objects, or both")
     if "objects" in listen and "objects" not in earlier:
--- a/ochrespan/http2/server.py
+++ b/ochrespan/http2/server.py
@@ -21,8 +21,14 @@
     """Makes the connections of one port, and tells them of a drain."""
 
     def __init__(
-        self, handler: Handler, most_body: int | None, lifecycle: Lifecycle, limits: Limits,
-        buffers: BufferBudget, stall_timeout: timedelta, aims: Mapping[str, float],
+        self,
+        handler: Handler,
+        most_body: int | None,
+        lifecycle: Lifecycle,
+        limits: Limits,
+        buffers: BufferBudget,
+        stall_timeout: timedelta,
+        aims: Mapping[str, float],
     ) -> None:
         """`most_body`: bytes of a request read whole. `aims`: seconds, by class, for the default urgency.
         `stall_timeout`: for a client that takes nothing of its answer."""
--- a/ochrespan/http2/start.py
+++ b/ochrespan/http2/start.py
@@ -16,7 +16,8 @@
     for name, address in section.listen.items():
         most_body = MOST_BODY if name == "platform" else None
         server = Http2Server(
-            core.handlers[name], most_body, core.lifecycle, section.limits, buffers, section.stall_timeout, aims)
+            core.handlers[name], most_body, core.lifecycle, section.limits, buffers, section.stall_timeout, aims
+        )
         running.fronts.append((server, address))
         running.jobs.append(server.follow())
     return running
--- a/ochrespan/logs.py
+++ b/ochrespan/logs.py
@@ -77,10 +77,15 @@
     else:
         last = [_plain, structlog.processors.LogfmtRenderer(key_order=FIRST, drop_missing=True, bool_as_flag=False)]
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(structlog.stdlib.ProcessorFormatter(
-        foreign_pre_chain=steps, processors=[structlog.stdlib.ProcessorFormatter.remove_processors_meta, *last]))
+    handler.setFormatter(
+        structlog.stdlib.ProcessorFormatter(
+            foreign_pre_chain=steps, processors=[structlog.stdlib.ProcessorFormatter.remove_processors_meta, *last]
+        )
+    )
     logging.basicConfig(level=level, handlers=[handler], force=True)
     structlog.configure(
         processors=[*steps[:2], *steps[3:], structlog.stdlib.ProcessorFormatter.wrap_for_formatter],
-        logger_factory=structlog.stdlib.LoggerFactory(), wrapper_class=structlog.stdlib.BoundLogger,
-        cache_logger_on_first_use=True)
+        logger_factory=structlog.stdlib.LoggerFactory(),
+        wrapper_class=structlog.stdlib.BoundLogger,
+        cache_logger_on_first_use=True,
+    )
--- a/ochrespan/metrics/exporters.py
+++ b/ochrespan/metrics/exporters.py
@@ -80,7 +80,8 @@
         """The readings in Graphite's plaintext protocol."""
         stamp = int(at.timestamp())
         return "".join(
-            f"{self.sink.prefix}.{self.host}.{r.group}.{r.name} {r.value:.10g} {stamp}\n" for r in found).encode()
+            f"{self.sink.prefix}.{self.host}.{r.group}.{r.name} {r.value:.10g} {stamp}\n" for r in found
+        ).encode()
 
     async def send(self, found: list[Reading], at: datetime) -> None:
         if self._writer is not None and self._writer.is_closing():
@@ -140,7 +141,8 @@
         if self._transport is None or self._transport.is_closing():
             loop = asyncio.get_running_loop()
             self._transport, _ = await loop.create_datagram_endpoint(
-                asyncio.DatagramProtocol, remote_addr=self.sink.address)
+                asyncio.DatagramProtocol, remote_addr=self.sink.address
+            )
         for packet in self.packets(found, at):
             self._transport.sendto(packet)
 
--- a/ochrespan/metrics/start.py
+++ b/ochrespan/metrics/start.py
@@ -13,5 +13,7 @@
     core.figures.append(lambda: readings(core.broker))
     exporters = [
         kind(sink, core.told.name, core.figures)
-        for kind, sink in ((Graphite, section.graphite), (Collectd, section.collectd)) if sink is not None]
+        for kind, sink in ((Graphite, section.graphite), (Collectd, section.collectd))
+        if sink is not None
+    ]
     return Running(jobs=[exporter.run() for exporter in exporters])
--- a/ochrespan/net/answers.py
+++ b/ochrespan/net/answers.py
@@ -35,7 +35,7 @@
     FIRST_LINE = re.compile(rb"HTTP/1\.[01] ([1-5][0-9][0-9])(?: [\t\x20-\x7e\x80-\xff]*)?")
 
     def _begins(self) -> bool:
-        return self.head[:len(START)] == START[:len(self.head)]
+        return self.head[: len(START)] == START[: len(self.head)]
 
     def _bodiless(self) -> bool:
         return self.first is not None and (self.first[1][:1] == b"1" or self.first[1] in (b"204", b"304"))
--- a/ochrespan/net/chunks.py
+++ b/ochrespan/net/chunks.py
@@ -97,8 +97,7 @@
                 began = loop.time()
                 attempt.start_clock()
 
-        progress = Progress(
-            lambda: attempt.may_begin and self._directory.takes(attempt.node), written, streamed)
+        progress = Progress(lambda: attempt.may_begin and self._directory.takes(attempt.node), written, streamed)
         answer = None
         try:
             async with attempt.limited():
@@ -140,10 +139,13 @@
 
         headers = answer.headers if answer else {}
         outcome = Outcome(
-            attempt, status, timedelta(seconds=loop.time() - began),
+            attempt,
+            status,
+            timedelta(seconds=loop.time() - began),
             unfinished=answer is not None and answer.rest is not None,
             load=read_load(headers.get(LOAD, ""), nonsense),
-            elsewhere=read_units(headers.get(ELSEWHERE, ""), nonsense))
+            elsewhere=read_units(headers.get(ELSEWHERE, ""), nonsense),
+        )
         return outcome, answer
 
     async def _exchange(self, attempt: Attempt, message: Message, progress: Progress) -> Answer:
@@ -159,9 +161,13 @@
         while True:
             try:
                 response = await self._session.request(
-                    message.method, URL(f"http://{address}{message.target}", encoded=True),
+                    message.method,
+                    URL(f"http://{address}{message.target}", encoded=True),
                     data=progress.body.pieces() if progress.body is not None else message.body or None,
-                    headers=headers, allow_redirects=False, read_bufsize=PIECE)
+                    headers=headers,
+                    allow_redirects=False,
+                    read_bufsize=PIECE,
+                )
                 break
             except Stale:  # nothing was sent: no attempt yet; each takes one connection out of the pool
                 await progress.abandon()
@@ -213,9 +219,7 @@
         return Status.ERROR
 
 
-async def serve(
-    broker: Broker, client: ChunkClient, request: Request, message: Message
-) -> Answer | Final:
+async def serve(broker: Broker, client: ChunkClient, request: Request, message: Message) -> Answer | Final:
     """A request from its first attempt to its one final answer. Of one that has only begun, the rest is passed on
     by the caller, who tells the broker when it is over."""
     begun = False
--- a/ochrespan/net/discovery.py
+++ b/ochrespan/net/discovery.py
@@ -82,7 +82,10 @@
     if not isinstance(listing, dict):
         raise BadList(f"the list: found {str(listing)[:60]!r}, allowed: an object")
     for name, kind, allowed in (
-            ("revision", int, "a whole number"), ("complete", bool, "true or false"), ("members", list, "a list")):
+        ("revision", int, "a whole number"),
+        ("complete", bool, "true or false"),
+        ("members", list, "a list"),
+    ):
         if not isinstance(listing.get(name), kind):
             raise BadList(f"{name}: found {str(listing.get(name))[:60]!r}, allowed: {allowed}")
     read = [read_node(entry, f"members[{i}]") for i, entry in enumerate(listing["members"])]
@@ -138,8 +141,10 @@
         self.addresses = {i: a for i, a in self.addresses.items() if i in self._nodes}
         self._place()
         if not complete and self.revision is not None and revision < self.revision:
-            log.warning("discovery counts anew: the whole list is asked for",
-                        extra={"place": "revision", "found": revision, "allowed": f"at least {self.revision}"})
+            log.warning(
+                "discovery counts anew: the whole list is asked for",
+                extra={"place": "revision", "found": revision, "allowed": f"at least {self.revision}"},
+            )
             revision = None  # changes since another service's beginning; others may have been before them
         self.revision = revision
         return (ListKind.FULL if complete else ListKind.DELTA), [self._suspended.as_usable(node) for node, _ in read]
@@ -159,15 +164,21 @@
 def open_session() -> aiohttp.ClientSession:
     """For the calls to discovery alone: its lists keep other bounds than chunk servers' answers."""
     return aiohttp.ClientSession(
-        connector=aiohttp.TCPConnector(limit=2, use_dns_cache=False), trust_env=False,
-        cookie_jar=aiohttp.DummyCookieJar())
+        connector=aiohttp.TCPConnector(limit=2, use_dns_cache=False),
+        trust_env=False,
+        cookie_jar=aiohttp.DummyCookieJar(),
+    )
 
 
 class Watch:
     """Calls discovery when the broker asks, and goes on calling for as long as the calls succeed."""
 
     def __init__(
-        self, broker: Broker, directory: Directory, session: aiohttp.ClientSession, address: str,
+        self,
+        broker: Broker,
+        directory: Directory,
+        session: aiohttp.ClientSession,
+        address: str,
         first_wait: timedelta = FIRST_WAIT,
     ) -> None:
         self._first_wait = first_wait
@@ -264,8 +275,8 @@
             after, wait_ms = self._directory.revision, wait // timedelta(milliseconds=1)
             query, limit = {"after": str(after), "wait_ms": str(wait_ms)}, HEARD
         timeout = aiohttp.ClientTimeout(
-            total=limit.total_seconds(), sock_connect=CONNECT.total_seconds(),
-            ceil_threshold=math.inf)  # aiohttp moves a longer time-out to the next whole second of its clock
+            total=limit.total_seconds(), sock_connect=CONNECT.total_seconds(), ceil_threshold=math.inf
+        )  # aiohttp moves a longer time-out to the next whole second of its clock
         url = f"http://{self._address}/discovery/hosts"
         call = self._session.get(url, params=query, timeout=timeout, allow_redirects=False)
         async with call as answer:
--- a/ochrespan/net/framing.py
+++ b/ochrespan/net/framing.py
@@ -93,7 +93,7 @@
             if self.head.count(b"\n") > self.head.count(b"\r\n"):
                 raise Unreadable("a line does not end as it should")
             return len(data)
-        del self.head[end + 4:]
+        del self.head[end + 4 :]
         self._read_head()
         return len(self.head) - before
 
@@ -138,7 +138,7 @@
 
     def _take_body(self, data: bytes, at: int) -> int:
         taken = min(self._left, len(data) - at)
-        self._passed += data[at:at + taken]
+        self._passed += data[at : at + taken]
         self._left -= taken
         self.whole = not self._left
         return at + taken
@@ -157,7 +157,7 @@
 
     def _take_chunk(self, data: bytes, at: int) -> int:
         taken = min(self._left - len(CRLF), len(data) - at)
-        self._passed += b"%x\r\n%b\r\n" % (taken, data[at:at + taken])
+        self._passed += b"%x\r\n%b\r\n" % (taken, data[at : at + taken])
         self._left -= taken
         return at + taken
 
@@ -193,7 +193,7 @@
             if line == CRLF:
                 self.whole = True
                 self._passed += LAST_CHUNK
-            elif not (line.endswith(CRLF) and FIELD.fullmatch(line[:-len(CRLF)])):
+            elif not (line.endswith(CRLF) and FIELD.fullmatch(line[: -len(CRLF)])):
                 raise Unreadable("a trailer cannot be read")
         return at
 
--- a/ochrespan/net/guard.py
+++ b/ochrespan/net/guard.py
@@ -36,8 +36,13 @@
     CLOSED = "closed"
 
 
-LIMITS = {State.SILENT: FIRST_BYTE_TIME, State.READING: REQUEST_TIME, State.QUIET: IDLE_TIME, State.LEAVING: LINGER,
-          State.WRITING: TAKING_TIME}
+LIMITS = {
+    State.SILENT: FIRST_BYTE_TIME,
+    State.READING: REQUEST_TIME,
+    State.QUIET: IDLE_TIME,
+    State.LEAVING: LINGER,
+    State.WRITING: TAKING_TIME,
+}
 FLUSHED = timedelta(seconds=0.02)  # between looks at an answer that a client does not take at once
 
 
@@ -110,7 +115,7 @@
             if self._discarded > MOST_DISCARDED and self.transport is not None:
                 self.transport.pause_reading()
         elif self.state is State.WRITING or (self.state is State.BUSY and self._framer is None):
-            self._ahead += data[:MOST_AHEAD + 1 - len(self._ahead)]
+            self._ahead += data[: MOST_AHEAD + 1 - len(self._ahead)]
         else:
             self._read(data)
 
@@ -216,6 +221,7 @@
         self._framer, self._held = None, bytearray()
         self._transport.write(
             f"HTTP/1.1 {known.value} {known.phrase}\r\nContent-Type: text/plain\r\nConnection: close\r\n"
-            f"Content-Length: {len(why) + 1}\r\n\r\n{why}\n".encode())
+            f"Content-Length: {len(why) + 1}\r\n\r\n{why}\n".encode()
+        )
         self._transport.write_eof()
         self._enter(State.LEAVING)
--- a/ochrespan/net/http1.py
+++ b/ochrespan/net/http1.py
@@ -39,9 +39,7 @@
         await writer.write(CONTINUE)
         writer.output_size = 0
 
-    async def start(
-        self, status: int, headers: Mapping[str, str], length: int | None, close: bool = False
-    ) -> None:
+    async def start(self, status: int, headers: Mapping[str, str], length: int | None, close: bool = False) -> None:
         self.response = web.StreamResponse(status=status, headers=headers)
         self.response.content_length = length
         if close:
@@ -73,8 +71,13 @@
         self._most_held = (most_body or 0) if most_held is None else most_held
         bounded = {"read_bufsize": PIECE} if self._most_held else {}
         self._server = web.Server(
-            self._handle, handler_cancellation=True, access_log=None, auto_decompress=False,
-            lingering_time=LINGER.total_seconds(), **bounded)
+            self._handle,
+            handler_cancellation=True,
+            access_log=None,
+            auto_decompress=False,
+            lingering_time=LINGER.total_seconds(),
+            **bounded,
+        )
         self._guards: dict[Any, Guard] = {}  # by aiohttp's handler
         self._loop = asyncio.get_running_loop()
 
--- a/ochrespan/net/listener.py
+++ b/ochrespan/net/listener.py
@@ -28,8 +28,10 @@
 AT_ONCE = 16  # connections taken in one turn of the loop: the rest of the program has its turns between
 LOOK = timedelta(seconds=0.2)  # between looks at whose time is up
 SPARE = {  # who has to go when a descriptor is needed, from what age on
-    State.LEAVING: timedelta(seconds=0.1), State.SILENT: timedelta(seconds=0.2),
-    State.READING: timedelta(seconds=0.5), State.QUIET: timedelta(seconds=0.3),
+    State.LEAVING: timedelta(seconds=0.1),
+    State.SILENT: timedelta(seconds=0.2),
+    State.READING: timedelta(seconds=0.5),
+    State.QUIET: timedelta(seconds=0.3),
 }
 
 
@@ -64,7 +66,8 @@
     program = ctypes.create_string_buffer(instruction)
     try:
         listening.setsockopt(
-            socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, struct.pack("HP", 1, ctypes.addressof(program)))
+            socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, struct.pack("HP", 1, ctypes.addressof(program))
+        )
     except OSError as why:
         log.warning("connections are dealt to both processes of an upgrade", extra={"why": str(why)})
 
@@ -230,8 +233,11 @@
         if guard.state in (State.READING, State.BUSY, State.WRITING):
             return True
         transport = guard.transport
-        return transport is not None and not transport.is_closing() and (
-            transport.get_write_buffer_size() > 0 or waits_for(transport, select.POLLIN))
+        return (
+            transport is not None
+            and not transport.is_closing()
+            and (transport.get_write_buffer_size() > 0 or waits_for(transport, select.POLLIN))
+        )
 
     def stop_accepting(self) -> bool:
         """Takes all that has come already, and closes; False where there is no room for it yet: to be asked again."""
--- a/ochrespan/net/platform.py
+++ b/ochrespan/net/platform.py
@@ -28,12 +28,14 @@
 TAKES = timedelta(seconds=10)  # for a client to take some of an answer that is passed on as it comes
 # what goes no further: the connection's own (RFC 9110, section 7.6.1), what this front reads or tells itself, and what
 # would ask for less than the whole answer
-HERE = frozenset("""
+HERE = frozenset(
+    """
     connection keep-alive proxy-authenticate proxy-authorization proxy-connection te trailer transfer-encoding upgrade
     authorization content-length content-type expect host x-expires-in-ms x-io x-plan x-qos x-second-try x-trace-id
     accept-encoding content-encoding if-match if-modified-since if-none-match if-range if-unmodified-since range
     priority
-    """.split())
+    """.split()
+)
 
 
 class Malformed(ValueError):
@@ -94,8 +96,11 @@
 def further(request: Exchange) -> CIMultiDict[str]:
     """The headers that are for the chunk server, as they came: what makes a repeat known there is one of them."""
     own = {name.strip().lower() for line in request.headers.getall("Connection", []) for name in line.split(",")}
-    return CIMultiDict((name, value) for name, value in request.headers.items()
-                       if (low := name.lower()) not in HERE and low not in own and value.isascii())
+    return CIMultiDict(
+        (name, value)
+        for name, value in request.headers.items()
+        if (low := name.lower()) not in HERE and low not in own and value.isascii()
+    )
 
 
 def retry_after(pause: timedelta) -> str:
--- a/ochrespan/objects/call.py
+++ b/ochrespan/objects/call.py
@@ -94,8 +94,8 @@
                 break
             held += some
             while len(held) >= layout.PAYLOAD:
-                yield bytes(held[:layout.PAYLOAD])
-                del held[:layout.PAYLOAD]
+                yield bytes(held[: layout.PAYLOAD])
+                del held[: layout.PAYLOAD]
         if held:
             yield bytes(held)
 
--- a/ochrespan/objects/errors.py
+++ b/ochrespan/objects/errors.py
@@ -27,10 +27,16 @@
 
     def reply(self, request: Exchange) -> Reply:
         """The final answer to a request; one to HEAD has no body."""
-        body = xml.render("Error", [
-            ("Code", self.code), ("Message", str(self)), ("Resource", request.target.partition("?")[0]),
-            ("RequestId", secrets.token_hex(REQUEST_ID_BYTES)),
-        ], namespace="")
+        body = xml.render(
+            "Error",
+            [
+                ("Code", self.code),
+                ("Message", str(self)),
+                ("Resource", request.target.partition("?")[0]),
+                ("RequestId", secrets.token_hex(REQUEST_ID_BYTES)),
+            ],
+            namespace="",
+        )
         headers = {"Content-Type": XML_TYPE} | self.headers
         return Reply(self.status, b"" if request.method == "HEAD" else body, headers)
 
--- a/ochrespan/objects/front.py
+++ b/ochrespan/objects/front.py
@@ -117,14 +117,20 @@
         try:
             return conditions.read_range(headers.get("Range"), manifest.size)
         except conditions.Unsatisfiable:
-            raise ApiError(416, "InvalidRange", "The requested range is not satisfiable.",
-                           {"Content-Range": f"bytes */{manifest.size}"}) from None
+            raise ApiError(
+                416,
+                "InvalidRange",
+                "The requested range is not satisfiable.",
+                {"Content-Range": f"bytes */{manifest.size}"},
+            ) from None
 
     @staticmethod
     def _object_headers(manifest: Manifest) -> dict[str, str]:
         return manifest.meta | {
-            "ETag": f'"{manifest.etag}"', "Last-Modified": conditions.http_date(manifest.modified),
-            "Accept-Ranges": "bytes"}
+            "ETag": f'"{manifest.etag}"',
+            "Last-Modified": conditions.http_date(manifest.modified),
+            "Accept-Ranges": "bytes",
+        }
 
     async def _stream(self, call: Call, manifest: Manifest, begin: int, end: int, headers: dict[str, str]) -> None:
         status = 206 if "Content-Range" in headers else 200
@@ -183,15 +189,23 @@
 
     async def _create(self, call: Call) -> Reply:
         upload = await self._uploads.create(call.scope, *call.description())
-        return self._result("InitiateMultipartUploadResult", [
-            ("Bucket", call.scope.bucket), ("Key", call.scope.key), ("UploadId", upload)])
+        return self._result(
+            "InitiateMultipartUploadResult",
+            [("Bucket", call.scope.bucket), ("Key", call.scope.key), ("UploadId", upload)],
+        )
 
     async def _complete(self, call: Call) -> Reply:
         parts = xml.read_parts(await call.document())
         manifest = await self._uploads.complete(call.scope, call.query["uploadId"], parts)
-        return self._result("CompleteMultipartUploadResult", [
-            ("Location", call.resource), ("Bucket", call.scope.bucket), ("Key", call.scope.key),
-            ("ETag", f'"{manifest.etag}"')])
+        return self._result(
+            "CompleteMultipartUploadResult",
+            [
+                ("Location", call.resource),
+                ("Bucket", call.scope.bucket),
+                ("Key", call.scope.key),
+                ("ETag", f'"{manifest.etag}"'),
+            ],
+        )
 
     async def _list_parts(self, call: Call) -> Reply:
         upload, query = call.query["uploadId"], call.query
@@ -201,11 +215,15 @@
         await self._uploads.find(call.scope, upload)
         parts = await self._uploads.parts(call.scope, upload)
         later = [part for part in parts.values() if part.number > int(after)]
-        shown = later[:int(limit)]
+        shown = later[: int(limit)]
         truncated = "true" if len(shown) < len(later) else "false"
         children: list[xml.Child] = [
-            ("Bucket", call.scope.bucket), ("Key", call.scope.key), ("UploadId", upload),
-            ("PartNumberMarker", after), ("MaxParts", limit), ("IsTruncated", truncated),
+            ("Bucket", call.scope.bucket),
+            ("Key", call.scope.key),
+            ("UploadId", upload),
+            ("PartNumberMarker", after),
+            ("MaxParts", limit),
+            ("IsTruncated", truncated),
         ]
         if shown:
             children.append(("NextPartNumberMarker", str(shown[-1].number)))
--- a/ochrespan/objects/layout.py
+++ b/ochrespan/objects/layout.py
@@ -140,8 +140,13 @@
     def encode(self) -> bytes:
         """The payload of the manifest's chunk."""
         record = {
-            "v": 1, "etag": self.etag, "modified": self.modified.isoformat(), "type": self.content_type,
-            "meta": self.meta, "deleted": self.deleted, "parts": [part.row() for part in self.parts],
+            "v": 1,
+            "etag": self.etag,
+            "modified": self.modified.isoformat(),
+            "type": self.content_type,
+            "meta": self.meta,
+            "deleted": self.deleted,
+            "parts": [part.row() for part in self.parts],
         }
         return pack(record)
 
@@ -149,8 +154,14 @@
     def decode(cls, payload: bytes) -> Manifest:
         """The manifest of such a payload."""
         got = unpack(payload)
-        return cls(got["etag"], datetime.fromisoformat(got["modified"]), [Part(*row) for row in got["parts"]],
-                   got["type"], got["meta"], got["deleted"])
+        return cls(
+            got["etag"],
+            datetime.fromisoformat(got["modified"]),
+            [Part(*row) for row in got["parts"]],
+            got["type"],
+            got["meta"],
+            got["deleted"],
+        )
 
 
 def etag_of_parts(parts: list[Part]) -> str:
--- a/ochrespan/objects/section.py
+++ b/ochrespan/objects/section.py
@@ -45,5 +45,8 @@
     if told is None:
         return None
     return Objects(
-        address(told.listen, "[objects] listen", faults), told.export_from_bytes, told.least_part_bytes,
-        timedelta(seconds=told.patience_s))
+        address(told.listen, "[objects] listen", faults),
+        told.export_from_bytes,
+        told.least_part_bytes,
+        timedelta(seconds=told.patience_s),
+    )
--- a/ochrespan/objects/store.py
+++ b/ochrespan/objects/store.py
@@ -121,7 +121,7 @@
 
         message = Message("GET", location.target, served=frozenset({200, 404}), check=whole)
         answer = await self._serve(self._request(scope, cls, location, size), message)
-        return None if answer.status == 404 else answer.body[layout.SEAL:]
+        return None if answer.status == 404 else answer.body[layout.SEAL :]
 
     async def read_record(self, scope: Scope, names: Names) -> Any:
         """A stored record, or None."""
@@ -184,7 +184,7 @@
         payload = await self.read(scope, cls, names, wanted.length)
         if payload is None or len(payload) != wanted.length:
             raise StorageFailed(f"chunk {json.dumps(names)} is missing")
-        return payload[wanted.begin:wanted.end]
+        return payload[wanted.begin : wanted.end]
 
 
 class TaskWindow:
--- a/ochrespan/objects/xml.py
+++ b/ochrespan/objects/xml.py
@@ -18,6 +18,7 @@
 
 def render(root: str, children: list[Child], namespace: str = NAMESPACE) -> bytes:
     """A document: each child a name with its text, or with children of its own."""
+
     def fill(element: ElementTree.Element, entries: list[Child]) -> None:
         for name, value in entries:
             child = ElementTree.SubElement(element, name)
--- a/ochrespan/policy/front.py
+++ b/ochrespan/policy/front.py
@@ -120,8 +120,11 @@
         self.busy = {at: util for at, util in self.busy.items() if at == ANY or at in self.asked}
         self.bare = {shard: at for shard, at in self.bare.items() if shard in self.asked}  # or made up
         live = {key[:2] for key in self.flows}
-        self.volumes = {k: v for k, v in self.volumes.items()  # a full store can be made anew as it was
-                        if k in live or (v.limit and v.limit.have(self.now) < v.limit.burst)}
+        self.volumes = {
+            k: v
+            for k, v in self.volumes.items()  # a full store can be made anew as it was
+            if k in live or (v.limit and v.limit.have(self.now) < v.limit.burst)
+        }
         self.taken.total(self.now, self.set.extra_window or 0.0)  # forgets the rest
 
     def _set_timer(self) -> None:
@@ -193,8 +196,11 @@
 
     def _finish(self, job: Job) -> None:
         """Guard 2: refuse only what is harmless to try again, else fail."""
-        harmless = (job.ran is None and not job.out) or job.cls.effect is Effect.SAFE or (
-            job.cls.effect is Effect.KEYED and job.cls.group is Group.ALL)
+        harmless = (
+            (job.ran is None and not job.out)
+            or job.cls.effect is Effect.SAFE
+            or (job.cls.effect is Effect.KEYED and job.cls.group is Group.ALL)
+        )
         self.acts.append(api.Refuse(job.req.id, self._pause(job)) if harmless else api.Fail(job.req.id))
         self._close(job)
 
@@ -245,7 +251,8 @@
         node.seen_at = self.now
         # half idle, it was the work that was long; among many heads also on a queue that others made
         if (x > WINDOW_TOLERANCE * best and got.report.get("util", 1.0) > HALF_BUSY) or (
-                queue and WINDOW_START * self.set.heads > WINDOW_ALL):
+            queue and WINDOW_START * self.set.heads > WINDOW_ALL
+        ):
             node.window = narrowed(node.window)
         elif node.out + 1 >= int(node.window):
             node.window = widened(node.window, WINDOW_CAP)
@@ -367,7 +374,7 @@
         """Exception: a window is never under one request, so what is worth less, or has more time than the
         most urgent, waits for shorter queues."""
         wait = self._wait(node)
-        tier = 1.0 if self._reserved(job) else self.set.share_worth ** 0.5
+        tier = 1.0 if self._reserved(job) else self.set.share_worth**0.5
         worth = job.cls.worth * job.flow.volume.plan.price * tier / self.most_worth
         worth *= min(1.0, self.patience / job.cls.aim) ** 0.5
         return wait <= self.patience * worth and self.now + wait + self._need(node, job) <= job.aim_at
@@ -455,13 +462,24 @@
             return True
         if job.attempts and self._last(job):  # guards 2 and 6
             return True
-        if job.ran and cls.effect is Effect.KEYED and cls.group is not Group.ALL and (  # guard 2
-                node.entry.zone != job.ran[0] if cls.group is Group.ZONE else node.entry.shard != job.ran[1]):
+        if (
+            job.ran
+            and cls.effect is Effect.KEYED
+            and cls.group is not Group.ALL
+            and (  # guard 2
+                node.entry.zone != job.ran[0] if cls.group is Group.ZONE else node.entry.shard != job.ran[1]
+            )
+        ):
             return True
         if not node.usable or req.shard not in (ANY, node.entry.shard):  # guard 3
             return True
-        if cls.in_order and req.key and (  # guard 5
-                self.turns[req.key][0] is not job or self.now < self.rest_until.get(req.key, -inf)):
+        if (
+            cls.in_order
+            and req.key
+            and (  # guard 5
+                self.turns[req.key][0] is not job or self.now < self.rest_until.get(req.key, -inf)
+            )
+        ):
             return True
         if not job.attempts and job.flow.volume.limit and job.flow.volume.limit.have(self.now) < req.units:
             return True  # guard 7
--- a/ochrespan/programs/fleetctl.py
+++ b/ochrespan/programs/fleetctl.py
@@ -93,9 +93,7 @@
     return fleet_reports.difference_report(current, read_configuration(file)) or "no difference"
 
 
-def apply(
-    file: Path, *, builds_on: int | None = None, cluster: str = "", controllers: list[str] | None = None
-) -> str:
+def apply(file: Path, *, builds_on: int | None = None, cluster: str = "", controllers: list[str] | None = None) -> str:
     """Send a configuration, again and unchanged until there is a verdict.
 
     :param file: the configuration as JSON
--- a/ochrespan/programs/router_process.py
+++ b/ochrespan/programs/router_process.py
@@ -56,9 +56,7 @@
             int(limits.get("memory_mb", DEFAULT_MEMORY_MB) * BYTES_PER_MB),
         )
         self._settings = settings
-        self._feed = FeedClient(
-            settings["node"], settings["zone"], seed_peer_addresses(settings), self._table_changed
-        )
+        self._feed = FeedClient(settings["node"], settings["zone"], seed_peer_addresses(settings), self._table_changed)
         self._membership = MembershipDriver(membership_settings(settings, ROUTER_ROLE), self._members_changed)
         peers = Peers()
         self._quotas = quota_client_for(settings["node"], settings.get("bounds", {}), self._feed, peers)
--- a/ochrespan/requests.py
+++ b/ochrespan/requests.py
@@ -12,8 +12,26 @@
 
 from .interface import ListKind, NodeState, Status
 
-__all__ = ["Attempt", "Claim", "Counts", "Failed", "Final", "Gate", "Hold", "ListKind", "Node", "NodeState",
-           "NotCovered", "Outcome", "OverBudget", "Refused", "Request", "Status", "Unacceptable", "Usage"]
+__all__ = [
+    "Attempt",
+    "Claim",
+    "Counts",
+    "Failed",
+    "Final",
+    "Gate",
+    "Hold",
+    "ListKind",
+    "Node",
+    "NodeState",
+    "NotCovered",
+    "Outcome",
+    "OverBudget",
+    "Refused",
+    "Request",
+    "Status",
+    "Unacceptable",
+    "Usage",
+]
 
 
 @dataclass(frozen=True, slots=True)
--- a/ochrespan/simhost.py
+++ b/ochrespan/simhost.py
@@ -32,6 +32,7 @@
     "unavailable": api.ListKind.FAILED,
 }
 
+
 def read_request(got: Fields) -> api.Request:
     return api.Request(
         id=text(got, "RequestId"),
--- a/ochrespan/suspension.py
+++ b/ochrespan/suspension.py
@@ -135,6 +135,7 @@
 
     def suspend(self, server: str) -> None:
         """Takes it out; a second time changes nothing."""
+
         def change() -> None:
             if server not in self:
                 self._known[server] = Suspension(self._clock())
@@ -143,6 +144,7 @@
 
     def resume(self, server: str) -> None:
         """Takes it back, however often it was taken out."""
+
         def change() -> None:
             if server in self:
                 self._known[server] = dataclasses.replace(self._known[server], resumed=self._clock())
@@ -187,8 +189,9 @@
 
     def _forget(self) -> None:
         oldest = self._clock() - REMEMBERED
-        self._known = {server: one for server, one in self._known.items()
-                       if one.resumed is None or one.resumed >= oldest}
+        self._known = {
+            server: one for server, one in self._known.items() if one.resumed is None or one.resumed >= oldest
+        }
 
 
 class ServerList(Protocol):
--- a/ochrespan/upgrade.py
+++ b/ochrespan/upgrade.py
@@ -151,8 +151,10 @@
     def _look(self) -> RosterView:
         told = {name: self._state(name) for name in self._others()}
         return RosterView(
-            1 + len(told), sum(state.descriptors for state in told.values()),
-            any(name > self._name and state.ready for name, state in told.items()))
+            1 + len(told),
+            sum(state.descriptors for state in told.values()),
+            any(name > self._name and state.ready for name, state in told.items()),
+        )
 
     def _others(self) -> list[str]:
         if self._folder is None:
--- a/tests/books.py
+++ b/tests/books.py
@@ -9,18 +9,41 @@
 from ochrespan.contracts.terms import Book, Budget, Contract, Reserve, Terms, digest
 
 
-def team(name: str, parent: str = "", *, reserve: float = 0.0, weight: float = 1.0, classes=("read",), tokens=(),
-         volumes=(), per_request: float | None = None, **budget) -> tuple[Contract, tuple[str, ...]]:
+def team(
+    name: str,
+    parent: str = "",
+    *,
+    reserve: float = 0.0,
+    weight: float = 1.0,
+    classes=("read",),
+    tokens=(),
+    volumes=(),
+    per_request: float | None = None,
+    **budget,
+) -> tuple[Contract, tuple[str, ...]]:
     """A contract and the volumes that it owns."""
     more = {key: budget.pop(key) for key in ("withdrawn", "withdrawn_classes", "begins", "ends") if key in budget}
     terms = Terms(name, "team", parent, weight, Reserve(reserve), Budget(**budget))
-    contract = Contract(terms, "gold", frozenset(classes), tokens=frozenset(map(digest, tokens)),
-                        volumes=frozenset(volumes), attempts_per_request=per_request, **more)
+    contract = Contract(
+        terms,
+        "gold",
+        frozenset(classes),
+        tokens=frozenset(map(digest, tokens)),
+        volumes=frozenset(volumes),
+        attempts_per_request=per_request,
+        **more,
+    )
     return contract, tuple(volumes) or (f"v-{name}",)
 
 
-def book(*teams, capacity: float | None = None, fronts: int = 1, most_units: float = 8.0, most_attempts: int = 3,
-         levels: tuple[Terms, ...] = ()) -> Book:
+def book(
+    *teams,
+    capacity: float | None = None,
+    fronts: int = 1,
+    most_units: float = 8.0,
+    most_attempts: int = 3,
+    levels: tuple[Terms, ...] = (),
+) -> Book:
     """A book of these contracts."""
     made = Book(Reserve(capacity) if capacity else None, fronts, most_units, most_attempts)
     for terms in levels:
@@ -48,8 +71,9 @@
         """The end of an admitted request."""
         self.admission.settle(self.now, grant, sent, sent if ran is None else ran)
 
-    def run(self, rates: dict[str, float], seconds: float, units: float = 2.0, takes: float = 0.05,
-            attempts=lambda grant: 1) -> dict[str, float]:
+    def run(
+        self, rates: dict[str, float], seconds: float, units: float = 2.0, takes: float = 0.05, attempts=lambda grant: 1
+    ) -> dict[str, float]:
         """Requests a second by team, evenly spread by lot. Returns the units a second that each was admitted."""
         got = dict.fromkeys(rates, 0.0)
         until, step = self.now + seconds, 0.002
--- a/tests/control_plane_world.py
+++ b/tests/control_plane_world.py
@@ -19,8 +19,17 @@
 
 
 def route(name: str, service: str = "judges", **fields: Any) -> dict[str, Any]:
-    return {"name": name, "hostname": "a.example", "path_prefix": f"/{name}/", "route_type": "streaming",
-            "timeout_ms": 8000, "backend": service, "max_retries": 2, "priority": 1, **fields}
+    return {
+        "name": name,
+        "hostname": "a.example",
+        "path_prefix": f"/{name}/",
+        "route_type": "streaming",
+        "timeout_ms": 8000,
+        "backend": service,
+        "max_retries": 2,
+        "priority": 1,
+        **fields,
+    }
 
 
 def service(name: str = "judges", **fields: Any) -> dict[str, Any]:
@@ -32,13 +41,27 @@
 
 
 def configuration(generation: int, *routes: dict[str, Any], **fields: Any) -> dict[str, Any]:
-    return {"generation": generation, "routes": list(routes) or [route("r1")], "services": [service()],
-            "limits": {"max_body_bytes": 4194304}, **fields}
+    return {
+        "generation": generation,
+        "routes": list(routes) or [route("r1")],
+        "services": [service()],
+        "limits": {"max_body_bytes": 4194304},
+        **fields,
+    }
 
 
 def instance(sequence: int, state: str = "ready", **fields: Any) -> dict[str, Any]:
-    return {"backend": "judges", "address": "10.0.0.9:8080", "zone": "hall-a", "generation": "v1", "capacity": 8,
-            "state": state, "cold_remaining_ms": 0, "sequence": sequence, **fields}
+    return {
+        "backend": "judges",
+        "address": "10.0.0.9:8080",
+        "zone": "hall-a",
+        "generation": "v1",
+        "capacity": 8,
+        "state": state,
+        "cold_remaining_ms": 0,
+        "sequence": sequence,
+        **fields,
+    }
 
 
 class World:
@@ -64,9 +87,15 @@
         self.state = ControlState()
         self.groups = InMemoryGroups(self.state.machines, log)
         self.node = ControllerNode(
-            node=name, zone=f"zone-of-{name}", address=self.groups.address, heartbeat_s=HEARTBEAT_S,
-            quota_bounds=QUOTA_BOUNDS, groups=self.groups, state=self.state,
-            call_server=self.groups.call_server, seeds=list,
+            node=name,
+            zone=f"zone-of-{name}",
+            address=self.groups.address,
+            heartbeat_s=HEARTBEAT_S,
+            quota_bounds=QUOTA_BOUNDS,
+            groups=self.groups,
+            state=self.state,
+            call_server=self.groups.call_server,
+            seeds=list,
         )
         self.groups.on_applied.append(self.node.applied)
         self.groups.on_restored.append(self.node.restored)
--- a/tests/core_hosts.py
+++ b/tests/core_hosts.py
@@ -39,8 +39,15 @@
 def make_host(folder, number: int, port: int, seeds=(1, 2, 3), bootstrap=True, shards=(0, 1, 2)) -> ReplicaHost:
     path = folder / str(number)
     path.mkdir(exist_ok=True)
-    settings = HostSettings((f"127.0.0.{number}", port), tuple((f"127.0.0.{seed}", port) for seed in seeds),
-                            str(path), 64, bootstrap, 1, f"core-{number}")
+    settings = HostSettings(
+        (f"127.0.0.{number}", port),
+        tuple((f"127.0.0.{seed}", port) for seed in seeds),
+        str(path),
+        64,
+        bootstrap,
+        1,
+        f"core-{number}",
+    )
     host = ReplicaHost(settings, {shard: Journal() for shard in shards})
     host.start()
     return host
@@ -77,11 +84,13 @@
     if host._table is None:
         return f"{host.settings.node} hasn't read its disk"
     core = host._table.replicas[shard].core
-    return (f"{host.settings.node} {core.role.value} term={core.term} vote={core.vote} leader={core.leader_id} "
-            f"last={core.log.last_index} stable={core.log.stable_index} commit={core.commit_index} "
-            f"abstaining={core.abstaining} heard={core.now - core.leader_heard_at:.2f} "
-            f"deadline={core.election_deadline - core.now:.2f} writing={host._disk.pending_for:.2f} "
-            f"failed={host._disk.failed} voters={[member.id for member in core.configuration.voters]} id={core.id}")
+    return (
+        f"{host.settings.node} {core.role.value} term={core.term} vote={core.vote} leader={core.leader_id} "
+        f"last={core.log.last_index} stable={core.log.stable_index} commit={core.commit_index} "
+        f"abstaining={core.abstaining} heard={core.now - core.leader_heard_at:.2f} "
+        f"deadline={core.election_deadline - core.now:.2f} writing={host._disk.pending_for:.2f} "
+        f"failed={host._disk.failed} voters={[member.id for member in core.configuration.voters]} id={core.id}"
+    )
 
 
 def kill(host: ReplicaHost) -> None:
--- a/tests/core_sim/node.py
+++ b/tests/core_sim/node.py
@@ -132,8 +132,9 @@
         for shard, replica in self.table.replicas.items():
             if restored := replica.take_restored():
                 self.machines[shard].restore(restored.data)
-                self.waiting = {key: value for key, value in self.waiting.items()
-                                if key[0] != shard or key[1] > restored.index}
+                self.waiting = {
+                    key: value for key, value in self.waiting.items() if key[0] != shard or key[1] > restored.index
+                }
             for index, entry in replica.take_committed():
                 self._apply(shard, index, entry)
             for token in replica.take_reads():
--- a/tests/core_sim/operators.py
+++ b/tests/core_sim/operators.py
@@ -92,8 +92,9 @@
         self._made += 1
         document: dict[str, Any] = {
             "generation": self.version + self._world.random.randint(1, 3),
-            "routes": [{"name": f"{self._name}{self._made}", "hostname": "h", "path_prefix": f"/{self._made}/",
-                        "backend": "s"}],
+            "routes": [
+                {"name": f"{self._name}{self._made}", "hostname": "h", "path_prefix": f"/{self._made}/", "backend": "s"}
+            ],
             "services": [{"name": "s"}],
         }
         order = make_order(OrderKind.WHOLE, self.version, document)
@@ -113,8 +114,11 @@
         for node in nodes:
             if node.propose(SHARD, command, answer):
                 break
-        self._world.later(ANSWER_TIMEOUT_S if nodes else PAUSE_S, None,
-                          lambda: number == self._asked and self._send(command, digest, builds_on))
+        self._world.later(
+            ANSWER_TIMEOUT_S if nodes else PAUSE_S,
+            None,
+            lambda: number == self._asked and self._send(command, digest, builds_on),
+        )
 
     def _answered(self, digest: bytes, builds_on: int, verdict: Verdict) -> None:
         if self._world.random.random() < self.answers_lost:
--- a/tests/core_sim/search.py
+++ b/tests/core_sim/search.py
@@ -230,7 +230,10 @@
     def key(self) -> tuple:
         """What tells two states apart; times only as far as they decide anything."""
         return (
-            self.budget, self.cut, tuple(sorted(self.committed.items())), tuple(sorted(self.leaders.items())),
+            self.budget,
+            self.cut,
+            tuple(sorted(self.committed.items())),
+            tuple(sorted(self.leaders.items())),
             tuple((pair, tuple(map(_plain, messages))) for pair, messages in sorted(self.channels.items()) if messages),
             tuple((number, self._replica_key(replica)) for number, replica in sorted(self.replicas.items())),
         )
@@ -238,16 +241,31 @@
     def _replica_key(self, replica: Replica) -> tuple:
         core, log = replica.core, replica.core.log
         entries = tuple((entry.term, entry.data) for entry in log.slice(1, 99, 9999))
-        progress = tuple(
-            (other, known.match, known.next, known.mode, known.under_way, self.now - known.heard_at < SHORT_S)
-            for other, known in sorted(replica.replication.progress.items())
-        ) if core.role is Role.LEADER else ()
+        progress = (
+            tuple(
+                (other, known.match, known.next, known.mode, known.under_way, self.now - known.heard_at < SHORT_S)
+                for other, known in sorted(replica.replication.progress.items())
+            )
+            if core.role is Role.LEADER
+            else ()
+        )
         granted = frozenset(replica._election._granted) if core.role is not Role.FOLLOWER else frozenset()
         held = tuple((needed - core._writes_begun, to, _plain(message)) for needed, to, message in core._held)
         return (
-            core.term, core.vote, core.role, core.leader_id, entries, log.stable_index, core.commit_index,
-            core.needs_write(), self.now - core.leader_heard_at < SHORT_S, granted, held, progress,
-            tuple(replica.replication.learners), replica.replication.term_start_index,
+            core.term,
+            core.vote,
+            core.role,
+            core.leader_id,
+            entries,
+            log.stable_index,
+            core.commit_index,
+            core.needs_write(),
+            self.now - core.leader_heard_at < SHORT_S,
+            granted,
+            held,
+            progress,
+            tuple(replica.replication.learners),
+            replica.replication.term_start_index,
         )
 
 
--- a/tests/core_sim/troubles.py
+++ b/tests/core_sim/troubles.py
@@ -14,8 +14,24 @@
 class Troubles:
     """Draws troubles for a world. A disk is lost only while all others have been well for `CATCH_UP_S`."""
 
-    KINDS = ("kill", "power", "kill_all", "power_all", "wipe", "replace", "cut", "cut_one_way", "isolate", "freeze",
-             "slow_disk", "hang_disk", "full_disk", "leave", "final", "turn_seeds")
+    KINDS = (
+        "kill",
+        "power",
+        "kill_all",
+        "power_all",
+        "wipe",
+        "replace",
+        "cut",
+        "cut_one_way",
+        "isolate",
+        "freeze",
+        "slow_disk",
+        "hang_disk",
+        "full_disk",
+        "leave",
+        "final",
+        "turn_seeds",
+    )
 
     RESET_KINDS = ("cut_reset", "kill", "leave", "freeze")  # apart, so that the runs of the others stay as they are
 
--- a/tests/h2client.py
+++ b/tests/h2client.py
@@ -138,7 +138,7 @@
                 if self.closed.is_set() or self.streams[stream].done.is_set():
                     return
                 continue
-            piece = data[at:at + room]
+            piece = data[at : at + room]
             at += len(piece)
             self.h2.send_data(stream, piece, end_stream=end and at >= len(data))
             self.flush()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -10,10 +10,10 @@
 
 READ = api.RequestClass("read", aim=0.5, deadline=4.0, worth=2.0, effect=api.Effect.SAFE)
 SAVE = api.RequestClass("save", aim=0.6, deadline=4.0, worth=2.0, effect=api.Effect.SAFE, in_order=True)
-KEYED = api.RequestClass("keyed", aim=0.6, deadline=4.0, effect=api.Effect.KEYED, group=api.Group.ZONE,
-                         window=1.0)
-KEYED_ALL = api.RequestClass("keyed-all", aim=0.6, deadline=4.0, effect=api.Effect.KEYED, group=api.Group.ALL,
-                             window=1.0)
+KEYED = api.RequestClass("keyed", aim=0.6, deadline=4.0, effect=api.Effect.KEYED, group=api.Group.ZONE, window=1.0)
+KEYED_ALL = api.RequestClass(
+    "keyed-all", aim=0.6, deadline=4.0, effect=api.Effect.KEYED, group=api.Group.ALL, window=1.0
+)
 ONCE = api.RequestClass("once", aim=0.6, deadline=4.0, effect=api.Effect.UNSAFE)
 
 
@@ -81,8 +81,7 @@
         """The outcome of its last attempt."""
         node = next(s.node for _, s in reversed(self.sends) if s.request_id == request_id)
         attempt = self.attempts[request_id] - 1 if attempt is None else attempt
-        return self.give(api.Outcome(request_id, attempt, node, status, 0.05,
-                                     closed=status is api.Status.OK, **more))
+        return self.give(api.Outcome(request_id, attempt, node, status, 0.05, closed=status is api.Status.OK, **more))
 
     def wait(self, seconds: float) -> None:
         """Let time pass, with the timers that the head asked for."""
--- a/tests/operating.py
+++ b/tests/operating.py
@@ -70,10 +70,18 @@
     async def start(self, **env: str) -> None:
         world = self.world
         clean = {name: value for name, value in os.environ.items() if not name.startswith("BALANCER_")}
-        clean |= world.env | {"BALANCER_CONFIG": str(world.config), "BALANCER_DISCOVERY": world.told["discovery"],
-                              "BALANCER_CONTROL": f"127.0.0.1:{self.control}"} | env
+        clean |= (
+            world.env
+            | {
+                "BALANCER_CONFIG": str(world.config),
+                "BALANCER_DISCOVERY": world.told["discovery"],
+                "BALANCER_CONTROL": f"127.0.0.1:{self.control}",
+            }
+            | env
+        )
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "ochrespan", env=clean, stderr=asyncio.subprocess.PIPE)
+            sys.executable, "-m", "ochrespan", env=clean, stderr=asyncio.subprocess.PIPE
+        )
         self._reading = asyncio.create_task(self._read_log())
 
     async def ready(self) -> None:
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -15,22 +15,39 @@
 HINT = b"HTTP/1.1 103 Early Hints\r\nLink: <x>\r\n\r\n"
 
 SPOILT = [
-    b"\x0b\xe73\x19\r\n\r\n", b"ICY 200 OK\r\nContent-Length: 2\r\n\r\nno", b"HTTP/1.1 2x0 OK\r\n\r\n",
-    b"HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nno", b"HTTP/1.1 101 Switching\r\n\r\n",
-    OK + b"no colon here\r\nContent-Length: 2\r\n\r\nno", OK + b"A: b\r\n folded\r\nContent-Length: 2\r\n\r\nno",
-    OK + b"Content-Length : 2\r\n\r\nno", OK + b"X-Pad: ppppppppppppppppp\r\n" * 4000,
-    OK + b"Content-Length: -1\r\n\r\n", OK + b"Content-Length: 2\r\nContent-Length: 4\r\n\r\nno",
-    OK + b"Content-Length: +2\r\n\r\nno", OK + b"\r\nno length",
+    b"\x0b\xe73\x19\r\n\r\n",
+    b"ICY 200 OK\r\nContent-Length: 2\r\n\r\nno",
+    b"HTTP/1.1 2x0 OK\r\n\r\n",
+    b"HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nno",
+    b"HTTP/1.1 101 Switching\r\n\r\n",
+    OK + b"no colon here\r\nContent-Length: 2\r\n\r\nno",
+    OK + b"A: b\r\n folded\r\nContent-Length: 2\r\n\r\nno",
+    OK + b"Content-Length : 2\r\n\r\nno",
+    OK + b"X-Pad: ppppppppppppppppp\r\n" * 4000,
+    OK + b"Content-Length: -1\r\n\r\n",
+    OK + b"Content-Length: 2\r\nContent-Length: 4\r\n\r\nno",
+    OK + b"Content-Length: +2\r\n\r\nno",
+    OK + b"\r\nno length",
     OK + b"Content-Length: 3000000000\r\n\r\n" + b"x" * 500_000,
     OK + b"Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\n0\r\n\r\n",
-    OK + b"Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", CHUNKED + b"5\r\nabcde\r\nzz\r\nabcde\r\n0\r\n\r\n",
-    CHUNKED + b"2\r\nno0\r\n\r\n", CHUNKED + b"0\r\nTrailer x\r\n\r\n", CHUNKED + b"fffffffff\r\n",
-    CHUNKED + b"0\r\nX: y\n\r\n", CHUNKED + b"0\r\n" + b"X-Pad: ppppppppppppp\r\n" * 2000, CHUNKED + b"2 x\r\nno\r\n",
-    CHUNKED + b"2;\x00\r\nno\r\n", CHUNKED + b"2;" + b"x" * 3000, CHUNKED + b"4000001\r\n",
+    OK + b"Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
+    CHUNKED + b"5\r\nabcde\r\nzz\r\nabcde\r\n0\r\n\r\n",
+    CHUNKED + b"2\r\nno0\r\n\r\n",
+    CHUNKED + b"0\r\nTrailer x\r\n\r\n",
+    CHUNKED + b"fffffffff\r\n",
+    CHUNKED + b"0\r\nX: y\n\r\n",
+    CHUNKED + b"0\r\n" + b"X-Pad: ppppppppppppp\r\n" * 2000,
+    CHUNKED + b"2 x\r\nno\r\n",
+    CHUNKED + b"2;\x00\r\nno\r\n",
+    CHUNKED + b"2;" + b"x" * 3000,
+    CHUNKED + b"4000001\r\n",
     HINT * 3 + b"HTTP/1.1 2x0 OK\r\n\r\n",
 ]
 MORE = [
-    GOOD, GOOD + GOOD, GOOD + b"\x0b\xe73\x19\r\n\r\n", HINT * 500 + GOOD,
+    GOOD,
+    GOOD + GOOD,
+    GOOD + b"\x0b\xe73\x19\r\n\r\n",
+    HINT * 500 + GOOD,
     CHUNKED + b"1\r\ng\r\n3\r\nood\r\n0\r\n\r\n" + GOOD,
     CHUNKED + b'1;a="b;c"\r\ng\r\n3 ; d\r\nood\r\n0;e=f\r\nTrailer: x\r\nOther:y\r\n\r\n' + GOOD,
 ]
@@ -39,6 +56,7 @@
 @pytest.mark.parametrize("raw", SPOILT, ids=range(len(SPOILT)))
 def test_a_spoilt_answer_is_a_failed_attempt_and_its_connection_is_not_used_again(raw):
     """aiohttp forgave some of these, and read what never ended until the memory was gone."""
+
     async def story():
         async with World(1) as world:
             node = world.nodes[0]
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -99,8 +99,9 @@
     assert fleet.calls == before  # the watches stand
 
 
-@pytest.mark.parametrize(("heads", "cost", "soon"), [
-    (1, 0.1, 0.1), (40, 0.06, 3.0), (200, 0.012, 3.0), (200, 0.03, 20.0)])  # the last: more than it can take in time
+@pytest.mark.parametrize(
+    ("heads", "cost", "soon"), [(1, 0.1, 0.1), (40, 0.06, 3.0), (200, 0.012, 3.0), (200, 0.03, 20.0)]
+)  # the last: more than it can take in time
 def test_a_move_of_discovery_is_no_rush_of_all_heads_and_a_watch_that_breaks_changes_no_lot(heads, cost, soon):
     fleet = Fleet(heads, cost)
     fleet.run(30)
--- a/tests/test_chunks.py
+++ b/tests/test_chunks.py
@@ -88,6 +88,7 @@
 
 def test_idle_connections_count_and_the_one_that_rested_longest_goes_first():
     """With more chunk servers than descriptors for them, the idle ones took those of clients."""
+
     async def story():
         nodes, directory = [Node(i) for i in range(9)], Directory()
         for node in nodes:
@@ -123,6 +124,7 @@
 
 def test_an_attempt_can_be_taken_back_while_its_limit_runs_out():
     """It raised within the core, which then dropped the module's other actions: those requests got no answer."""
+
     async def story():
         attempt = Attempt(Request("v", "read", "gold", timedelta(seconds=5)), 0, "n", timedelta(milliseconds=1))
         with pytest.raises(TimeoutError):
@@ -139,6 +141,7 @@
 
 def test_an_abandoned_attempt_is_closed_before_the_next_can_be_sent():
     """The next attempt went out in the same turn of the loop, with the old connection still open."""
+
     async def story():
         peers = []
         server = await asyncio.start_server(lambda _, writer: peers.append(writer), "127.0.0.1", 0)
@@ -197,14 +200,17 @@
     play(story())
 
 
-@pytest.mark.parametrize(("value", "figures", "faults"), [
-    # the names are those of the settings' Report.Columns; under others every figure was dropped
-    ("TEXT concurrent=7, depth=2, load_share=0.61", {"inflight": 7, "queue": 2, "util": 0.61}, []),
-    ("TEXT depth=nan, load_share=, odd=x, tps=1e999,=", {}, [".depth", ".load_share", ".tps"]),
-    ("TEXT depth=-1, load_share=1e300, concurrent=3", {"inflight": 3}, [".depth", ".load_share"]),
-    ("\x80 noise", {}, [""]),
-    ("", {}, []),
-])
+@pytest.mark.parametrize(
+    ("value", "figures", "faults"),
+    [
+        # the names are those of the settings' Report.Columns; under others every figure was dropped
+        ("TEXT concurrent=7, depth=2, load_share=0.61", {"inflight": 7, "queue": 2, "util": 0.61}, []),
+        ("TEXT depth=nan, load_share=, odd=x, tps=1e999,=", {}, [".depth", ".load_share", ".tps"]),
+        ("TEXT depth=-1, load_share=1e300, concurrent=3", {"inflight": 3}, [".depth", ".load_share"]),
+        ("\x80 noise", {}, [""]),
+        ("", {}, []),
+    ],
+)
 def test_load_reports_are_read_as_far_as_they_can_be_and_the_rest_is_told_by_place(value, figures, faults):
     told = []
     assert read_load(value, lambda *fault: told.append(fault)) == figures
@@ -212,8 +218,10 @@
     assert all(found is not None and allowed for _, found, allowed in told)
 
 
-@pytest.mark.parametrize(("value", "units", "faults"), [
-    ("3.5", 3.5, 0), ("", 0, 0), ("-4", 0, 1), ("nan", 0, 1), ("1e999", 0, 1), ("x" * 9999, 0, 1)])
+@pytest.mark.parametrize(
+    ("value", "units", "faults"),
+    [("3.5", 3.5, 0), ("", 0, 0), ("-4", 0, 1), ("nan", 0, 1), ("1e999", 0, 1), ("x" * 9999, 0, 1)],
+)
 def test_units_served_elsewhere_that_are_nonsense_are_none(value, units, faults):
     told = []
     assert read_units(value, lambda *fault: told.append(fault)) == units
@@ -226,8 +234,10 @@
         await node.start()
         directory = Directory()
         directory.addresses["n"] = node.address
-        body = (b"HTTP/1.1 200 X\r\nContent-Length: 2\r\nX-Served-Elsewhere: much\r\n"
-                b"Endpoint-Load-Metrics: TEXT depth=-9, load_share=0.5\r\n\r\nok")
+        body = (
+            b"HTTP/1.1 200 X\r\nContent-Length: 2\r\nX-Served-Elsewhere: much\r\n"
+            b"Endpoint-Load-Metrics: TEXT depth=-9, load_share=0.5\r\n\r\nok"
+        )
         node.always = body
         request = Request("v", "read", "gold", timedelta(seconds=5))
         async with open_session(LINKS, 10) as session:
@@ -239,7 +249,9 @@
                 assert outcome.load == {"util": 0.5} and outcome.elsewhere == 0
         lines = [record for record in caplog.records if record.getMessage() == "left out of an answer"]
         assert [(line.place, line.number) for line in lines[:2]] == [
-            ("endpoint-load-metrics.depth", 1), ("x-served-elsewhere", 1)]
+            ("endpoint-load-metrics.depth", 1),
+            ("x-served-elsewhere", 1),
+        ]
         assert len(lines) == 2 * 6  # the 1st, 2nd, 4th ... 32nd of each
 
     play(story())
@@ -283,11 +295,13 @@
 def test_of_a_request_that_was_partly_written_nothing_more_leaves_after_its_client_went(size):
     """aiohttp closes a cancelled connection once all is written: the chunk server got it whole, and ran it.
     The smaller one fits the kernel's buffer: there it would go on without us."""
+
     async def story():
         raw = Raw()
         async with open_session(LINKS, 10) as session:
-            task = asyncio.create_task(ChunkClient(session, raw.directory).send(
-                attempt_at(), Message("PUT", "/x", bytes(size))))
+            task = asyncio.create_task(
+                ChunkClient(session, raw.directory).send(attempt_at(), Message("PUT", "/x", bytes(size)))
+            )
             sock = await raw.accept()
             await asyncio.get_running_loop().sock_recv(sock, 10)  # it has begun
             task.cancel()
@@ -305,8 +319,9 @@
         raw = Raw()
         async with open_session(LINKS, 10) as session:
             attempt = attempt_at(8 if revoked else 0.3)
-            task = asyncio.create_task(ChunkClient(session, raw.directory).send(
-                attempt, Message("PUT", "/x", bytes(UNREAD))))
+            task = asyncio.create_task(
+                ChunkClient(session, raw.directory).send(attempt, Message("PUT", "/x", bytes(UNREAD)))
+            )
             sock = await raw.accept()
             await asyncio.get_running_loop().sock_recv(sock, 10)
             if revoked:
@@ -322,13 +337,15 @@
 @pytest.mark.parametrize("phase", ["draining", "removed", "up"])
 def test_what_is_told_while_a_connection_comes_up_is_looked_at_before_the_first_byte(phase, body):
     """A connection that came up late began a send long after its chunk server was told to drain."""
+
     async def story():
         raw = Raw(backlog=0)
         async with open_session(Links(timedelta(seconds=8), timedelta(seconds=15)), 10) as session:
             first = socket.socket()  # fills the backlog: whoever comes now waits until it has been taken
             first.connect(raw.listener.getsockname())
-            task = asyncio.create_task(ChunkClient(session, raw.directory).send(
-                attempt_at(), Message("PUT", "/x", body)))
+            task = asyncio.create_task(
+                ChunkClient(session, raw.directory).send(attempt_at(), Message("PUT", "/x", body))
+            )
             await asyncio.sleep(0.1)
             assert not task.done()
             raw.tell(phase)
@@ -350,6 +367,7 @@
 @pytest.mark.parametrize(("within", "wanted"), [(None, Status.OK), (8, Status.OK), (0.2, Status.MOOT)])
 def test_an_attempt_that_has_to_begin_by_a_time_does_not_begin_later(within, wanted, body):
     """A repeat of a keyed request left in time; its connection came up after the time in which it is known as one."""
+
     async def story():
         raw = Raw(backlog=0)
         async with open_session(Links(timedelta(seconds=8), timedelta(seconds=15)), 10) as session:
@@ -372,15 +390,19 @@
     play(story())
 
 
-@pytest.mark.parametrize(("head", "wanted"), [
-    (b"503 X\r\nX-Never-Ran: 1", Status.FULL), (b"200 X", Status.CONNECT_FAILED), (b"500 X", Status.CONNECT_FAILED)])
+@pytest.mark.parametrize(
+    ("head", "wanted"),
+    [(b"503 X\r\nX-Never-Ran: 1", Status.FULL), (b"200 X", Status.CONNECT_FAILED), (b"500 X", Status.CONNECT_FAILED)],
+)
 def test_an_answer_to_half_a_request_ends_it_and_its_other_half_never_leaves(head, wanted):
     """The front waited for the chunk server to take the rest, until the attempt's time was up."""
+
     async def story():
         raw = Raw()
         async with open_session(LINKS, 10) as session:
-            task = asyncio.create_task(ChunkClient(session, raw.directory).send(
-                attempt_at(), Message("PUT", "/x", bytes(UNREAD))))
+            task = asyncio.create_task(
+                ChunkClient(session, raw.directory).send(attempt_at(), Message("PUT", "/x", bytes(UNREAD)))
+            )
             sock = await raw.accept()
             await asyncio.get_running_loop().sock_recv(sock, 10)
             sock.send(b"HTTP/1.1 " + head + b"\r\nContent-Length: 0\r\n\r\n")
@@ -395,18 +417,26 @@
 
 
 @pytest.mark.parametrize("seen", [True, False])
-@pytest.mark.parametrize(("how", "said", "end", "wanted"), [
-    ("ended", b"close", b"", Status.OK), ("ended", b"x, Close", b"", Status.OK), ("reset", b"close", b"", Status.RESET),
-    ("ended", b"keep-alive", b"", Status.ERROR), ("half", b"close", b"", Status.RESET),
-    ("ended", b"close", b"x" * MOST_BODY, Status.ERROR)])
+@pytest.mark.parametrize(
+    ("how", "said", "end", "wanted"),
+    [
+        ("ended", b"close", b"", Status.OK),
+        ("ended", b"x, Close", b"", Status.OK),
+        ("reset", b"close", b"", Status.RESET),
+        ("ended", b"keep-alive", b"", Status.ERROR),
+        ("half", b"close", b"", Status.RESET),
+        ("ended", b"close", b"x" * MOST_BODY, Status.ERROR),
+    ],
+)
 def test_an_answer_without_a_length_is_whole_when_its_connection_ends_and_not_when_it_is_reset(
-        how, said, end, wanted, seen):
+    how, said, end, wanted, seen
+):
     """All of them counted as errors, also the good ones."""
+
     async def story():
         raw = Raw()
         async with open_session(LINKS, 10) as session:
-            task = asyncio.create_task(ChunkClient(session, raw.directory).send(
-                attempt_at(), Message("GET", "/x")))
+            task = asyncio.create_task(ChunkClient(session, raw.directory).send(attempt_at(), Message("GET", "/x")))
             sock = await raw.accept()
             loop = asyncio.get_running_loop()
             await loop.sock_recv(sock, 4096)
@@ -430,6 +460,7 @@
 @pytest.mark.parametrize(("broken", "wanted"), [("in the write", Status.CONNECT_FAILED), ("after it", Status.RESET)])
 def test_a_kept_connection_that_breaks_in_the_first_write_took_nothing(broken, wanted, body, monkeypatch):
     """With a body, it counted as reset: of a class that may not be repeated the request failed."""
+
     async def story():
         raw, peers = Raw(), []
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -66,41 +66,88 @@
     assert book.assured()[0] == {"house": 30, "house/a": 20, "house/b": 10, "house/b/reader": 10}
 
 
-@pytest.mark.parametrize(("old", "new", "place", "found", "allowed"), [
-    ('plan = "basic"', 'plan = "golden"', "[[team]] a plan", "'golden'", "'basic' or 'priority' or 'standard'"),
-    ('"photo-read"]\nvolumes', '"photo"]\nvolumes', "[[team]] a classes", "'photo'", "photo-read"),
-    ("00000000000000aa", "aa", "[[team]] a volumes", "['aa']", "regex"),
-    ("00000000000000aa", "00000000000000bb", "[[team]] b volumes", "00000000000000bb", "house/a does not have"),
-    ('organisation = "house"', 'organisation = "home"', "[[team]] a organisation", "'home'", "'house'"),
-    ('name = "b"', 'name = "a"', "[[team]] a name", "a", "no other team"),
-    ('team = "b"', 'team = "z"', "[[service]] reader team", "'z'", "'a'"),
-    ("units_per_s = 20", "units_per_s = -1", "[[team]] a reserve units_per_s", "-1", "> 0"),
-    ("units_per_s = 20", "units_per_s = 75", "[[organisation]] house budget units_per_s", "80", "at least 85"),
-    ("units_per_s = 20", "units_per_s = 95", "[contracts] capacity_units_per_s", "100", "at least 105"),
-    ("units_per_hour = 200000", "units_per_hour = 20000", "[[organisation]] house budget units_per_hour", "20000",
-     "at least 108000"),
-    ("burst_units = 30", "burst_units = 10", "[[service]] reader reserve burst_units", "10", "at least 16"),
-    ("capacity_units_per_s = 100\n", "", "[[team]] a reserve", "a reserve", "capacity_units_per_s"),
-    ("units_per_s = 20 }", "units_per_s = 20 }\nbudget = { units_per_s = 15 }", "[[team]] a reserve units_per_s",
-     "20", "at most its budget of 15"),
-    ("units_per_s = 20 }", "units_per_s = 20 }\nbudget = { burst_units = 99 }", "[[team]] a budget units_per_s",
-     "nothing", "a rate beside burst_units"),
-    ('volumes = ["00000000000000aa"]', "", "[[team]] a", "nothing that it is known by", "tokens_sha256"),
-    ('volumes = ["00000000000000aa"]', 'volumes = ["00000000000000aa"]\nfrom = 2026-01-01T00:00:00',
-     "[[team]] a from", "2026", "timezone"),
-    ('volumes = ["00000000000000aa"]', 'volumes = ["00000000000000aa"]\nfrom = 2026-01-02T00:00:00Z\n'
-     'until = 2026-01-01T00:00:00Z', "[[team]] a until", "2026-01-01", "a time after"),
-    ('volumes = ["00000000000000aa"]', 'volumes = ["00000000000000aa"]\nwithdrawn_classes = ["photo-write"]',
-     "[[team]] a withdrawn_classes", "'photo-write'", "'photo-read'"),
-    ('volumes = ["00000000000000aa"]', 'volumes = ["00000000000000aa"]\nattempts_per_request = 0.5',
-     "[[team]] a attempts_per_request", "0.5", ">= 1"),
-    ('volumes = ["00000000000000bb"]', 'tokens_sha256 = '
-     '["0000000000000000000000000000000000000000000000000000000000000002"]', "[[team]] b tokens_sha256", "tokens",
-     "its services"),
-    ('classes = ["photo-read"]\ntokens', 'classes = ["batch-export"]\ntokens', "[[service]] reader classes",
-     "'batch-export'", "'photo-read' or 'photo-write'"),
-    ("fronts = 2", 'fronts = 2\nplatform = "closed"', "[contracts] platform", "'closed'", "closed"),
-])
+@pytest.mark.parametrize(
+    ("old", "new", "place", "found", "allowed"),
+    [
+        ('plan = "basic"', 'plan = "golden"', "[[team]] a plan", "'golden'", "'basic' or 'priority' or 'standard'"),
+        ('"photo-read"]\nvolumes', '"photo"]\nvolumes', "[[team]] a classes", "'photo'", "photo-read"),
+        ("00000000000000aa", "aa", "[[team]] a volumes", "['aa']", "regex"),
+        ("00000000000000aa", "00000000000000bb", "[[team]] b volumes", "00000000000000bb", "house/a does not have"),
+        ('organisation = "house"', 'organisation = "home"', "[[team]] a organisation", "'home'", "'house'"),
+        ('name = "b"', 'name = "a"', "[[team]] a name", "a", "no other team"),
+        ('team = "b"', 'team = "z"', "[[service]] reader team", "'z'", "'a'"),
+        ("units_per_s = 20", "units_per_s = -1", "[[team]] a reserve units_per_s", "-1", "> 0"),
+        ("units_per_s = 20", "units_per_s = 75", "[[organisation]] house budget units_per_s", "80", "at least 85"),
+        ("units_per_s = 20", "units_per_s = 95", "[contracts] capacity_units_per_s", "100", "at least 105"),
+        (
+            "units_per_hour = 200000",
+            "units_per_hour = 20000",
+            "[[organisation]] house budget units_per_hour",
+            "20000",
+            "at least 108000",
+        ),
+        ("burst_units = 30", "burst_units = 10", "[[service]] reader reserve burst_units", "10", "at least 16"),
+        ("capacity_units_per_s = 100\n", "", "[[team]] a reserve", "a reserve", "capacity_units_per_s"),
+        (
+            "units_per_s = 20 }",
+            "units_per_s = 20 }\nbudget = { units_per_s = 15 }",
+            "[[team]] a reserve units_per_s",
+            "20",
+            "at most its budget of 15",
+        ),
+        (
+            "units_per_s = 20 }",
+            "units_per_s = 20 }\nbudget = { burst_units = 99 }",
+            "[[team]] a budget units_per_s",
+            "nothing",
+            "a rate beside burst_units",
+        ),
+        ('volumes = ["00000000000000aa"]', "", "[[team]] a", "nothing that it is known by", "tokens_sha256"),
+        (
+            'volumes = ["00000000000000aa"]',
+            'volumes = ["00000000000000aa"]\nfrom = 2026-01-01T00:00:00',
+            "[[team]] a from",
+            "2026",
+            "timezone",
+        ),
+        (
+            'volumes = ["00000000000000aa"]',
+            'volumes = ["00000000000000aa"]\nfrom = 2026-01-02T00:00:00Z\nuntil = 2026-01-01T00:00:00Z',
+            "[[team]] a until",
+            "2026-01-01",
+            "a time after",
+        ),
+        (
+            'volumes = ["00000000000000aa"]',
+            'volumes = ["00000000000000aa"]\nwithdrawn_classes = ["photo-write"]',
+            "[[team]] a withdrawn_classes",
+            "'photo-write'",
+            "'photo-read'",
+        ),
+        (
+            'volumes = ["00000000000000aa"]',
+            'volumes = ["00000000000000aa"]\nattempts_per_request = 0.5',
+            "[[team]] a attempts_per_request",
+            "0.5",
+            ">= 1",
+        ),
+        (
+            'volumes = ["00000000000000bb"]',
+            'tokens_sha256 = ["0000000000000000000000000000000000000000000000000000000000000002"]',
+            "[[team]] b tokens_sha256",
+            "tokens",
+            "its services",
+        ),
+        (
+            'classes = ["photo-read"]\ntokens',
+            'classes = ["batch-export"]\ntokens',
+            "[[service]] reader classes",
+            "'batch-export'",
+            "'photo-read' or 'photo-write'",
+        ),
+        ("fronts = 2", 'fronts = 2\nplatform = "closed"', "[contracts] platform", "'closed'", "closed"),
+    ],
+)
 def test_each_fault_names_its_place_what_was_found_and_what_is_allowed(tmp_path, old, new, place, found, allowed):
     assert old in BASE
     told = faults(tmp_path, BASE.replace(old, new, 1))
@@ -110,22 +157,34 @@
 def test_all_faults_are_told_in_one_go(tmp_path):
     text = BASE.replace('plan = "basic"', 'plan = "golden"\ncolour = 1').replace("units_per_s = 80", "units_per_s = 0")
     told = faults(tmp_path, text + '[graphite]\naddress = "nowhere"\n[objects]\n[chalk]\n')
-    for place in ("[chalk]", "[[organisation]] house budget units_per_s", "[[team]] a colour", "[graphite] address",
-                  "[objects] listen", "[[team]] buckets"):
+    for place in (
+        "[chalk]",
+        "[[organisation]] house budget units_per_s",
+        "[[team]] a colour",
+        "[graphite] address",
+        "[objects] listen",
+        "[[team]] buckets",
+    ):
         assert any(fault.startswith(place + ":") for fault in told), (place, told)
 
 
 def test_ten_thousand_teams_are_read_and_each_is_there(tmp_path):
     path = tmp_path / "o.toml"
-    path.write_text("[contracts]\n" + "".join(
-        f'[[team]]\nname = "t{i}"\nplan = "basic"\nclasses = ["photo-read"]\nvolumes = ["{i:016x}"]\n'
-        f'budget = {{ units_per_s = 100 }}\n' for i in range(10_000)))
+    path.write_text(
+        "[contracts]\n"
+        + "".join(
+            f'[[team]]\nname = "t{i}"\nplan = "basic"\nclasses = ["photo-read"]\nvolumes = ["{i:016x}"]\n'
+            f"budget = {{ units_per_s = 100 }}\n"
+            for i in range(10_000)
+        )
+    )
     book = load(path, TOLD).sections["contracts"].book
     assert len(book.contracts) == 10_000 and book.by_volume[f"{9_999:016x}"] == "t9999"
 
 
 # ---- the commands ----
 
+
 def run(*words: str, config: Path | None = CONFIG):
     env = {"BALANCER_CONFIG": str(config) if config else None, "BALANCER_LISTEN": None, "BALANCER_DISCOVERY": None}
     return CliRunner().invoke(cli, list(words), env=env)
@@ -155,12 +214,18 @@
     got = run("check", "--config", str(broken), "--operator", str(path))
     assert got.exit_code == 2 and str(broken) in got.output and "not checked" in got.output
     assert run("check", config=None).exit_code == 2
-    broken.write_text('{"listen": 7, "discovery": "nowhere", "seed": "xyz", "limits": {"sockets": "many"}, '
-                      '"settings": {"Balancers": "three"}}')
+    broken.write_text(
+        '{"listen": 7, "discovery": "nowhere", "seed": "xyz", "limits": {"sockets": "many"}, '
+        '"settings": {"Balancers": "three"}}'
+    )
     told = run("check", "--config", str(broken)).output
-    for words in ("listen: found 7; allowed: host:port", "discovery: found 'nowhere'; allowed: host:port",
-                  "seed: found 'xyz'; allowed: hex digits", "limits.sockets: found 'many'",
-                  "settings: Balancers=three"):
+    for words in (
+        "listen: found 7; allowed: host:port",
+        "discovery: found 'nowhere'; allowed: host:port",
+        "seed: found 'xyz'; allowed: hex digits",
+        "limits.sockets: found 'many'",
+        "settings: Balancers=three",
+    ):
         assert f"{broken}: {words}" in told
 
 
@@ -172,8 +237,12 @@
     row = next(line for line in lines if line.startswith("plant/inspection"))
     assert all(word in row for word in ("standard", "1 volume", "120", "240", "in force"))
     path = tmp_path / "o.toml"
-    path.write_text(BASE.replace('volumes = ["00000000000000aa"]',
-                                 'volumes = ["00000000000000aa"]\nuntil = 2030-01-01T00:00:00Z\nwithdrawn = false'))
+    path.write_text(
+        BASE.replace(
+            'volumes = ["00000000000000aa"]',
+            'volumes = ["00000000000000aa"]\nuntil = 2030-01-01T00:00:00Z\nwithdrawn = false',
+        )
+    )
     config = tmp_path / "c.json"
     told = json.loads(CONFIG.read_text())
     config.write_text(json.dumps(told))
@@ -184,8 +253,10 @@
 
 
 def test_a_bare_start_loads_nothing_that_is_off():
-    code = ("import sys, ochrespan.front; print([m for m in ('click', 'msgspec', 'tomllib', 'ochrespan.contracts',"
-            " 'ochrespan.objects', 'ochrespan.metrics', 'ochrespan.operator', 'ochrespan.cli',"
-            " 'ochrespan.http2', 'h2') if m in sys.modules])")
+    code = (
+        "import sys, ochrespan.front; print([m for m in ('click', 'msgspec', 'tomllib', 'ochrespan.contracts',"
+        " 'ochrespan.objects', 'ochrespan.metrics', 'ochrespan.operator', 'ochrespan.cli',"
+        " 'ochrespan.http2', 'h2') if m in sys.modules])"
+    )
     got = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     assert got.stdout.strip() == "[]"
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -39,30 +39,33 @@
 SPLIT_WITHOUT_WEIGHT = [{"backend": "judges", "weight": 0}, {"backend": "judges", "weight": 0.0}]
 
 
-@pytest.mark.parametrize(("document", "where"), [
-    (configuration(1, route("r1", service="nobody")), "routes.r1"),
-    (configuration(1, route("r1", backend=None, traffic_split=[{"backend": "nobody", "weight": 1}])), "routes.r1"),
-    (configuration(1, route("r1"), route("r2", path_prefix="/r1/")), "routes.r2"),
-    (configuration(1, route("r1"), route("r2", path_prefix="/r1/", hostname="A.example")), "routes.r2"),
-    (configuration(1, route("r1", traffic_split=SPLIT_WITHOUT_WEIGHT)), "routes[0].traffic_split"),
-    (configuration(1, route("r1", backend=None)), "routes[0].backend"),
-    (configuration(1, route("r1", timeout_ms=0)), "routes[0].timeout_ms"),
-    (configuration(1, route("r1", timeout_ms=-5)), "routes[0].timeout_ms"),
-    (configuration(1, route("r1", timeout_ms="8000")), "routes[0].timeout_ms"),
-    (configuration(1, route("r1", timeout_ms=True)), "routes[0].timeout_ms"),
-    (configuration(1, route("r1", timeout_ms=10**400)), "routes[0].timeout_ms"),
-    (configuration(1, route("r1", path_prefix="r1/")), "routes[0].path_prefix"),
-    (configuration(1, route("r1"), route("r1", path_prefix="/x/")), "routes[1].name"),
-    (configuration(1, services=[service(), service()]), "services[1].name"),
-    (configuration(1, tenants=[tenant("t", "k"), tenant("u", "k")]), "tenants.u.api_keys[0]"),
-    (configuration(1, tenants=[tenant("t", "k", rate_per_s=-1)]), "tenants[0].rate_per_s"),
-    (configuration(1, tenants=[tenant("t", "k\r\nX: y")]), "tenants[0].api_keys[0]"),
-    (configuration(1, limits={"max_body_bytes": "4"}), "limits.max_body_bytes"),
-    (configuration(0), "generation"),
-    (configuration(1.5), "generation"),
-    ({"generation": 1, "services": []}, "routes"),
-    ({"generation": 1, "routes": [], "services": {}}, "services"),
-])
+@pytest.mark.parametrize(
+    ("document", "where"),
+    [
+        (configuration(1, route("r1", service="nobody")), "routes.r1"),
+        (configuration(1, route("r1", backend=None, traffic_split=[{"backend": "nobody", "weight": 1}])), "routes.r1"),
+        (configuration(1, route("r1"), route("r2", path_prefix="/r1/")), "routes.r2"),
+        (configuration(1, route("r1"), route("r2", path_prefix="/r1/", hostname="A.example")), "routes.r2"),
+        (configuration(1, route("r1", traffic_split=SPLIT_WITHOUT_WEIGHT)), "routes[0].traffic_split"),
+        (configuration(1, route("r1", backend=None)), "routes[0].backend"),
+        (configuration(1, route("r1", timeout_ms=0)), "routes[0].timeout_ms"),
+        (configuration(1, route("r1", timeout_ms=-5)), "routes[0].timeout_ms"),
+        (configuration(1, route("r1", timeout_ms="8000")), "routes[0].timeout_ms"),
+        (configuration(1, route("r1", timeout_ms=True)), "routes[0].timeout_ms"),
+        (configuration(1, route("r1", timeout_ms=10**400)), "routes[0].timeout_ms"),
+        (configuration(1, route("r1", path_prefix="r1/")), "routes[0].path_prefix"),
+        (configuration(1, route("r1"), route("r1", path_prefix="/x/")), "routes[1].name"),
+        (configuration(1, services=[service(), service()]), "services[1].name"),
+        (configuration(1, tenants=[tenant("t", "k"), tenant("u", "k")]), "tenants.u.api_keys[0]"),
+        (configuration(1, tenants=[tenant("t", "k", rate_per_s=-1)]), "tenants[0].rate_per_s"),
+        (configuration(1, tenants=[tenant("t", "k\r\nX: y")]), "tenants[0].api_keys[0]"),
+        (configuration(1, limits={"max_body_bytes": "4"}), "limits.max_body_bytes"),
+        (configuration(0), "generation"),
+        (configuration(1.5), "generation"),
+        ({"generation": 1, "services": []}, "routes"),
+        ({"generation": 1, "routes": [], "services": {}}, "services"),
+    ],
+)
 def test_an_invalid_configuration_is_refused_with_its_place(document, where):
     assert where in findings_of(document)
 
@@ -76,8 +79,19 @@
     assert len(findings_of(configuration(1, *(route("", timeout_ms=0) for _ in range(500))))) == 100
 
 
-@pytest.mark.parametrize("body", [b"", b"nonsense", b'{"generation": 1', b"\xff", b"[]", b"1", b"null",
-                                  b'{"generation":1,"routes":[],"services":[],"limits":{"max_body_bytes":Infinity}}'])
+@pytest.mark.parametrize(
+    "body",
+    [
+        b"",
+        b"nonsense",
+        b'{"generation": 1',
+        b"\xff",
+        b"[]",
+        b"1",
+        b"null",
+        b'{"generation":1,"routes":[],"services":[],"limits":{"max_body_bytes":Infinity}}',
+    ],
+)
 def test_what_cannot_be_read_whole_is_refused(body):
     with pytest.raises(CheckFailed):
         read_json(body, CHECK_CONFIGURATION)
@@ -96,19 +110,27 @@
 
 def test_two_routes_may_swap_their_places_and_two_tenants_their_keys():
     current = taken(configuration(1, route("a"), route("b"), tenants=[tenant("t", "k1"), tenant("u", "k2")]))
-    swapped = patched(current, upsert={"routes": [route("a", path_prefix="/b/"), route("b", path_prefix="/a/")],
-                                       "tenants": [tenant("t", "k2"), tenant("u", "k1")]})
+    swapped = patched(
+        current,
+        upsert={
+            "routes": [route("a", path_prefix="/b/"), route("b", path_prefix="/a/")],
+            "tenants": [tenant("t", "k2"), tenant("u", "k1")],
+        },
+    )
     assert swapped.routes["a"]["path_prefix"] == "/b/"
     assert swapped.tenant_names_by_key == {"k1": "u", "k2": "t"}
 
 
-@pytest.mark.parametrize(("patch", "where"), [
-    ({"delete": {"services": ["judges"]}}, "routes.r1"),
-    ({"upsert": {"routes": [route("r9", path_prefix="/r1/")]}}, "routes.r9"),
-    ({"upsert": {"tenants": [tenant("u", "k")]}}, "tenants.u.api_keys[0]"),
-    ({"upsert": {"routes": [route("r9", service="nobody")]}}, "routes.r9"),
-    ({"generation": 1}, "generation"),
-])
+@pytest.mark.parametrize(
+    ("patch", "where"),
+    [
+        ({"delete": {"services": ["judges"]}}, "routes.r1"),
+        ({"upsert": {"routes": [route("r9", path_prefix="/r1/")]}}, "routes.r9"),
+        ({"upsert": {"tenants": [tenant("u", "k")]}}, "tenants.u.api_keys[0]"),
+        ({"upsert": {"routes": [route("r9", service="nobody")]}}, "routes.r9"),
+        ({"generation": 1}, "generation"),
+    ],
+)
 def test_a_patch_is_judged_with_what_it_leaves_standing(patch, where):
     current = taken(configuration(1, route("r1"), tenants=[tenant("t", "k")]))
     with pytest.raises(CheckFailed) as caught:
@@ -117,8 +139,9 @@
 
 
 def test_a_service_may_go_together_with_its_last_route():
-    current = taken(configuration(1, route("r1"), route("r2", service="ledger"),
-                                  services=[service(), service("ledger")]))
+    current = taken(
+        configuration(1, route("r1"), route("r2", service="ledger"), services=[service(), service("ledger")])
+    )
     after = patched(current, delete={"services": ["ledger"], "routes": ["r2"]})
     assert list(after.services) == ["judges"] and list(after.routes) == ["r1"]
 
@@ -151,9 +174,19 @@
     assert time.process_time() - began < 1.0
 
 
-@pytest.mark.parametrize("fields", [{"state": "asleep"}, {"address": "nowhere"}, {"address": 7}, {"sequence": -1},
-                                    {"backend": ""}, {"capacity": "8"}, {"models": [{"generation": 1}]},
-                                    {"cold_remaining_ms": -1}])
+@pytest.mark.parametrize(
+    "fields",
+    [
+        {"state": "asleep"},
+        {"address": "nowhere"},
+        {"address": 7},
+        {"sequence": -1},
+        {"backend": ""},
+        {"capacity": "8"},
+        {"models": [{"generation": 1}]},
+        {"cold_remaining_ms": -1},
+    ],
+)
 def test_a_malformed_report_of_a_server_is_refused(fields):
     with pytest.raises(CheckFailed) as caught:
         read_json(json.dumps({**instance(1), **fields}).encode(), CHECK_INSTANCE)
--- a/tests/test_contract_fronts.py
+++ b/tests/test_contract_fronts.py
@@ -55,8 +55,13 @@
 async def ask(world: World, trace: str, team: str = "a", volume: str = "", token: str = "", units: int = 2, **more):
     """Status, headers and body; as its team unless the words say otherwise."""
     volume = volume or {"a": VOLUME, "b": OTHER}[team]
-    headers = {"X-Trace-Id": trace, "X-Qos": "read", "X-Plan": "gold", "X-Expires-In-Ms": "2000",
-               "X-IO": f"units={units},shard={more.pop('shard', 0)},hosts=1"} | more
+    headers = {
+        "X-Trace-Id": trace,
+        "X-Qos": "read",
+        "X-Plan": "gold",
+        "X-Expires-In-Ms": "2000",
+        "X-IO": f"units={units},shard={more.pop('shard', 0)},hosts=1",
+    } | more
     if token or team == "a":
         headers["Authorization"] = f"Bearer {token or 'token-a'}"
     if headers["Authorization" if "Authorization" in headers else "X-Qos"] == "Bearer -":
@@ -64,22 +69,25 @@
     return await world.call("GET", f"/api/{volume}/7f3a9c21e0b4d655", b"", headers)
 
 
-@pytest.mark.parametrize(("words", "status", "why"), [
-    ({}, 200, ""),
-    ({"team": "b"}, 200, ""),
-    ({"team": "b", "X-Qos": "once"}, 200, ""),
-    ({"token": "wrong"}, 401, "token"),
-    ({"token": "-"}, 401, "token"),
-    ({"volume": NOBODYS, "team": "b"}, 403, "contract"),
-    ({"volume": OTHER}, 403, "volume"),  # another's, with a good token
-    ({"volume": NOBODYS}, 403, "volume"),  # nobody's, and the contract names its own
-    ({"X-Plan": "platinum"}, 403, "plan"),
-    ({"X-Plan": ""}, 200, ""),  # the contract knows it
-    ({"team": "b", "X-Qos": "write"}, 403, "class"),
-    ({"X-Qos": "once"}, 403, "class"),
-    ({"X-Qos": "made-up"}, 400, "class"),
-    ({"units": 9}, 400, "units"),
-])
+@pytest.mark.parametrize(
+    ("words", "status", "why"),
+    [
+        ({}, 200, ""),
+        ({"team": "b"}, 200, ""),
+        ({"team": "b", "X-Qos": "once"}, 200, ""),
+        ({"token": "wrong"}, 401, "token"),
+        ({"token": "-"}, 401, "token"),
+        ({"volume": NOBODYS, "team": "b"}, 403, "contract"),
+        ({"volume": OTHER}, 403, "volume"),  # another's, with a good token
+        ({"volume": NOBODYS}, 403, "volume"),  # nobody's, and the contract names its own
+        ({"X-Plan": "platinum"}, 403, "plan"),
+        ({"X-Plan": ""}, 200, ""),  # the contract knows it
+        ({"team": "b", "X-Qos": "write"}, 403, "class"),
+        ({"X-Qos": "once"}, 403, "class"),
+        ({"X-Qos": "made-up"}, 400, "class"),
+        ({"units": 9}, 400, "units"),
+    ],
+)
 def test_what_no_contract_covers_is_refused_for_good_and_says_why(words, status, why):
     async def story():
         async with World(1, contracts()) as world:
@@ -96,10 +104,13 @@
 
 def test_the_object_api_answers_with_its_own_errors():
     async def story():
-        budget = 'budget = { units_per_s = 0.001, burst_units = 60 }'
+        budget = "budget = { units_per_s = 0.001, burst_units = 60 }"
         async with World(1, contracts(a=budget)) as world:
-            for headers, wanted in (({}, "AccessDenied"), ({"Authorization": "Bearer wrong"}, "AccessDenied"),
-                                    ({"Authorization": "Bearer token-a"}, "SlowDown")):
+            for headers, wanted in (
+                ({}, "AccessDenied"),
+                ({"Authorization": "Bearer wrong"}, "AccessDenied"),
+                ({"Authorization": "Bearer token-a"}, "SlowDown"),
+            ):
                 status, answer, body = await world.objects("PUT", "/aaa/x", b"1", **headers)
                 assert (status, code(body)) == ({"AccessDenied": 403, "SlowDown": 503}[wanted], wanted)
                 assert ("Retry-After" in answer) == (wanted == "SlowDown")
@@ -145,6 +156,7 @@
 
 def test_a_budget_that_runs_out_mid_surge_strands_nothing_and_pays_every_attempt():
     """Hundreds are taken; the servers stall, reset, err and answer full; each has one final answer, paid for."""
+
     async def story():
         lines = Lines()
         budget = "budget = { units_per_s = 0.5, burst_units = 700, attempts_per_s = 1000 }"
@@ -156,8 +168,9 @@
             lot = random.Random(5)
             for node in world.nodes:
                 node.always = "any"
-                node.script.extend(lot.choices(("any", "reset", "full", "error", "half", "stall"),
-                                               (8, 1, 1, 1, 1, 1), k=150))
+                node.script.extend(
+                    lot.choices(("any", "reset", "full", "error", "half", "stall"), (8, 1, 1, 1, 1, 1), k=150)
+                )
             answers: Counter[int] = Counter()
 
             async def one(number: int) -> None:
@@ -166,11 +179,14 @@
             await asyncio.gather(*(one(n) for n in range(500)))
             assert sum(answers.values()) == 500 and set(answers) <= {200, 429, 502, 503}
             assert answers[429] > 0 and answers[200] > 100
-            seen = [trace for node in world.nodes for _, _, headers, _ in node.seen
-                    if (trace := headers["x-trace-id"])]
+            seen = [trace for node in world.nodes for _, _, headers, _ in node.seen if (trace := headers["x-trace-id"])]
             assert not any(node.copies for node in world.nodes)
-            await until(lambda: lines.get("contract-a.attempts_held") == 0 == lines.get("contract-a.open")
-                        and lines.get("contract-a.ended") == 500 - answers[429])
+            await until(
+                lambda: (
+                    lines.get("contract-a.attempts_held") == 0 == lines.get("contract-a.open")
+                    and lines.get("contract-a.ended") == 500 - answers[429]
+                )
+            )
             spent = lines.get("contract-a.attempts_spent")
             # what the servers saw was paid; a connection that broke unwritten was an attempt too
             assert len(seen) <= spent <= len(seen) + 20
@@ -238,7 +254,7 @@
             node.script.extend(["stall"] * 2)
             held = [asyncio.create_task(ask(world, f"h{n}")) for n in range(2)]
             await until(lambda: len(node.seen) == 2)
-            world.change_operator(contracts(a='plan = 7\nfrom = 2026-01-01T00:00:00Z'))
+            world.change_operator(contracts(a="plan = 7\nfrom = 2026-01-01T00:00:00Z"))
             await until(lambda: "the old operator's file stays" in world.log)
             assert (await ask(world, "t1"))[0] == 200  # the old contract holds
             world.change_operator(contracts(a='colour = "red"', b="budget = { units_per_s = -1 }"))
@@ -280,7 +296,8 @@
             await until(lambda: "contracts read anew" in world.log)
             kept = {path: data for node in world.nodes for path, data in node.stored.items()}
             status, headers, body = await world.objects(
-                "PUT", f"/aaa/x?partNumber=2&uploadId={upload}", parts[1], **token)
+                "PUT", f"/aaa/x?partNumber=2&uploadId={upload}", parts[1], **token
+            )
             assert (status, code(body)) == (503, "SlowDown") and int(headers["Retry-After"]) >= 1
             stored = {path: data for node in world.nodes for path, data in node.stored.items()}
             assert len(stored) > len(kept) and all(stored[path] == data for path, data in kept.items())
@@ -290,11 +307,15 @@
             assert (await world.objects("GET", "/aaa/x", **token))[2] == first  # as it was
             status, headers, _ = await world.objects("PUT", f"/aaa/x?partNumber=2&uploadId={upload}", parts[1], **token)
             etags.append(headers["ETag"])
-            listed = "".join(f"<Part><PartNumber>{n + 1}</PartNumber><ETag>{etag}</ETag></Part>"
-                             for n, etag in enumerate(etags))
+            listed = "".join(
+                f"<Part><PartNumber>{n + 1}</PartNumber><ETag>{etag}</ETag></Part>" for n, etag in enumerate(etags)
+            )
             status, _, _ = await world.objects(
-                "POST", f"/aaa/x?uploadId={upload}",
-                f"<CompleteMultipartUpload>{listed}</CompleteMultipartUpload>".encode(), **token)
+                "POST",
+                f"/aaa/x?uploadId={upload}",
+                f"<CompleteMultipartUpload>{listed}</CompleteMultipartUpload>".encode(),
+                **token,
+            )
             assert status == 200 and (await world.objects("GET", "/aaa/x", **token))[2] == b"".join(parts)
 
     play(story())
@@ -347,9 +368,14 @@
 
 def test_ten_thousand_contracts_are_read_anew_while_requests_go_on():
     def crowd(rate: int) -> str:
-        return contracts(head="", more="".join(
-            f'[[team]]\nname = "t{i}"\nplan = "gold"\nclasses = ["read"]\nvolumes = ["{i + 1000:016x}"]\n'
-            f"budget = {{ units_per_s = {rate} }}\n" for i in range(10_000)))
+        return contracts(
+            head="",
+            more="".join(
+                f'[[team]]\nname = "t{i}"\nplan = "gold"\nclasses = ["read"]\nvolumes = ["{i + 1000:016x}"]\n'
+                f"budget = {{ units_per_s = {rate} }}\n"
+                for i in range(10_000)
+            ),
+        )
 
     async def story():
         async with World(1, crowd(50)) as world:
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -23,39 +23,46 @@
     team("a", tokens=("one", "two"), classes=("read", "write"), withdrawn_classes=frozenset({"write"})),
     team("b"),
     team("caller", tokens=("three",), volumes=("v-mine",)),
-    team("old", ends=1_000_000.0), team("new", begins=1_000_000.5), team("gone", withdrawn=True),
-    team("reader", "house", tokens=("four",)), team("typist", "house", tokens=("five",)),
-    levels=(Terms("house", "team"),))
+    team("old", ends=1_000_000.0),
+    team("new", begins=1_000_000.5),
+    team("gone", withdrawn=True),
+    team("reader", "house", tokens=("four",)),
+    team("typist", "house", tokens=("five",)),
+    levels=(Terms("house", "team"),),
+)
 PEOPLE.own("house", ["v-house"], ["house-bucket"])
 PEOPLE.by_volume.pop("v-caller", None)
 
 
-@pytest.mark.parametrize(("demand", "wanted"), [
-    ({"volume": "v-a", "token": "one"}, "a"),
-    ({"volume": "v-a", "token": "two"}, "a"),
-    ({"volume": "v-b"}, "b"),
-    ({"volume": "v-a"}, "token"),  # its owner has tokens
-    ({"volume": "v-a", "token": "six"}, "token"),
-    ({"volume": "v-b", "token": "one"}, "volume"),  # another's
-    ({"volume": "v-mine", "token": "one"}, "volume"),
-    ({"volume": "v-nobody", "token": "one"}, "a"),  # it names no volumes of its own
-    ({"volume": "v-nobody", "token": "three"}, "volume"),  # it does
-    ({"volume": "v-nobody"}, "contract"),
-    ({"volume": "v-house", "token": "four"}, "house/reader"),  # its team's
-    ({"volume": "v-house", "token": "five"}, "house/typist"),
-    ({"volume": "v-house", "token": "one"}, "volume"),
-    ({"volume": "v-house"}, "token"),
-    ({"bucket": "house-bucket", "volume": "v-any", "token": "four"}, "house/reader"),
-    ({"bucket": "house-bucket", "token": "one"}, "bucket"),
-    ({"bucket": "nobodys", "token": "one"}, "bucket"),
-    ({"volume": "v-a", "token": "one", "cls": "write"}, "class"),  # withdrawn
-    ({"volume": "v-b", "cls": "export"}, "class"),
-    ({"volume": "v-b", "plan": "gold"}, "b"),
-    ({"volume": "v-b", "plan": "silver"}, "plan"),
-    ({"volume": "v-old"}, "ended"),
-    ({"volume": "v-new"}, "not-begun"),
-    ({"volume": "v-gone"}, "withdrawn"),
-])
+@pytest.mark.parametrize(
+    ("demand", "wanted"),
+    [
+        ({"volume": "v-a", "token": "one"}, "a"),
+        ({"volume": "v-a", "token": "two"}, "a"),
+        ({"volume": "v-b"}, "b"),
+        ({"volume": "v-a"}, "token"),  # its owner has tokens
+        ({"volume": "v-a", "token": "six"}, "token"),
+        ({"volume": "v-b", "token": "one"}, "volume"),  # another's
+        ({"volume": "v-mine", "token": "one"}, "volume"),
+        ({"volume": "v-nobody", "token": "one"}, "a"),  # it names no volumes of its own
+        ({"volume": "v-nobody", "token": "three"}, "volume"),  # it does
+        ({"volume": "v-nobody"}, "contract"),
+        ({"volume": "v-house", "token": "four"}, "house/reader"),  # its team's
+        ({"volume": "v-house", "token": "five"}, "house/typist"),
+        ({"volume": "v-house", "token": "one"}, "volume"),
+        ({"volume": "v-house"}, "token"),
+        ({"bucket": "house-bucket", "volume": "v-any", "token": "four"}, "house/reader"),
+        ({"bucket": "house-bucket", "token": "one"}, "bucket"),
+        ({"bucket": "nobodys", "token": "one"}, "bucket"),
+        ({"volume": "v-a", "token": "one", "cls": "write"}, "class"),  # withdrawn
+        ({"volume": "v-b", "cls": "export"}, "class"),
+        ({"volume": "v-b", "plan": "gold"}, "b"),
+        ({"volume": "v-b", "plan": "silver"}, "plan"),
+        ({"volume": "v-old"}, "ended"),
+        ({"volume": "v-new"}, "not-begun"),
+        ({"volume": "v-gone"}, "withdrawn"),
+    ],
+)
 def test_a_request_is_its_contracts_or_not_covered_by_a_named_rule(demand, wanted):
     got = Admission(PEOPLE, 1_000_000.0).admit(1_000_000.0, Demand(**({"cls": "read", "units": 1.0} | demand)))
     assert wanted == (got.team if isinstance(got, Grant) else got.rule)
@@ -63,8 +70,12 @@
 
 def test_a_contract_begins_and_ends_on_the_clock():
     admission = Admission(PEOPLE, 1_000_000.0)
-    for name, now, covered in (("old", 999_999.9, True), ("old", 1_000_000.0, False), ("new", 1_000_000.4, False),
-                               ("new", 1_000_000.5, True)):
+    for name, now, covered in (
+        ("old", 999_999.9, True),
+        ("old", 1_000_000.0, False),
+        ("new", 1_000_000.4, False),
+        ("new", 1_000_000.5, True),
+    ):
         got = admission.admit(now, Demand("read", 1.0, volume=f"v-{name}"))
         assert isinstance(got, Grant) == covered, (name, now)
 
@@ -83,7 +94,9 @@
         team("b", "house", reserve=20 * scale if capacity else 0, attempts_per_s=30 * scale, per_request=1.2),
         team("c", "den", weight=3.0, units_per_hour=500 * scale, units_per_day=9000 * scale),
         team("d", "den", reserve=30 * scale if capacity else 0, per_request=1.0, **more),
-        capacity=capacity, levels=(HOUSE, DENS))
+        capacity=capacity,
+        levels=(HOUSE, DENS),
+    )
 
 
 STEP = st.one_of(
@@ -94,8 +107,12 @@
     st.tuples(st.just("back"), st.floats(0, 5.0), st.just(0)),
     st.tuples(st.just("book"), st.sampled_from(("small", "large", "poor", "short")), st.just(0)),
 )
-BOOKS = {"small": crowd(0.05), "large": crowd(7.0), "poor": crowd(capacity=None),
-         "short": book(team("a", "house", reserve=5), capacity=100.0, levels=(HOUSE,))}
+BOOKS = {
+    "small": crowd(0.05),
+    "large": crowd(7.0),
+    "poor": crowd(capacity=None),
+    "short": book(team("a", "house", reserve=5), capacity=100.0, levels=(HOUSE,)),
+}
 
 
 @settings(derandomize=True, max_examples=250, deadline=None)
@@ -135,10 +152,15 @@
         assert not any(one.held or one.earlier for one in level.windows) and not level.open
 
 
-@pytest.mark.parametrize("budget", [
-    {"units_per_s": 50}, {"units_per_s": 50, "burst_units": 200}, {"attempts_per_s": 25},
-    {"units_per_s": 50, "attempts_per_s": 10},
-])
+@pytest.mark.parametrize(
+    "budget",
+    [
+        {"units_per_s": 50},
+        {"units_per_s": 50, "burst_units": 200},
+        {"attempts_per_s": 25},
+        {"units_per_s": 50, "attempts_per_s": 10},
+    ],
+)
 def test_a_surge_gets_its_rate_and_one_burst_and_no_more(budget):
     site = Site(book(team("a", **budget)))
     site.now += 10  # the burst is there
@@ -250,6 +272,7 @@
 
 # ---- reserves and lending ----
 
+
 def lenders(**more):
     return book(team("quiet", reserve=60), team("surge", weight=1.0), team("other", weight=3.0), capacity=100, **more)
 
@@ -295,8 +318,10 @@
 
 def test_a_long_budget_keeps_back_what_reserves_may_still_need():
     hour = Terms("house", "organisation", budget=Budget(units_per_hour=80_000))
-    site = Site(book(team("quiet", "house", reserve=20), team("surge", "house"), capacity=1000, levels=(hour,)),
-                now=3600.0 * 300)
+    site = Site(
+        book(team("quiet", "house", reserve=20), team("surge", "house"), capacity=1000, levels=(hour,)),
+        now=3600.0 * 300,
+    )
     got = site.run({"surge": 2000}, 40, takes=0.0)
     assert got["surge"] * 40 <= 80_000 - 20 * 3560
     left = site.admission.levels["house"].windows[0].left
@@ -306,8 +331,15 @@
 
 
 def test_lending_crosses_organisations_only_with_what_is_left_within():
-    site = Site(book(team("a", "one", reserve=50), team("b", "one"), team("c", "two"), capacity=100,
-                     levels=(Terms("one", "organisation"), Terms("two", "organisation"))))
+    site = Site(
+        book(
+            team("a", "one", reserve=50),
+            team("b", "one"),
+            team("c", "two"),
+            capacity=100,
+            levels=(Terms("one", "organisation"), Terms("two", "organisation")),
+        )
+    )
     site.now += 20
     inner = site.run({"b": 500, "c": 500}, 20)
     assert inner["b"] >= 65 and inner["b"] + inner["c"] == pytest.approx(100, abs=12)  # b: a's 50 and half of 50
@@ -318,6 +350,7 @@
 
 # ---- windows ----
 
+
 @pytest.mark.parametrize(("name", "span"), [("units_per_hour", 3600), ("units_per_day", 86400)])
 def test_a_window_ends_on_the_clock_and_a_request_counts_where_it_was_admitted(name, span):
     edge = 500_000.0 * span
@@ -339,13 +372,15 @@
 
 # ---- change in service ----
 
+
 def test_a_contract_shrunk_below_what_is_held_lets_it_end_and_refuses_the_rest():
     site = Site(crowd())
     site.now += 10
     taken = [site.ask("a") for _ in range(8)]
     assert all(isinstance(g, Grant) for g in taken)
-    site.admission.replace(book(team("a", "house", reserve=1, units_per_s=1, open=1), capacity=200.0,
-                                levels=(HOUSE,)), site.now)
+    site.admission.replace(
+        book(team("a", "house", reserve=1, units_per_s=1, open=1), capacity=200.0, levels=(HOUSE,)), site.now
+    )
     assert site.ask("a").rule == "open"
     for grant in taken:
         site.end(grant, grant.attempts)
@@ -368,10 +403,15 @@
     assert site.admission.levels["a"].windows[0].spent == spent
 
 
-@pytest.mark.parametrize("change", [
-    {"withdrawn": True}, {"withdrawn_classes": frozenset({"read"})}, {"tokens": frozenset({"0" * 64})},
-    {"ends": 1_000_000.5},
-])
+@pytest.mark.parametrize(
+    "change",
+    [
+        {"withdrawn": True},
+        {"withdrawn_classes": frozenset({"read"})},
+        {"tokens": frozenset({"0" * 64})},
+        {"ends": 1_000_000.5},
+    ],
+)
 def test_what_was_taken_under_a_contract_may_end_though_it_changes(change):
     site = Site(book(team("a", units_per_s=100)))
     site.now += 1
@@ -412,6 +452,7 @@
 
 # ---- size ----
 
+
 def calls(site: Site, names: list[str]) -> int:
     def each() -> None:
         for name in names:
@@ -424,8 +465,13 @@
 def test_an_admission_costs_the_same_among_ten_thousand_teams():
     costs = []
     for teams in (10, 10_000):
-        site = Site(book(*(team(f"t{i}", f"o{i % 5}", reserve=0.01, units_per_s=50) for i in range(teams)),
-                         capacity=500.0, levels=tuple(Terms(f"o{i}", "organisation") for i in range(5))))
+        site = Site(
+            book(
+                *(team(f"t{i}", f"o{i % 5}", reserve=0.01, units_per_s=50) for i in range(teams)),
+                capacity=500.0,
+                levels=tuple(Terms(f"o{i}", "organisation") for i in range(5)),
+            )
+        )
         site.now += 900  # all reserves are full and lent
         calls(site, ["t0"])
         site.now += 0.001
@@ -435,6 +481,7 @@
 
 # ---- many fronts ----
 
+
 def test_even_parts_never_add_up_to_more_than_the_budget():
     sites = [Site(book(team("a", units_per_s=60), fronts=6), seed=i) for i in range(6)]
     for site in sites:
@@ -443,12 +490,15 @@
     assert 58 <= total <= 60 + (60 + 6 * 8) / 20
 
 
-@pytest.mark.parametrize(("demands", "least", "most"), [
-    ([300] + [0] * 7, 0.9, 1.1),  # all through one front
-    ([300] * 8, 0.9, 1.12),
-    ([300, 300, 0, 0, 0, 0, 0, 0], 0.9, 1.12),
-    ([5] * 8, 0.38, 0.42),  # less than the budget in all
-])
+@pytest.mark.parametrize(
+    ("demands", "least", "most"),
+    [
+        ([300] + [0] * 7, 0.9, 1.1),  # all through one front
+        ([300] * 8, 0.9, 1.12),
+        ([300, 300, 0, 0, 0, 0, 0, 0], 0.9, 1.12),
+        ([5] * 8, 0.38, 0.42),  # less than the budget in all
+    ],
+)
 def test_parts_that_hear_of_others_use_come_to_the_whole(demands, least, most):
     rate, parts = 100.0, [FrontShare(100.0, len(demands)) for _ in demands]
     for part in parts:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -23,28 +23,45 @@
 from .world import World, play, until
 
 
-@pytest.mark.parametrize(("method", "target", "command"), [
-    ("GET", "/v1/readyz", ReadReadiness()),
-    ("GET", "/v1/metrics?format=statsd", ReadMetrics()),
-    ("POST", "/v1/chunk-servers/s-1/suspend", SuspendServer("s-1")),
-    ("POST", "/v1/chunk-servers/a%2Fb/resume", ResumeServer("a/b")),
-    ("POST", "/v1/front/drain", DrainFront()),
-    ("POST", "/v1/front/activate", ActivateFront()),
-])
+@pytest.mark.parametrize(
+    ("method", "target", "command"),
+    [
+        ("GET", "/v1/readyz", ReadReadiness()),
+        ("GET", "/v1/metrics?format=statsd", ReadMetrics()),
+        ("POST", "/v1/chunk-servers/s-1/suspend", SuspendServer("s-1")),
+        ("POST", "/v1/chunk-servers/a%2Fb/resume", ResumeServer("a/b")),
+        ("POST", "/v1/front/drain", DrainFront()),
+        ("POST", "/v1/front/activate", ActivateFront()),
+    ],
+)
 def test_a_call_is_read_as_its_command(method, target, command):
     assert read_command(method, target) == command
 
 
-@pytest.mark.parametrize("target", [
-    "/", "/v1", "/v1/readyz/", "/v1/chunk-servers/s-1", "/v1/chunk-servers//suspend", "/v1/chunk-servers/a/b/suspend",
-    "/v1/chunk-servers/s-1/stop", "/v1/front", "/v2/readyz", "/up"])
+@pytest.mark.parametrize(
+    "target",
+    [
+        "/",
+        "/v1",
+        "/v1/readyz/",
+        "/v1/chunk-servers/s-1",
+        "/v1/chunk-servers//suspend",
+        "/v1/chunk-servers/a/b/suspend",
+        "/v1/chunk-servers/s-1/stop",
+        "/v1/front",
+        "/v2/readyz",
+        "/up",
+    ],
+)
 def test_a_path_without_a_call_is_unknown(target):
     with pytest.raises(UnknownPath):
         read_command("GET", target)
 
 
-@pytest.mark.parametrize(("method", "target", "allowed"), [
-    ("POST", "/v1/readyz", "GET"), ("GET", "/v1/front/drain", "POST"), ("GET", "/v1/chunk-servers/x/suspend", "POST")])
+@pytest.mark.parametrize(
+    ("method", "target", "allowed"),
+    [("POST", "/v1/readyz", "GET"), ("GET", "/v1/front/drain", "POST"), ("GET", "/v1/chunk-servers/x/suspend", "POST")],
+)
 def test_a_call_under_another_method_names_the_right_one(method, target, allowed):
     with pytest.raises(WrongMethod) as why:
         read_command(method, target)
@@ -52,20 +69,30 @@
 
 
 def test_readings_become_statsd_lines_and_no_name_ends_early():
-    readings = [Reading("success", "photo-read", 812, True), Reading("front", "concurrent", 14, False),
-                Reading("error", "a:b|c d", 1, True), Reading("front", "dispatches", 12345678, True)]
+    readings = [
+        Reading("success", "photo-read", 812, True),
+        Reading("front", "concurrent", 14, False),
+        Reading("error", "a:b|c d", 1, True),
+        Reading("front", "dispatches", 12345678, True),
+    ]
     assert text(readings) == (
         "balancer.success.photo-read:812|c\nbalancer.concurrent:14|g\nbalancer.error.a_b_c_d:1|c\n"
-        "balancer.dispatches:12345678|c\n")
+        "balancer.dispatches:12345678|c\n"
+    )
 
 
 def test_each_call_has_one_answer_and_its_connection_ends():
     async def story():
         async with Controlled(1) as world:
             for method, path, status in (
-                    ("GET", "/v1/readyz", 200), ("GET", "/v1/metrics", 200), ("GET", "/v1/other", 404),
-                    ("DELETE", "/v1/metrics", 405), ("POST", "/v1/chunk-servers/nobody/suspend", 404),
-                    ("POST", "/v1/chunk-servers/nobody/resume", 404), ("GET", "/up", 404)):
+                ("GET", "/v1/readyz", 200),
+                ("GET", "/v1/metrics", 200),
+                ("GET", "/v1/other", 404),
+                ("DELETE", "/v1/metrics", 405),
+                ("POST", "/v1/chunk-servers/nobody/suspend", 404),
+                ("POST", "/v1/chunk-servers/nobody/resume", 404),
+                ("GET", "/up", 404),
+            ):
                 reader, writer = await asyncio.open_connection("127.0.0.1", world.control)
                 writer.write(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
                 got = await asyncio.wait_for(reader.read(), 1)  # to the end of the connection
--- a/tests/test_control_api.py
+++ b/tests/test_control_api.py
@@ -31,9 +31,15 @@
 def test_a_patch_changes_items_by_name_and_keeps_the_rest(world):
     controller = world.controllers[1]
     controller.put_config(configuration(5, route("r1"), route("r2")), 0)
-    patch = {"generation": 9, "upsert": {"routes": [route("r3"), route("r1", timeout_ms=1)],
-                                         "services": [service("ledger")], "limits": {"idle_timeout_ms": 5}},
-             "delete": {"routes": ["r2", "never"]}}
+    patch = {
+        "generation": 9,
+        "upsert": {
+            "routes": [route("r3"), route("r1", timeout_ms=1)],
+            "services": [service("ledger")],
+            "limits": {"idle_timeout_ms": 5},
+        },
+        "delete": {"routes": ["r2", "never"]},
+    }
     assert controller.patch_config(patch, 5)[0] == 200
     status, document = controller.call("GET", "/api/config")
     assert status == 200 and document["generation"] == 9
@@ -80,21 +86,24 @@
     assert sum(map(len, world.log.commands.values())) == before
 
 
-@pytest.mark.parametrize(("method", "path", "body", "headers", "status"), [
-    ("GET", "/nowhere", b"", {}, 404),
-    ("POST", "/api/config", b"", {}, 405),
-    ("PUT", "/api/config", b"{}", {}, 400),
-    ("PUT", "/api/config", b"{}", {"If_Match": "x"}, 400),
-    ("PUT", "/api/config", b'{"generation": 1, "routes": [', {"If_Match": "0"}, 400),
-    ("PUT", "/api/config", b"[" * 100_000, {"If_Match": "0"}, 400),
-    ("PUT", "/api/config", b'{"generation":1,"routes":[],"services":[],"x":"\\ud800"}', {"If_Match": "0"}, 400),
-    ("PUT", "/api/config", b'{"generation":1,"routes":[],"services":[],"x":%d}' % 2**80, {"If_Match": "0"}, 400),
-    ("PUT", "/api/config", b'{"generation":NaN,"routes":[],"services":[]}', {"If_Match": "0"}, 400),
-    ("PUT", "/api/config", b"\xff\xfe", {"If_Match": "0"}, 400),
-    ("PUT", "/api/instances/i-1", b"{}", {}, 400),
-    ("PUT", "/api/instances/", b"{}", {}, 400),
-    ("PUT", "/api/instances/" + "x" * 300, b"{}", {}, 400),
-])
+@pytest.mark.parametrize(
+    ("method", "path", "body", "headers", "status"),
+    [
+        ("GET", "/nowhere", b"", {}, 404),
+        ("POST", "/api/config", b"", {}, 405),
+        ("PUT", "/api/config", b"{}", {}, 400),
+        ("PUT", "/api/config", b"{}", {"If_Match": "x"}, 400),
+        ("PUT", "/api/config", b'{"generation": 1, "routes": [', {"If_Match": "0"}, 400),
+        ("PUT", "/api/config", b"[" * 100_000, {"If_Match": "0"}, 400),
+        ("PUT", "/api/config", b'{"generation":1,"routes":[],"services":[],"x":"\\ud800"}', {"If_Match": "0"}, 400),
+        ("PUT", "/api/config", b'{"generation":1,"routes":[],"services":[],"x":%d}' % 2**80, {"If_Match": "0"}, 400),
+        ("PUT", "/api/config", b'{"generation":NaN,"routes":[],"services":[]}', {"If_Match": "0"}, 400),
+        ("PUT", "/api/config", b"\xff\xfe", {"If_Match": "0"}, 400),
+        ("PUT", "/api/instances/i-1", b"{}", {}, 400),
+        ("PUT", "/api/instances/", b"{}", {}, 400),
+        ("PUT", "/api/instances/" + "x" * 300, b"{}", {}, 400),
+    ],
+)
 def test_bad_input_is_told_by_place_found_and_allowed(world, method, path, body, headers, status):
     answered, document = world.controllers[1].call(method, path, body, **headers)
     assert answered == status
@@ -117,15 +126,18 @@
 # Cut off
 
 
-@pytest.mark.parametrize(("method", "path", "body", "headers"), [
-    ("GET", "/api/config", None, {}),
-    ("GET", "/api/config/history", None, {}),
-    ("PUT", "/api/config", configuration(9), {"If_Match": "5"}),
-    ("PUT", "/api/config", configuration(9), {"If_Match": "3"}),
-    ("PATCH", "/api/config", {"generation": 9}, {"If_Match": "5"}),
-    ("PUT", "/api/instances/i-1", instance(2, "draining"), {}),
-    ("DELETE", "/api/instances/i-1", None, {}),
-])
+@pytest.mark.parametrize(
+    ("method", "path", "body", "headers"),
+    [
+        ("GET", "/api/config", None, {}),
+        ("GET", "/api/config/history", None, {}),
+        ("PUT", "/api/config", configuration(9), {"If_Match": "5"}),
+        ("PUT", "/api/config", configuration(9), {"If_Match": "3"}),
+        ("PATCH", "/api/config", {"generation": 9}, {"If_Match": "5"}),
+        ("PUT", "/api/instances/i-1", instance(2, "draining"), {}),
+        ("DELETE", "/api/instances/i-1", None, {}),
+    ],
+)
 def test_a_controller_that_has_lost_the_majority_says_so_at_once(world, method, path, body, headers):
     """The caller goes on to another; nothing is refused by a state that may be old."""
     world.controllers[0].put_config(configuration(5), 0)
@@ -181,7 +193,9 @@
     own, other = cluster_name(0x1F), cluster_name(0x2F)
     assert world.controllers[0].call("GET", "/api/status")[1]["cluster"] == own
     status, answer = world.controllers[0].call(
-        "PUT", "/api/config", configuration(5), If_Match="0", X_Fleet_Cluster=other)
+        "PUT", "/api/config", configuration(5), If_Match="0", X_Fleet_Cluster=other
+    )
     assert (status, answer["findings"][0]["where"]) == (412, "X-Fleet-Cluster")
-    assert world.controllers[0].call(
-        "PUT", "/api/config", configuration(5), If_Match="0", X_Fleet_Cluster=own)[0] == 200
+    assert (
+        world.controllers[0].call("PUT", "/api/config", configuration(5), If_Match="0", X_Fleet_Cluster=own)[0] == 200
+    )
--- a/tests/test_controller_process.py
+++ b/tests/test_controller_process.py
@@ -39,16 +39,25 @@
 
     def start(self, host: str, bootstrap: bool = False) -> None:
         settings = {
-            "node": host, "ip": host, "zone": f"zone-{host}", "port_range": [PEER_PORT, PEER_PORT + 15],
-            "listen": {"control": f"{host}:{CONTROL_PORT}"}, "seeds": [f"{each}:{CONTROL_PORT}" for each in self.hosts],
-            "bootstrap": bootstrap, "data_dir": str(self._folder / host), "limits": {"disk_mb": 16},
-            "fault_tolerance": {"machines": 1}, "heartbeat_ms": 1200,
+            "node": host,
+            "ip": host,
+            "zone": f"zone-{host}",
+            "port_range": [PEER_PORT, PEER_PORT + 15],
+            "listen": {"control": f"{host}:{CONTROL_PORT}"},
+            "seeds": [f"{each}:{CONTROL_PORT}" for each in self.hosts],
+            "bootstrap": bootstrap,
+            "data_dir": str(self._folder / host),
+            "limits": {"disk_mb": 16},
+            "fault_tolerance": {"machines": 1},
+            "heartbeat_ms": 1200,
         }
         path = self._folder / f"{host}.yaml"
         path.write_text(yaml.safe_dump(settings))
         with (self._folder / f"{host}.log").open("ab") as log:
             self._processes[host] = subprocess.Popen(
-                [sys.executable, "-m", "ochrespan.programs.controller"], stderr=log, cwd=ROOT,
+                [sys.executable, "-m", "ochrespan.programs.controller"],
+                stderr=log,
+                cwd=ROOT,
                 env={**os.environ, "OCHRESPAN_SETTINGS": str(path)},
             )
 
@@ -152,7 +161,11 @@
     path = tmp_path / "node.yaml"
     path.write_text("node: core-1\nzone: 7\n")
     ended = subprocess.run(
-        [sys.executable, "-m", "ochrespan.programs.controller"], capture_output=True, cwd=ROOT, timeout=PATIENCE_S,
-        env={**os.environ, "OCHRESPAN_SETTINGS": str(path)}, check=False,
+        [sys.executable, "-m", "ochrespan.programs.controller"],
+        capture_output=True,
+        cwd=ROOT,
+        timeout=PATIENCE_S,
+        env={**os.environ, "OCHRESPAN_SETTINGS": str(path)},
+        check=False,
     )
     assert ended.returncode == 78 and ended.stderr.decode().count("settings refused where=") == 5
--- a/tests/test_core_behaviour.py
+++ b/tests/test_core_behaviour.py
@@ -49,12 +49,25 @@
 # Changes of members
 
 
-@pytest.mark.parametrize(("count", "spares", "lost", "smallest", "expected"), [
-    (3, (), (), 3, None), (3, (), (3,), 3, None), (3, (4,), (), 3, None),
-    (3, (4,), (3,), 3, {1, 2, 4}), (3, (4, 5), (3,), 3, {1, 2, 4}), (3, (4, 5), (), 3, {1, 2, 3, 4, 5}),
-    (4, (), (2,), 3, {1, 3, 4}), (4, (5,), (), 3, {1, 2, 3, 4, 5}), (2, (), (2,), 3, None), (2, (3,), (), 3, {1, 2, 3}),
-    (1, (2,), (), 1, None), (1, (2, 3), (), 1, {1, 2, 3}), (5, (), (4, 5), 5, None), (7, (8,), (), 3, None),
-])
+@pytest.mark.parametrize(
+    ("count", "spares", "lost", "smallest", "expected"),
+    [
+        (3, (), (), 3, None),
+        (3, (), (3,), 3, None),
+        (3, (4,), (), 3, None),
+        (3, (4,), (3,), 3, {1, 2, 4}),
+        (3, (4, 5), (3,), 3, {1, 2, 4}),
+        (3, (4, 5), (), 3, {1, 2, 3, 4, 5}),
+        (4, (), (2,), 3, {1, 3, 4}),
+        (4, (5,), (), 3, {1, 2, 3, 4, 5}),
+        (2, (), (2,), 3, None),
+        (2, (3,), (), 3, {1, 2, 3}),
+        (1, (2,), (), 1, None),
+        (1, (2, 3), (), 1, {1, 2, 3}),
+        (5, (), (4, 5), 5, None),
+        (7, (8,), (), 3, None),
+    ],
+)
 def test_the_next_voters_of_a_group(count, spares, lost, smallest, expected):
     configuration = Configuration.of(MEMBERS[:count])
     standing = Standing(tuple(MEMBERS[spare - 1] for spare in spares), lost)
@@ -89,8 +102,11 @@
     world.run(6.0)
     spare = ({1, 2, 3, 4} - voters(world)).pop()
     leader = world.leader(0)
-    leaving = leader if leader_leaves else next(
-        node for node in world.nodes.values() if node is not leader and node.address != address(spare))
+    leaving = (
+        leader
+        if leader_leaves
+        else next(node for node in world.nodes.values() if node is not leader and node.address != address(spare))
+    )
     leaving.table.leave(world.now)
     leaving.pump()
     world.run(0.35)
@@ -266,8 +282,7 @@
         assert world.leader(0).propose(0, f"0:large{number}" + "x" * 20_000)
         world.run(0.02)
     image_bytes = len(world.leader(0).machines[0].snapshot())
-    member = next(node for node in world.nodes.values()
-                  if node not in {world.leader(shard) for shard in world.shards})
+    member = next(node for node in world.nodes.values() if node not in {world.leader(shard) for shard in world.shards})
     world.bytes_per_s[member.address] = 5e6 / 8
     member.wipe()
     member.start(world.seeds, bootstrap=False)
@@ -330,8 +345,9 @@
         began = world.now
         world.order(0)
         replicas = [node.table.replicas[0] for node in world.nodes.values()]
-        while any(replica.core.applied_index < world.leader(0).table.replicas[0].core.log.last_index
-                  for replica in replicas):
+        while any(
+            replica.core.applied_index < world.leader(0).table.replicas[0].core.log.last_index for replica in replicas
+        ):
             world.run(0.001)
         spans.append(world.now - began)
     assert sorted(spans)[len(spans) // 2] < Timing().heartbeat_s / 4
--- a/tests/test_core_formation.py
+++ b/tests/test_core_formation.py
@@ -320,13 +320,16 @@
 # The word of most
 
 
-@pytest.mark.parametrize(("ages", "group_known", "may"), [
-    ({2: 0.1}, False, True),
-    ({2: START_SPREAD_S + 0.3}, False, False),  # it has waited since long before: a group may live beside it
-    ({2: -1.0}, False, False),  # it starts for the second time
-    ({2: 0.1}, True, False),
-    ({}, False, False),
-])
+@pytest.mark.parametrize(
+    ("ages", "group_known", "may"),
+    [
+        ({2: 0.1}, False, True),
+        ({2: START_SPREAD_S + 0.3}, False, False),  # it has waited since long before: a group may live beside it
+        ({2: -1.0}, False, False),  # it starts for the second time
+        ({2: 0.1}, True, False),
+        ({}, False, False),
+    ],
+)
 def test_the_word_of_most_founders_is_enough_in_their_first_start_alone(ages, group_known, may):
     seeds = tuple(map(address, (1, 2, 3)))
     formation = Formation.begin(FormationSettings(address(1), seeds, True, 1), None, random.Random(1), 10.0)
@@ -360,8 +363,9 @@
 
 
 def test_clusters_differ_by_their_members():
-    first, second = (members_of(Found([[number, *address(number)] for number in numbers]))
-                     for numbers in ((1, 2), (1, 3)))
+    first, second = (
+        members_of(Found([[number, *address(number)] for number in numbers])) for numbers in ((1, 2), (1, 3))
+    )
     assert cluster_of(first) != cluster_of(second)
     assert cluster_of(first) == cluster_of(first[::-1])
 
@@ -411,9 +415,13 @@
         getattr(node, how)()
         world.later(draw.uniform(0.05, 0.8), None, lambda: restart(node))
 
-    actions = [cut, lambda node: end(node, "kill"), lambda node: end(node, "lose_power"),
-               lambda node: setattr(node, "frozen_until", world.now + 0.5),
-               lambda node: setattr(node, "latency_x", draw.choice([1.0, 30.0, 150.0]))]
+    actions = [
+        cut,
+        lambda node: end(node, "kill"),
+        lambda node: end(node, "lose_power"),
+        lambda node: setattr(node, "frozen_until", world.now + 0.5),
+        lambda node: setattr(node, "latency_x", draw.choice([1.0, 30.0, 150.0])),
+    ]
     for _ in range(draw.randint(1, 6)):
         action, node = draw.choice(actions), draw.choice(nodes)
         world.later(draw.uniform(0.0, 2.0), None, lambda action=action, node=node: action(node))
--- a/tests/test_core_search.py
+++ b/tests/test_core_search.py
@@ -11,11 +11,14 @@
 WIPED_FOUNDER_STATES = 2172
 
 
-@pytest.mark.parametrize(("budget", "states"), [
-    (Budget(timeouts=1, orders=2, crashes=0), 575),
-    (Budget(timeouts=1, orders=1, crashes=1), 1177),
-    (Budget(timeouts=1, orders=2, crashes=0, cuts=1), 2190),
-])
+@pytest.mark.parametrize(
+    ("budget", "states"),
+    [
+        (Budget(timeouts=1, orders=2, crashes=0), 575),
+        (Budget(timeouts=1, orders=1, crashes=1), 1177),
+        (Budget(timeouts=1, orders=2, crashes=0, cuts=1), 2190),
+    ],
+)
 def test_every_schedule_of_a_small_budget_keeps_the_rules(budget, states):
     found = search(budget, most_states=10_000)
     assert found.complete
@@ -23,12 +26,16 @@
     assert found.committed == budget.orders + 1
 
 
-@pytest.mark.parametrize("budget", [
-    Budget(timeouts=2, orders=1, crashes=0), Budget(timeouts=2, orders=0, crashes=1),
-    Budget(timeouts=1, orders=1, crashes=0, wipes=1, changes=2),
-    Budget(timeouts=2, orders=1, crashes=0, wipes=1, changes=1, power=1),
-    Budget(timeouts=2, orders=1, crashes=1, wipes=1, changes=1),
-])
+@pytest.mark.parametrize(
+    "budget",
+    [
+        Budget(timeouts=2, orders=1, crashes=0),
+        Budget(timeouts=2, orders=0, crashes=1),
+        Budget(timeouts=1, orders=1, crashes=0, wipes=1, changes=2),
+        Budget(timeouts=2, orders=1, crashes=0, wipes=1, changes=1, power=1),
+        Budget(timeouts=2, orders=1, crashes=1, wipes=1, changes=1),
+    ],
+)
 def test_the_nearest_schedules_of_a_larger_budget_keep_the_rules(budget):
     assert search(budget, most_states=1_000).states == 1_000
 
@@ -53,8 +60,9 @@
 
 
 def test_the_search_finds_an_election_by_less_than_a_majority(monkeypatch):
-    monkeypatch.setattr(Configuration, "has_majority",
-                        lambda self, agreeing: any(agreeing(member.id) for member in self.voters))
+    monkeypatch.setattr(
+        Configuration, "has_majority", lambda self, agreeing: any(agreeing(member.id) for member in self.voters)
+    )
     with pytest.raises(Violation, match="two leaders of one term"):
         search(Budget(timeouts=2, orders=0, crashes=0), most_states=20_000)
 
--- a/tests/test_core_simulation.py
+++ b/tests/test_core_simulation.py
@@ -8,8 +8,9 @@
 SIZES = [(3, 1, range(40)), (4, 1, range(20)), (5, 2, range(20)), (5, 1, range(10))]
 
 
-@pytest.mark.parametrize(("size", "tolerated", "seed"), [
-    (size, tolerated, seed) for size, tolerated, seeds in SIZES for seed in seeds])
+@pytest.mark.parametrize(
+    ("size", "tolerated", "seed"), [(size, tolerated, seed) for size, tolerated, seeds in SIZES for seed in seeds]
+)
 def test_the_core_bears_every_kind_of_trouble(size, tolerated, seed):
     world = World(seed, size, tolerated)
     play(world, 20.0)
@@ -20,8 +21,9 @@
 HARSH_SIZES = [(3, 1, range(12)), (4, 1, range(8)), (5, 2, [*range(24), 5146])]
 
 
-@pytest.mark.parametrize(("size", "tolerated", "seed"), [
-    (size, tolerated, seed) for size, tolerated, seeds in HARSH_SIZES for seed in seeds])
+@pytest.mark.parametrize(
+    ("size", "tolerated", "seed"), [(size, tolerated, seed) for size, tolerated, seeds in HARSH_SIZES for seed in seeds]
+)
 def test_the_core_bears_disks_lost_amid_cuts_and_kills(size, tolerated, seed):
     """5146: two ids of lost disks stayed among seven voters, and the next two losses left no majority."""
     world = World(seed, size, tolerated)
