--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,33 +13,43 @@
 
 from .world import MS, World, until
 
-GOOD = {"id": "n1", "host_port": "127.0.0.1:9", "locality": "a", "cell": 3, "phase": "up", "size": 1.0,
-        "up_since_ms": 0}
+GOOD = {
+    "id": "n1",
+    "host_port": "127.0.0.1:9",
+    "locality": "a",
+    "cell": 3,
+    "phase": "up",
+    "size": 1.0,
+    "up_since_ms": 0,
+}
 
 
 def listing(*members, complete=True, revision=7) -> dict:
     return {"revision": revision, "complete": complete, "members": list(members)}
 
 
-@pytest.mark.parametrize(("told", "where"), [
-    ([], "the list"),
-    ("nothing", "the list"),
-    ({"revision": 1, "complete": True}, "members"),
-    (listing(revision="9"), "revision"),
-    (listing(complete="yes"), "complete"),
-    (listing("n1"), "members[0]"),
-    (listing(GOOD, {k: v for k, v in GOOD.items() if k != "id"}), "members[1].id"),
-    (listing(GOOD | {"id": 5}), "members[0].id"),
-    (listing(GOOD, GOOD | {"cell": 4}), "members[1].id"),
-    (listing(GOOD | {"size": -1.0}), "members[0].size"),
-    (listing(GOOD | {"size": float("nan")}), "members[0].size"),
-    (listing(GOOD | {"size": "big"}), "members[0].size"),
-    (listing(GOOD | {"cell": -2}), "members[0].cell"),
-    (listing(GOOD | {"cell": 1.5}), "members[0].cell"),
-    (listing(GOOD | {"up_since_ms": -3}), "members[0].up_since_ms"),
-    (listing(GOOD | {"up_since_ms": 1e300}), "members[0].up_since_ms"),
-    (listing(GOOD | {"up_since_ms": [1]}), "members[0].up_since_ms"),
-])
+@pytest.mark.parametrize(
+    ("told", "where"),
+    [
+        ([], "the list"),
+        ("nothing", "the list"),
+        ({"revision": 1, "complete": True}, "members"),
+        (listing(revision="9"), "revision"),
+        (listing(complete="yes"), "complete"),
+        (listing("n1"), "members[0]"),
+        (listing(GOOD, {k: v for k, v in GOOD.items() if k != "id"}), "members[1].id"),
+        (listing(GOOD | {"id": 5}), "members[0].id"),
+        (listing(GOOD, GOOD | {"cell": 4}), "members[1].id"),
+        (listing(GOOD | {"size": -1.0}), "members[0].size"),
+        (listing(GOOD | {"size": float("nan")}), "members[0].size"),
+        (listing(GOOD | {"size": "big"}), "members[0].size"),
+        (listing(GOOD | {"cell": -2}), "members[0].cell"),
+        (listing(GOOD | {"cell": 1.5}), "members[0].cell"),
+        (listing(GOOD | {"up_since_ms": -3}), "members[0].up_since_ms"),
+        (listing(GOOD | {"up_since_ms": 1e300}), "members[0].up_since_ms"),
+        (listing(GOOD | {"up_since_ms": [1]}), "members[0].up_since_ms"),
+    ],
+)
 def test_a_list_with_a_fault_is_not_taken_in_any_part_and_its_place_is_named(told, where):
     directory = Directory()
     directory.apply(listing(GOOD, revision=3))
@@ -138,11 +148,22 @@
                 writer.write(HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body)
 
 
-@pytest.mark.parametrize("silences", [[
-    Silent(1), Silent(2), Silent(3), Silent(3, HEAD), Silent(3, HEAD + b"Content-Length: 90\r\n\r\n{\n"),
-    Silent(1, HEAD + b"Transfer-Encoding: chunked\r\n\r\n2\r\n{\n\r\n")]])
+@pytest.mark.parametrize(
+    "silences",
+    [
+        [
+            Silent(1),
+            Silent(2),
+            Silent(3),
+            Silent(3, HEAD),
+            Silent(3, HEAD + b"Content-Length: 90\r\n\r\n{\n"),
+            Silent(1, HEAD + b"Transfer-Encoding: chunked\r\n\r\n2\r\n{\n\r\n"),
+        ]
+    ],
+)
 def test_a_watch_that_falls_silent_at_any_point_is_opened_anew_before_its_news_counts_as_told(silences):
     """Its time-out was 22 s, moved on to the next whole second by aiohttp: up to a second after the news counted."""
+
     async def one(discovery: Silent) -> None:
         broker, directory = Told(), Directory()
         async with open_session() as session:
@@ -225,8 +246,12 @@
             await world.__aenter__()
         await world.__aexit__()
         assert world.process.returncode == 0
-        began, ended = (float(line.split()[0].split(":")[-1].rstrip("Z")) for phase in ("draining", "stopped")
-                        for line in world.log.splitlines() if f"now={phase}" in line)
+        began, ended = (
+            float(line.split()[0].split(":")[-1].rstrip("Z"))
+            for phase in ("draining", "stopped")
+            for line in world.log.splitlines()
+            if f"now={phase}" in line
+        )
         assert (ended - began) % 60 < 1.5  # 0.9 by the settings; it waited for the list first, which made 1.8
 
     asyncio.run(story())
--- a/tests/test_drain_by_hand.py
+++ b/tests/test_drain_by_hand.py
@@ -28,16 +28,19 @@
     return found
 
 
-@pytest.mark.parametrize(("steps", "last"), [
-    (("ready", "drain"), Phase.INACTIVE),
-    (("ready", "drain", "drain", "activate"), Phase.READY),
-    (("ready", "drain", "activate", "activate", "drain"), Phase.INACTIVE),
-    (("drain", "ready"), Phase.INACTIVE),
-    (("drain", "activate", "ready"), Phase.READY),
-    (("ready", "drain", "draining", "activate"), Phase.DRAINING),
-    (("ready", "draining", "drain", "activate"), Phase.DRAINING),
-    (("ready", "drain", "draining", "closing", "stopped"), Phase.STOPPED),
-])
+@pytest.mark.parametrize(
+    ("steps", "last"),
+    [
+        (("ready", "drain"), Phase.INACTIVE),
+        (("ready", "drain", "drain", "activate"), Phase.READY),
+        (("ready", "drain", "activate", "activate", "drain"), Phase.INACTIVE),
+        (("drain", "ready"), Phase.INACTIVE),
+        (("drain", "activate", "ready"), Phase.READY),
+        (("ready", "drain", "draining", "activate"), Phase.DRAINING),
+        (("ready", "draining", "drain", "activate"), Phase.DRAINING),
+        (("ready", "drain", "draining", "closing", "stopped"), Phase.STOPPED),
+    ],
+)
 def test_operators_choose_between_ready_and_inactive_and_never_stop_an_end(steps, last):
     assert phases(*steps)[-1] is last
 
--- a/tests/test_early_listener.py
+++ b/tests/test_early_listener.py
@@ -31,9 +31,20 @@
         assert open_front() is None  # the address is taken
 
 
-@pytest.mark.parametrize("text", [
-    "", "[]", "listen: {}", "listen: {front: 5}", "listen: {front: nowhere}", "listen: {front: '10.0.0.1:x'}",
-    "listen: {front: '999.0.0.1:80'}", "{cut", "listen: {front: '127.0.0.1:99999'}"])
+@pytest.mark.parametrize(
+    "text",
+    [
+        "",
+        "[]",
+        "listen: {}",
+        "listen: {front: 5}",
+        "listen: {front: nowhere}",
+        "listen: {front: '10.0.0.1:x'}",
+        "listen: {front: '999.0.0.1:80'}",
+        "{cut",
+        "listen: {front: '127.0.0.1:99999'}",
+    ],
+)
 def test_settings_that_name_no_address_are_left_to_the_check_of_the_router(tmp_path, monkeypatch, text):
     settings_file(tmp_path, monkeypatch, text)
     assert open_front() is None
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -24,8 +24,9 @@
 from .world import MOST_RUNS, MS, World, free_port, play, play_in_time, until
 
 
-@pytest.mark.parametrize(("longest", "killed"), [
-    (0.1, 0.8), (0.42, 1.12), (0.76, 1.46), (0.85, 1.55), (3, 3.7), (15, 3.7)])
+@pytest.mark.parametrize(
+    ("longest", "killed"), [(0.1, 0.8), (0.42, 1.12), (0.76, 1.46), (0.85, 1.55), (3, 3.7), (15, 3.7)]
+)
 def test_the_phases_follow_each_other_before_the_platform_kills(longest, killed):
     ending = plan([timedelta(seconds=0.05), timedelta(seconds=longest)])
     assert ending.killed == timedelta(seconds=killed)
@@ -61,6 +62,7 @@
 @pytest.mark.parametrize("cancel", [True, False])
 def test_what_the_module_gives_up_at_the_end_is_answered_then_also_where_attempts_may_not_be_cancelled(cancel):
     """It waited for its attempt's own time, which ended after SIGKILL may come."""
+
     async def story():
         async with World(1, Limits__Cancel=cancel) as world:
             world.nodes[0].always = "any"
@@ -112,6 +114,7 @@
 
 def test_all_that_has_come_by_the_end_of_accepting_is_taken_in_the_step_that_closes():
     """16 were; the kernel reset the others, and requests on them."""
+
     async def story():
         port, listener = free_port(), Listener(Idle(), 1000)
         await listener.open(("127.0.0.1", port))
@@ -160,6 +163,7 @@
 
 def test_a_connection_is_at_work_until_its_client_has_taken_the_answer():
     """It was between requests as soon as the answer was with the transport: a drain or a spared place cut it off."""
+
     async def story():
         size, port = 16 << 20, free_port()
         listener, _ = await served(bytes(size), port)
@@ -195,6 +199,7 @@
 
 def test_who_sends_more_ahead_than_is_kept_gets_the_present_answer_and_then_an_error():
     """What was above the bound was left out in the middle, and the rest read as if it were whole."""
+
     async def story():
         port, go = free_port(), asyncio.Event()
         listener, asked = await served(b"x", port, go)
@@ -217,6 +222,7 @@
 @pytest.mark.parametrize("name", [signal.SIGTERM, signal.SIGINT, signal.SIGHUP])
 def test_a_signal_before_its_handler_stands_is_heard_later(name, tmp_path):
     """SIGTERM and SIGINT ended the program as it started, with a status of their own or a traceback."""
+
     async def story():
         async with World(1) as world:
             pipe = tmp_path / "config.json"
@@ -224,7 +230,8 @@
             env = {k: v for k, v in os.environ.items() if not k.startswith("BALANCER_")}
             env |= {"BALANCER_CONFIG": str(pipe), "BALANCER_LISTEN": f"127.0.0.1:{free_port()}"}
             front = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "ochrespan", env=env, stderr=asyncio.subprocess.PIPE)
+                sys.executable, "-m", "ochrespan", env=env, stderr=asyncio.subprocess.PIPE
+            )
             writer = await asyncio.to_thread(open, pipe, "w")  # comes back once the front begins to read
             front.send_signal(name)
             # what is read at SIGHUP is a plain file: the reader of the pipe has it open already
@@ -268,6 +275,7 @@
 @pytest.mark.parametrize(("reset", "size"), [(True, 64 << 20), (False, 700_000)])
 def test_an_upload_whose_client_leaves_while_its_body_waits_is_taken_back(reset, size):
     """Nobody reads while a body waits to be taken, so nobody heard that its client had left."""
+
     async def story():
         async with World(2, OPERATOR) as world:
             for node in world.nodes:
@@ -304,6 +312,7 @@
             time.sleep(late)  # the machine does nothing else meanwhile
             await asyncio.sleep(0.03)
             raise AssertionError("planted")
+
         return fails
 
     with pytest.raises(AssertionError, match="planted"):
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -75,18 +75,22 @@
 
 
 def got(asked: int, served: int, over: int = 0, waits: int | None = None, odd: int = 0) -> Got:
-    return Got(asked, +Counter({200: served, 429: over, 502: odd}), served, 10.0,
-               waits=over if waits is None else waits)
-
-
-@pytest.mark.parametrize(("what", "good"), [
-    (got(580, 580), True),
-    (got(580, 550), False),  # 110 units a second of 120 that were promised, 116 asked
-    (got(400, 400), True),
-    (got(3000, 1300, 1700), True),  # the budget of 240 and what was saved up
-    (got(3000, 1400, 1600), False),
-    (got(3000, 1200, 1800, waits=1799), False),
-])
+    return Got(
+        asked, +Counter({200: served, 429: over, 502: odd}), served, 10.0, waits=over if waits is None else waits
+    )
+
+
+@pytest.mark.parametrize(
+    ("what", "good"),
+    [
+        (got(580, 580), True),
+        (got(580, 550), False),  # 110 units a second of 120 that were promised, 116 asked
+        (got(400, 400), True),
+        (got(3000, 1300, 1700), True),  # the budget of 240 and what was saved up
+        (got(3000, 1400, 1600), False),
+        (got(3000, 1200, 1800, waits=1799), False),
+    ],
+)
 def test_a_team_is_held_or_it_is_said_in_what_not(what, good):
     assert (not held(TEAMS[0], what)) == good
     lines, all_held = table({"inspection": what}, TEAMS[:1])
@@ -100,8 +104,9 @@
 
 
 def test_the_surge_is_played_and_told():
-    done = subprocess.run([sys.executable, "-m", "examples.teams", "--seconds", "2"], cwd=ROOT, capture_output=True,
-                          text=True, timeout=60)
+    done = subprocess.run(
+        [sys.executable, "-m", "examples.teams", "--seconds", "2"], cwd=ROOT, capture_output=True, text=True, timeout=60
+    )
     rows = [line.split() for line in done.stdout.splitlines() if line.startswith("export   ")]
     assert len(rows) == 2 and int(rows[0][6]) == 0 < 500 < int(rows[1][6]), done.stdout + done.stderr
     assert done.stdout.count("inspection") == 2
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -325,8 +325,10 @@
     controller.put_config(configuration(5), 0)
     router.wait(lambda table: table.version == 5)
     sent.clear()
-    calls = [gevent.spawn(controller.put_instance, f"i-{number}", instance(1, address=f"10.0.0.9:{number}"))
-             for number in range(1, 101)]
+    calls = [
+        gevent.spawn(controller.put_instance, f"i-{number}", instance(1, address=f"10.0.0.9:{number}"))
+        for number in range(1, 101)
+    ]
     gevent.joinall(calls)
     router.wait(lambda table: len(table.instances_of("judges")) == 100)
     assert len(sent) < 100 * len(world.controllers)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -112,13 +112,26 @@
             at = self.now + action.timeout if status is Status.TIMEOUT else min(at, self.now + action.timeout)
             ok = status is Status.OK
             self.ends[status] += 1
-            answer = api.Outcome(action.request_id, job.attempts - 1, action.node, status, at - self.now, ok,
-                                 report if self.reports and ok else {})
+            answer = api.Outcome(
+                action.request_id,
+                job.attempts - 1,
+                action.node,
+                status,
+                at - self.now,
+                ok,
+                report if self.reports and ok else {},
+            )
             self.answers[rank].append((at, answer))
 
 
-@pytest.mark.parametrize(("reports", "rate", "cold", "warm"), [  # parts of what is asked; some servers have over 100
-    (False, 40.0, 0.2, 0.85), (True, 40.0, 0.7, 0.85), (True, 80.0, 0.4, 0.65)])
+@pytest.mark.parametrize(
+    ("reports", "rate", "cold", "warm"),
+    [  # parts of what is asked; some servers have over 100
+        (False, 40.0, 0.2, 0.85),
+        (True, 40.0, 0.7, 0.85),
+        (True, 80.0, 0.4, 0.65),
+    ],
+)
 def test_all_heads_together_never_push_a_cold_server_over_and_use_it_in_full_once_it_is_warm(reports, rate, cold, warm):
     room = Room(reports, rate)
     room.run(12)
@@ -145,8 +158,9 @@
     assert sum(isinstance(act, api.Send) for act in acts) == first
 
 
-@pytest.mark.parametrize(("heads", "queue", "widens"), [
-    (40, None, True), (40, 0.0, True), (40, 2.0, False), (4, 2.0, True)])  # few heads: their own answers tell
+@pytest.mark.parametrize(
+    ("heads", "queue", "widens"), [(40, None, True), (40, 0.0, True), (40, 2.0, False), (4, 2.0, True)]
+)  # few heads: their own answers tell
 def test_a_queue_that_other_heads_made_narrows_the_window_before_our_own_answers_are_late(heads, queue, widens):
     head = Scheduler(settings(heads=heads), 100.0)
     head.handle(100.0, [NodeList(ListKind.FULL, [entry(0)])])
@@ -162,8 +176,10 @@
     assert (head.nodes["n0"].window > 2) is widens
 
 
-@pytest.mark.parametrize(("report", "narrows"), [
-    ({}, True), ({"queue": 2.0}, True), ({"util": 0.9, "queue": 0.0}, True), ({"util": 0.4, "queue": 0.0}, False)])
+@pytest.mark.parametrize(
+    ("report", "narrows"),
+    [({}, True), ({"queue": 2.0}, True), ({"util": 0.9, "queue": 0.0}, True), ({"util": 0.4, "queue": 0.0}, False)],
+)
 def test_long_work_at_a_server_that_is_half_idle_does_not_narrow_its_window(report, narrows):
     """From the tenth on, every second answer takes four times as long, as with works of very different sizes."""
     head = Scheduler(settings(heads=4), 100.0)
--- a/tests/test_fleet_settings.py
+++ b/tests/test_fleet_settings.py
@@ -12,11 +12,19 @@
 from ochrespan.programs.settings import SettingsFile, bound, parse_settings, read_settings, settings_path
 
 GOOD = {
-    "node": "core-a-1", "ip": "10.1.0.6", "zone": "a", "port_range": [7500, 7515],
+    "node": "core-a-1",
+    "ip": "10.1.0.6",
+    "zone": "a",
+    "port_range": [7500, 7515],
     "listen": {"control": "10.1.0.6:8367"},
-    "seeds": ["10.1.0.6:8367", "10.2.0.20:8367"], "bootstrap": True, "data_dir": "/data/core",
-    "limits": {"disk_mb": 128}, "fault_tolerance": {"machines": 1}, "heartbeat_ms": 1200,
-    "bounds": {"drain_ms": 2000, "strict_revoke": False, "odd": "text"}, "unknown": {"field": [1]},
+    "seeds": ["10.1.0.6:8367", "10.2.0.20:8367"],
+    "bootstrap": True,
+    "data_dir": "/data/core",
+    "limits": {"disk_mb": 128},
+    "fault_tolerance": {"machines": 1},
+    "heartbeat_ms": 1200,
+    "bounds": {"drain_ms": 2000, "strict_revoke": False, "odd": "text"},
+    "unknown": {"field": [1]},
 }
 
 
@@ -35,21 +43,24 @@
     assert [bound(settings, name, 7) for name in ("odd", "strict_revoke", "missing")] == [7, 7, 7]
 
 
-@pytest.mark.parametrize(("changes", "where"), [
-    ({"port_range": [7515, 7500]}, "port_range"),
-    ({"port_range": [7500]}, "port_range"),
-    ({"port_range": "7500"}, "port_range"),
-    ({"seeds": ["10.1.0.6"]}, "seeds[0]"),
-    ({"seeds": "10.1.0.6:1"}, "seeds"),
-    ({"listen": {"control": 8367}}, "listen.control"),
-    ({"node": 7}, "node"),
-    ({"bootstrap": "yes"}, "bootstrap"),
-    ({"heartbeat_ms": 0}, "heartbeat_ms"),
-    ({"limits": {"max_fds": -1}}, "limits.max_fds"),
-    ({"fault_tolerance": {"machines": 1.5}}, "fault_tolerance.machines"),
-    ({"decision_records": 1.5}, "decision_records"),
-    ({"decision_records": True}, "decision_records"),
-])
+@pytest.mark.parametrize(
+    ("changes", "where"),
+    [
+        ({"port_range": [7515, 7500]}, "port_range"),
+        ({"port_range": [7500]}, "port_range"),
+        ({"port_range": "7500"}, "port_range"),
+        ({"seeds": ["10.1.0.6"]}, "seeds[0]"),
+        ({"seeds": "10.1.0.6:1"}, "seeds"),
+        ({"listen": {"control": 8367}}, "listen.control"),
+        ({"node": 7}, "node"),
+        ({"bootstrap": "yes"}, "bootstrap"),
+        ({"heartbeat_ms": 0}, "heartbeat_ms"),
+        ({"limits": {"max_fds": -1}}, "limits.max_fds"),
+        ({"fault_tolerance": {"machines": 1.5}}, "fault_tolerance.machines"),
+        ({"decision_records": 1.5}, "decision_records"),
+        ({"decision_records": True}, "decision_records"),
+    ],
+)
 def test_a_bad_field_is_told_by_place_found_and_allowed(changes, where):
     with pytest.raises(CheckFailed) as caught:
         parsed(**changes)
--- a/tests/test_fleetctl.py
+++ b/tests/test_fleetctl.py
@@ -45,8 +45,14 @@
     first = configuration(5, route("r1"), route("r2"), tenants=[tenant("t", "k")])
     assert run("config", "apply", write(first)) == (0, "taken: version 5 on top of 0")
     assert json.loads(run("config", "show")[1]) == first
-    second = configuration(8, route("r1", timeout_ms=5), route("r3"), services=[service(), service("ledger")],
-                           limits={"max_body_bytes": 7}, tenants=[])
+    second = configuration(
+        8,
+        route("r1", timeout_ms=5),
+        route("r3"),
+        services=[service(), service("ledger")],
+        limits={"max_body_bytes": 7},
+        tenants=[],
+    )
     assert run("config", "diff", write(second)) == (0, snapshot)
     assert run("config", "diff", write(first)) == (0, "no difference")
     assert run("config", "apply", write(second), "--builds-on", 4) == (1, snapshot)
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -93,17 +93,20 @@
     return got, client, broker
 
 
-@pytest.mark.parametrize(("script", "more", "kind", "cost"), [
-    ([Status.OK], {}, Answer, (1, 1)),
-    ([Status.FULL, Status.RESET, Status.OK], {}, Answer, (3, 2)),  # turned away: sent, and never ran
-    ([Status.FULL, Status.ERROR, Status.ERROR], {}, Refused, (3, 2)),
-    ([Status.ERROR] * 3, {}, Refused, (3, 3)),
-    ([Status.ERROR], {"cls": "once"}, Failed, (1, 1)),
-    (["hang"], {"leave": True}, asyncio.CancelledError, (1, 1)),
-    (["break"], {}, RuntimeError, (1, 1)),
-    (["hang"], {"end": True}, Refused, (1, 1)),
-    ([], {"plan": "made-up"}, Unacceptable, (0, 0)),
-])
+@pytest.mark.parametrize(
+    ("script", "more", "kind", "cost"),
+    [
+        ([Status.OK], {}, Answer, (1, 1)),
+        ([Status.FULL, Status.RESET, Status.OK], {}, Answer, (3, 2)),  # turned away: sent, and never ran
+        ([Status.FULL, Status.ERROR, Status.ERROR], {}, Refused, (3, 2)),
+        ([Status.ERROR] * 3, {}, Refused, (3, 3)),
+        ([Status.ERROR], {"cls": "once"}, Failed, (1, 1)),
+        (["hang"], {"leave": True}, asyncio.CancelledError, (1, 1)),
+        (["break"], {}, RuntimeError, (1, 1)),
+        (["hang"], {"end": True}, Refused, (1, 1)),
+        ([], {"plan": "made-up"}, Unacceptable, (0, 0)),
+    ],
+)
 def test_every_end_settles_once_with_what_it_did_cost(script, more, kind, cost):
     gate = Gate()
     if more.get("plan"):
@@ -129,7 +132,8 @@
     got, client, broker = asyncio.run(run([], gate))
     assert got is answer and not gate.settled and client.out == 0
     assert (broker.counts.not_covered, broker.counts.over_budget) == (
-        (1, 0) if isinstance(answer, NotCovered) else (0, 1))
+        (1, 0) if isinstance(answer, NotCovered) else (0, 1)
+    )
     assert not broker.counts.usage
 
 
@@ -141,8 +145,10 @@
     async def story():
         broker = Broker(settings())
         broker.admit_by(gate)
-        for request in (Request("v", "made-up", "", timedelta(1), claim=Claim()),
-                        Request("v", "read", "", timedelta(1), units=1e9, claim=Claim())):
+        for request in (
+            Request("v", "made-up", "", timedelta(1), claim=Claim()),
+            Request("v", "read", "", timedelta(1), units=1e9, claim=Claim()),
+        ):
             with pytest.raises(Unacceptable):
                 await broker.pick(request)
         broker.close()
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -23,10 +23,16 @@
 
 HEAD = b"GET /api/x HTTP/1.1\r\n"
 BAD = [
-    (b"\x00\xff\xfe\r\n\r\n", 400), (b"\x16\x03\x01\x02", 400), (b"GET / HTTP/9.9\r\n\r\n", 400),
+    (b"\x00\xff\xfe\r\n\r\n", 400),
+    (b"\x16\x03\x01\x02", 400),
+    (b"GET / HTTP/9.9\r\n\r\n", 400),
     (b"get /up", 400),
-    (HEAD + b"X: y\n\n", 400), (HEAD + b"no colon\r\n\r\n", 400), (HEAD + b"X: y\r\n z\r\n\r\n", 400),
-    (HEAD + b"X : y\r\n\r\n", 400), (HEAD + b"X-Pad: pppppppp\r\n" * 2000, 431), (HEAD + b"X: y\r\n", 408),
+    (HEAD + b"X: y\n\n", 400),
+    (HEAD + b"no colon\r\n\r\n", 400),
+    (HEAD + b"X: y\r\n z\r\n\r\n", 400),
+    (HEAD + b"X : y\r\n\r\n", 400),
+    (HEAD + b"X-Pad: pppppppp\r\n" * 2000, 431),
+    (HEAD + b"X: y\r\n", 408),
     (raw("PUT", "Content-Length: 4", "Transfer-Encoding: chunked", body=b"0\r\n\r\n" + HEAD + b"\r\n"), 400),
     (raw("PUT", "Transfer-Encoding: xchunked", body=b"0\r\n\r\n"), 400),
     (raw("PUT", "Transfer-Encoding: chunked", body=b"2\r\nab\r\nzz\r\n"), 400),
@@ -34,12 +40,16 @@
     (raw("PUT", "Content-Length: -4", body=b"abcd"), 400),
     (raw("PUT", "Content-Length: 3", "Content-Length: 4", body=b"abcd"), 400),
     (raw("PUT", "Content-Length: 99999999999999999999999", body=b"abcd"), 400),
-    (raw("PUT", "Content-Length: 67108865"), 413), (raw("PUT", "Content-Length: 65537"), 408),
+    (raw("PUT", "Content-Length: 67108865"), 413),
+    (raw("PUT", "Content-Length: 65537"), 408),
     (raw("PUT", "Content-Length: 9", body=b"abcd"), 408),
     (raw("PUT", "Content-Length: 2", body=b"abcd"), 400),
-    (raw("PUT"), 400), (raw("GET", "Content-Length: 4", body=b"abcd"), 400),
-    (raw("GET", "X-Trace-Id: t2"), 400), (raw("GET", "X-Plan: gold"), 400),
-    (raw("GET", path=f"/api/{VOLUME}/{KEY}?a#b"), 400), (raw("DELETE"), 400),
+    (raw("PUT"), 400),
+    (raw("GET", "Content-Length: 4", body=b"abcd"), 400),
+    (raw("GET", "X-Trace-Id: t2"), 400),
+    (raw("GET", "X-Plan: gold"), 400),
+    (raw("GET", path=f"/api/{VOLUME}/{KEY}?a#b"), 400),
+    (raw("DELETE"), 400),
 ]
 
 
@@ -61,6 +71,7 @@
 
 def test_an_error_is_not_cut_off_by_what_the_client_still_sends():
     """Closing at once with bytes unread resets the connection, and the client's kernel drops the error."""
+
     async def story():
         async with World(1) as world:
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
@@ -91,6 +102,7 @@
 @pytest.mark.parametrize("asks", [False, True])
 def test_connections_of_no_use_by_the_hundreds_keep_nobody_out(asks):
     """asyncio took them all at once, ran out of descriptors, and took nobody for the next second."""
+
     async def story():
         world = World(1)
         world.sockets = 200
@@ -115,6 +127,7 @@
 @pytest.mark.parametrize(("others", "least", "most"), [(0, 1.9, 4.5), (40, 0.0, 1.9)])
 def test_a_connection_is_kept_for_2_s_between_requests_unless_many_are(others, least, most):
     """Clients that asked once and stayed held all that clients may hold: the others had no connection left."""
+
     async def story():
         world = World(1)
         world.sockets = 240  # of which clients may hold 80
@@ -146,7 +159,7 @@
                 more = "Expect: 100-continue", "Transfer-Encoding: chunked"
                 sent = raw("PUT", *more, **{"X-Trace-Id": f"t{number}"})
                 for at in range(0, len(sent), 7):
-                    writer.write(sent[at:at + 7])
+                    writer.write(sent[at : at + 7])
                     await asyncio.sleep(0)
                 head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), 10)
                 assert head == b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -168,7 +181,7 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", world.object_port)
             head = b"PUT /photos/a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
             for at in range(len(head + body)):
-                writer.write((head + body)[at:at + 1])
+                writer.write((head + body)[at : at + 1])
                 await asyncio.sleep(0)
             got = await asyncio.wait_for(reader.readline(), 10)
             assert (got == b"HTTP/1.1 200 OK\r\n") == (stored is not None)
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -84,19 +84,24 @@
             lot = random.Random(3)
             for node in world.nodes:
                 node.always = "any"
-                node.script.extend(lot.choices(("any", "reset", "full", "error", "half", "stall"),
-                                               (12, 1, 1, 1, 1, 1), k=120))
+                node.script.extend(
+                    lot.choices(("any", "reset", "full", "error", "half", "stall"), (12, 1, 1, 1, 1, 1), k=120)
+                )
             ends: Counter[str] = Counter()
             at_once = asyncio.Semaphore(60)  # as many are out on a fast machine as on a slow one
             async with world.platform() as one, world.platform() as two, world.platform() as three:
+
                 async def ask(number: int) -> None:
                     async with at_once:
                         await ask_now(number)
 
                 async def ask_now(number: int) -> None:
                     client = (one, two, three)[number % 3]
-                    stream = client.begin("GET", PATH, ask_headers(f"t{number}", number % 3, **{"X-IO": (
-                        f"units=1,shard={number % 3},hosts=1")}))
+                    stream = client.begin(
+                        "GET",
+                        PATH,
+                        ask_headers(f"t{number}", number % 3, **{"X-IO": (f"units=1,shard={number % 3},hosts=1")}),
+                    )
                     if number % 10 == 9:
                         await asyncio.sleep(0.01)
                         if not client.streams[stream].done.is_set():
@@ -219,28 +224,39 @@
             got = await client.call("POST", "/photos/whole?uploads")
             upload = got.body.decode().partition("<UploadId>")[2].partition("<")[0]
             parts = [some_bytes(100_000, seed) for seed in range(120)]
-            sent = await asyncio.gather(*(
-                client.call("PUT", f"/photos/whole?partNumber={n + 1}&uploadId={upload}", part)
-                for n, part in enumerate(parts)))
+            sent = await asyncio.gather(
+                *(
+                    client.call("PUT", f"/photos/whole?partNumber={n + 1}&uploadId={upload}", part)
+                    for n, part in enumerate(parts)
+                )
+            )
             again = [n for n, got in enumerate(sent) if got.status == 503]  # refused: harmless to try again
             for n in again:
-                while (got := await client.call("PUT", f"/photos/whole?partNumber={n + 1}&uploadId={upload}",
-                                                parts[n])).status == 503:
+                while (
+                    got := await client.call("PUT", f"/photos/whole?partNumber={n + 1}&uploadId={upload}", parts[n])
+                ).status == 503:
                     await asyncio.sleep(0.05)
                 sent[n] = got
             assert {got.status for got in sent} == {200} and all(got.ends == 1 for got in sent)
-            listed = "".join(f"<Part><PartNumber>{n + 1}</PartNumber><ETag>{got.headers['etag']}</ETag></Part>"
-                             for n, got in enumerate(sent))
-            got = await client.call("POST", f"/photos/whole?uploadId={upload}",
-                                    f"<CompleteMultipartUpload>{listed}</CompleteMultipartUpload>".encode())
+            listed = "".join(
+                f"<Part><PartNumber>{n + 1}</PartNumber><ETag>{got.headers['etag']}</ETag></Part>"
+                for n, got in enumerate(sent)
+            )
+            got = await client.call(
+                "POST",
+                f"/photos/whole?uploadId={upload}",
+                f"<CompleteMultipartUpload>{listed}</CompleteMultipartUpload>".encode(),
+            )
             assert got.status == 200
             assert bytes((await client.call("GET", "/photos/whole")).body) == b"".join(parts)
 
     play(story())
 
 
-@pytest.mark.parametrize(("contract", "status", "field"), [
-    ('withdrawn = true', 403, None), ("budget = { units_per_s = 0.01 }", 429, "retry-after")])
+@pytest.mark.parametrize(
+    ("contract", "status", "field"),
+    [("withdrawn = true", 403, None), ("budget = { units_per_s = 0.01 }", 429, "retry-after")],
+)
 def test_contract_refusals_read_as_on_http1(contract, status, field):
     async def story():
         world = H2World(1, contracts=contract)
--- a/tests/test_http2_connection.py
+++ b/tests/test_http2_connection.py
@@ -55,11 +55,25 @@
 
 # ---- turns ----
 
-@pytest.mark.parametrize(("value", "wanted"), [
-    ("", (3, False)), ("u=0", (0, False)), ("u=7, i", (7, True)), ("i", (3, True)), ("i=?0", (3, False)),
-    ("i=?1,u=5", (5, True)), ("u=8", (3, False)), ("u=-1", (3, False)), ("u=x", (3, False)), ("u=2;a=1", (2, False)),
-    ("u=1, u=4", (4, False)), ("nonsense", (3, False)), ("u=99999999999999999999", (3, False)),
-])
+
+@pytest.mark.parametrize(
+    ("value", "wanted"),
+    [
+        ("", (3, False)),
+        ("u=0", (0, False)),
+        ("u=7, i", (7, True)),
+        ("i", (3, True)),
+        ("i=?0", (3, False)),
+        ("i=?1,u=5", (5, True)),
+        ("u=8", (3, False)),
+        ("u=-1", (3, False)),
+        ("u=x", (3, False)),
+        ("u=2;a=1", (2, False)),
+        ("u=1, u=4", (4, False)),
+        ("nonsense", (3, False)),
+        ("u=99999999999999999999", (3, False)),
+    ],
+)
 def test_the_priority_field_is_read_as_rfc_9218_says(value, wanted):
     assert read_priority(value, Priority()) == Priority(*wanted)
 
@@ -98,6 +112,7 @@
 
 # ---- credit ----
 
+
 def test_windows_open_as_the_core_takes_bytes_and_not_before():
     pair = Pair()
     stream = pair.ask(body=True)
@@ -162,6 +177,7 @@
 
 # ---- budgets ----
 
+
 @pytest.mark.parametrize("action", list(PeerAction))
 def test_each_budget_is_so_many_at_once_and_so_many_a_second(action):
     budget, allowance = PeerBudget(), ALLOWANCES[action]
@@ -174,6 +190,7 @@
 
 # ---- the drain ----
 
+
 def test_a_drain_is_told_twice_and_streams_between_are_still_taken():
     pair = Pair()
     first = pair.ask()
@@ -202,15 +219,14 @@
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(frames=st.lists(FRAMES, max_size=30), cuts=st.integers(1, 50), valid=st.booleans())
 def test_whatever_frames_come_nothing_but_an_end_comes_of_it(frames, cuts, valid):
-    data = PREFACE + frame(4) + b"".join(
-        frame(kind, body, flags, stream) for kind, body, flags, stream in frames)
+    data = PREFACE + frame(4) + b"".join(frame(kind, body, flags, stream) for kind, body, flags, stream in frames)
     if not valid:
         data = data[cuts:] + data[:cuts]
     store = BufferBudget(10_000)
     connection = Connection(SMALL, store, 0.0)
     open_: set[int] = set()
     for at in range(0, len(data), cuts):
-        for told in connection.receive(data[at:at + cuts], at * 0.001):
+        for told in connection.receive(data[at : at + cuts], at * 0.001):
             match told:
                 case RequestStarted(stream):
                     assert stream not in open_
@@ -242,7 +258,7 @@
     def hear(self) -> None:
         self.pair.now += 0.05
         self.pair.carry()
-        for told in self.pair.told[self.seen:]:
+        for told in self.pair.told[self.seen :]:
             assert not isinstance(told, ConnectionEnded)
             if isinstance(told, RequestStarted):
                 self.sent[told.stream] = b""
@@ -321,6 +337,7 @@
         assert self.pair.server.open <= SMALL.streams and self.pair.store.held >= 0
 
 
-Streams.TestCase.settings = settings(derandomize=True, max_examples=30, stateful_step_count=25, deadline=None,
-                                     phases=(Phase.explicit, Phase.generate))
+Streams.TestCase.settings = settings(
+    derandomize=True, max_examples=30, stateful_step_count=25, deadline=None, phases=(Phase.explicit, Phase.generate)
+)
 TestStreams = Streams.TestCase
--- a/tests/test_instances.py
+++ b/tests/test_instances.py
@@ -109,8 +109,11 @@
 
 
 _steps = st.tuples(
-    st.sampled_from(["register", "remove", "expire"]), st.sampled_from("abc"), st.integers(1, 6),
-    st.sampled_from(["ready", "draining"]), st.sampled_from(["10.0.0.1:1", "10.0.0.2:1"]),
+    st.sampled_from(["register", "remove", "expire"]),
+    st.sampled_from("abc"),
+    st.integers(1, 6),
+    st.sampled_from(["ready", "draining"]),
+    st.sampled_from(["10.0.0.1:1", "10.0.0.2:1"]),
 )
 
 
--- a/tests/test_long_bodies.py
+++ b/tests/test_long_bodies.py
@@ -67,14 +67,18 @@
 @pytest.mark.parametrize("form", ["length", "chunked", "close"])
 def test_a_long_answer_goes_out_as_it_comes_and_keeps_no_deadline_once_it_has_begun(form):
     """The front gave up answers above 1 MiB, and cut those that took longer than the deadline."""
+
     async def story():
         async with World(1) as world:
             pieces = [bytes([n]) * 100_000 for n in range(5)]
 
             async def serve(reader, writer):
                 await reader.readuntil(b"\r\n\r\n")
-                head = {"length": b"Content-Length: 500000", "chunked": b"Transfer-Encoding: chunked",
-                        "close": b"Connection: close"}[form]
+                head = {
+                    "length": b"Content-Length: 500000",
+                    "chunked": b"Transfer-Encoding: chunked",
+                    "close": b"Connection: close",
+                }[form]
                 writer.write(b"HTTP/1.1 200 OK\r\n" + head + b"\r\n\r\n")
                 for piece in pieces:
                     writer.write(b"%x;a=b\r\n%b\r\n" % (len(piece), piece) if form == "chunked" else piece)
@@ -89,8 +93,13 @@
             await asyncio.sleep(0.3)
             began = time.monotonic()
             url = f"http://127.0.0.1:{world.port}{PATH}"
-            headers = {"X-Trace-Id": "t1", "X-Qos": "brief", "X-Plan": "gold", "X-Expires-In-Ms": "600",
-                       "X-IO": "units=2,shard=0,hosts=2"}
+            headers = {
+                "X-Trace-Id": "t1",
+                "X-Qos": "brief",
+                "X-Plan": "gold",
+                "X-Expires-In-Ms": "600",
+                "X-IO": "units=2,shard=0,hosts=2",
+            }
             async with world.session.get(url, headers=headers) as answer:
                 first = await answer.content.readany()
                 assert answer.status == 200 and time.monotonic() - began < 0.5
@@ -121,6 +130,7 @@
 
 def test_clients_that_read_late_hold_back_the_chunk_server_and_not_the_memory():
     """Ten answers of 8 MiB at once, none of them read for a second."""
+
     async def story():
         async with Controlled(1) as world:
             node = world.nodes[0]
@@ -175,7 +185,7 @@
             writer.write(raw("PUT", how, "Expect: 100-Continue"))
             assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
             for at in range(0, LONG, 1 << 20):
-                piece = body[at:at + (1 << 20)]
+                piece = body[at : at + (1 << 20)]
                 writer.write(b"%x\r\n%b\r\n" % (len(piece), piece) if chunked else piece)
                 await writer.drain()
             writer.write(b"0\r\n\r\n" if chunked else b"")
@@ -201,6 +211,7 @@
 @pytest.mark.parametrize(("method", "body"), [("GET", b""), ("PUT", b"ab" * 50_000)])
 def test_a_client_may_take_2_s_for_its_head_and_send_its_body_at_64_kB_a_second(method, body):
     """It was cut off 2 s after it had connected."""
+
     async def story():
         async with World(1) as world:
             world.nodes[0].always = "any" if method == "GET" else ""
@@ -208,10 +219,10 @@
             length = (f"Content-Length: {len(body)}",) if body else ()
             head = raw(method, *length)
             for at in range(0, len(head), 40):
-                writer.write(head[at:at + 40])
+                writer.write(head[at : at + 40])
                 await asyncio.sleep(2.0 / (len(head) / 40))
             for at in range(0, len(body), 6_400):
-                writer.write(body[at:at + 6_400])
+                writer.write(body[at : at + 6_400])
                 await asyncio.sleep(0.1)
             assert (await asyncio.wait_for(reader.readline(), 10)).startswith(b"HTTP/1.1 200 ")
             writer.close()
@@ -229,7 +240,7 @@
             for number in range(2):
                 sent = raw("PUT", "Transfer-Encoding: chunked", body=chunks, **{"X-Trace-Id": f"t{number}"})
                 for at in range(0, len(sent), 3):
-                    writer.write(sent[at:at + 3])
+                    writer.write(sent[at : at + 3])
                     await asyncio.sleep(0)
                 assert (await asyncio.wait_for(reader.readline(), 10)).startswith(b"HTTP/1.1 200 ")
                 await reader.readuntil(b"\r\n\r\n")
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -12,8 +12,16 @@
 NEWS = News("10.0.0.1", 7500, "router", "hall-a", "edge-1", 0, 3, 4)
 
 
-@pytest.mark.parametrize("value", [swim.Ping(1, [NEWS]), swim.Ack(2, []), swim.Nack(3),
-                                   swim.PingRequest(4, "10.0.0.2", 7500, [NEWS, NEWS]), swim.Sync(True, [NEWS])])
+@pytest.mark.parametrize(
+    "value",
+    [
+        swim.Ping(1, [NEWS]),
+        swim.Ack(2, []),
+        swim.Nack(3),
+        swim.PingRequest(4, "10.0.0.2", 7500, [NEWS, NEWS]),
+        swim.Sync(True, [NEWS]),
+    ],
+)
 def test_a_message_survives_the_way_there_and_back(value):
     assert unpack(codec.decode(codec.encode(pack(value)))) == value
 
@@ -28,8 +36,9 @@
     port = free_port()
     seeds = (("127.0.0.1", port),)
     drivers = [
-        MembershipDriver(MembershipSettings((f"127.0.0.{number}", port), seeds, role, "hall-a", f"node-{number}"),
-                         lambda: None)
+        MembershipDriver(
+            MembershipSettings((f"127.0.0.{number}", port), seeds, role, "hall-a", f"node-{number}"), lambda: None
+        )
         for number, role in [(1, "controller"), (2, "router"), (3, "router")]
     ]
     for driver in drivers:
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -28,7 +28,7 @@
     state, found, at = {}, [], 0
     while at < len(packet):
         kind, length = struct.unpack_from("!HH", packet, at)
-        body = packet[at + 4:at + length]
+        body = packet[at + 4 : at + length]
         assert length >= 4 and len(body) == length - 4
         if kind in (0, 2, 3, 4, 5):
             assert body.endswith(b"\0") and len(body) <= 64
@@ -70,16 +70,23 @@
 
         graphite = await asyncio.start_server(serve, "127.0.0.1", 0)
         transport, datagrams = await asyncio.get_running_loop().create_datagram_endpoint(
-            Datagrams, local_addr=("127.0.0.1", 0))
+            Datagrams, local_addr=("127.0.0.1", 0)
+        )
         ports = graphite.sockets[0].getsockname()[1], transport.get_extra_info("sockname")[1]
         async with World(1, sinks(*ports)) as world:
             world.nodes[0].script.extend(["any", "full", "any", "error", "error", "error"])
             for name in ("t1", "t2", "t3"):
                 await world.ask(name)
             assert (await world.ask("t4", **{"X-Plan": "made.up"}))[0] == 400  # counts nowhere
-            wanted = {("gold-read", "taken"): 3, ("gold-read", "served"): 2, ("gold-read", "refused"): 1,
-                      ("gold-read", "units"): 4, ("outcomes", "full"): 1, ("outcomes", "error"): 3,
-                      ("front", "held"): 0}
+            wanted = {
+                ("gold-read", "taken"): 3,
+                ("gold-read", "served"): 2,
+                ("gold-read", "refused"): 1,
+                ("gold-read", "units"): 4,
+                ("outcomes", "full"): 1,
+                ("outcomes", "error"): 3,
+                ("front", "held"): 0,
+            }
             await until(lambda: all(lines.get(k) == v for k, v in wanted.items()))
             await until(lambda: all(datagrams.values.get(k, {}).get("value") == v for k, v in wanted.items()))
             assert not any("made" in name or "other" in name for name, _ in lines)
@@ -97,8 +104,10 @@
 
         dead = await asyncio.start_server(swallow, "127.0.0.1", 0)
         dead_port, later = dead.sockets[0].getsockname()[1], free_port()
-        async with World(1, sinks(dead_port, free_port())) as world, World(
-                operator=sinks(later, free_port()), rank=1, shared=world) as other:
+        async with (
+            World(1, sinks(dead_port, free_port())) as world,
+            World(operator=sinks(later, free_port()), rank=1, shared=world) as other,
+        ):
             world.nodes[0].always = "any"
             for number in range(20):
                 assert (await world.ask(f"a{number}"))[0] == 200
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -24,8 +24,18 @@
 
 
 def test_the_module_uses_the_standard_library_only():
-    allowed = {"__future__", "heapq", "random", "collections", "itertools", "math", "dataclasses", "enum",
-               "typing", "."}
+    allowed = {
+        "__future__",
+        "heapq",
+        "random",
+        "collections",
+        "itertools",
+        "math",
+        "dataclasses",
+        "enum",
+        "typing",
+        ".",
+    }
     records = [ROOT / name for name in ("interface.py", "state.py", "share.py", "recent.py")]
     for file in (*(ROOT / "policy").glob("*.py"), *records):
         for line in file.read_text().splitlines():
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -64,8 +64,13 @@
         async with World(3, OPERATOR) as world:
             assert (await world.objects("GET", WHERE))[0] == 404
             status, headers, _ = await world.objects(
-                "PUT", WHERE, body, Content_Type="image/jpeg", x_amz_meta_Line="7",
-                Content_MD5=base64.b64encode(hashlib.md5(body).digest()).decode())
+                "PUT",
+                WHERE,
+                body,
+                Content_Type="image/jpeg",
+                x_amz_meta_Line="7",
+                Content_MD5=base64.b64encode(hashlib.md5(body).digest()).decode(),
+            )
             assert (status, headers["ETag"]) == (200, f'"{md5(body)}"')
             status, headers, got = await world.objects("GET", WHERE)
             assert status == 200 and got == body
@@ -85,10 +90,15 @@
 
 
 def test_ranges():
-    cases = [("bytes=0-0", 0, 1), (f"bytes={PAYLOAD - 1}-{PAYLOAD}", PAYLOAD - 1, PAYLOAD + 1),
-             ("bytes=5-", 5, SIZE), ("bytes=-7", SIZE - 7, SIZE), (f"bytes=-{SIZE * 2}", 0, SIZE),
-             (f"bytes={SIZE - 1}-{SIZE * 9}", SIZE - 1, SIZE),
-             (f"bytes=10-{2 * PAYLOAD}", 10, 2 * PAYLOAD + 1)]
+    cases = [
+        ("bytes=0-0", 0, 1),
+        (f"bytes={PAYLOAD - 1}-{PAYLOAD}", PAYLOAD - 1, PAYLOAD + 1),
+        ("bytes=5-", 5, SIZE),
+        ("bytes=-7", SIZE - 7, SIZE),
+        (f"bytes=-{SIZE * 2}", 0, SIZE),
+        (f"bytes={SIZE - 1}-{SIZE * 9}", SIZE - 1, SIZE),
+        (f"bytes=10-{2 * PAYLOAD}", 10, 2 * PAYLOAD + 1),
+    ]
 
     async def story():
         body = some_bytes(SIZE)
@@ -119,13 +129,20 @@
         async with World(2, OPERATOR) as world:
             await world.objects("PUT", WHERE, body)
             for headers, wanted in [
-                ({"If-Match": tag}, 200), ({"If-Match": '"x"'}, 412), ({"If-Match": f'"x", {tag}'}, 200),
-                ({"If-None-Match": tag}, 304), ({"If-None-Match": "*"}, 304), ({"If-None-Match": '"x"'}, 200),
-                ({"If-Modified-Since": new}, 304), ({"If-Modified-Since": old}, 200),
+                ({"If-Match": tag}, 200),
+                ({"If-Match": '"x"'}, 412),
+                ({"If-Match": f'"x", {tag}'}, 200),
+                ({"If-None-Match": tag}, 304),
+                ({"If-None-Match": "*"}, 304),
+                ({"If-None-Match": '"x"'}, 200),
+                ({"If-Modified-Since": new}, 304),
+                ({"If-Modified-Since": old}, 200),
                 ({"If-Modified-Since": "whenever"}, 200),
-                ({"If-Unmodified-Since": old}, 412), ({"If-Unmodified-Since": new}, 200),
+                ({"If-Unmodified-Since": old}, 412),
+                ({"If-Unmodified-Since": new}, 200),
                 ({"If-None-Match": '"x"', "If-Modified-Since": new}, 200),
-                ({"If-Range": tag, "Range": "bytes=1-2"}, 206), ({"If-Range": '"x"', "Range": "bytes=1-2"}, 200),
+                ({"If-Range": tag, "Range": "bytes=1-2"}, 206),
+                ({"If-Range": '"x"', "Range": "bytes=1-2"}, 200),
             ]:
                 status, got_headers, got = await world.objects("GET", WHERE, **headers)
                 assert status == wanted, headers
@@ -152,8 +169,7 @@
             upload = await begin(one)
             at = f"{WHERE}?uploadId={upload}"
             older = b"an older part" * 9000
-            for world, number, body in [(two, 5, bodies[5]), (one, 2, older), (one, 1, bodies[1]),
-                                        (two, 2, bodies[2])]:
+            for world, number, body in [(two, 5, bodies[5]), (one, 2, older), (one, 1, bodies[1]), (two, 2, bodies[2])]:
                 status, headers, _ = await world.objects("PUT", f"{at}&partNumber={number}", body)
                 assert (status, headers["ETag"]) == (200, f'"{md5(body)}"')
             _, _, got = await two.objects("GET", at + "&max-parts=2")
@@ -163,8 +179,12 @@
             assert listed.findtext(NS + "IsTruncated") == "true"
             assert (await one.objects("GET", WHERE))[0] == 404  # nothing to see before the manifest
             wanted = [(n, md5(body)) for n, body in sorted(bodies.items())]
-            for parts, word in [([(1, md5(b"x"))], "InvalidPart"), (wanted[::-1], "InvalidPartOrder"),
-                                ([wanted[2], (9, md5(b"x"))], "InvalidPart"), ([], "MalformedXML")]:
+            for parts, word in [
+                ([(1, md5(b"x"))], "InvalidPart"),
+                (wanted[::-1], "InvalidPartOrder"),
+                ([wanted[2], (9, md5(b"x"))], "InvalidPart"),
+                ([], "MalformedXML"),
+            ]:
                 status, _, got = await one.objects("POST", at, complete(parts))
                 assert (status, code(got)) == (400, word)
             status, _, got = await two.objects("POST", at, complete(wanted))
@@ -191,35 +211,42 @@
                 assert (await world.objects("PUT", f"{at}&partNumber={number}", b"tiny"))[0] == 200
             assert code((await world.objects("POST", at, complete(tags)))[2]) == "EntityTooSmall"
             assert (await world.objects("DELETE", at))[0] == 204
-            for method, path, body in [("PUT", at + "&partNumber=3", b"x"), ("GET", at, b""), ("DELETE", at, b""),
-                                       ("POST", at, complete(tags))]:
+            for method, path, body in [
+                ("PUT", at + "&partNumber=3", b"x"),
+                ("GET", at, b""),
+                ("DELETE", at, b""),
+                ("POST", at, complete(tags)),
+            ]:
                 status, _, got = await world.objects(method, path, body)
                 assert (status, code(got)) == (404, "NoSuchUpload")
 
     play(story())
 
 
-@pytest.mark.parametrize(("method", "path", "headers", "status", "word"), [
-    ("GET", "/nobody/x", {}, 404, "NoSuchBucket"),
-    ("GET", "/photos/", {}, 501, "NotImplemented"),
-    ("GET", "/photos/%FF", {}, 400, "InvalidURI"),
-    ("GET", "/photos/" + "k" * 1025, {}, 400, "KeyTooLongError"),
-    ("GET", "/private/x", {}, 403, "AccessDenied"),
-    ("GET", "/private/x", {"Authorization": "Bearer wrong"}, 403, "AccessDenied"),
-    ("GET", "/private/x", {"Authorization": "Bearer test"}, 404, "NoSuchKey"),
-    ("GET", "/photos/x", {"X-Expires-In-Ms": "0"}, 504, "RequestTimeout"),
-    ("GET", "/photos/x", {"X-Expires-In-Ms": "soon"}, 400, "InvalidArgument"),
-    ("PUT", "/photos/x", {"Content-MD5": base64.b64encode(bytes(16)).decode()}, 400, "BadDigest"),
-    ("PUT", "/photos/x", {"Content-MD5": "%%"}, 400, "InvalidDigest"),
-    ("PUT", "/photos/x", {"If-None-Match": "*"}, 501, "NotImplemented"),
-    ("PUT", "/photos/x", {"x-amz-content-sha256": "STREAMING-AWS4-HMAC-SHA256-PAYLOAD"}, 501, "NotImplemented"),
-    ("PUT", "/photos/x", {"x-amz-meta-a": "v" * 3000}, 400, "MetadataTooLarge"),
-    ("PUT", "/photos/x?uploadId=none&partNumber=0", {}, 400, "InvalidArgument"),
-    ("PUT", "/photos/x?uploadId=none&partNumber=1", {}, 404, "NoSuchUpload"),
-    ("POST", "/photos/x?uploadId=none", {}, 400, "MalformedXML"),
-    ("POST", "/photos/x", {}, 501, "NotImplemented"),
-    ("PATCH", "/photos/x", {}, 501, "NotImplemented"),
-])
+@pytest.mark.parametrize(
+    ("method", "path", "headers", "status", "word"),
+    [
+        ("GET", "/nobody/x", {}, 404, "NoSuchBucket"),
+        ("GET", "/photos/", {}, 501, "NotImplemented"),
+        ("GET", "/photos/%FF", {}, 400, "InvalidURI"),
+        ("GET", "/photos/" + "k" * 1025, {}, 400, "KeyTooLongError"),
+        ("GET", "/private/x", {}, 403, "AccessDenied"),
+        ("GET", "/private/x", {"Authorization": "Bearer wrong"}, 403, "AccessDenied"),
+        ("GET", "/private/x", {"Authorization": "Bearer test"}, 404, "NoSuchKey"),
+        ("GET", "/photos/x", {"X-Expires-In-Ms": "0"}, 504, "RequestTimeout"),
+        ("GET", "/photos/x", {"X-Expires-In-Ms": "soon"}, 400, "InvalidArgument"),
+        ("PUT", "/photos/x", {"Content-MD5": base64.b64encode(bytes(16)).decode()}, 400, "BadDigest"),
+        ("PUT", "/photos/x", {"Content-MD5": "%%"}, 400, "InvalidDigest"),
+        ("PUT", "/photos/x", {"If-None-Match": "*"}, 501, "NotImplemented"),
+        ("PUT", "/photos/x", {"x-amz-content-sha256": "STREAMING-AWS4-HMAC-SHA256-PAYLOAD"}, 501, "NotImplemented"),
+        ("PUT", "/photos/x", {"x-amz-meta-a": "v" * 3000}, 400, "MetadataTooLarge"),
+        ("PUT", "/photos/x?uploadId=none&partNumber=0", {}, 400, "InvalidArgument"),
+        ("PUT", "/photos/x?uploadId=none&partNumber=1", {}, 404, "NoSuchUpload"),
+        ("POST", "/photos/x?uploadId=none", {}, 400, "MalformedXML"),
+        ("POST", "/photos/x", {}, 501, "NotImplemented"),
+        ("PATCH", "/photos/x", {}, 501, "NotImplemented"),
+    ],
+)
 def test_errors_come_in_s3s_form(method, path, headers, status, word):
     async def story():
         async with World(1, OPERATOR) as world:
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -42,24 +42,27 @@
     assert example.by_bucket["photos"] == "inspection"
 
 
-@pytest.mark.parametrize(("old", "new", "word"), [
-    ('"basic"', '"golden"', "golden"),
-    ('read = "photo-read"', 'read = "photo"', "photo"),
-    ('read = "photo-read"', "", "read"),
-    ('name = "a"', "name = 7", "name"),
-    ('["aaa"]', '["Not A Bucket"]', "Not A Bucket"),
-    ('["aaa"]', '["aaa", "aaa"]', "aaa"),
-    ('["aaa"]', "[]", "buckets"),
-    ("units_per_s = 100", "units_per_s = 0", "units_per_s"),
-    ("units_per_s = 100", "units_per_s = 1, brust = 2", "brust"),
-    ('"127.0.0.1:1"', '"nowhere"', "nowhere"),
-    ("[objects]", "[objects]\nlistne = 1", "listne"),
-    ("[objects]", "[graphit]\n[objects]", "graphit"),
-    ("[objects]", '[collectd]\naddress = "127.0.0.1:1"\nprefix = "a b"\n[objects]', "prefix"),
-    ('name = "a"', 'name = "a"\ntoken_sha256 = "secret"', "token_sha256"),
-    ("[objects]", "[objects", "o.toml"),
-    ("units_per_s = 100", "units_per_s = 100, burst_units = 1", "at least 24"),  # 8 units at each of 3 fronts
-])
+@pytest.mark.parametrize(
+    ("old", "new", "word"),
+    [
+        ('"basic"', '"golden"', "golden"),
+        ('read = "photo-read"', 'read = "photo"', "photo"),
+        ('read = "photo-read"', "", "read"),
+        ('name = "a"', "name = 7", "name"),
+        ('["aaa"]', '["Not A Bucket"]', "Not A Bucket"),
+        ('["aaa"]', '["aaa", "aaa"]', "aaa"),
+        ('["aaa"]', "[]", "buckets"),
+        ("units_per_s = 100", "units_per_s = 0", "units_per_s"),
+        ("units_per_s = 100", "units_per_s = 1, brust = 2", "brust"),
+        ('"127.0.0.1:1"', '"nowhere"', "nowhere"),
+        ("[objects]", "[objects]\nlistne = 1", "listne"),
+        ("[objects]", "[graphit]\n[objects]", "graphit"),
+        ("[objects]", '[collectd]\naddress = "127.0.0.1:1"\nprefix = "a b"\n[objects]', "prefix"),
+        ('name = "a"', 'name = "a"\ntoken_sha256 = "secret"', "token_sha256"),
+        ("[objects]", "[objects", "o.toml"),
+        ("units_per_s = 100", "units_per_s = 100, burst_units = 1", "at least 24"),  # 8 units at each of 3 fronts
+    ],
+)
 def test_a_wrong_file_is_named_at_the_start(tmp_path, old, new, word):
     path = tmp_path / "o.toml"
     assert old in GOOD
@@ -69,32 +72,34 @@
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
-@given(sizes=st.lists(st.integers(0, 3 * layout.PAYLOAD), max_size=4),
-       cut=st.tuples(st.floats(0, 1), st.floats(0, 1)))
+@given(sizes=st.lists(st.integers(0, 3 * layout.PAYLOAD), max_size=4), cut=st.tuples(st.floats(0, 1), st.floats(0, 1)))
 def test_the_pieces_of_a_range_are_its_bytes_in_order(sizes, cut):
     parts = [Part(i + 1, size, "", "g") for i, size in enumerate(sizes)]
     manifest = Manifest("", layout.now(), parts)
     begin, end = sorted(round(c * manifest.size) for c in cut)
     at = begin
     for piece in manifest.slices(begin, end):
-        start = sum(p.size for p in parts[:piece.part.number - 1]) + piece.index * layout.PAYLOAD
+        start = sum(p.size for p in parts[: piece.part.number - 1]) + piece.index * layout.PAYLOAD
         assert start + piece.begin == at and piece.begin < piece.end <= piece.length <= layout.PAYLOAD
         at = start + piece.end
     assert at == end
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
-@given(size=st.integers(0, 50), first=st.one_of(st.none(), st.integers(0, 60)),
-       last=st.one_of(st.none(), st.integers(0, 60)))
+@given(
+    size=st.integers(0, 50),
+    first=st.one_of(st.none(), st.integers(0, 60)),
+    last=st.one_of(st.none(), st.integers(0, 60)),
+)
 def test_ranges_read_as_the_rfc_says(size, first, last):
     header = f"bytes={'' if first is None else first}-{'' if last is None else last}"
     numbers = list(range(size))
     if first is None:
-        wanted = None if last is None else numbers[max(0, size - last):]
+        wanted = None if last is None else numbers[max(0, size - last) :]
     elif last is not None and last < first:
         wanted = None
     else:
-        wanted = numbers[first:] if last is None else numbers[first:last + 1]
+        wanted = numbers[first:] if last is None else numbers[first : last + 1]
     try:
         got = conditions.read_range(header, size)
     except conditions.Unsatisfiable:
@@ -104,8 +109,10 @@
 
 
 def test_a_manifest_of_the_most_parts_fits_into_a_chunk_and_reads_back():
-    parts = [Part(n, 5 << 20, layout._digest((str(n),), 16).hex(), layout._digest((str(n),), 6).hex(), 10**12 + n)
-             for n in range(1, layout.MOST_PARTS + 1)]
+    parts = [
+        Part(n, 5 << 20, layout._digest((str(n),), 16).hex(), layout._digest((str(n),), 6).hex(), 10**12 + n)
+        for n in range(1, layout.MOST_PARTS + 1)
+    ]
     manifest = Manifest("e", layout.now(), parts, meta={"x-amz-meta-a": "b" * 2000})
     packed = manifest.encode()
     assert len(packed) <= layout.PAYLOAD and Manifest.decode(packed) == manifest
@@ -114,8 +121,12 @@
 def test_a_seal_opens_only_for_its_own_name_and_bytes():
     body = layout.seal(("data", "a"), b"bytes")
     assert layout.unseal(("data", "a"), body) == b"bytes"
-    for names, other in [(("data", "b"), body), (("data", "a"), body[:-1]), (("data", "a"), b""),
-                         (("data", "a"), b"x" + body[1:])]:
+    for names, other in [
+        (("data", "b"), body),
+        (("data", "a"), body[:-1]),
+        (("data", "a"), b""),
+        (("data", "a"), b"x" + body[1:]),
+    ]:
         with pytest.raises(layout.Corrupt):
             layout.unseal(names, other)
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -26,7 +26,12 @@
     machine = ConfigurationMachine()
     first, second = whole(3, 0), patch(5, 3, upsert={"routes": [route("r2")]})
     assert judgements(machine, first, first, second, second, first) == [
-        Judgement.TAKEN, Judgement.TAKEN_BEFORE, Judgement.TAKEN, Judgement.TAKEN_BEFORE, Judgement.TAKEN_BEFORE]
+        Judgement.TAKEN,
+        Judgement.TAKEN_BEFORE,
+        Judgement.TAKEN,
+        Judgement.TAKEN_BEFORE,
+        Judgement.TAKEN_BEFORE,
+    ]
     assert machine.current.version == 5
 
 
@@ -51,7 +56,11 @@
     machine = ConfigurationMachine()
     changes = whole(7, 5, route("a")), whole(7, 5, route("b")), whole(9, 5, route("c"))
     assert judgements(machine, whole(5, 0), *changes) == [
-        Judgement.TAKEN, Judgement.TAKEN, Judgement.OTHER_VERSION, Judgement.OTHER_VERSION]
+        Judgement.TAKEN,
+        Judgement.TAKEN,
+        Judgement.OTHER_VERSION,
+        Judgement.OTHER_VERSION,
+    ]
     assert list(machine.current.routes) == ["a"]
 
 
@@ -59,7 +68,11 @@
     machine = ConfigurationMachine()
     bad = whole(7, 5, route("a", service="nobody"))
     assert judgements(machine, whole(5, 0), bad, bad, whole(5, 5, route("z"))) == [
-        Judgement.TAKEN, Judgement.INVALID, Judgement.INVALID, Judgement.INVALID]
+        Judgement.TAKEN,
+        Judgement.INVALID,
+        Judgement.INVALID,
+        Judgement.INVALID,
+    ]
     assert machine.current.version == 5
 
 
@@ -75,7 +88,9 @@
     restored.restore(machine.snapshot())
     assert restored.current == machine.current
     assert judgements(restored, whole(3, 0, route("a"), route("b")), whole(9, 3)) == [
-        Judgement.TAKEN_BEFORE, Judgement.OTHER_VERSION]
+        Judgement.TAKEN_BEFORE,
+        Judgement.OTHER_VERSION,
+    ]
     assert [each["version"] for each in restored.history.fields()] == [3, 4]
     empty = ConfigurationMachine()
     empty.restore(ConfigurationMachine().snapshot())
@@ -103,8 +118,7 @@
     machine = ConfigurationMachine()
     changes = [whole(version, version - 1) for version in range(1, 6)]
     judgements(machine, *changes)
-    assert judgements(machine, *changes) == [
-        Judgement.FORGOTTEN, Judgement.FORGOTTEN, *[Judgement.TAKEN_BEFORE] * 3]
+    assert judgements(machine, *changes) == [Judgement.FORGOTTEN, Judgement.FORGOTTEN, *[Judgement.TAKEN_BEFORE] * 3]
     restored = ConfigurationMachine()
     restored.restore(machine.snapshot())
     assert judgements(restored, *changes[:2]) == [Judgement.FORGOTTEN] * 2
@@ -182,8 +196,9 @@
 def test_of_eight_different_changes_on_one_version_exactly_one_is_taken(world):
     world.controllers[0].put_config(configuration(5), 0)
     documents = [configuration(6 + number % 2, route(f"r{number}")) for number in range(8)]
-    calls = [gevent.spawn(world.controllers[number % 3].put_config, document, 5)
-             for number, document in enumerate(documents)]
+    calls = [
+        gevent.spawn(world.controllers[number % 3].put_config, document, 5) for number, document in enumerate(documents)
+    ]
     statuses = [call.get()[0] for call in calls]
     assert sorted(statuses) == [200, *[412] * 7]
     assert world.controllers[1].call("GET", "/api/config")[1] == documents[statuses.index(200)]
@@ -216,8 +231,9 @@
             gevent.idle()
 
     world.controllers[0].put_config(configuration(5), 0)
-    gevent.joinall([gevent.spawn(operate, "a", 0), gevent.spawn(operate, "b", 1), gevent.spawn(disturb)],
-                   raise_error=True)
+    gevent.joinall(
+        [gevent.spawn(operate, "a", 0), gevent.spawn(operate, "b", 1), gevent.spawn(disturb)], raise_error=True
+    )
     version = 5
     steps = {builds_on: (generation, name) for builds_on, generation, name in taken}
     assert len(steps) == len(taken) > 0
--- a/tests/test_orders_under_loss.py
+++ b/tests/test_orders_under_loss.py
@@ -24,14 +24,17 @@
     troubles.end()
     world.run(SETTLE_S)
     assert min(operator.answers for operator in operators) > 5
-    newest = max((node.machines[0].configuration for node in world.nodes.values()),
-                 key=lambda machine: machine.current.version)
+    newest = max(
+        (node.machines[0].configuration for node in world.nodes.values()), key=lambda machine: machine.current.version
+    )
     book.at_the_end(newest)
     return world, book
 
 
-@pytest.mark.parametrize(("size", "tolerated", "seed"), [
-    (size, tolerated, seed) for size, tolerated, count in [(3, 1, 12), (5, 2, 6)] for seed in range(count)])
+@pytest.mark.parametrize(
+    ("size", "tolerated", "seed"),
+    [(size, tolerated, seed) for size, tolerated, count in [(3, 1, 12), (5, 2, 6)] for seed in range(count)],
+)
 def test_of_two_operators_one_wins_and_no_order_that_was_taken_is_refused(size, tolerated, seed):
     _, book = play_orders(seed, size, tolerated)
     assert len(book.confirmed) > 10
--- a/tests/test_peer_security.py
+++ b/tests/test_peer_security.py
@@ -149,8 +149,17 @@
 
 
 def settings(**files) -> dict:
-    text = yaml.safe_dump({"node": "core-1", "ip": "10.0.0.1", "zone": "a", "port_range": [1, 2], "seeds": [],
-                           "listen": {}, "peer_tls": files or None})
+    text = yaml.safe_dump(
+        {
+            "node": "core-1",
+            "ip": "10.0.0.1",
+            "zone": "a",
+            "port_range": [1, 2],
+            "seeds": [],
+            "listen": {},
+            "peer_tls": files or None,
+        }
+    )
     return parse_settings(text, "node.yaml")
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -34,37 +34,62 @@
 
 def test_headers_for_the_chunk_server_go_on_with_each_attempt_and_the_fronts_own_do_not():
     """A class whose repeats are known by a key lost its key: the bench calls that a request that no client sent."""
+
     async def story():
         async with World(1) as world:
             world.nodes[0].script.extend(["full", "any"])
             told = ask_headers("k1", 0) | {
-                "Idempotency-Key": "8c66b9e5", "X-Odd": "a, b", "Connection": "x-hop", "X-Hop": "1",
-                "Range": "bytes=0-1", "Authorization": "Bearer secret", "X-Latin": "caf\udce9",
-                "Accept-Encoding": "gzip"}
+                "Idempotency-Key": "8c66b9e5",
+                "X-Odd": "a, b",
+                "Connection": "x-hop",
+                "X-Hop": "1",
+                "Range": "bytes=0-1",
+                "Authorization": "Bearer secret",
+                "X-Latin": "caf\udce9",
+                "Accept-Encoding": "gzip",
+            }
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
             lines = "".join(f"{name}: {value}\r\n" for name, value in told.items())
-            writer.write(f"PUT /api/{VOLUME}/{KEY} HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n{lines}\r\n".encode(
-                errors="surrogateescape") + b"ok")
+            writer.write(
+                f"PUT /api/{VOLUME}/{KEY} HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n{lines}\r\n".encode(
+                    errors="surrogateescape"
+                )
+                + b"ok"
+            )
             assert (await reader.readline()).startswith(b"HTTP/1.1 200 ")
             assert len(world.nodes[0].seen) == 2
             for _, _, headers, body in world.nodes[0].seen:
                 assert (body, headers["idempotency-key"], headers["x-odd"], headers["x-trace-id"]) == (
-                    b"ok", "8c66b9e5", "a, b", "k1")
-                assert set(headers) == {"idempotency-key", "x-odd", "x-trace-id", "x-expires-in-ms", "host",
-                                        "content-length", "content-type"}
+                    b"ok",
+                    "8c66b9e5",
+                    "a, b",
+                    "k1",
+                )
+                assert set(headers) == {
+                    "idempotency-key",
+                    "x-odd",
+                    "x-trace-id",
+                    "x-expires-in-ms",
+                    "host",
+                    "content-length",
+                    "content-type",
+                }
 
     play(story())
 
 
-@pytest.mark.parametrize(("acts", "status", "attempts"), [
-    (["reset", "any"], 200, 2),  # may have run; the class is safe to repeat
-    (["half", "any"], 200, 2),  # half a body is no answer
-    (["full", "any"], 200, 2),
-    (["error", "any"], 200, 2),
-    (["close", "reset", "any"], 200, 3),
-    (["reset", "reset", "reset", "any"], 503, 3),  # the most attempts, then refused
-    (["error", "full", "half", "any"], 503, 3),
-])
+@pytest.mark.parametrize(
+    ("acts", "status", "attempts"),
+    [
+        (["reset", "any"], 200, 2),  # may have run; the class is safe to repeat
+        (["half", "any"], 200, 2),  # half a body is no answer
+        (["full", "any"], 200, 2),
+        (["error", "any"], 200, 2),
+        (["close", "reset", "any"], 200, 3),
+        (["reset", "reset", "reset", "any"], 503, 3),  # the most attempts, then refused
+        (["error", "full", "half", "any"], 503, 3),
+    ],
+)
 def test_each_outcome_leads_to_one_final_answer(acts, status, attempts):
     async def story():
         async with World(1) as world:
@@ -85,6 +110,7 @@
 
 def test_a_kept_connection_that_breaks_is_one_attempt_and_no_hidden_copy():
     """aiohttp resends a GET or PUT by itself there: the chunk server would see more than the core has sent."""
+
     async def story():
         async with World(1, Limits__MaxAttempts=1) as world:
             node = world.nodes[0]
@@ -130,9 +156,15 @@
     play(story())
 
 
-@pytest.mark.parametrize("changes", [
-    {"X-IO": "units=1,shard=0"}, {"X-IO": "shard=0"}, {"X-Second-Try": "1"}, {"X-IO": "units=2.5, shard=0,odd=x"},
-])
+@pytest.mark.parametrize(
+    "changes",
+    [
+        {"X-IO": "units=1,shard=0"},
+        {"X-IO": "shard=0"},
+        {"X-Second-Try": "1"},
+        {"X-IO": "units=2.5, shard=0,odd=x"},
+    ],
+)
 def test_odd_but_readable_requests_are_served(changes):
     async def story():
         async with World(1) as world:
@@ -142,13 +174,31 @@
     play(story())
 
 
-@pytest.mark.parametrize("changes", [
-    {"X-Expires-In-Ms": "soon"}, {"X-Expires-In-Ms": "nan"}, {"X-Expires-In-Ms": ""}, {"X-Trace-Id": ""},
-    {"X-Expires-In-Ms": "-5"}, {"X-Expires-In-Ms": "1e3"}, {"X-Trace-Id": "a b"}, {"X-Trace-Id": "x" * 200},
-    {"X-Qos": ""}, {"X-Qos": "unheard-of"}, {"X-Plan": "unheard-of"}, {"X-Plan": ""},
-    {"X-IO": "units=lots"}, {"X-IO": "units=-1"}, {"X-IO": "units=0"}, {"X-IO": "units=9"}, {"X-IO": "shard=inf"},
-    {"X-IO": "shard=-2"}, {"X-IO": "hosts=1e400"}, {"X-IO": "shard=0,shard=0"},
-])
+@pytest.mark.parametrize(
+    "changes",
+    [
+        {"X-Expires-In-Ms": "soon"},
+        {"X-Expires-In-Ms": "nan"},
+        {"X-Expires-In-Ms": ""},
+        {"X-Trace-Id": ""},
+        {"X-Expires-In-Ms": "-5"},
+        {"X-Expires-In-Ms": "1e3"},
+        {"X-Trace-Id": "a b"},
+        {"X-Trace-Id": "x" * 200},
+        {"X-Qos": ""},
+        {"X-Qos": "unheard-of"},
+        {"X-Plan": "unheard-of"},
+        {"X-Plan": ""},
+        {"X-IO": "units=lots"},
+        {"X-IO": "units=-1"},
+        {"X-IO": "units=0"},
+        {"X-IO": "units=9"},
+        {"X-IO": "shard=inf"},
+        {"X-IO": "shard=-2"},
+        {"X-IO": "hosts=1e400"},
+        {"X-IO": "shard=0,shard=0"},
+    ],
+)
 def test_garbage_gets_400_and_the_front_goes_on(changes):
     async def story():
         async with World(1) as world:
@@ -197,6 +247,7 @@
 @pytest.mark.parametrize("discovery", ["on_request", "pushed"])
 def test_a_drained_node_gets_nothing_new_and_a_failed_watch_is_taken_up_again(discovery):
     """Where the settings say that lists are pushed, nobody watched: no change was ever heard of."""
+
     async def story():
         world = World(2, Discovery=discovery)
         world.failing = 2
@@ -219,9 +270,15 @@
 @pytest.mark.parametrize(("age_s", "wanted"), [(3600, 200), (0, 503)])
 def test_starts_are_told_in_unix_time_and_so_is_the_modules_clock(age_s, wanted):
     """On the loop's clock, which begins anywhere, a node that is long warm would look cold, or a cold one warm."""
+
     async def story():
-        world = World(1, Extra__YoungLimit=0.001, Obligations__StartCapacity=0.5, Obligations__WarmUpNs=60 * 10**9,
-                      Obligations__OverloadForNs=10**9)
+        world = World(
+            1,
+            Extra__YoungLimit=0.001,
+            Obligations__StartCapacity=0.5,
+            Obligations__WarmUpNs=60 * 10**9,
+            Obligations__OverloadForNs=10**9,
+        )
         world.nodes[0].always = "any"
         world.nodes[0].up_since_ms = int((time.time() - age_s) * 1000)
         async with world:
@@ -236,6 +293,7 @@
 
 def test_the_watch_goes_on_from_revision_0_and_does_not_loop():
     """Revision 0 was read as none: the whole list was asked for in a loop until discovery refused all fronts."""
+
     async def story():
         async with World(1) as world:
             await asyncio.sleep(0.5)
@@ -250,8 +308,10 @@
 def test_nothing_is_kept_of_a_chunk_server_that_is_gone():
     directory, listing = Directory(), {"revision": 1, "complete": True, "members": []}
     for number in range(3):
-        up, gone = ({"id": f"s-{n}", "host_port": "127.0.0.1:1", "cell": 0, "phase": phase}
-                    for n, phase in ((number, "up"), (number - 1, "removed")))
+        up, gone = (
+            {"id": f"s-{n}", "host_port": "127.0.0.1:1", "cell": 0, "phase": phase}
+            for n, phase in ((number, "up"), (number - 1, "removed"))
+        )
         kind, nodes = directory.apply(listing | {"members": [up, gone]})
         listing = {"revision": number + 2, "complete": False}
         assert [node.id for node in nodes] == [up["id"], gone["id"]]
@@ -284,6 +344,7 @@
 
 def test_after_sigterm_kept_connections_are_served_until_the_platforms_patience_ends():
     """No other front serves their volumes; each second that they were turned away early lost all its requests."""
+
     async def story():
         async with World(1) as world:  # the longest deadline is 3 s: SIGKILL after 3.7
             node = world.nodes[0]
@@ -328,6 +389,7 @@
     path = tmp_path / "config.json"
     path.write_text(text)
     env = {k: v for k, v in os.environ.items() if not k.startswith("BALANCER_")} | {"BALANCER_CONFIG": str(path)}
-    done = subprocess.run([sys.executable, "-m", "ochrespan"], env=env, capture_output=True, text=True,
-                          timeout=60, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "ochrespan"], env=env, capture_output=True, text=True, timeout=60, check=False
+    )
     assert done.returncode == 2 and 'msg="cannot start"' in done.stderr
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -11,14 +11,22 @@
 STATES = st.sampled_from([NodeState.READY, NodeState.READY, NodeState.DRAINING, NodeState.GONE])
 ENDS = st.sampled_from([Status.OK] * 4 + list(Status))
 STEPS = st.one_of(
-    st.tuples(st.just("take"), st.sampled_from(["read", "save", "keyed", "keyed-all", "once", "new"]),
-              st.sampled_from(["free", "paid", "capped", "odd"]), st.integers(-1, 2),
-              st.sampled_from(["", "k", "l"]), st.integers(1, 8), st.sampled_from([0.0, 0.3, 2.0, 4.0])),
+    st.tuples(
+        st.just("take"),
+        st.sampled_from(["read", "save", "keyed", "keyed-all", "once", "new"]),
+        st.sampled_from(["free", "paid", "capped", "odd"]),
+        st.integers(-1, 2),
+        st.sampled_from(["", "k", "l"]),
+        st.integers(1, 8),
+        st.sampled_from([0.0, 0.3, 2.0, 4.0]),
+    ),
     st.tuples(st.just("end"), st.integers(0, 30), ENDS),
     st.tuples(st.just("wait"), st.sampled_from([0.001, 0.05, 0.3, 1.5])),
-    st.tuples(st.just("list"), st.sampled_from([ListKind.DELTA, ListKind.FULL, ListKind.FAILED]),
-              st.lists(st.tuples(st.integers(0, 3), STATES, st.sampled_from(["x", "y"]), st.booleans()),
-                       max_size=3)),
+    st.tuples(
+        st.just("list"),
+        st.sampled_from([ListKind.DELTA, ListKind.FULL, ListKind.FAILED]),
+        st.lists(st.tuples(st.integers(0, 3), STATES, st.sampled_from(["x", "y"]), st.booleans()), max_size=3),
+    ),
     st.tuples(st.just("gone"), st.integers(0, 30)),
 )
 COLD = {"cold_units": 20.0, "start_capacity": 0.25, "warm_up": 6.0, "overload_window": 1.0}
@@ -56,7 +64,7 @@
 
     def check(self) -> None:
         now = self.head.now
-        actions, self.seen = self.head.actions[self.seen:], len(self.head.actions)
+        actions, self.seen = self.head.actions[self.seen :], len(self.head.actions)
         for action in actions:
             if isinstance(action, api.Send):
                 self.send(action, now)
@@ -92,7 +100,7 @@
                 assert now <= sent_at + cls.window
                 assert cls.group is Group.ALL or self.zones[other][0] == node.zone
         if cls and cls.in_order and req.key:
-            earlier = self.order[req.key][:self.order[req.key].index(name)]
+            earlier = self.order[req.key][: self.order[req.key].index(name)]
             assert all(n in self.over and not any(o == n for o, _ in self.open) for n in earlier), "order"
             assert now >= self.rest.get(req.key, 0.0), "rest"
         span = self.head.head.set.extra_window
@@ -153,8 +161,10 @@
                     head.wait(min(0.01, until - head.now) + 1e-6)
                     judge.check()
             case ("list", kind, rows):
-                entries = [api.NodeEntry(f"n{i}", i % 3, state, head.now if new else None, zone)
-                           for i, state, zone, new in rows]
+                entries = [
+                    api.NodeEntry(f"n{i}", i % 3, state, head.now if new else None, zone)
+                    for i, state, zone, new in rows
+                ]
                 news = NodeList(kind, [] if kind is ListKind.FAILED else entries)
                 judge.listed(news)
                 head.give(news)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -10,6 +10,7 @@
 
 def test_a_reload_moves_the_watch_and_keeps_requests_and_connections():
     """SIGHUP had no handler: it ended the program with all that it held."""
+
     async def story():
         calls, news = [], asyncio.Event()
 
@@ -43,8 +44,7 @@
     play(story())
 
 
-@pytest.mark.parametrize("text", [
-    "{", "{}", "[]", '{"settings": {}, "listen": "127.0.0.1:1", "discovery": "nowhere"}'])
+@pytest.mark.parametrize("text", ["{", "{}", "[]", '{"settings": {}, "listen": "127.0.0.1:1", "discovery": "nowhere"}'])
 def test_a_bad_file_leaves_the_old_configuration_and_says_why(text):
     async def story():
         async with World(1) as world:
@@ -76,6 +76,7 @@
             self.requests[name].append(request)
             self.calls[name].append((request.query.get("after"), answer))
             return web.json_response(await answer)
+
         return handle
 
     def watches(self, name: str) -> list[str | None]:
@@ -84,8 +85,9 @@
         return [after for request, (after, answer) in both if request.transport is not None and not answer.done()]
 
     def tell(self, name: str, revision: int, *phases: str, complete: bool = True) -> None:
-        entries = [self.world.entry(node) | {"phase": phase}
-                   for node, phase in zip(self.world.nodes, phases, strict=False)]
+        entries = [
+            self.world.entry(node) | {"phase": phase} for node, phase in zip(self.world.nodes, phases, strict=False)
+        ]
         self.calls[name][-1][1].set_result({"revision": revision, "complete": complete, "members": entries})
 
     async def asked(self, name: str, number: int) -> None:
--- a/tests/test_replica_host.py
+++ b/tests/test_replica_host.py
@@ -106,7 +106,13 @@
     leader_of(hosts.values(), 0)
     for host in hosts.values():
         host.decline_leadership(600.0)
-    until(lambda: all(replica.core.abstaining or host.declines_leadership_for() == 0.0 for host in hosts.values()
-                      for replica in host._table.replicas.values()), "hosts that decline")
+    until(
+        lambda: all(
+            replica.core.abstaining or host.declines_leadership_for() == 0.0
+            for host in hosts.values()
+            for replica in host._table.replicas.values()
+        ),
+        "hosts that decline",
+    )
     for shard in (0, 1, 2):
         assert propose(hosts.values(), shard, b"one")
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -141,9 +141,11 @@
 
 
 def test_nothing_goes_to_a_draining_gone_or_unlisted_node():
-    for news in (NodeList(ListKind.DELTA, [entry(0, state=NodeState.DRAINING)]),
-                 NodeList(ListKind.DELTA, [entry(0, state=NodeState.GONE)]),
-                 NodeList(ListKind.FULL, [entry(1)])):
+    for news in (
+        NodeList(ListKind.DELTA, [entry(0, state=NodeState.DRAINING)]),
+        NodeList(ListKind.DELTA, [entry(0, state=NodeState.GONE)]),
+        NodeList(ListKind.FULL, [entry(1)]),
+    ):
         head = Head()
         head.give(news)
         name = head.take()
@@ -309,9 +311,14 @@
 def test_odd_events_are_ignored():
     head = Head()
     name = head.take()
-    head.give(api.Outcome("nobody", 0, "n0", Status.OK, 0.1), api.Gone("nobody"), api.Timer(99),
-              api.Outcome(name, 5, "n0", Status.OK, 0.1), api.Started("nobody"),
-              api.ProbeResult("n0", Status.OK, 0.1))
+    head.give(
+        api.Outcome("nobody", 0, "n0", Status.OK, 0.1),
+        api.Gone("nobody"),
+        api.Timer(99),
+        api.Outcome(name, 5, "n0", Status.OK, 0.1),
+        api.Started("nobody"),
+        api.ProbeResult("n0", Status.OK, 0.1),
+    )
     head.answer(name)
     head.give(api.Outcome(name, 0, "n0", Status.OK, 0.1))
     assert not head.head.nodes["n0"].out
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -18,8 +18,10 @@
 
 
 def arrival(name, shard=0, cls="read"):
-    return (f"ARRIVAL RequestId={name} Chunk=x QuotaUnits=2 Shard={shard} Category={cls} Tier=p "
-            f"LeftNs=2000000000 NHosts=1 Options=0 Disk=d Novel=7")
+    return (
+        f"ARRIVAL RequestId={name} Chunk=x QuotaUnits=2 Shard={shard} Category={cls} Tier=p "
+        f"LeftNs=2000000000 NHosts=1 Options=0 Disk=d Novel=7"
+    )
 
 
 def start(inst):
@@ -33,8 +35,15 @@
 def play(*batches, seed="0"):
     text = "\n".join(line for b in batches for line in b) + "\n"
     env = dict(os.environ, PYTHONHASHSEED=seed)
-    done = subprocess.run([sys.executable, "-m", "ochrespan.simhost"], input=text, capture_output=True,
-                          text=True, env=env, timeout=60, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "ochrespan.simhost"],
+        input=text,
+        capture_output=True,
+        text=True,
+        env=env,
+        timeout=60,
+        check=False,
+    )
     assert done.returncode == 0
     return done.stdout.splitlines(), done.stderr.splitlines()
 
@@ -51,8 +60,7 @@
 
 
 def reply(name, node="10.0.0.1:1", reason="delivered", closed=1, leg=0):
-    return (f"REPLY RequestId={name} NoMore={closed} Leg={leg} Reason={reason} WaitTimeNs=20000000 "
-            f"Shelf={node}")
+    return f"REPLY RequestId={name} NoMore={closed} Leg={leg} Reason={reason} WaitTimeNs=20000000 Shelf={node}"
 
 
 def test_an_empty_batch():
@@ -67,24 +75,42 @@
 
 
 def test_malformed_lines_are_named_and_the_rest_is_handled():
-    out, err = play(batch(1, 0, *start("h_1")),
-                    batch(2, 5, "CONTEXT I=h_1", "ARRIVAL RequestId=r0 LeftNs=soon", "ARRIVAL nonsense",
-                          "REPLY Leg=0", "WHATEVER A=1", "BACKENDS_CHANGED Scope=odd", arrival("r1")))
+    out, err = play(
+        batch(1, 0, *start("h_1")),
+        batch(
+            2,
+            5,
+            "CONTEXT I=h_1",
+            "ARRIVAL RequestId=r0 LeftNs=soon",
+            "ARRIVAL nonsense",
+            "REPLY Leg=0",
+            "WHATEVER A=1",
+            "BACKENDS_CHANGED Scope=odd",
+            arrival("r1"),
+        ),
+    )
     assert len(err) == 4 and all("malformed" in line for line in err)
     assert "soon" in err[0]
     assert any(line.startswith("ISSUE RequestId=r1") for line in out)
 
 
 def test_the_dead_and_the_unknown_get_nothing_and_do_nothing():
-    out, _ = play(batch(1, 0, *start("h_1")), batch(2, 1, "CONTEXT I=h_1", arrival("r1"), "KILL"),
-                  batch(3, 2, "CONTEXT I=h_1", arrival("r2"), "CONTEXT I=h_9", arrival("r3")))
+    out, _ = play(
+        batch(1, 0, *start("h_1")),
+        batch(2, 1, "CONTEXT I=h_1", arrival("r1"), "KILL"),
+        batch(3, 2, "CONTEXT I=h_1", arrival("r2"), "CONTEXT I=h_9", arrival("r3")),
+    )
     assert out[-2:] == ["FINISHED frame=2", "FINISHED frame=3"]
 
 
 def test_kill_and_provision_in_one_batch_start_an_empty_life():
-    out, _ = play(batch(1, 0, *start("h_1")), batch(2, 1, "CONTEXT I=h_1", arrival("r1")),
-                  batch(3, 2, "CONTEXT I=h_1", arrival("r2"), "KILL", *start("h_1")[1:], arrival("r3")),
-                  batch(4, 9, "CONTEXT I=h_1", reply("r1")), batch(5, 3000, "CONTEXT I=h_1", "DUE Nonce=1"))
+    out, _ = play(
+        batch(1, 0, *start("h_1")),
+        batch(2, 1, "CONTEXT I=h_1", arrival("r1")),
+        batch(3, 2, "CONTEXT I=h_1", arrival("r2"), "KILL", *start("h_1")[1:], arrival("r3")),
+        batch(4, 9, "CONTEXT I=h_1", reply("r1")),
+        batch(5, 3000, "CONTEXT I=h_1", "DUE Nonce=1"),
+    )
     text = "\n".join(out)
     assert "RequestId=r3" in text and "RequestId=r2" not in text
     assert "REJECT RequestId=r1" not in text
@@ -117,8 +143,11 @@
 
 
 def test_unknown_outcome_words_may_have_run():
-    out, _ = play(batch(1, 0, *start("h_1")), batch(2, 1, "CONTEXT I=h_1", arrival("r1", cls="put")),
-                  batch(3, 9, "CONTEXT I=h_1", reply("r1", reason="vanished", closed=0)))
+    out, _ = play(
+        batch(1, 0, *start("h_1")),
+        batch(2, 1, "CONTEXT I=h_1", arrival("r1", cls="put")),
+        batch(3, 9, "CONTEXT I=h_1", reply("r1", reason="vanished", closed=0)),
+    )
     assert "FINISH_ERROR RequestId=r1" in out
     assert sum(line.startswith("ISSUE") for line in out) == 1
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -190,13 +190,30 @@
         fresh = [entry(i, f"x{turn}-{i}", started_at=now) for i in range(40)]
         gone = [entry(i, f"x{turn - 1}-{i}", state=api.NodeState.GONE) for i in range(40) if turn]
         acts = head.handle(now, [NodeList(ListKind.DELTA, gone + fresh)])
-        acts += head.handle(now, [api.Request(f"r{turn}-{i}", f"v{turn}-{i}", "read", "free", 4.0, 1,
-                                              i if i < 40 else 1000 * turn + i, hosts=1) for i in range(60)])
+        acts += head.handle(
+            now,
+            [
+                api.Request(
+                    f"r{turn}-{i}", f"v{turn}-{i}", "read", "free", 4.0, 1, i if i < 40 else 1000 * turn + i, hosts=1
+                )
+                for i in range(60)
+            ],
+        )
         for send in [act for act in acts if isinstance(act, api.Send)]:
             report = {"queue": 0.0, "util": 0.4}
             head.handle(now + 0.1, [api.Outcome(send.request_id, 0, send.node, Status.OK, 0.1, True, report)])
-        sizes = (len(head.nodes), len(head.leaving), len(head.volumes), len(head.flows), len(head.asked),
-                 len(head.lanes), len(head.jobs), len(head.bare), len(head.by_shard), len(head.ends))
+        sizes = (
+            len(head.nodes),
+            len(head.leaving),
+            len(head.volumes),
+            len(head.flows),
+            len(head.asked),
+            len(head.lanes),
+            len(head.jobs),
+            len(head.bare),
+            len(head.by_shard),
+            len(head.ends),
+        )
         kept.append(sum(sizes))
     assert max(kept[80:]) <= 1.05 * max(kept[40:80]), (kept[40], kept[80], kept[-1])
     for second in range(1, 60):
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -92,11 +92,21 @@
     assert list(parse((tmp_path / FILE).read_text())) == ["b"]
 
 
-@pytest.mark.parametrize("text", [
-    "", "{", "[]", "null", '{"version": 2, "servers": []}', '{"version": 1}', '{"version": 1, "servers": [7]}',
-    '{"version": 1, "servers": [{"id": "", "since": 1, "resumed": null}]}',
-    '{"version": 1, "servers": [{"id": "a", "since": "long ago", "resumed": null}]}',
-    '{"version": 1, "servers": [{"id": "a", "since": 1}]}'])
+@pytest.mark.parametrize(
+    "text",
+    [
+        "",
+        "{",
+        "[]",
+        "null",
+        '{"version": 2, "servers": []}',
+        '{"version": 1}',
+        '{"version": 1, "servers": [7]}',
+        '{"version": 1, "servers": [{"id": "", "since": 1, "resumed": null}]}',
+        '{"version": 1, "servers": [{"id": "a", "since": "long ago", "resumed": null}]}',
+        '{"version": 1, "servers": [{"id": "a", "since": 1}]}',
+    ],
+)
 def test_a_corrupt_or_half_file_is_told_and_ignored_and_the_next_change_replaces_it(text, tmp_path, caplog):
     with pytest.raises(BadFile):
         parse(text)
--- a/tests/test_swim.py
+++ b/tests/test_swim.py
@@ -70,8 +70,11 @@
             if self.random.random() >= self.loss:
                 self._post(to, sender, message, DELAY_S * self.random.uniform(0.5, 2.0))
         known = self.processes[sender].table.records
-        self.ended_falsely += [(self.now, sender, at) for at, record in known.items()
-                               if record.state is MemberState.DEAD and at in self.processes]
+        self.ended_falsely += [
+            (self.now, sender, at)
+            for at, record in known.items()
+            if record.state is MemberState.DEAD and at in self.processes
+        ]
 
     def _post(self, to, sender, message, delay: float) -> None:
         self._count += 1
@@ -161,7 +164,8 @@
     half = {address(number) for number in (4, 5, 6)}
     collect = fleet._post
     fleet._post = lambda to, sender, message, delay: (
-        collect(to, sender, message, delay) if (to in half) == (sender in half) else None)
+        collect(to, sender, message, delay) if (to in half) == (sender in half) else None
+    )
     fleet.run(30.0)
     assert fleet.views()[0] == set(fleet.processes) - half
     fleet._post = collect
@@ -176,9 +180,14 @@
 def test_news_is_ordered_by_incarnation_and_then_by_state():
     table = MemberTable(member(1))
     for state, incarnation, counts in [
-        (MemberState.ALIVE, 1, True), (MemberState.DEAD, 1, False), (MemberState.ALIVE, 1, False),
-        (MemberState.SUSPECT, 1, False), (MemberState.ALIVE, 2, True), (MemberState.SUSPECT, 1, True),
-        (MemberState.LEFT, 2, False), (MemberState.SUSPECT, 2, False),
+        (MemberState.ALIVE, 1, True),
+        (MemberState.DEAD, 1, False),
+        (MemberState.ALIVE, 1, False),
+        (MemberState.SUSPECT, 1, False),
+        (MemberState.ALIVE, 2, True),
+        (MemberState.SUSPECT, 1, True),
+        (MemberState.LEFT, 2, False),
+        (MemberState.SUSPECT, 2, False),
     ]:
         table.merge(0.0, news(state, incarnation))
         assert table.records[address(2)].counts is counts
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -26,8 +26,18 @@
     assert codec.decode(ormsgpack.packb(["test.echo", "a", 1, "new field"])) == Echo("a", 1)
 
 
-@pytest.mark.parametrize("data", [b"", b"\xc1", ormsgpack.packb(3), ormsgpack.packb([]), ormsgpack.packb(["nobody"]),
-                                  ormsgpack.packb(["test.echo"]), ormsgpack.packb([["test.echo"]])])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"",
+        b"\xc1",
+        ormsgpack.packb(3),
+        ormsgpack.packb([]),
+        ormsgpack.packb(["nobody"]),
+        ormsgpack.packb(["test.echo"]),
+        ormsgpack.packb([["test.echo"]]),
+    ],
+)
 def test_bytes_that_are_no_message_are_told_by_place_found_and_allowed(data):
     with pytest.raises(codec.MessageError) as caught:
         codec.decode(data)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -120,6 +120,7 @@
 
 def test_a_request_that_has_arrived_on_an_idle_connection_is_answered_though_its_time_is_up():
     """Idle connections were ended with requests on them that the loop had not read yet."""
+
     async def story():
         port = free_port()
         listener, asked = await served(b"x", port)
@@ -139,6 +140,7 @@
 
 def test_of_two_listeners_the_newer_takes_what_is_new_and_the_older_keeps_its_backlog():
     """With SO_REUSEPORT alone half of the new ones came to the older, and were reset as it closed."""
+
     async def story():
         port, older, newer = free_port(), Idle(), Idle()
         first, second = Listener(older, 1000), Listener(newer, 1000)
@@ -255,6 +257,7 @@
 def test_the_old_process_lets_its_clients_go_as_soon_as_the_new_one_is_ready():
     """Clients hold a bounded number of connections: idle ones to the old process kept them from the new one, and
     23 to 107 requests of an upgrade day found no connection left."""
+
     async def story():
         async with Controlled(1) as world:
             world.nodes[0].always = "any"
--- a/tests/world.py
+++ b/tests/world.py
@@ -27,18 +27,51 @@
 
 def settings(nodes: int, **changes) -> dict:
     def cls(name, aim_ms, deadline_ms):
-        return {"Name": name, "ObjectiveNs": aim_ms * MS, "DeadlineNs": deadline_ms * MS, "Effect": "free",
-                "Group": "all", "LateShare": 0.1, "Value": 1.0, "Sequential": False, "WindowNs": 0}
+        return {
+            "Name": name,
+            "ObjectiveNs": aim_ms * MS,
+            "DeadlineNs": deadline_ms * MS,
+            "Effect": "free",
+            "Group": "all",
+            "LateShare": 0.1,
+            "Value": 1.0,
+            "Sequential": False,
+            "WindowNs": 0,
+        }
 
     told = {
-        "Classes": [cls("read", 1500, 3000), cls("write", 1500, 3000), cls("brief", 300, 900),
-                    cls("once", 1500, 3000) | {"Effect": "single_shot"}],
-        "Contracts": [{"Name": "gold", "Nominal": 100.0, "Weight": 2.0, "Price": 1.0, "Reserve": 50.0,
-                       "Limit": 0.0, "MostAtOnce": 0.0}],
-        "Balancers": 2, "Rank": 0, "Discovery": "on_request", "StepNs": 2 * MS, "Novel": {"Thing": [1, 2]},
+        "Classes": [
+            cls("read", 1500, 3000),
+            cls("write", 1500, 3000),
+            cls("brief", 300, 900),
+            cls("once", 1500, 3000) | {"Effect": "single_shot"},
+        ],
+        "Contracts": [
+            {
+                "Name": "gold",
+                "Nominal": 100.0,
+                "Weight": 2.0,
+                "Price": 1.0,
+                "Reserve": 50.0,
+                "Limit": 0.0,
+                "MostAtOnce": 0.0,
+            }
+        ],
+        "Balancers": 2,
+        "Rank": 0,
+        "Discovery": "on_request",
+        "StepNs": 2 * MS,
+        "Novel": {"Thing": [1, 2]},
         "Extra": {"MostUnits": 8, "UsualUnits": 2.0, "SlotsTotal": nodes},
-        "Limits": {"Cancel": True, "ConnectTimeoutNs": 250 * MS, "KeepaliveNs": 15000 * MS, "MaxAttempts": 3,
-                   "MaxRetryAfterNs": 500 * MS, "RetryAfter": True, "SecondCopies": False},
+        "Limits": {
+            "Cancel": True,
+            "ConnectTimeoutNs": 250 * MS,
+            "KeepaliveNs": 15000 * MS,
+            "MaxAttempts": 3,
+            "MaxRetryAfterNs": 500 * MS,
+            "RetryAfter": True,
+            "SecondCopies": False,
+        },
         "Obligations": {"AskWithinNs": 1000 * MS, "StopSendingWithinNs": 2000 * MS},
     }
     for path, value in changes.items():
@@ -135,12 +168,12 @@
         lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(answer)}"]
         lines += ["X-Never-Ran: 1"] if status == 503 else []
         lines += ["Endpoint-Load-Metrics: TEXT concurrent=1, depth=2, load_share=0.5, odd=nan"]
-        writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + answer[:len(answer) // 2])
+        writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + answer[: len(answer) // 2])
         await writer.drain()
         if act == "half":
             writer.transport.abort()
             return False
-        writer.write(answer[len(answer) // 2:])
+        writer.write(answer[len(answer) // 2 :])
         await writer.drain()
         return act != "close"
 
@@ -157,8 +190,16 @@
         self.env: dict[str, str] = {}  # further variables for the front
 
     def entry(self, node: Node) -> dict:
-        return {"id": node.id, "host_port": node.address, "locality": "a", "flavor": "m", "cell": node.shard,
-                "phase": node.phase, "size": 1.0, "up_since_ms": node.up_since_ms}
+        return {
+            "id": node.id,
+            "host_port": node.address,
+            "locality": "a",
+            "flavor": "m",
+            "cell": node.shard,
+            "phase": node.phase,
+            "size": 1.0,
+            "up_since_ms": node.up_since_ms,
+        }
 
     def tell(self, node: Node, phase: str) -> None:
         node.phase = phase
@@ -169,7 +210,8 @@
 
     async def open_discovery(self, handler=None) -> str:
         server = await asyncio.get_running_loop().create_server(
-            web.Server(handler or self._discovery, access_log=None), "127.0.0.1", 0)
+            web.Server(handler or self._discovery, access_log=None), "127.0.0.1", 0
+        )
         return "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
 
     def reload(self, text: str | None = None, **changes) -> None:
@@ -202,10 +244,18 @@
                 await node.start()
         self.port, self.object_port = free_port(), free_port()
         known = {"revision": 0, "complete": True, "members": [self.entry(node) for node in self.nodes]}
-        self.config, self.told = Path(self.folder.name, "config.json"), {
-            "name": "n0", "listen": f"127.0.0.1:{self.port}", "seed": "8c1f30d27a5be964", "known": known,
-            "discovery": await self.open_discovery(),
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets}, "settings": self.settings}
+        self.config, self.told = (
+            Path(self.folder.name, "config.json"),
+            {
+                "name": "n0",
+                "listen": f"127.0.0.1:{self.port}",
+                "seed": "8c1f30d27a5be964",
+                "known": known,
+                "discovery": await self.open_discovery(),
+                "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets},
+                "settings": self.settings,
+            },
+        )
         self.config.write_text(json.dumps(self.told))
         command = [sys.executable, "-m", "ochrespan"]
         if self.operator:
@@ -213,8 +263,11 @@
             self.operator_file.write_text(self.operator.replace("PORT", str(self.object_port)))
             command += ["--operator", str(self.operator_file)]
         env = {k: v for k, v in os.environ.items() if not k.startswith("BALANCER_")}
-        env |= self.env | {"BALANCER_CONFIG": str(self.config), "http_proxy": "http://127.0.0.1:9",
-                "BALANCER_DISCOVERY": self.told["discovery"]}
+        env |= self.env | {
+            "BALANCER_CONFIG": str(self.config),
+            "http_proxy": "http://127.0.0.1:9",
+            "BALANCER_DISCOVERY": self.told["discovery"],
+        }
         self.process = await asyncio.create_subprocess_exec(*command, env=env, stderr=asyncio.subprocess.PIPE)
         self.reading = asyncio.create_task(self._read_log())
         self.session = aiohttp.ClientSession(auto_decompress=False)
@@ -259,8 +312,13 @@
 
 
 def ask_headers(trace: str, shard: int, left: str = "2000", cls: str = "read", **more) -> dict:
-    return {"X-Trace-Id": trace, "X-Qos": cls, "X-Plan": "gold", "X-Expires-In-Ms": left,
-            "X-IO": f"units=2,shard={shard},hosts=2"} | more
+    return {
+        "X-Trace-Id": trace,
+        "X-Qos": cls,
+        "X-Plan": "gold",
+        "X-Expires-In-Ms": left,
+        "X-IO": f"units=2,shard={shard},hosts=2",
+    } | more
 
 
 class Lines:
