--- a/ochrespan/control_plane/feed_client.py
+++ b/ochrespan/control_plane/feed_client.py
@@ -203,10 +203,13 @@
                 self._lower_since.pop(shard, None)
                 if known is not None:
                     self._offsets[shard] = offset
-            elif is_current and not freshness.lags.get(shard):
-                if now - self._lower_since.setdefault(shard, now) > ANOTHER_LOG_S:
-                    del self._offsets[shard], self._lower_since[shard]
-                    raise LeaveController(f"shard {shard} has another log at {format_address(address)}")
+            elif (
+                is_current
+                and not freshness.lags.get(shard)
+                and now - self._lower_since.setdefault(shard, now) > ANOTHER_LOG_S
+            ):
+                del self._offsets[shard], self._lower_since[shard]
+                raise LeaveController(f"shard {shard} has another log at {format_address(address)}")
 
     def _draft_changed(self, draft: FleetTable, change: FleetChange) -> None:
         self._draft = draft
--- a/ochrespan/net/platform.py
+++ b/ochrespan/net/platform.py
@@ -29,12 +29,37 @@
 # what goes no further: the connection's own (RFC 9110, section 7.6.1), what this front reads or tells itself, and what
 # would ask for less than the whole answer
 HERE = frozenset(
-    """
-    connection keep-alive proxy-authenticate proxy-authorization proxy-connection te trailer transfer-encoding upgrade
-    authorization content-length content-type expect host x-expires-in-ms x-io x-plan x-qos x-second-try x-trace-id
-    accept-encoding content-encoding if-match if-modified-since if-none-match if-range if-unmodified-since range
-    priority
-    """.split()
+    [
+        "connection",
+        "keep-alive",
+        "proxy-authenticate",
+        "proxy-authorization",
+        "proxy-connection",
+        "te",
+        "trailer",
+        "transfer-encoding",
+        "upgrade",
+        "authorization",
+        "content-length",
+        "content-type",
+        "expect",
+        "host",
+        "x-expires-in-ms",
+        "x-io",
+        "x-plan",
+        "x-qos",
+        "x-second-try",
+        "x-trace-id",
+        "accept-encoding",
+        "content-encoding",
+        "if-match",
+        "if-modified-since",
+        "if-none-match",
+        "if-range",
+        "if-unmodified-since",
+        "range",
+        "priority",
+    ]
 )
 
 
--- a/tests/test_chunks.py
+++ b/tests/test_chunks.py
@@ -35,7 +35,7 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         directory = Directory()
-        directory.addresses["n"] = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
+        directory.addresses["n"] = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         request = Request("v", "read", "gold", timedelta(seconds=5))
         async with open_session(LINKS, 10) as session:
             attempt = Attempt(request, 0, "n", timedelta(seconds=5))
@@ -56,7 +56,7 @@
                 one.setblocking(False)
                 one.connect_ex(deaf.getsockname())
             directory = Directory()
-            directory.addresses["n"] = "127.0.0.1:%d" % deaf.getsockname()[1]
+            directory.addresses["n"] = f"127.0.0.1:{deaf.getsockname()[1]}"
             attempt = Attempt(Request("v", "read", "gold", timedelta(seconds=20)), 0, "n", timedelta(seconds=20))
             async with open_session(LINKS, 10) as session:
                 outcome, _ = await ChunkClient(session, directory).send(attempt, Message("GET", "/x"))
@@ -146,7 +146,7 @@
         peers = []
         server = await asyncio.start_server(lambda _, writer: peers.append(writer), "127.0.0.1", 0)
         directory = Directory()
-        directory.addresses["n"] = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
+        directory.addresses["n"] = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         request = Request("v", "read", "gold", timedelta(seconds=5))
         async with open_session(LINKS, 10) as session:
             attempt = Attempt(request, 0, "n", timedelta(seconds=0.3))
@@ -184,7 +184,7 @@
             thread = threading.Thread(target=serve, args=(listener,))
             thread.start()
             directory = Directory()
-            directory.addresses["n"] = "127.0.0.1:%d" % listener.getsockname()[1]
+            directory.addresses["n"] = f"127.0.0.1:{listener.getsockname()[1]}"
             async with open_session(LINKS, 10) as session:
                 client, got, request = ChunkClient(session, directory), [], Request("v", "r", "g", timedelta(1))
                 for number in range(2):
@@ -270,7 +270,7 @@
         self.tell("up")
 
     def tell(self, phase: str) -> None:
-        address = "127.0.0.1:%d" % self.listener.getsockname()[1]
+        address = f"127.0.0.1:{self.listener.getsockname()[1]}"
         entry = {"id": "n", "host_port": address, "cell": 0, "phase": phase}
         self.directory.apply({"revision": 1, "complete": True, "members": [entry]})
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -132,7 +132,7 @@
 
     async def open(self) -> str:
         server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
-        return "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
+        return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
     async def _serve(self, reader, writer) -> None:
         self.connections += 1
--- a/tests/test_early_listener.py
+++ b/tests/test_early_listener.py
@@ -22,7 +22,7 @@
 
 def test_connections_wait_at_the_address_of_the_settings(tmp_path, monkeypatch):
     address = unused_address()
-    settings_file(tmp_path, monkeypatch, yaml.safe_dump({"listen": {"front": "%s:%d" % address}}))
+    settings_file(tmp_path, monkeypatch, yaml.safe_dump({"listen": {"front": "{}:{}".format(*address)}}))
     listener = open_front()
     with listener, socket.create_connection(address, timeout=5) as client:
         client.sendall(b"GET / HTTP/1.1\r\n")
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -23,7 +23,7 @@
     async def start(self) -> None:
         self.raw = Raw(backlog=0)
         self.first = socket.create_connection(self.raw.listener.getsockname(), 5)  # whoever comes now waits
-        self.address = "127.0.0.1:%d" % self.raw.listener.getsockname()[1]
+        self.address = f"127.0.0.1:{self.raw.listener.getsockname()[1]}"
 
     async def come_up(self) -> bytes:
         """What a chunk server gets on the connections that were kept waiting."""
--- a/tests/test_long_bodies.py
+++ b/tests/test_long_bodies.py
@@ -88,7 +88,7 @@
                 writer.close()
 
             server = await asyncio.start_server(serve, "127.0.0.1", 0)
-            world.nodes[0].address = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
+            world.nodes[0].address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
             world.tell(world.nodes[0], "up")
             await asyncio.sleep(0.3)
             began = time.monotonic()
@@ -176,7 +176,7 @@
                 writer.close()
 
             server = await asyncio.start_server(serve, "127.0.0.1", 0)
-            world.nodes[0].address = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
+            world.nodes[0].address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
             world.tell(world.nodes[0], "up")
             await asyncio.sleep(0.3)
             body = bytes(range(256)) * (LONG // 256)
--- a/tests/test_router_process.py
+++ b/tests/test_router_process.py
@@ -26,7 +26,7 @@
         self.path = directory / "node.yaml"
         self.settings = {
             "node": "edge-1", "ip": "127.0.0.1", "zone": "hall-a", "port_range": [seed[1], seed[1]],
-            "seeds": ["127.0.0.1:1"], "listen": {"front": "%s:%d" % self.front, "ready": "%s:%d" % self.ready},
+            "seeds": ["127.0.0.1:1"], "listen": {"front": "{}:{}".format(*self.front), "ready": "{}:{}".format(*self.ready)},
             "limits": {"max_fds": 1000}, "bounds": {"grace_s": GRACE_S}, **other,
         }  # fmt: skip
         self.write()
@@ -248,7 +248,7 @@
     register(world, server)
     configure(world)
     router.wait_for("configuration in force")
-    client, address = router.client(), "%s:%d" % router.ready
+    client, address = router.client(), "{}:{}".format(*router.ready)
     assert fleetctl.main(["router", "drain", address]) == 0
     assert not router.is_ready()
     client.ask("/plain/x", id="q1")
--- a/tests/world.py
+++ b/tests/world.py
@@ -101,7 +101,7 @@
 
     async def start(self) -> None:
         server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
-        self.address = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
+        self.address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
@@ -212,7 +212,7 @@
         server = await asyncio.get_running_loop().create_server(
             web.Server(handler or self._discovery, access_log=None), "127.0.0.1", 0
         )
-        return "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
+        return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
     def reload(self, text: str | None = None, **changes) -> None:
         self.config.write_text(json.dumps(self.told | changes) if text is None else text)
