--- a/tests/test_router_process.py
+++ b/tests/test_router_process.py
@@ -26,7 +26,8 @@
         self.path = directory / "node.yaml"
         self.settings = {
             "node": "edge-1", "ip": "127.0.0.1", "zone": "hall-a", "port_range": [seed[1], seed[1]],
-            "seeds": ["127.0.0.1:1"], "listen": {"front": "{}:{}".format(*self.front), "ready": "{}:{}".format(*self.ready)},
+            "seeds": ["127.0.0.1:1"],
+            "listen": {"front": "{}:{}".format(*self.front), "ready": "{}:{}".format(*self.ready)},
             "limits": {"max_fds": 1000}, "bounds": {"grace_s": GRACE_S}, **other,
         }  # fmt: skip
         self.write()
