--- a/tests/golden/__init__.py
+++ b/tests/golden/__init__.py
@@ -1,1 +1,1 @@
-"""Files that earlier versions of the program have written, and what has to be read from them."""
+"""Golden tests: what the programs write, store and print, held to the byte while their inner structure changes."""
