--- a/benchmarks/core_times.py
+++ b/benchmarks/core_times.py
@@ -24,8 +24,10 @@
 import defopt
 import gevent
 
-from ochrespan.control_plane.replica_host import HostSettings, NotLeader, NoVerdict, ReplicaHost
-from ochrespan.coordination.core import Role
+from ochrespan.control_plane.replication.errors import NotLeader, NoVerdict
+from ochrespan.control_plane.replication.host import ReplicaHost
+from ochrespan.control_plane.replication.state_machine import HostSettings
+from ochrespan.raft.state import Role
 from ochrespan.transport import codec, rpc
 from tests.core_sim.node import Node
 from tests.core_sim.world import World
--- a/benchmarks/fleet_front.py
+++ b/benchmarks/fleet_front.py
@@ -94,8 +94,9 @@
 
 def run_router(engine: tuple[str, int]) -> None:
     """The data plane with a table that stands."""
-    from ochrespan.control_plane.fleet_table import FleetChange, FleetTable
-    from ochrespan.control_plane.views import ClientLimits, ConfigurationView, Instance, route_view, tenant_view
+    from ochrespan.control_plane.config.views import ClientLimits, ConfigurationView, route_view, tenant_view
+    from ochrespan.control_plane.feed.table import FleetChange, FleetTable
+    from ochrespan.control_plane.registry.views import Instance
     from ochrespan.data_plane.router_node import MachineLimits, RouterNode
     from ochrespan.data_plane.scheduler import Scheduler
 
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -31,7 +31,7 @@
 from returns.result import Success
 
 from examples.fleet import CONTROLLERS, HOST, KEY, ROUTERS, SERVICE, Ports, configuration, settings_for
-from ochrespan.programs.control_client import ControlClient
+from ochrespan.programs.fleetctl_commands.control_client import ControlClient
 
 HERE = Path(__file__).parent.parent
 CONTROLLER_MODULE, ROUTER_MODULE = "ochrespan.programs.controller", "ochrespan.programs.router"
--- a/examples/embed_coordination.py
+++ b/examples/embed_coordination.py
@@ -15,9 +15,9 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from ochrespan.coordination.formation import FormationSettings
-from ochrespan.coordination.group_table import GroupTable
-from ochrespan.coordination.messages import EntryKind
+from ochrespan.raft.bootstrap import FormationSettings
+from ochrespan.raft.messages import EntryKind
+from ochrespan.raft.multi_raft import GroupTable
 
 GROUP = 0
 TICK_S = 0.06
--- /dev/null
+++ b/ochrespan/control_plane/api/__init__.py
@@ -0,0 +1,5 @@
+"""The HTTP control interface of a controller, and forwarding of its requests to the leader of a shard.
+
+State: none beyond requests in flight. Imports: `config`, `registry`, `replication`, `ochrespan.observability`,
+`ochrespan.transport` and `ochrespan.common`.
+"""
--- a/ochrespan/control_plane/control_service.py
+++ b/ochrespan/control_plane/api/forwarding.py
@@ -14,28 +14,21 @@
 
 import gevent
 
-from ..coordination.shards import CONFIG_SHARD, shard_of
-from ..transport.rpc import CallFailed, CallServer
-from .answers import OK, Answer, NotTheLeader, json_answer, unavailable
-from .instances import InstanceMachine, InstanceRecord, record_fields
-from .orders import Order
-from .owners import (
-    CALL_TIMEOUT_S,
-    ConfigurationOwner,
-    InstanceEnded,
-    InstanceOwner,
-    InstanceReport,
-    ReadConfiguration,
-    ReadHistory,
-    ReplicaGroups,
-    cluster_name,
-    order_timeout,
-)
-from .peers import Peers
-from .replica_host import NotLeader
+from ochrespan.control_plane.config.commands import Order
+from ochrespan.control_plane.config.owner import ConfigurationOwner, ReadConfiguration, ReadHistory, order_timeout
+from ochrespan.control_plane.registry.owner import InstanceEnded, InstanceOwner, InstanceReport
+from ochrespan.control_plane.registry.records import InstanceRecord, record_fields
+from ochrespan.control_plane.registry.state_machine import InstanceMachine
+from ochrespan.control_plane.replication.errors import NotLeader
+from ochrespan.control_plane.replication.groups import CALL_TIMEOUT_S, ReplicaGroups, cluster_name
+from ochrespan.control_plane.responses import OK, Answer, NotTheLeader, json_answer, unavailable
+from ochrespan.control_plane.shards import CONFIG_SHARD, shard_of
+from ochrespan.transport.peer_clients import Peers
+from ochrespan.transport.rpc import CallFailed, CallServer
 
 log = logging.getLogger(__name__)
 
+
 RETRY_PAUSE_S = 0.04
 NO_MAJORITY_S = 1.5  # longer than a leader may be without one, and than most elections take
 
--- a/ochrespan/control_plane/api.py
+++ b/ochrespan/control_plane/api/handlers.py
@@ -11,9 +11,19 @@
 
 from gevent.pywsgi import WSGIServer
 
-from ..observability.registry import CONTENT_TYPE, Registry
-from ..transport.tcp import Address
-from .answers import (
+from ochrespan.common.addresses import Address
+from ochrespan.common.validation import Check, CheckFailed, Finding
+from ochrespan.control_plane.config.commands import OrderKind, make_order
+from ochrespan.control_plane.config.documents import (
+    CHECK_CONFIGURATION,
+    CHECK_INSTANCE,
+    CHECK_LEADERSHIP,
+    CHECK_PATCH,
+    MAX_ID_CHARACTERS,
+    read_json,
+)
+from ochrespan.control_plane.registry.records import record_of
+from ochrespan.control_plane.responses import (
     BAD_REQUEST,
     CONTENT_TOO_LARGE,
     METHOD_NOT_ALLOWED,
@@ -26,21 +36,13 @@
     json_answer,
     refusal,
 )
-from .checking import Check, CheckFailed, Finding
-from .control_service import ControlService
-from .documents import (
-    CHECK_CONFIGURATION,
-    CHECK_INSTANCE,
-    CHECK_LEADERSHIP,
-    CHECK_PATCH,
-    MAX_ID_CHARACTERS,
-    read_json,
-)
-from .instances import record_of
-from .orders import OrderKind, make_order
+from ochrespan.observability.metrics import CONTENT_TYPE, Registry
+
+from .forwarding import ControlService
 
 log = logging.getLogger(__name__)
 
+
 MAX_BODY_BYTES = 8 * 1024 * 1024
 CLUSTER_HEADER = "X-Fleet-Cluster"  # in an order: the fleet that it is meant for, as /api/status names it
 CLUSTER_VARIABLE = "HTTP_X_FLEET_CLUSTER"
--- a/ochrespan/control_plane/configuration.py
+++ b/ochrespan/control_plane/config/configuration.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from .checking import CheckFailed, Findings, report, show
+from ochrespan.common.validation import CheckFailed, Findings, report, show
 
 SECTIONS = ("routes", "services", "tenants")
 Items = dict[str, dict[str, Any]]  # an item's document by its name
--- a/ochrespan/control_plane/documents.py
+++ b/ochrespan/control_plane/config/documents.py
@@ -9,8 +9,8 @@
 import re
 from typing import Annotated, Any, NotRequired, TypedDict
 
-from ..transport.tcp import parse_address
-from .checking import (
+from ochrespan.common.addresses import parse_address
+from ochrespan.common.validation import (
     Check,
     CheckFailed,
     Finding,
--- a/ochrespan/control_plane/orders.py
+++ b/ochrespan/control_plane/config/state_machine.py
@@ -3,42 +3,18 @@
 from __future__ import annotations
 
 import enum
-import hashlib
 from dataclasses import dataclass
-from typing import Any
 
-from ..transport.codec import MessageError, decode, encode, message
-from . import compact
+from ochrespan.common.validation import CheckFailed, Finding
+from ochrespan.transport import compact
+from ochrespan.transport.codec import MessageError, decode
+
 from .change_history import ChangeHistory, record_of_change
-from .checking import CheckFailed, Finding
+from .commands import Order, OrderKind
 from .configuration import Configuration, ConfigurationChange, change_of_patch, change_to
 from .views import Tenant, tenant_view
 
 REMEMBERED_ORDERS = 8192
-DIGEST_BYTES = 16
-LARGEST_EXACT_INTEGER = 2**53  # of a float
-
-
-class OrderKind(enum.StrEnum):
-    """How an order changes the configuration."""
-
-    WHOLE = "whole"  # PUT
-    PATCH = "patch"
-
-
-@message("cp.order")
-@dataclass(slots=True)
-class Order:
-    """A change of the configuration on top of version `builds_on`. The body is packed by `compact`.
-
-    `received_ms` is shown in the history and is no part of the digest: the same change may come at another time.
-    """
-
-    kind: str
-    builds_on: int
-    digest: bytes
-    body: bytes
-    received_ms: int = 0
 
 
 class Judgement(enum.Enum):
@@ -61,32 +37,6 @@
     change: ConfigurationChange | None = None
 
 
-def make_order(kind: OrderKind, builds_on: int, document: dict[str, Any], received_ms: int = 0) -> Order:
-    """The order for a checked document.
-
-    The same document makes the same order, however its fields are ordered and its numbers are written.
-    """
-    try:
-        body, identity = compact.pack_sorted(document), compact.pack_sorted(_with_plain_numbers(document))
-    except compact.NotPackable as error:
-        raise CheckFailed([Finding("body", str(error), "strings of Unicode, numbers of 64 bits")]) from error
-    digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
-    digest.update(f"{kind.value} {builds_on} ".encode())
-    digest.update(identity)
-    return Order(kind.value, builds_on, digest.digest(), compact.compress(body), received_ms)
-
-
-def _with_plain_numbers(value: Any) -> Any:
-    """The value with 1 in place of 1.0: in JSON they are the same number."""
-    if isinstance(value, float) and value.is_integer() and abs(value) < LARGEST_EXACT_INTEGER:
-        return int(value)
-    if isinstance(value, dict):
-        return {name: _with_plain_numbers(each) for name, each in value.items()}
-    if isinstance(value, list):
-        return [_with_plain_numbers(each) for each in value]
-    return value
-
-
 class ConfigurationMachine:
     """Applies orders one after the other and remembers those that were taken, so that none is refused later."""
 
@@ -149,8 +99,3 @@
         self._taken[digest] = version
         if len(self._taken) > REMEMBERED_ORDERS:
             self._forgotten_version = self._taken.pop(next(iter(self._taken)))
-
-
-def encode_order(order: Order) -> bytes:
-    """The command for the configuration's shard."""
-    return encode(order)
--- a/ochrespan/control_plane/views.py
+++ b/ochrespan/control_plane/config/views.py
@@ -1,4 +1,4 @@
-"""Typed views of the configuration and of instances, as the routers use them."""
+"""The routers' typed views of routes, services, tenants and client limits."""
 
 from __future__ import annotations
 
@@ -7,8 +7,6 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from .instances import InstanceRecord, InstanceState
-
 DEFAULT_TIMEOUT_MS = 60_000.0
 DEFAULT_MAX_HEADER_BYTES = 16 * 1024
 DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024
@@ -103,22 +101,6 @@
     limits: ClientLimits = ClientLimits()
 
 
-@dataclass(frozen=True, slots=True)
-class Instance:
-    """One incarnation of a server; `cold_until` is a time of this machine's steady clock."""
-
-    id: str
-    service: str
-    address: str
-    zone: str
-    generation: str
-    capacity: int
-    state: InstanceState
-    cold_until: float
-    phase: str
-    models: tuple[Mapping[str, Any], ...]
-
-
 def route_view(document: Mapping[str, Any]) -> Route:
     """The route of a checked document."""
     split = document.get("traffic_split")
@@ -165,22 +147,6 @@
     return ClientLimits(**{name: given[name] for name in ClientLimits.__dataclass_fields__ if given.get(name)})
 
 
-def instance_view(record: InstanceRecord, now: float) -> Instance:
-    """The instance of a record that arrived at `now`."""
-    return Instance(
-        id=record.id,
-        service=record.backend,
-        address=record.address,
-        zone=record.zone,
-        generation=record.generation,
-        capacity=record.capacity,
-        state=InstanceState(record.state),
-        cold_until=now + record.cold_remaining_ms / 1000,
-        phase=record.phase,
-        models=record.models,
-    )
-
-
 def _route_type(text: str | None) -> RouteType:
     try:
         return RouteType(text or RouteType.UNSAFE)
--- a/ochrespan/control_plane/controller_node.py
+++ b/ochrespan/control_plane/controller.py
@@ -8,24 +8,28 @@
 
 import gevent
 
-from ..coordination.shards import ALL_SHARDS, CONFIG_SHARD
-from ..observability.registry import Registry
-from ..transport.rpc import CallServer
-from ..transport.tcp import Address, format_address
-from .api import ControlApi
-from .control_service import ControlService
-from .feed_messages import longest
-from .feed_server import FeedServer
-from .home_owner import HomeOwner
-from .instances import InstanceMachine, InstanceRecord, record_fields
-from .lag_watch import LagWatch
-from .orders import ConfigurationMachine
-from .owners import ConfigurationOwner, InstanceOwner, ReplicaGroups, cluster_name
-from .peers import Peers
-from .presence import PresenceReporter, RouterCensus
-from .quota import QuotaBounds
-from .quota_owner import QuotaOwner
-from .replica_host import StateMachine
+from ochrespan.common.addresses import Address, format_address
+from ochrespan.control_plane.api.forwarding import ControlService
+from ochrespan.control_plane.api.handlers import ControlApi
+from ochrespan.control_plane.config.owner import ConfigurationOwner
+from ochrespan.control_plane.config.state_machine import ConfigurationMachine
+from ochrespan.control_plane.feed.messages import longest
+from ochrespan.control_plane.feed.presence import PresenceReporter, RouterCensus
+from ochrespan.control_plane.feed.server import FeedServer
+from ochrespan.control_plane.prefix_placement.owner import HomeOwner
+from ochrespan.control_plane.quota.allocation import QuotaBounds
+from ochrespan.control_plane.quota.owner import QuotaOwner
+from ochrespan.control_plane.registry.owner import InstanceOwner
+from ochrespan.control_plane.registry.records import InstanceRecord, record_fields
+from ochrespan.control_plane.registry.state_machine import InstanceMachine
+from ochrespan.control_plane.replication.groups import ReplicaGroups, cluster_name
+from ochrespan.control_plane.replication.lag_detector import LagWatch
+from ochrespan.control_plane.replication.state_machine import StateMachine
+from ochrespan.observability.metrics import Registry
+from ochrespan.transport.peer_clients import Peers
+from ochrespan.transport.rpc import CallServer
+
+from .shards import ALL_SHARDS, CONFIG_SHARD
 
 READY_QUORUM_AGE_S = 1.0
 
--- a/ochrespan/control_plane/feed_client.py
+++ b/ochrespan/control_plane/feed/client.py
@@ -13,11 +13,13 @@
 
 import gevent
 
-from ..coordination.shards import ALL_SHARDS, CONFIG_SHARD, shard_of
-from ..transport.codec import MessageError
-from ..transport.tcp import Address, Connection, ConnectionClosed, dial, format_address
+from ochrespan.common.addresses import Address, format_address
+from ochrespan.control_plane.shards import ALL_SHARDS, CONFIG_SHARD, shard_of
+from ochrespan.transport.codec import MessageError
+from ochrespan.transport.tcp import Connection, ConnectionClosed, dial
+
 from .controller_choice import ControllerChoice
-from .feed_messages import (
+from .messages import (
     FeedDelta,
     FeedSnapshot,
     Freshness,
@@ -27,7 +29,8 @@
     unpack_configuration_change,
     unpack_instances_change,
 )
-from .fleet_table import (
+from .router_count import RouterCount
+from .table import (
     NO_DIFFERENCE,
     FleetChange,
     FleetTable,
@@ -37,10 +40,10 @@
     with_whole_configuration,
     with_whole_shard,
 )
-from .router_count import RouterCount
 
 log = logging.getLogger(__name__)
 
+
 SILENCE_LIMIT_S = 1.2
 OLDEST_QUORUM_S = 1.0
 LONGEST_LAG_S = 0.4
--- a/ochrespan/control_plane/controller_choice.py
+++ b/ochrespan/control_plane/feed/controller_choice.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from ..transport.tcp import Address, format_address
+from ochrespan.common.addresses import Address, format_address
 
 SHORTEST_BACK_OFF_S = 0.2
 LONGEST_BACK_OFF_S = 2.0
--- a/ochrespan/control_plane/feed_messages.py
+++ b/ochrespan/control_plane/feed/messages.py
@@ -6,10 +6,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..transport.codec import message
-from . import compact
-from .configuration import SECTIONS, ConfigurationChange, SectionChange
-from .instances import InstancesChange, record_fields, record_from_fields
+from ochrespan.control_plane.config.configuration import SECTIONS, ConfigurationChange, SectionChange
+from ochrespan.control_plane.registry.changes import InstancesChange
+from ochrespan.control_plane.registry.records import record_fields, record_from_fields
+from ochrespan.transport import compact
+from ochrespan.transport.codec import message
 
 FRESHNESS_INTERVAL_S = 0.5
 
--- a/ochrespan/control_plane/presence.py
+++ b/ochrespan/control_plane/feed/presence.py
@@ -10,15 +10,17 @@
 
 import gevent
 
-from ..transport.rpc import CallFailed, CallServer
-from ..transport.tcp import Address
-from .feed_messages import Presence, are_strangers
-from .lag_watch import LagWatch
-from .owners import ReplicaGroups, applied_offsets
-from .peers import Peers
+from ochrespan.common.addresses import Address
+from ochrespan.control_plane.replication.groups import ReplicaGroups, applied_offsets
+from ochrespan.control_plane.replication.lag_detector import LagWatch
+from ochrespan.transport.peer_clients import Peers
+from ochrespan.transport.rpc import CallFailed, CallServer
+
+from .messages import Presence, are_strangers
 
 log = logging.getLogger(__name__)
 
+
 REPORT_INTERVAL_S = 0.5
 REPORT_TIMEOUT_S = 0.8
 SETTLING_S = 2.0  # a controller that has just started does not know of most routers yet
--- a/ochrespan/control_plane/feed_server.py
+++ b/ochrespan/control_plane/feed/server.py
@@ -12,14 +12,21 @@
 
 import gevent
 
-from ..coordination.shards import ALL_SHARDS, CONFIG_SHARD
-from ..transport.codec import encode
-from ..transport.rpc import CallServer
-from ..transport.tcp import Address, Connection, ConnectionClosed
-from .change_gathering import ChangeGathering
-from .cold_times import ColdTimes
-from .configuration import Configuration, change_to
-from .feed_messages import (
+from ochrespan.common.addresses import Address
+from ochrespan.control_plane.config.configuration import Configuration, change_to
+from ochrespan.control_plane.config.state_machine import ConfigurationMachine, Verdict
+from ochrespan.control_plane.registry.change_batch import ChangeGathering
+from ochrespan.control_plane.registry.changes import InstancesChange
+from ochrespan.control_plane.registry.slow_start import ColdTimes
+from ochrespan.control_plane.registry.state_machine import InstanceMachine
+from ochrespan.control_plane.replication.groups import FRESH_QUORUM_S, ReplicaGroups, applied_offsets
+from ochrespan.control_plane.replication.lag_detector import LagWatch
+from ochrespan.control_plane.shards import ALL_SHARDS, CONFIG_SHARD
+from ochrespan.transport.codec import encode
+from ochrespan.transport.rpc import CallServer
+from ochrespan.transport.tcp import Connection, ConnectionClosed
+
+from .messages import (
     FRESHNESS_INTERVAL_S,
     FeedDelta,
     FeedSnapshot,
@@ -30,14 +37,11 @@
     pack_configuration_change,
     pack_instances_change,
 )
-from .instances import InstanceMachine, InstancesChange
-from .lag_watch import LagWatch
-from .orders import ConfigurationMachine, Verdict
-from .owners import FRESH_QUORUM_S, ReplicaGroups, applied_offsets
 from .presence import RouterCensus
 
 log = logging.getLogger(__name__)
 
+
 HISTORY_BYTES = 4 * 1024 * 1024
 HISTORY_CHANGES = 4096
 SNAPSHOT_LASTS_S = 1.0
--- a/ochrespan/control_plane/fleet_table.py
+++ b/ochrespan/control_plane/feed/table.py
@@ -6,17 +6,10 @@
 from dataclasses import dataclass, field, replace
 from typing import Any, TypeVar
 
-from .configuration import ConfigurationChange, SectionChange
-from .instances import InstancesChange
-from .views import (
-    ConfigurationView,
-    Instance,
-    instance_view,
-    limits_view,
-    route_view,
-    service_view,
-    tenant_view,
-)
+from ochrespan.control_plane.config.configuration import ConfigurationChange, SectionChange
+from ochrespan.control_plane.config.views import ConfigurationView, limits_view, route_view, service_view, tenant_view
+from ochrespan.control_plane.registry.changes import InstancesChange
+from ochrespan.control_plane.registry.views import Instance, instance_view
 
 View = TypeVar("View")
 InstancesByService = Mapping[str, Mapping[str, Instance]]
--- a/ochrespan/control_plane/owner_calls.py
+++ b/ochrespan/control_plane/owner_calls.py
@@ -1,17 +1,19 @@
-"""Asking the owner of a name: the leader of its shard, as far as it is known, and who may know better."""
+"""Calls from a router to the owner of a name: the leader of the name's shard, as far as it is known."""
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Callable, Iterable
+from dataclasses import dataclass
 from typing import Any, TypeVar
 
-from ..transport.rpc import CallFailed
-from ..transport.tcp import Address
-from .quota_messages import NotTheOwner
+from ochrespan.common.addresses import Address
+from ochrespan.transport.codec import message
+from ochrespan.transport.rpc import CallFailed
 
 log = logging.getLogger(__name__)
 
+
 MOST_ASKED = 3
 
 Call = Callable[[Address, Any, float], Any]  # the reply of the process at an address; raises CallFailed
@@ -41,3 +43,12 @@
         if isinstance(reply, NotTheOwner) and reply.ip:
             waiting.insert(0, (reply.ip, reply.port))
     return None
+
+
+@message("quota.elsewhere")
+@dataclass(slots=True)
+class NotTheOwner:
+    """This process does not own the tenant; the address of the owner, if it is known."""
+
+    ip: str = ""
+    port: int = 0
--- a/ochrespan/control_plane/home_client.py
+++ b/ochrespan/control_plane/prefix_placement/client.py
@@ -6,9 +6,10 @@
 from collections.abc import Callable, Sequence
 from time import monotonic
 
-from ..transport.tcp import Address
-from .home_messages import Home, HomeRequest
-from .owner_calls import Call, ask_owner
+from ochrespan.common.addresses import Address
+from ochrespan.control_plane.owner_calls import Call, ask_owner
+
+from .messages import Home, HomeRequest
 
 ANSWER_TIMEOUT_S = 0.15  # bodies of requests hold answers up on a narrow link; without one a request goes by a hash
 SILENT_OWNER_PAUSE_S = 0.5  # where no owner answered, none is asked again for this long
--- a/ochrespan/control_plane/home_messages.py
+++ b/ochrespan/control_plane/prefix_placement/messages.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ..transport.codec import message
+from ochrespan.transport.codec import message
 
 
 @message("home.ask")
--- a/ochrespan/control_plane/home_owner.py
+++ b/ochrespan/control_plane/prefix_placement/owner.py
@@ -11,18 +11,21 @@
 
 import gevent
 
-from ..coordination.shards import shard_of
-from ..transport.codec import encode
-from ..transport.rpc import CallServer
-from .home_messages import Home, HomeRequest
-from .instances import InstanceMachine, InstanceState
-from .owners import ReplicaGroups
-from .prefix_homes import AssignHomes, PrefixHomes
-from .quota_messages import NotTheOwner
-from .replica_types import NotLeader, NoVerdict
+from ochrespan.control_plane.owner_calls import NotTheOwner
+from ochrespan.control_plane.registry.prefix_placements import AssignHomes, PrefixHomes
+from ochrespan.control_plane.registry.records import InstanceState
+from ochrespan.control_plane.registry.state_machine import InstanceMachine
+from ochrespan.control_plane.replication.errors import NotLeader, NoVerdict
+from ochrespan.control_plane.replication.groups import ReplicaGroups
+from ochrespan.control_plane.shards import shard_of
+from ochrespan.transport.codec import encode
+from ochrespan.transport.rpc import CallServer
+
+from .messages import Home, HomeRequest
 
 log = logging.getLogger(__name__)
 
+
 BATCH_S = 0.1  # placements are gathered for so long
 REPLICATION_TIMEOUT_S = 3.0
 
--- a/ochrespan/control_plane/quota_client.py
+++ b/ochrespan/control_plane/quota/client.py
@@ -14,11 +14,12 @@
 
 import gevent
 
-from ..transport.tcp import Address
-from .owner_calls import Call, ask_owner
-from .quota import SEND_DELAY_S, GrantedTokens, QuotaBounds, QuotaTerms, SureShare, terms_for
-from .quota_messages import Grant, GrantRequest
-from .views import QuotaUnit, Tenant
+from ochrespan.common.addresses import Address
+from ochrespan.control_plane.config.views import QuotaUnit, Tenant
+from ochrespan.control_plane.owner_calls import Call, ask_owner
+
+from .allocation import SEND_DELAY_S, GrantedTokens, QuotaBounds, QuotaTerms, SureShare, terms_for
+from .messages import Grant, GrantRequest
 
 ANSWER_TIMEOUT_S = 0.3
 SILENT_OWNER_PAUSE_S = 0.1  # where no owner answered, none is asked again for this long
--- a/ochrespan/control_plane/quota_messages.py
+++ b/ochrespan/control_plane/quota/messages.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ..transport.codec import message
+from ochrespan.transport.codec import message
 
 
 @message("quota.ask")
@@ -29,12 +29,3 @@
     retry_after_s: float
     epoch: int  # names the owner's time of ownership
     owner_age_s: float = 0.0  # for how long it has been the owner
-
-
-@message("quota.elsewhere")
-@dataclass(slots=True)
-class NotTheOwner:
-    """This process does not own the tenant; the address of the owner, if it is known."""
-
-    ip: str = ""
-    port: int = 0
--- a/ochrespan/control_plane/quota_owner.py
+++ b/ochrespan/control_plane/quota/owner.py
@@ -12,15 +12,18 @@
 from collections.abc import Callable
 from time import monotonic
 
-from ..coordination.shards import shard_of
-from ..transport.rpc import CallServer
-from .owners import SOLE_OWNER_S, ReplicaGroups
-from .quota import QuotaBounds, TokenBucket, terms_for
-from .quota_messages import Grant, GrantRequest, NotTheOwner
-from .views import Tenant
+from ochrespan.control_plane.config.views import Tenant
+from ochrespan.control_plane.owner_calls import NotTheOwner
+from ochrespan.control_plane.replication.groups import SOLE_OWNER_S, ReplicaGroups
+from ochrespan.control_plane.shards import shard_of
+from ochrespan.transport.rpc import CallServer
+
+from .allocation import QuotaBounds, TokenBucket, terms_for
+from .messages import Grant, GrantRequest
 
 log = logging.getLogger(__name__)
 
+
 LONGEST_RETRY_S = 5.0
 
 
--- a/ochrespan/control_plane/router_quota.py
+++ b/ochrespan/control_plane/quota/router_setup.py
@@ -5,13 +5,14 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from ..coordination.shards import shard_of
-from ..transport.tcp import Address
-from .feed_client import FeedClient
-from .fleet_table import FleetTable
-from .peers import Peers
-from .quota import bounds_from
-from .quota_client import QuotaClient
+from ochrespan.common.addresses import Address
+from ochrespan.control_plane.feed.client import FeedClient
+from ochrespan.control_plane.feed.table import FleetTable
+from ochrespan.control_plane.shards import shard_of
+from ochrespan.transport.peer_clients import Peers
+
+from .allocation import bounds_from
+from .client import QuotaClient
 
 
 def owners_of(feed: FeedClient) -> Callable[[str], list[Address]]:
--- a/ochrespan/control_plane/change_gathering.py
+++ b/ochrespan/control_plane/registry/change_batch.py
@@ -4,7 +4,8 @@
 
 from dataclasses import dataclass, field
 
-from .instances import InstanceRecord, InstancesChange
+from .changes import InstancesChange
+from .records import InstanceRecord
 
 
 @dataclass(slots=True)
--- a/ochrespan/control_plane/prefix_homes.py
+++ b/ochrespan/control_plane/registry/prefix_placements.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..transport.codec import message
+from ochrespan.transport.codec import message
 
 MOST_PREFIXES = 2048  # of one service; those placed longest ago are forgotten
 
--- /dev/null
+++ b/ochrespan/control_plane/registry/views.py
@@ -0,0 +1,41 @@
+"""The routers' typed view of an instance."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Any
+
+from .records import InstanceRecord, InstanceState
+
+
+@dataclass(frozen=True, slots=True)
+class Instance:
+    """One incarnation of a server; `cold_until` is a time of this machine's steady clock."""
+
+    id: str
+    service: str
+    address: str
+    zone: str
+    generation: str
+    capacity: int
+    state: InstanceState
+    cold_until: float
+    phase: str
+    models: tuple[Mapping[str, Any], ...]
+
+
+def instance_view(record: InstanceRecord, now: float) -> Instance:
+    """The instance of a record that arrived at `now`."""
+    return Instance(
+        id=record.id,
+        service=record.backend,
+        address=record.address,
+        zone=record.zone,
+        generation=record.generation,
+        capacity=record.capacity,
+        state=InstanceState(record.state),
+        cold_until=now + record.cold_remaining_ms / 1000,
+        phase=record.phase,
+        models=record.models,
+    )
--- a/ochrespan/control_plane/applier.py
+++ b/ochrespan/control_plane/replication/applier.py
@@ -9,9 +9,11 @@
 
 from gevent.event import AsyncResult
 
-from ..coordination.messages import Entry, EntryKind
-from ..coordination.replica import Replica
-from .replica_types import NoVerdict, StateMachine
+from ochrespan.raft.messages import Entry, EntryKind
+from ochrespan.raft.replica import Replica
+
+from .errors import NoVerdict
+from .state_machine import StateMachine
 
 log = logging.getLogger(__name__)
 
--- a/ochrespan/control_plane/disk_writer.py
+++ b/ochrespan/control_plane/replication/disk_writer.py
@@ -13,10 +13,11 @@
 import gevent
 from gevent.event import Event
 
-from ..storage.store import Store
+from ochrespan.storage.snapshot_store import Store
 
 log = logging.getLogger(__name__)
 
+
 RETRY_S = 0.25
 SMALLEST_LOG_BYTES = 1024 * 1024  # a checkpoint isn't worth its cost below
 DISK_SHARE_OF_LOG = 16  # a log may fill one part in this many of the disk
--- a/ochrespan/control_plane/replica_host.py
+++ b/ochrespan/control_plane/replication/host.py
@@ -11,26 +11,28 @@
 import gevent
 from gevent.event import AsyncResult, Event
 
-from ..coordination.addresses import Address
-from ..coordination.core import Role
-from ..coordination.formation import FormationSettings
-from ..coordination.group_table import GroupTable
-from ..coordination.replica import Replica
-from ..storage.files import PosixDirectory
-from ..storage.store import Store
-from ..transport import rpc
-from ..transport.tcp import Connection
+from ochrespan.common.addresses import Address
+from ochrespan.raft.bootstrap import FormationSettings
+from ochrespan.raft.multi_raft import GroupTable
+from ochrespan.raft.replica import Replica
+from ochrespan.raft.state import Role
+from ochrespan.storage.files import PosixDirectory
+from ochrespan.storage.snapshot_store import Store
+from ochrespan.transport import rpc
+from ochrespan.transport.peer_connections import PeerLinks
+from ochrespan.transport.tcp import Connection
+
 from .applier import Applier, call_back
 from .disk_writer import RETRY_S, DiskWriter
-from .peer_links import PeerLinks
-from .raft_wire import RaftBatch, pack_envelope, pack_image, pack_record, replay, unpack_envelope, unpack_image
-from .replica_types import HostSettings, NotLeader, NoVerdict, StateMachine
-from .willingness import Willingness
-
-__all__ = ["HostSettings", "NoVerdict", "NotLeader", "ReplicaHost", "StateMachine"]
+from .errors import NotLeader, NoVerdict
+from .leader_eligibility import Willingness
+from .persistent_records import pack_image, pack_record, replay, unpack_image
+from .raft_wire import RaftBatch, pack_envelope, unpack_envelope
+from .state_machine import HostSettings, StateMachine
 
 log = logging.getLogger(__name__)
 
+
 TICK_S = 0.06
 MAINTAIN_S = 0.5
 SLOW_DISK_S = 1.5  # a write that takes longer makes this process hand over what it leads
--- a/ochrespan/control_plane/willingness.py
+++ b/ochrespan/control_plane/replication/leader_eligibility.py
@@ -7,6 +7,7 @@
 
 log = logging.getLogger(__name__)
 
+
 LONGEST_WITHOUT_LEADER_S = 3.0  # of any shard, after which an operator's request gives way: somebody has to lead
 
 
--- /dev/null
+++ b/ochrespan/control_plane/replication/raft_wire.py
@@ -0,0 +1,109 @@
+"""The msgpack form of Raft messages, log entries and snapshots."""
+
+from __future__ import annotations
+
+import dataclasses
+from dataclasses import dataclass
+from typing import Any
+
+from ochrespan.raft.cluster_messages import Found, Join, JoinReply, Leave
+from ochrespan.raft.envelope import Envelope
+from ochrespan.raft.log import Snapshot
+from ochrespan.raft.membership_config import Configuration
+from ochrespan.raft.messages import (
+    Append,
+    AppendReply,
+    CampaignNow,
+    Entry,
+    Heartbeat,
+    HeartbeatReply,
+    SnapshotChunk,
+    SnapshotReply,
+    VoteReply,
+    VoteRequest,
+)
+from ochrespan.transport.codec import message
+
+# The place of a type in this list is its number on the wire: types are added at the end only.
+_MESSAGE_TYPES: tuple[type, ...] = (
+    VoteRequest,
+    VoteReply,
+    Append,
+    AppendReply,
+    Heartbeat,
+    HeartbeatReply,
+    SnapshotChunk,
+    SnapshotReply,
+    CampaignNow,
+    Join,
+    JoinReply,
+    Found,
+    Leave,
+)
+_numbers = {message_type: number for number, message_type in enumerate(_MESSAGE_TYPES)}
+_fields = {
+    message_type: tuple(field.name for field in dataclasses.fields(message_type)) for message_type in _MESSAGE_TYPES
+}
+_APPEND = _numbers[Append]
+_ENTRIES_FIELD = _fields[Append].index("entries")
+
+
+@message("raft")
+@dataclass(slots=True)
+class RaftBatch:
+    """An envelope; each frame is group, number of the message's type, and its fields."""
+
+    cluster: int
+    sender: int
+    host: str
+    port: int
+    to: int
+    frames: list[list]
+
+
+def pack_envelope(envelope: Envelope) -> RaftBatch:
+    frames = [[group, *_pack_message(value)] for group, value in envelope.frames]
+    return RaftBatch(envelope.cluster, envelope.sender, *envelope.address, envelope.to, frames)
+
+
+def unpack_envelope(batch: RaftBatch) -> Envelope:
+    """Raises ValueError, TypeError or IndexError where a frame is malformed."""
+    frames = [(group, _unpack_message(number, fields)) for group, number, *fields in batch.frames]
+    return Envelope(batch.cluster, batch.sender, (batch.host, batch.port), batch.to, frames)
+
+
+def _pack_message(value: Any) -> list:
+    message_type = type(value)
+    fields = [getattr(value, name) for name in _fields[message_type]]
+    if message_type is Append:
+        fields[_ENTRIES_FIELD] = _pack_entries(value.entries)
+    return [_numbers[message_type], *fields]
+
+
+def _unpack_message(number: int, fields: list) -> Any:
+    message_type = _MESSAGE_TYPES[number]
+    fields = fields[: len(_fields[message_type])]
+    if number == _APPEND:
+        fields[_ENTRIES_FIELD] = _unpack_entries(fields[_ENTRIES_FIELD])
+    return message_type(*fields)
+
+
+def _pack_entries(entries: list[Entry]) -> list[list]:
+    return [[entry.term, int(entry.kind), entry.data] for entry in entries]
+
+
+def _unpack_entries(packed: list[list]) -> list[Entry]:
+    return [Entry(*fields) for fields in packed]
+
+
+def _pack_snapshot(snapshot: Snapshot | None) -> list | None:
+    if snapshot is None:
+        return None
+    return [snapshot.index, snapshot.term, snapshot.configuration.to_bytes(), snapshot.data]
+
+
+def _unpack_snapshot(packed: list | None) -> Snapshot | None:
+    if packed is None:
+        return None
+    index, term, configuration, data = packed
+    return Snapshot(index, term, Configuration.from_bytes(configuration), data)
--- a/ochrespan/control_plane/answers.py
+++ b/ochrespan/control_plane/responses.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..transport.codec import message
-from . import compact
-from .checking import Finding
+from ochrespan.common.validation import Finding
+from ochrespan.transport import compact
+from ochrespan.transport.codec import message
 
 RETRY_AFTER_S = 0.2
 
--- a/ochrespan/data_plane/connection_pool.py
+++ b/ochrespan/data_plane/connection_pool.py
@@ -7,7 +7,8 @@
 import socket
 import time
 
-from ..transport.tcp import set_options
+from ochrespan.transport.tcp import set_options
+
 from .deadlines import Deadline, DeadlineHeap
 from .wakeup import Wakeup
 from .watched_socket import WatchedSocket, ignore_event
--- a/ochrespan/data_plane/dispatcher.py
+++ b/ochrespan/data_plane/dispatcher.py
@@ -6,7 +6,8 @@
 from collections.abc import Collection, Iterable
 from typing import Protocol
 
-from ..observability.registry import Registry
+from ochrespan.observability.metrics import Registry
+
 from .deadlines import Deadline, DeadlineHeap
 from .decisions import Action, Outcome, Request, Server
 from .router_figures import RouterFigures
--- a/ochrespan/data_plane/front.py
+++ b/ochrespan/data_plane/front.py
@@ -13,7 +13,8 @@
 
 from gevent.event import Event
 
-from ..control_plane.quota_client import cost_of
+from ochrespan.control_plane.quota.client import cost_of
+
 from .client_connection import ClientConnection, ReadLimits
 from .decision_record import DecisionRecord, milliseconds
 from .decisions import Request
@@ -26,8 +27,8 @@
 from .server_request import ServerRequest
 
 if TYPE_CHECKING:
-    from ..control_plane.home_messages import Home
-    from ..control_plane.views import Tenant
+    from ochrespan.control_plane.config.views import Tenant
+    from ochrespan.control_plane.prefix_placement.messages import Home
 
 log = logging.getLogger(__name__)
 
--- a/ochrespan/data_plane/quota_ticket.py
+++ b/ochrespan/data_plane/quota_ticket.py
@@ -8,7 +8,7 @@
 from .client_connection import ClientConnection
 
 if TYPE_CHECKING:
-    from ..control_plane.quota_client import Taken
+    from ochrespan.control_plane.quota.client import Taken
 
 ASK_INTERVAL_S = 0.05  # between two questions for a tenant, but for the first one of each request
 
--- a/ochrespan/data_plane/readiness.py
+++ b/ochrespan/data_plane/readiness.py
@@ -9,8 +9,9 @@
 
 from gevent.pywsgi import WSGIServer
 
-from ..control_plane.checking import CheckFailed, Finding, Findings, flag
-from ..observability.registry import CONTENT_TYPE, Registry
+from ochrespan.common.validation import CheckFailed, Finding, Findings, flag
+from ochrespan.observability.metrics import CONTENT_TYPE, Registry
+
 from .own_answers import OwnAnswer, StartResponse
 
 READY_PATH = "/api/readyz"
--- a/ochrespan/data_plane/router_figures.py
+++ b/ochrespan/data_plane/router_figures.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from ..observability.registry import Registry
+from ochrespan.observability.metrics import Registry
+
 from .decisions import Action, Outcome
 
 DECISION_NAMES = {"Send": "send", "Refuse": "refuse", "Fail": "fail"}
--- a/ochrespan/data_plane/router_node.py
+++ b/ochrespan/data_plane/router_node.py
@@ -11,8 +11,9 @@
 
 import gevent
 
-from ..observability.registry import Registry
-from ..transport.tcp import Address, parse_address
+from ochrespan.common.addresses import Address, parse_address
+from ochrespan.observability.metrics import Registry
+
 from .deadlines import DeadlineHeap
 from .decision_record import DecisionLog
 from .decisions import Server
@@ -27,7 +28,7 @@
 from .server_pools import ServerPools
 
 if TYPE_CHECKING:
-    from ..control_plane.fleet_table import FleetChange, FleetTable
+    from ochrespan.control_plane.feed.table import FleetChange, FleetTable
 
 log = logging.getLogger(__name__)
 
--- a/ochrespan/data_plane/routing_table.py
+++ b/ochrespan/data_plane/routing_table.py
@@ -11,7 +11,7 @@
 from .client_connection import ReadLimits
 
 if TYPE_CHECKING:
-    from ..control_plane.views import ConfigurationView, Route, Tenant
+    from ochrespan.control_plane.config.views import ConfigurationView, Route, Tenant
 
 _SPLIT_STEPS = 1 << 32
 
--- a/ochrespan/control_plane/membership.py
+++ b/ochrespan/membership/agent.py
@@ -1,4 +1,4 @@
-"""The driver of SWIM membership: its datagrams and its clock, for controllers and routers alike."""
+"""The SWIM agent of a process: sends and receives datagrams and drives the protocol's clock."""
 
 from __future__ import annotations
 
@@ -11,55 +11,22 @@
 import gevent
 from gevent.event import Event
 
-from ..coordination import swim_messages
-from ..coordination.members import FleetMember, News
-from ..coordination.swim import Swim
-from ..coordination.swim_messages import SwimMessage
-from ..transport.codec import message
-from ..transport.tcp import Address, format_address
-from ..transport.udp import DatagramEndpoint
+from ochrespan.common.addresses import Address, format_address
+from ochrespan.transport.udp import DatagramEndpoint
+
+from .member_table import FleetMember
 from .peer_addresses import PeerSettings, peer_address, seed_peer_addresses
+from .protocol import Swim
+from .wire import SwimDatagram, pack, unpack
 
 log = logging.getLogger(__name__)
 
+
 SHORTEST_WAIT_S = 0.01
 CONTROLLER_ROLE = "controller"
 ROUTER_ROLE = "router"
 
 
-@message("swim")
-@dataclass(slots=True)
-class SwimDatagram:
-    """Kind of message, its plain fields, and its news as rows."""
-
-    kind: int
-    fields: list
-    news: list[list]
-
-
-_KINDS: tuple[type, ...] = (
-    swim_messages.Ping,
-    swim_messages.Ack,
-    swim_messages.Nack,
-    swim_messages.PingRequest,
-    swim_messages.Sync,
-)
-_news_fields = tuple(News.__dataclass_fields__)
-
-
-def pack(value: SwimMessage) -> SwimDatagram:
-    names = [name for name in value.__dataclass_fields__ if name != "news"]
-    rows = [[getattr(item, name) for name in _news_fields] for item in getattr(value, "news", [])]
-    return SwimDatagram(_KINDS.index(type(value)), [getattr(value, name) for name in names], rows)
-
-
-def unpack(datagram: SwimDatagram) -> SwimMessage:
-    """Raises ValueError, TypeError or IndexError where the datagram is malformed."""
-    kind = _KINDS[datagram.kind]
-    news = [News(*row[: len(_news_fields)]) for row in datagram.news]
-    return kind(*datagram.fields) if kind is swim_messages.Nack else kind(*datagram.fields, news)
-
-
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
     """`address` and `seeds`: IP and first port of `port_range`."""
--- a/ochrespan/coordination/members.py
+++ b/ochrespan/membership/member_table.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from .addresses import Address
+from ochrespan.common.addresses import Address
 
 NEWS_FACTOR = 3  # a piece of news is sent this many times the logarithm of the fleet's size
 FORGET_S = 60.0  # how long an ended member is remembered, so that old news can't bring it back
--- a/ochrespan/coordination/swim_messages.py
+++ b/ochrespan/membership/messages.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from .members import News
+from .member_table import News
 
 
 @dataclass(slots=True)
--- a/ochrespan/control_plane/peer_addresses.py
+++ b/ochrespan/membership/peer_addresses.py
@@ -4,7 +4,7 @@
 
 from typing import TypedDict
 
-from ..transport.tcp import Address, parse_address
+from ochrespan.common.addresses import Address, parse_address
 
 
 class PeerSettings(TypedDict):
--- a/ochrespan/coordination/swim.py
+++ b/ochrespan/membership/protocol.py
@@ -11,9 +11,10 @@
 import random
 from dataclasses import dataclass, field
 
-from .addresses import Address
-from .members import FleetMember, MemberState, MemberTable, News
-from .swim_messages import Ack, Nack, Ping, PingRequest, SwimMessage, Sync
+from ochrespan.common.addresses import Address
+
+from .member_table import FleetMember, MemberState, MemberTable, News
+from .messages import Ack, Nack, Ping, PingRequest, SwimMessage, Sync
 
 PERIOD_S = 0.5
 PROBE_TIMEOUT_S = 0.2
--- a/ochrespan/programs/controller.py
+++ b/ochrespan/programs/controller.py
@@ -9,15 +9,17 @@
 import gevent
 from gevent.event import Event
 
-from ..control_plane.api import serve_api
-from ..control_plane.checking import CheckFailed, Finding
-from ..control_plane.controller_node import ControllerNode, ControlState
-from ..control_plane.membership import CONTROLLER_ROLE, MembershipDriver, membership_settings
-from ..control_plane.peer_addresses import peer_address, seed_peer_addresses
-from ..control_plane.quota import bounds_from
-from ..control_plane.replica_host import HostSettings, ReplicaHost
-from ..observability import logs
-from ..transport.tcp import Address, parse_address
+from ochrespan.common.addresses import Address, parse_address
+from ochrespan.common.validation import CheckFailed, Finding
+from ochrespan.control_plane.api.handlers import serve_api
+from ochrespan.control_plane.controller import ControllerNode, ControlState
+from ochrespan.control_plane.quota.allocation import bounds_from
+from ochrespan.control_plane.replication.host import ReplicaHost
+from ochrespan.control_plane.replication.state_machine import HostSettings
+from ochrespan.membership.agent import CONTROLLER_ROLE, MembershipDriver, membership_settings
+from ochrespan.membership.peer_addresses import peer_address, seed_peer_addresses
+from ochrespan.observability import logs
+
 from .settings import Settings, SettingsFile, secure_peers, settings_path
 
 log = logging.getLogger(__name__)
--- a/ochrespan/programs/fleetctl.py
+++ b/ochrespan/programs/fleetctl.py
@@ -12,10 +12,10 @@
 
 import defopt
 
-from ..control_plane.api import CLUSTER_HEADER
-from ..control_plane.checking import CheckFailed
-from . import fleet_reports
-from .command_tools import (
+from ochrespan.common.validation import CheckFailed
+from ochrespan.control_plane.api.handlers import CLUSTER_HEADER
+from ochrespan.programs.fleetctl_commands import reports as fleet_reports
+from ochrespan.programs.fleetctl_commands.common import (
     EXIT_FAILED,
     CommandFailed,
     client_for,
@@ -25,8 +25,9 @@
     read_configuration,
     value_of,
 )
+from ochrespan.programs.fleetctl_commands.state_commands import backup, drain_instance, restore
+
 from .settings import read_settings
-from .state_commands import backup, drain_instance, restore
 
 HAND_OVER_S = 600.0
 
--- a/ochrespan/programs/backup.py
+++ b/ochrespan/programs/fleetctl_commands/backup_file.py
@@ -13,9 +13,9 @@
 from pathlib import Path
 from typing import Any
 
-from ..control_plane.checking import CheckFailed, Finding
-from ..control_plane.documents import CHECK_CONFIGURATION
-from ..control_plane.instances import InstanceState
+from ochrespan.common.validation import CheckFailed, Finding
+from ochrespan.control_plane.config.documents import CHECK_CONFIGURATION
+from ochrespan.control_plane.registry.records import InstanceState
 
 FORMAT = "ochrespan control state"
 FORMAT_VERSION = 1
--- a/ochrespan/programs/command_tools.py
+++ b/ochrespan/programs/fleetctl_commands/common.py
@@ -7,12 +7,13 @@
 
 from returns.result import Result, Success
 
-from ..control_plane.checking import CheckFailed, Finding
-from ..control_plane.configuration import Configuration, change_to
-from ..control_plane.documents import CHECK_CONFIGURATION, read_json
-from ..transport.tcp import Address, parse_address
+from ochrespan.common.addresses import Address, parse_address
+from ochrespan.common.validation import CheckFailed, Finding
+from ochrespan.control_plane.config.configuration import Configuration, change_to
+from ochrespan.control_plane.config.documents import CHECK_CONFIGURATION, read_json
+from ochrespan.programs.settings import read_settings, settings_path
+
 from .control_client import CallError, ControlClient, is_undecided
-from .settings import read_settings, settings_path
 
 EXIT_FAILED = 1
 EXIT_UNDECIDED = 3
--- a/ochrespan/programs/control_client.py
+++ b/ochrespan/programs/fleetctl_commands/control_client.py
@@ -11,8 +11,8 @@
 from geventhttpclient import HTTPClient
 from returns.result import Failure, Result, Success
 
-from ..control_plane.answers import OK, UNAVAILABLE
-from ..transport.tcp import Address, format_address
+from ochrespan.common.addresses import Address, format_address
+from ochrespan.control_plane.responses import OK, UNAVAILABLE
 
 CONNECT_TIMEOUT_S = 1.0
 ANSWER_TIMEOUT_S = 5.0
--- a/ochrespan/programs/fleet_reports.py
+++ b/ochrespan/programs/fleetctl_commands/reports.py
@@ -8,7 +8,7 @@
 from difflib import unified_diff
 from typing import Any
 
-from ..control_plane.configuration import SECTIONS, Configuration, SectionChange, change_to
+from ochrespan.control_plane.config.configuration import SECTIONS, Configuration, SectionChange, change_to
 
 
 def table(header: Sequence[str], rows: Iterable[Sequence[Any]]) -> str:
--- a/ochrespan/programs/state_commands.py
+++ b/ochrespan/programs/fleetctl_commands/state_commands.py
@@ -6,12 +6,13 @@
 from pathlib import Path
 from typing import Any
 
-from ..control_plane.checking import CheckFailed, Finding
-from ..control_plane.instances import InstanceState
-from .backup import Backup, read_backup, write_backup
-from .command_tools import client_for, current_configuration, value_of
+from ochrespan.common.validation import CheckFailed, Finding
+from ochrespan.control_plane.registry.records import InstanceState
+
+from .backup_file import Backup, read_backup, write_backup
+from .common import client_for, current_configuration, value_of
 from .control_client import ControlClient
-from .fleet_reports import difference_report
+from .reports import difference_report
 
 
 def backup(file: Path, *, controllers: list[str] | None = None) -> str:
--- a/ochrespan/programs/router_process.py
+++ b/ochrespan/programs/router_process.py
@@ -10,18 +10,19 @@
 import gevent
 from gevent.event import Event
 
-from ..control_plane.checking import CheckFailed, Finding
-from ..control_plane.feed_client import FeedClient
-from ..control_plane.fleet_table import FleetChange, FleetTable
-from ..control_plane.home_client import HomeClient
-from ..control_plane.membership import ROUTER_ROLE, MembershipDriver, membership_settings
-from ..control_plane.peer_addresses import seed_peer_addresses
-from ..control_plane.peers import Peers
-from ..control_plane.router_quota import configure_quotas, owners_of, quota_client_for
+from ochrespan.common.addresses import Address, parse_address
+from ochrespan.common.validation import CheckFailed, Finding
+from ochrespan.control_plane.feed.client import FeedClient
+from ochrespan.control_plane.feed.table import FleetChange, FleetTable
+from ochrespan.control_plane.prefix_placement.client import HomeClient
+from ochrespan.control_plane.quota.router_setup import configure_quotas, owners_of, quota_client_for
+from ochrespan.membership.agent import ROUTER_ROLE, MembershipDriver, membership_settings
+from ochrespan.membership.peer_addresses import seed_peer_addresses
+from ochrespan.observability import logs
+from ochrespan.transport.peer_clients import Peers
+
 from ..data_plane.router_node import DrainTimes, MachineLimits, RouterNode
 from ..data_plane.scheduler import Scheduler
-from ..observability import logs
-from ..transport.tcp import Address, parse_address
 from .settings import DEFAULT_DECISION_RECORDS, Settings, SettingsFile, bound, secure_peers, settings_path
 
 log = logging.getLogger(__name__)
--- a/ochrespan/programs/settings.py
+++ b/ochrespan/programs/settings.py
@@ -11,7 +11,8 @@
 import gevent
 import yaml
 
-from ..control_plane.checking import (
+from ochrespan.common.addresses import parse_address
+from ochrespan.common.validation import (
     CheckFailed,
     Finding,
     Findings,
@@ -26,8 +27,9 @@
     typed,
     whole,
 )
-from ..observability.logs import DEFAULT_LEVEL, LEVELS, set_level
-from ..transport.tcp import parse_address, secure_connections
+from ochrespan.observability.logs import DEFAULT_LEVEL, LEVELS, set_level
+from ochrespan.transport.tcp import secure_connections
+
 from .early_listener import SETTINGS_VARIABLE
 
 log = logging.getLogger(__name__)
@@ -153,7 +155,7 @@
     files = settings.get("peer_tls")
     if not files:
         return
-    from ..transport.security import KeyFiles, PeerSecurity  # most fleets do without, and loading it takes time
+    from ochrespan.transport.tls import KeyFiles, PeerSecurity
 
     try:
         secure_connections(PeerSecurity(KeyFiles(files["certificate"], files["key"], files["authority"])))
--- a/ochrespan/coordination/formation.py
+++ b/ochrespan/raft/bootstrap.py
@@ -18,13 +18,14 @@
 
 from __future__ import annotations
 
-import hashlib
 import random
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
-from .addresses import Address
-from .configuration import Configuration, Member
+from ochrespan.common.addresses import Address
+
+from .cluster_messages import LATER_LIFE, Found, Join, JoinReply, cluster_of, members_of
+from .membership_config import Configuration, Member
 
 ASK_INTERVAL_S = 0.25
 FOUNDING_ASK_INTERVAL_S = 0.05  # while the groups are to be formed
@@ -33,41 +34,6 @@
 AGREEMENT_S = 1.5  # how long all founders have to be without an entry before a founding that led to nothing is given up
 STALLED_S = 0.5  # the same in a first start, where most founders are there and too few of them in this founding
 FRESH_S = 1.0  # an answer older than this says nothing
-LATER_LIFE = -1.0  # in place of an age: the process is not in the first life of its disk
-
-
-@dataclass(slots=True)
-class Join:
-    """A replica asks whoever it reaches to be taken in as a learner of `groups`, and says what it holds."""
-
-    groups: list[int]
-    empty: bool  # it has never belonged to a group
-    blank: bool = False  # its logs have no entry
-    founders: list[list] = field(default_factory=list)  # host and port of each, where its disk has the mark
-    age_s: float = LATER_LIFE
-
-
-@dataclass(slots=True)
-class JoinReply:
-    empty: bool
-    contacts: list[list]  # host and port of leaders and members
-    blank: bool = False
-    founders: list[list] = field(default_factory=list)
-    age_s: float = LATER_LIFE
-    settled: bool = False  # a group of the sender has commitments
-
-
-@dataclass(slots=True)
-class Found:
-    """The groups begin with these members (id, host, port)."""
-
-    members: list[list]
-    voted: bool = False  # the sender has taken part in an election among them
-
-
-@dataclass(slots=True)
-class Leave:
-    """The sender's process has begun its planned end."""
 
 
 @dataclass(slots=True)
@@ -102,17 +68,6 @@
     heard_at: float
 
 
-def cluster_of(members: Iterable[Member]) -> int:
-    """A number that tells the groups of one founding from those of another."""
-    listed = ",".join(str(member_id) for member_id in sorted(member.id for member in members))
-    return int.from_bytes(hashlib.sha256(listed.encode()).digest()[:8], "big") >> 1 or 1
-
-
-def members_of(message: Found) -> tuple[Member, ...]:
-    """The members that a founding names."""
-    return tuple(Member(replica_id, (host, port)) for replica_id, host, port in message.members)
-
-
 def draw_id(source: random.Random) -> int:
     """An id that no other disk has."""
     return source.getrandbits(62) + 1
--- a/ochrespan/coordination/election.py
+++ b/ochrespan/raft/election.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from .core import ReplicaCore, Role
 from .messages import CampaignNow, VoteReply, VoteRequest
+from .state import ReplicaCore, Role
 
 
 class Election:
--- a/ochrespan/coordination/following.py
+++ b/ochrespan/raft/follower.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from .configuration import Configuration
-from .core import ReplicaCore
 from .log import Snapshot
+from .membership_config import Configuration
 from .messages import Append, AppendReply, Heartbeat, HeartbeatReply, SnapshotChunk, SnapshotReply
+from .state import ReplicaCore
 
 
 class Following:
--- a/ochrespan/coordination/replication.py
+++ b/ochrespan/raft/leader.py
@@ -6,11 +6,12 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from .addresses import Address
-from .configuration import Member
-from .core import ReplicaCore
+from ochrespan.common.addresses import Address
+
 from .log import Snapshot
+from .membership_config import Member
 from .messages import Append, AppendReply, Entry, EntryKind, Heartbeat, SnapshotChunk, SnapshotReply
+from .state import ReplicaCore
 
 MAX_APPEND_ENTRIES = 256
 MAX_APPEND_BYTES = 32 * 1024
--- a/ochrespan/coordination/hand_over.py
+++ b/ochrespan/raft/leadership_transfer.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from .core import ReplicaCore
+from .leader import Replication
 from .messages import CampaignNow
-from .replication import Replication
+from .state import ReplicaCore
 
 
 class HandOver:
--- a/ochrespan/coordination/log.py
+++ b/ochrespan/raft/log.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from .configuration import Configuration
+from .membership_config import Configuration
 from .messages import Entry, EntryKind
 
 
--- a/ochrespan/coordination/configuration.py
+++ b/ochrespan/raft/membership_config.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from .addresses import Address
+from ochrespan.common.addresses import Address
 
 
 @dataclass(frozen=True, slots=True)
--- a/ochrespan/coordination/group_table.py
+++ b/ochrespan/raft/multi_raft.py
@@ -5,31 +5,20 @@
 import logging
 import random
 from collections.abc import Iterable
-from dataclasses import dataclass, field
 from typing import Any
 
-from .addresses import Address
-from .configuration import Member
-from .core import DurableChange, DurableState, Role, Timing
-from .formation import (
-    ASK_INTERVAL_S,
-    FOUNDING_ASK_INTERVAL_S,
-    Formation,
-    FormationSettings,
-    Found,
-    Identity,
-    Join,
-    JoinReply,
-    Leave,
-    cluster_of,
-    members_of,
-)
+from ochrespan.common.addresses import Address
+
+from .bootstrap import ASK_INTERVAL_S, FOUNDING_ASK_INTERVAL_S, Formation, FormationSettings, Identity
+from .cluster_messages import Found, Join, JoinReply, Leave, cluster_of, members_of
+from .envelope import PROCESS, Envelope
+from .membership_config import Member
 from .messages import Append, Heartbeat, SnapshotChunk
 from .replica import Replica
+from .state import DurableChange, DurableState, Role, Timing
 
 log = logging.getLogger(__name__)
 
-PROCESS = -1  # in place of a group's number: messages between processes
 LEADER_LOST_S = 0.5  # a replica that isn't a voter asks again when no leader was heard for this long
 LEAVE_INTERVAL_S = 0.1
 LONGEST_EXCHANGE_S = 0.4  # a leader that ends as planned waits no longer for a spare to become a voter
@@ -37,17 +26,6 @@
 HAND_OVER_INTERVAL_S = 1.0
 
 
-@dataclass(slots=True)
-class Envelope:
-    """All that one process has for another at a moment. `to`: the receiver's replica id, 0 if it isn't known."""
-
-    cluster: int
-    sender: int
-    address: Address
-    to: int
-    frames: list[tuple[int, Any]] = field(default_factory=list)
-
-
 class GroupTable:
     """Routes messages to the replicas and collects what they send and write."""
 
--- a/ochrespan/coordination/reconfiguration.py
+++ b/ochrespan/raft/reconfiguration.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from .configuration import Configuration, Member
-from .core import ReplicaCore
+from .leader import Mode, Replication
+from .membership_config import Configuration, Member
 from .messages import EntryKind
-from .replication import Mode, Replication
+from .state import ReplicaCore
 
 CAUGHT_UP_ENTRIES = 64  # a learner that lacks no more than this may become a voter
 LARGEST_GROUP = 7
--- a/ochrespan/coordination/replica.py
+++ b/ochrespan/raft/replica.py
@@ -10,13 +10,14 @@
 import sys
 from typing import Any
 
-from .addresses import Address
-from .configuration import Configuration, Member
-from .core import DurableChange, DurableState, ReplicaCore, Role, Timing
+from ochrespan.common.addresses import Address
+
 from .election import Election
-from .following import Following
-from .hand_over import HandOver
+from .follower import Following
+from .leader import Replication
+from .leadership_transfer import HandOver
 from .log import Snapshot
+from .membership_config import Configuration, Member
 from .messages import (
     Append,
     AppendReply,
@@ -32,7 +33,7 @@
     VoteRequest,
 )
 from .reconfiguration import Reconfiguration
-from .replication import Replication
+from .state import DurableChange, DurableState, ReplicaCore, Role, Timing
 
 READ_ROUND_S = 0.02  # a read doesn't begin another round of heartbeats sooner than this after one without an answer
 MEMBERS_PATIENCE_S = 0.6
--- a/ochrespan/coordination/core.py
+++ b/ochrespan/raft/state.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from .configuration import Configuration
 from .log import ReplicaLog, Snapshot
+from .membership_config import Configuration
 from .messages import AppendReply, Entry, Message
 
 
--- a/ochrespan/storage/__init__.py
+++ b/ochrespan/storage/__init__.py
@@ -1,1 +1,4 @@
-"""Durable state in two snapshot slots and a short log, over a small file interface."""
+"""Durable state of a controller: two snapshot slots written in turn, and a log of records behind each.
+
+State: the slot and log files of a data folder. Imports: the standard library alone.
+"""
--- a/ochrespan/storage/store.py
+++ b/ochrespan/storage/snapshot_store.py
@@ -8,14 +8,11 @@
 
 from __future__ import annotations
 
-import logging
 from dataclasses import dataclass
 
 from . import records
 from .files import Directory
 
-log = logging.getLogger(__name__)
-
 SLOT_NAMES = ("slot-0", "slot-1")
 LOG_NAMES = ("log-0", "log-1")
 
--- a/ochrespan/transport/__init__.py
+++ b/ochrespan/transport/__init__.py
@@ -1,1 +1,4 @@
-"""Typed messages between the processes of the fleet, over TCP and UDP on gevent."""
+"""Typed messages over TCP, UDP and TLS, and request-response calls between processes.
+
+State: open connections and calls in flight. Imports: `ochrespan.common`.
+"""
--- a/ochrespan/control_plane/peers.py
+++ b/ochrespan/transport/peer_clients.py
@@ -5,8 +5,9 @@
 from collections.abc import Iterable
 from typing import Any
 
-from ..transport.rpc import Caller
-from ..transport.tcp import Address
+from ochrespan.common.addresses import Address
+
+from .rpc import Caller
 
 
 class Peers:
--- a/ochrespan/control_plane/peer_links.py
+++ b/ochrespan/transport/peer_connections.py
@@ -12,11 +12,14 @@
 
 import gevent
 
-from ..transport.codec import encode
-from ..transport.tcp import Address, Connection, ConnectionClosed, dial, format_address
+from ochrespan.common.addresses import Address, format_address
+
+from .codec import encode
+from .tcp import Connection, ConnectionClosed, dial
 
 log = logging.getLogger(__name__)
 
+
 DIAL_TIMEOUT_S = 0.5
 DIAL_PAUSE_S = 0.1
 QUEUED_MESSAGES = 32  # kept while the connection comes up
--- a/ochrespan/transport/rpc.py
+++ b/ochrespan/transport/rpc.py
@@ -17,11 +17,14 @@
 import gevent
 from gevent.event import AsyncResult
 
+from ochrespan.common.addresses import Address
+
 from .codec import MessageError, decode, encode, message
-from .tcp import Address, Connection, ConnectionClosed, Listener, dial
+from .tcp import Connection, ConnectionClosed, Listener, dial
 
 log = logging.getLogger(__name__)
 
+
 CONNECT_TIMEOUT_S = 1.0
 
 
--- a/ochrespan/transport/tcp.py
+++ b/ochrespan/transport/tcp.py
@@ -14,14 +14,15 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
+from ochrespan.common.addresses import Address, format_address
+
 from .codec import MessageError, decode, encode
 
-if TYPE_CHECKING:  # loaded only where the settings ask for it
-    from .security import PeerSecurity
+log = logging.getLogger(__name__)
 
-Address = tuple[str, int]
 
-log = logging.getLogger(__name__)
+if TYPE_CHECKING:  # loaded only where the settings ask for it
+    from .tls import PeerSecurity
 
 MAX_FRAME_BYTES = 64 * 1024 * 1024
 MAX_QUEUED_BYTES = 16 * 1024 * 1024  # a peer that reads more slowly than this is cut off
@@ -45,18 +46,6 @@
     """The connection has ended, or its peer could not keep up."""
 
 
-def parse_address(text: str) -> Address:
-    """`10.0.0.1:8000` as a pair of host and port; raises ValueError."""
-    host, separator, port = text.rpartition(":")
-    if not separator or not host or not port.isdigit() or int(port) > 65535:
-        raise ValueError(f"found {text!r}, allowed IP:PORT")
-    return host, int(port)
-
-
-def format_address(address: Address) -> str:
-    return f"{address[0]}:{address[1]}"
-
-
 def set_options(sock: socket.socket, user_timeout_ms: int = USER_TIMEOUT_MS) -> None:
     """Small messages leave at once; a silent peer is noticed within seconds, unacknowledged data after the time-out."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/ochrespan/transport/security.py
+++ b/ochrespan/transport/tls.py
@@ -15,6 +15,7 @@
 
 log = logging.getLogger(__name__)
 
+
 Stamp = tuple[tuple[int, int, int], ...]  # time, size and number of each file
 
 
--- a/ochrespan/transport/udp.py
+++ b/ochrespan/transport/udp.py
@@ -9,11 +9,13 @@
 from gevent import socket
 from gevent.server import DatagramServer
 
+from ochrespan.common.addresses import Address
+
 from .codec import MessageError, decode, encode
-from .tcp import Address
 
 log = logging.getLogger(__name__)
 
+
 MAX_DATAGRAM_BYTES = 1400
 
 
--- a/tests/control_plane_fakes.py
+++ b/tests/control_plane_fakes.py
@@ -7,10 +7,11 @@
 
 import gevent
 
-from ochrespan.control_plane.replica_host import NotLeader, NoVerdict, StateMachine
-from ochrespan.coordination.shards import ALL_SHARDS
+from ochrespan.common.addresses import Address
+from ochrespan.control_plane.replication.errors import NotLeader, NoVerdict
+from ochrespan.control_plane.replication.state_machine import StateMachine
+from ochrespan.control_plane.shards import ALL_SHARDS
 from ochrespan.transport.rpc import CallServer
-from ochrespan.transport.tcp import Address
 
 
 class SharedLog:
--- a/tests/control_plane_world.py
+++ b/tests/control_plane_world.py
@@ -8,10 +8,10 @@
 from gevent.pywsgi import WSGIServer
 from geventhttpclient import HTTPClient
 
-from ochrespan.control_plane.api import serve_api
-from ochrespan.control_plane.controller_node import ControllerNode, ControlState
-from ochrespan.control_plane.quota import QuotaBounds
-from ochrespan.transport.tcp import Address
+from ochrespan.common.addresses import Address
+from ochrespan.control_plane.api.handlers import serve_api
+from ochrespan.control_plane.controller import ControllerNode, ControlState
+from ochrespan.control_plane.quota.allocation import QuotaBounds
 from tests.control_plane_fakes import InMemoryGroups, SharedLog
 
 HEARTBEAT_S = 1.2
--- a/tests/core_hosts.py
+++ b/tests/core_hosts.py
@@ -8,7 +8,9 @@
 import gevent
 import ormsgpack
 
-from ochrespan.control_plane.replica_host import HostSettings, NotLeader, NoVerdict, ReplicaHost
+from ochrespan.control_plane.replication.errors import NotLeader, NoVerdict
+from ochrespan.control_plane.replication.host import ReplicaHost
+from ochrespan.control_plane.replication.state_machine import HostSettings
 
 WAIT_S = 15.0
 
--- a/tests/core_sim/checks.py
+++ b/tests/core_sim/checks.py
@@ -5,8 +5,8 @@
 from collections import defaultdict
 from typing import TYPE_CHECKING
 
-from ochrespan.control_plane.owners import SOLE_OWNER_S
-from ochrespan.coordination.core import Role
+from ochrespan.control_plane.replication.groups import SOLE_OWNER_S
+from ochrespan.raft.state import Role
 
 if TYPE_CHECKING:
     from .node import Node
--- a/tests/core_sim/node.py
+++ b/tests/core_sim/node.py
@@ -9,13 +9,13 @@
 
 import ormsgpack
 
-from ochrespan.control_plane.raft_wire import pack_image, pack_record, replay, unpack_image
-from ochrespan.control_plane.replica_host import SLOW_DISK_S, TICK_S
-from ochrespan.coordination.addresses import Address
-from ochrespan.coordination.formation import FormationSettings
-from ochrespan.coordination.group_table import GroupTable
-from ochrespan.coordination.messages import EntryKind
-from ochrespan.storage.store import Store
+from ochrespan.common.addresses import Address
+from ochrespan.control_plane.replication.host import SLOW_DISK_S, TICK_S
+from ochrespan.control_plane.replication.persistent_records import pack_image, pack_record, replay, unpack_image
+from ochrespan.raft.bootstrap import FormationSettings
+from ochrespan.raft.messages import EntryKind
+from ochrespan.raft.multi_raft import GroupTable
+from ochrespan.storage.snapshot_store import Store
 
 from .disk import SimDirectory
 
--- a/tests/core_sim/operators.py
+++ b/tests/core_sim/operators.py
@@ -6,14 +6,8 @@
 
 import ormsgpack
 
-from ochrespan.control_plane.orders import (
-    ConfigurationMachine,
-    Judgement,
-    OrderKind,
-    Verdict,
-    encode_order,
-    make_order,
-)
+from ochrespan.control_plane.config.commands import OrderKind, encode_order, make_order
+from ochrespan.control_plane.config.state_machine import ConfigurationMachine, Judgement, Verdict
 
 from .checks import Violation
 from .node import Machine
--- a/tests/core_sim/search.py
+++ b/tests/core_sim/search.py
@@ -15,12 +15,12 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field, replace
 
-from ochrespan.control_plane.raft_wire import pack_record, replay
-from ochrespan.coordination.configuration import Configuration, Member
-from ochrespan.coordination.core import DurableState, Role, Timing
-from ochrespan.coordination.log import ReplicaLog, Snapshot
-from ochrespan.coordination.messages import AppendReply, Heartbeat, HeartbeatReply, VoteReply
-from ochrespan.coordination.replica import Replica
+from ochrespan.control_plane.replication.persistent_records import pack_record, replay
+from ochrespan.raft.log import ReplicaLog, Snapshot
+from ochrespan.raft.membership_config import Configuration, Member
+from ochrespan.raft.messages import AppendReply, Heartbeat, HeartbeatReply, VoteReply
+from ochrespan.raft.replica import Replica
+from ochrespan.raft.state import DurableState, Role, Timing
 
 from .checks import Violation
 
--- a/tests/core_sim/world.py
+++ b/tests/core_sim/world.py
@@ -6,10 +6,10 @@
 import random
 from collections.abc import Callable
 
-from ochrespan.control_plane.raft_wire import pack_envelope
-from ochrespan.coordination.addresses import Address
-from ochrespan.coordination.group_table import GroupTable
-from ochrespan.coordination.messages import VoteReply
+from ochrespan.common.addresses import Address
+from ochrespan.control_plane.replication.raft_wire import pack_envelope
+from ochrespan.raft.messages import VoteReply
+from ochrespan.raft.multi_raft import GroupTable
 from ochrespan.transport.codec import encode
 
 from .checks import Checks, Read
--- a/tests/fleet_standins.py
+++ b/tests/fleet_standins.py
@@ -12,7 +12,15 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
-from ochrespan.control_plane.views import ClientLimits, ConfigurationView, QuotaUnit, Route, RouteType, Split, Tenant
+from ochrespan.control_plane.config.views import (
+    ClientLimits,
+    ConfigurationView,
+    QuotaUnit,
+    Route,
+    RouteType,
+    Split,
+    Tenant,
+)
 from ochrespan.data_plane.deadlines import DeadlineHeap
 from ochrespan.data_plane.decision_record import DecisionLog
 from ochrespan.data_plane.decisions import Fail, Outcome, Refuse, Request, Send, Server
--- a/tests/golden/make_disks.py
+++ b/tests/golden/make_disks.py
@@ -17,27 +17,22 @@
 
 import ormsgpack
 
-from ochrespan.control_plane import compact
-from ochrespan.control_plane.controller_node import ControlState
-from ochrespan.control_plane.instances import (
-    ExpireInstances,
-    RegisterInstance,
-    RemoveInstance,
-    record_fields,
-    record_of,
-)
-from ochrespan.control_plane.orders import OrderKind, encode_order, make_order
-from ochrespan.control_plane.prefix_homes import AssignHomes
-from ochrespan.control_plane.raft_wire import pack_image, pack_record
-from ochrespan.coordination.configuration import Configuration, Member
-from ochrespan.coordination.core import DurableChange
-from ochrespan.coordination.formation import FormationSettings, Identity
-from ochrespan.coordination.group_table import GroupTable
-from ochrespan.coordination.log import Snapshot
-from ochrespan.coordination.messages import Entry, EntryKind
-from ochrespan.coordination.shards import CONFIG_SHARD, shard_of
+from ochrespan.control_plane.config.commands import OrderKind, encode_order, make_order
+from ochrespan.control_plane.controller import ControlState
+from ochrespan.control_plane.registry.commands import ExpireInstances, RegisterInstance, RemoveInstance
+from ochrespan.control_plane.registry.prefix_placements import AssignHomes
+from ochrespan.control_plane.registry.records import record_fields, record_of
+from ochrespan.control_plane.replication.persistent_records import pack_image, pack_record
+from ochrespan.control_plane.shards import CONFIG_SHARD, shard_of
+from ochrespan.raft.bootstrap import FormationSettings, Identity
+from ochrespan.raft.log import Snapshot
+from ochrespan.raft.membership_config import Configuration, Member
+from ochrespan.raft.messages import Entry, EntryKind
+from ochrespan.raft.multi_raft import GroupTable
+from ochrespan.raft.state import DurableChange
 from ochrespan.storage.files import PosixDirectory
-from ochrespan.storage.store import LOG_NAMES, Store
+from ochrespan.storage.snapshot_store import LOG_NAMES, Store
+from ochrespan.transport import compact
 from ochrespan.transport.codec import encode
 from tests.control_plane_world import configuration, instance, route, service, tenant
 from tests.golden.stored_state import DISKS, read_state, write_expected
--- a/tests/golden/stored_state.py
+++ b/tests/golden/stored_state.py
@@ -11,17 +11,17 @@
 from pathlib import Path
 from typing import Any
 
-from ochrespan.control_plane import compact
-from ochrespan.control_plane.controller_node import ControlState
-from ochrespan.control_plane.raft_wire import replay, unpack_image
-from ochrespan.coordination.configuration import Configuration
-from ochrespan.coordination.core import DurableState
-from ochrespan.coordination.formation import Identity
-from ochrespan.coordination.log import ReplicaLog
-from ochrespan.coordination.messages import EntryKind
-from ochrespan.coordination.shards import CONFIG_SHARD
+from ochrespan.control_plane.controller import ControlState
+from ochrespan.control_plane.replication.persistent_records import replay, unpack_image
+from ochrespan.control_plane.shards import CONFIG_SHARD
+from ochrespan.raft.bootstrap import Identity
+from ochrespan.raft.log import ReplicaLog
+from ochrespan.raft.membership_config import Configuration
+from ochrespan.raft.messages import EntryKind
+from ochrespan.raft.state import DurableState
 from ochrespan.storage.files import PosixDirectory
-from ochrespan.storage.store import Store
+from ochrespan.storage.snapshot_store import Store
+from ochrespan.transport import compact
 
 EXPECTED_NAME = "expected.json"
 DISKS = Path(__file__).parent / "data" / "disks"
--- a/tests/golden/test_control_interface.py
+++ b/tests/golden/test_control_interface.py
@@ -7,9 +7,9 @@
 import gevent
 import pytest
 
-from ochrespan.control_plane import orders
-from ochrespan.control_plane.owners import cluster_name
-from ochrespan.coordination.shards import ALL_SHARDS
+from ochrespan.control_plane.config import state_machine as orders
+from ochrespan.control_plane.replication.groups import cluster_name
+from ochrespan.control_plane.shards import ALL_SHARDS
 from ochrespan.data_plane.router_node import DrainTimes, MachineLimits, RouterNode
 from ochrespan.data_plane.scheduler import Scheduler
 from tests.control_plane_world import World, configuration, instance, route, service, tenant
--- a/tests/golden/test_decision_record_fields.py
+++ b/tests/golden/test_decision_record_fields.py
@@ -1,6 +1,6 @@
 """The fields of a decision record: their names, their order, their JSON types, and the line of a known record."""
 
-from ochrespan.control_plane.quota_client import UNLIMITED, Taken
+from ochrespan.control_plane.quota.client import UNLIMITED, Taken
 from ochrespan.data_plane.decision_record import ANY, HOME, MOVED, AttemptRecord, DecisionLog
 from tests.fleet_standins import StandInServer, answer, configuration, route, router, stream
 from tests.test_decision_record import LIMITED, PROMPT, USAGE, Written, ask, real_scheduler
--- a/tests/golden/test_metric_names.py
+++ b/tests/golden/test_metric_names.py
@@ -13,7 +13,7 @@
 from ochrespan.data_plane.router_node import DrainTimes, MachineLimits, RouterNode
 from ochrespan.data_plane.scheduler import Scheduler
 from ochrespan.observability import logs
-from ochrespan.observability.registry import Registry
+from ochrespan.observability.metrics import Registry
 from tests.control_plane_world import World
 from tests.fleet_standins import unused_address
 from tests.golden.exchanges import Transcript
--- a/tests/golden/test_settings_findings.py
+++ b/tests/golden/test_settings_findings.py
@@ -13,15 +13,15 @@
 import pytest
 import yaml
 
-from ochrespan.control_plane.checking import MAX_FINDINGS, CheckFailed
-from ochrespan.control_plane.documents import (
+from ochrespan.common.validation import MAX_FINDINGS, CheckFailed
+from ochrespan.control_plane.config.documents import (
     CHECK_CONFIGURATION,
     CHECK_INSTANCE,
     CHECK_LEADERSHIP,
     CHECK_PATCH,
     read_json,
 )
-from ochrespan.control_plane.quota import bounds_from
+from ochrespan.control_plane.quota.allocation import bounds_from
 from ochrespan.programs import controller, router_process
 from ochrespan.programs.settings import Settings, parse_settings, read_settings, secure_peers, settings_path
 from tests.control_plane_world import configuration, instance, route, service, tenant
--- a/tests/golden/test_stored_state.py
+++ b/tests/golden/test_stored_state.py
@@ -17,7 +17,7 @@
 import yaml
 from returns.result import Success
 
-from ochrespan.programs.control_client import ControlClient
+from ochrespan.programs.fleetctl_commands.control_client import ControlClient
 from tests.control_plane_world import configuration, instance
 from tests.golden.make_disks import MAKERS
 from tests.golden.stored_state import DISKS, read_expected, read_state
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -8,9 +8,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ochrespan.control_plane.checking import CheckFailed
-from ochrespan.control_plane.configuration import Configuration, change_of_patch, change_to
-from ochrespan.control_plane.documents import CHECK_CONFIGURATION, CHECK_INSTANCE, CHECK_PATCH, read_json
+from ochrespan.common.validation import CheckFailed
+from ochrespan.control_plane.config.configuration import Configuration, change_of_patch, change_to
+from ochrespan.control_plane.config.documents import CHECK_CONFIGURATION, CHECK_INSTANCE, CHECK_PATCH, read_json
 from tests.control_plane_world import configuration, instance, route, service, tenant
 
 
--- a/tests/test_control_api.py
+++ b/tests/test_control_api.py
@@ -6,10 +6,10 @@
 import pytest
 from geventhttpclient import HTTPClient
 
-from ochrespan.control_plane.control_service import NO_MAJORITY_S
-from ochrespan.control_plane.owners import CALL_TIMEOUT_S, cluster_name
-from ochrespan.coordination.core import Timing
-from ochrespan.coordination.shards import ALL_SHARDS
+from ochrespan.control_plane.api.forwarding import NO_MAJORITY_S
+from ochrespan.control_plane.replication.groups import CALL_TIMEOUT_S, cluster_name
+from ochrespan.control_plane.shards import ALL_SHARDS
+from ochrespan.raft.state import Timing
 from tests.control_plane_world import World, configuration, instance, route, service, tenant
 
 
@@ -58,8 +58,8 @@
 
 
 def test_a_controller_without_a_leader_gives_no_verdict(world, monkeypatch):
-    monkeypatch.setattr("ochrespan.control_plane.control_service.CALL_TIMEOUT_S", 0.01)
-    monkeypatch.setattr("ochrespan.control_plane.owners.CALL_TIMEOUT_S", 0.01)
+    for module in ("api.forwarding", "config.owner", "registry.owner"):
+        monkeypatch.setattr(f"ochrespan.control_plane.{module}.CALL_TIMEOUT_S", 0.01)
     world.log.leaders = dict.fromkeys(world.log.leaders)
     controller = world.controllers[0]
     assert controller.put_config(configuration(5), 0)[0] == 503
--- a/tests/test_controller_choice.py
+++ b/tests/test_controller_choice.py
@@ -1,6 +1,6 @@
 """Which controller a router follows."""
 
-from ochrespan.control_plane.controller_choice import LONGEST_BACK_OFF_S, TOLD_LASTS_S, ControllerChoice
+from ochrespan.control_plane.feed.controller_choice import LONGEST_BACK_OFF_S, TOLD_LASTS_S, ControllerChoice
 
 A, B, C = ("10.0.0.1", 7500), ("10.0.0.2", 7500), ("10.0.0.3", 7500)
 ZONES = {A: "a", B: "b", C: "c"}
--- a/tests/test_controller_process.py
+++ b/tests/test_controller_process.py
@@ -15,8 +15,8 @@
 import yaml
 from returns.result import Result, Success
 
-from ochrespan.coordination.shards import shard_of
-from ochrespan.programs.control_client import CallError, ControlClient
+from ochrespan.control_plane.shards import shard_of
+from ochrespan.programs.fleetctl_commands.control_client import CallError, ControlClient
 from tests.control_plane_world import configuration, instance, route
 
 CONTROL_PORT, PEER_PORT = 18367, 17500
--- a/tests/test_core_behaviour.py
+++ b/tests/test_core_behaviour.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from ochrespan.coordination import replica as replica_module
-from ochrespan.coordination import replication
-from ochrespan.coordination.configuration import Configuration, Member
-from ochrespan.coordination.core import DurableState, Timing
-from ochrespan.coordination.hand_over import HandOver
-from ochrespan.coordination.log import ReplicaLog
-from ochrespan.coordination.messages import Entry, EntryKind
-from ochrespan.coordination.reconfiguration import Standing, next_voters
+from ochrespan.raft import leader as replication
+from ochrespan.raft import replica as replica_module
+from ochrespan.raft.leadership_transfer import HandOver
+from ochrespan.raft.log import ReplicaLog
+from ochrespan.raft.membership_config import Configuration, Member
+from ochrespan.raft.messages import Entry, EntryKind
+from ochrespan.raft.reconfiguration import Standing, next_voters
+from ochrespan.raft.state import DurableState, Timing
 
 from .core_sim.checks import Violation
 from .core_sim.troubles import play
--- a/tests/test_core_checkers.py
+++ b/tests/test_core_checkers.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from ochrespan.coordination.configuration import Configuration
-from ochrespan.coordination.core import ReplicaCore
-from ochrespan.coordination.formation import Formation
-from ochrespan.coordination.replica import Replica
-from ochrespan.coordination.replication import Replication
+from ochrespan.raft.bootstrap import Formation
+from ochrespan.raft.leader import Replication
+from ochrespan.raft.membership_config import Configuration
+from ochrespan.raft.replica import Replica
+from ochrespan.raft.state import ReplicaCore
 
 from .core_sim.checks import Violation
 from .core_sim.troubles import play
--- a/tests/test_core_formation.py
+++ b/tests/test_core_formation.py
@@ -4,20 +4,12 @@
 
 import pytest
 
-from ochrespan.coordination.addresses import Address
-from ochrespan.coordination.formation import (
-    AGREEMENT_S,
-    LATER_LIFE,
-    START_SPREAD_S,
-    Formation,
-    FormationSettings,
-    Found,
-    Join,
-    cluster_of,
-    members_of,
-)
-from ochrespan.coordination.group_table import Envelope, GroupTable
-from ochrespan.coordination.messages import Heartbeat
+from ochrespan.common.addresses import Address
+from ochrespan.raft.bootstrap import AGREEMENT_S, START_SPREAD_S, Formation, FormationSettings
+from ochrespan.raft.cluster_messages import LATER_LIFE, Found, Join, cluster_of, members_of
+from ochrespan.raft.envelope import Envelope
+from ochrespan.raft.messages import Heartbeat
+from ochrespan.raft.multi_raft import GroupTable
 
 from .core_sim.checks import Violation
 from .core_sim.node import Node
--- a/tests/test_core_search.py
+++ b/tests/test_core_search.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from ochrespan.coordination.configuration import Configuration
-from ochrespan.coordination.core import ReplicaCore
+from ochrespan.raft.membership_config import Configuration
+from ochrespan.raft.state import ReplicaCore
 
 from .core_sim.checks import Violation
 from .core_sim.search import Budget, State, search
--- a/tests/test_core_transfer.py
+++ b/tests/test_core_transfer.py
@@ -4,18 +4,12 @@
 
 import pytest
 
-from ochrespan.coordination.configuration import Configuration, Member
-from ochrespan.coordination.core import DurableState, Role, Timing
-from ochrespan.coordination.log import ReplicaLog, Snapshot
-from ochrespan.coordination.messages import Entry, EntryKind, Heartbeat, SnapshotChunk
-from ochrespan.coordination.replica import Replica
-from ochrespan.coordination.replication import (
-    MAX_BYTES_UNDER_WAY,
-    MAX_CHUNKS_UNDER_WAY,
-    SNAPSHOT_CHUNK_BYTES,
-    Mode,
-    Replication,
-)
+from ochrespan.raft.leader import MAX_BYTES_UNDER_WAY, MAX_CHUNKS_UNDER_WAY, SNAPSHOT_CHUNK_BYTES, Mode, Replication
+from ochrespan.raft.log import ReplicaLog, Snapshot
+from ochrespan.raft.membership_config import Configuration, Member
+from ochrespan.raft.messages import Entry, EntryKind, Heartbeat, SnapshotChunk
+from ochrespan.raft.replica import Replica
+from ochrespan.raft.state import DurableState, Role, Timing
 
 MEGABYTE = 1024 * 1024
 LEADER, LEARNER = 1, 2
@@ -184,8 +178,8 @@
 
 def test_a_timer_on_what_is_under_way_is_caught_beyond_the_bound(monkeypatch):
     """Everything counts as lost after 0.3 s, with chunks that a slow link carries for longer."""
-    monkeypatch.setattr("ochrespan.coordination.replication.SNAPSHOT_CHUNK_BYTES", 256 * 1024)
-    monkeypatch.setattr("ochrespan.coordination.replication.Progress.resend_after", lambda self, resend_s: resend_s)
+    monkeypatch.setattr("ochrespan.raft.leader.SNAPSHOT_CHUNK_BYTES", 256 * 1024)
+    monkeypatch.setattr("ochrespan.raft.leader.Progress.resend_after", lambda self, resend_s: resend_s)
     link = Link(MEGABYTE, 5)
     assert link.until_caught_up(10.0) > bound_s(MEGABYTE, 5)
 
@@ -205,7 +199,7 @@
 
 def test_entries_that_are_dropped_behind_a_transfer_are_caught_beyond_the_bound(monkeypatch):
     monkeypatch.setattr(Replication, "held_from", lambda self: None)
-    monkeypatch.setattr("ochrespan.coordination.replica.KEPT_ENTRIES", 20)
+    monkeypatch.setattr("ochrespan.raft.replica.KEPT_ENTRIES", 20)
     link = Link(4 * MEGABYTE, 50)
     assert link.until_caught_up(10.0, 0.6, 4 * MEGABYTE) > bound_s(4 * MEGABYTE, 50)
 
--- a/tests/test_decision_record.py
+++ b/tests/test_decision_record.py
@@ -6,8 +6,8 @@
 import gevent
 import pytest
 
-from ochrespan.control_plane.quota_client import UNLIMITED, Taken
-from ochrespan.control_plane.views import QuotaUnit
+from ochrespan.control_plane.config.views import QuotaUnit
+from ochrespan.control_plane.quota.client import UNLIMITED, Taken
 from ochrespan.data_plane.decision_record import ANY, HOME, MOVED, DecisionLog, DecisionRecord
 from ochrespan.data_plane.scheduler import Outcome, Scheduler
 from tests.fleet_standins import StandInServer, answer, close, configuration, hold, route, router, stream, tenant
--- a/tests/test_disk_writer.py
+++ b/tests/test_disk_writer.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from ochrespan.control_plane import disk_writer
-from ochrespan.control_plane.disk_writer import DiskWriter
-from ochrespan.storage.store import Store
+from ochrespan.control_plane.replication import disk_writer
+from ochrespan.control_plane.replication.disk_writer import DiskWriter
+from ochrespan.storage.snapshot_store import Store
 
 from .core_hosts import until
 from .core_sim.disk import SimDirectory
--- a/tests/test_embedding.py
+++ b/tests/test_embedding.py
@@ -28,13 +28,28 @@
     return names
 
 
-def test_coordination_and_storage_import_the_standard_library_alone():
-    for package in ("coordination", "storage"):
-        for path in (ROOT / "ochrespan" / package).glob("*.py"):
-            others = {name for name in imported(path) if name.split(".")[0] not in sys.stdlib_module_names}
-            assert not others, f"{path.name} imports {others}"
-
-
-def test_coordination_and_storage_do_not_read_clocks_or_sockets():
-    for path in (ROOT / "ochrespan" / "coordination").glob("*.py"):
-        assert not imported(path) & {"time", "socket", "os", "threading", "datetime"}, path.name
+PURE_MODULES = [
+    *(ROOT / "ochrespan" / "common").glob("*.py"),
+    *(ROOT / "ochrespan" / "raft").glob("*.py"),
+    *(
+        ROOT / "ochrespan" / "membership" / name
+        for name in ("__init__.py", "messages.py", "member_table.py", "protocol.py")
+    ),
+]
+STORAGE_MODULES = [*(ROOT / "ochrespan" / "storage").glob("*.py")]
+CLOCKS_AND_SOCKETS = {"time", "socket", "os", "threading", "datetime"}
+
+
+def test_raft_membership_and_storage_import_the_standard_library_alone():
+    for path in PURE_MODULES + STORAGE_MODULES:
+        others = {
+            name
+            for name in imported(path)
+            if name.split(".")[0] not in sys.stdlib_module_names and not name.startswith("ochrespan.common.")
+        }
+        assert not others, f"{path.name} imports {others}"
+
+
+def test_raft_and_membership_do_not_read_clocks_or_sockets():
+    for path in PURE_MODULES:
+        assert not imported(path) & CLOCKS_AND_SOCKETS, path.name
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -6,13 +6,13 @@
 import pytest
 from gevent.event import Event
 
-from ochrespan.control_plane.feed_client import FeedClient, LeaveController
-from ochrespan.control_plane.feed_messages import Freshness, Presence, Subscribe
-from ochrespan.control_plane.feed_server import FeedServer
-from ochrespan.control_plane.fleet_table import FleetChange, FleetTable
-from ochrespan.control_plane.peers import Peers
-from ochrespan.control_plane.router_quota import configure_quotas, quota_client_for
-from ochrespan.coordination.shards import shard_of
+from ochrespan.control_plane.feed.client import FeedClient, LeaveController
+from ochrespan.control_plane.feed.messages import Freshness, Presence, Subscribe
+from ochrespan.control_plane.feed.server import FeedServer
+from ochrespan.control_plane.feed.table import FleetChange, FleetTable
+from ochrespan.control_plane.quota.router_setup import configure_quotas, quota_client_for
+from ochrespan.control_plane.shards import shard_of
+from ochrespan.transport.peer_clients import Peers
 from ochrespan.transport.tcp import ConnectionClosed, dial
 from tests.control_plane_world import World, configuration, instance, route, tenant
 
@@ -186,7 +186,7 @@
 
 
 def test_a_router_reads_a_shard_anew_whose_log_began_again_but_keeps_its_configuration(world, routers, monkeypatch):
-    monkeypatch.setattr("ochrespan.control_plane.feed_client.ANOTHER_LOG_S", 0.0)
+    monkeypatch.setattr("ochrespan.control_plane.feed.client.ANOTHER_LOG_S", 0.0)
     leader = world.controllers[0]
     leader.put_config(configuration(5), 0)
     for sequence in (1, 2, 3):
@@ -273,7 +273,7 @@
 
 
 def test_without_any_majority_a_router_serves_by_what_there_is_after_some_patience(world, routers, monkeypatch):
-    monkeypatch.setattr("ochrespan.control_plane.feed_client.PATIENCE_S", 0.0)
+    monkeypatch.setattr("ochrespan.control_plane.feed.client.PATIENCE_S", 0.0)
     world.controllers[0].put_config(configuration(5), 0)
     for controller in world.controllers:
         controller.groups.quorum_ages = dict.fromkeys(controller.groups.quorum_ages, float("inf"))
--- a/tests/test_feed_parts.py
+++ b/tests/test_feed_parts.py
@@ -4,18 +4,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ochrespan.control_plane import feed_server
-from ochrespan.control_plane.change_gathering import ChangeGathering
-from ochrespan.control_plane.cold_times import ColdTimes
-from ochrespan.control_plane.configuration import Configuration, change_to
-from ochrespan.control_plane.feed_messages import (
+from ochrespan.control_plane.config.configuration import Configuration, change_to
+from ochrespan.control_plane.feed import server as feed_server
+from ochrespan.control_plane.feed.messages import (
+    Presence,
     pack_configuration_change,
     pack_instances_change,
     unpack_configuration_change,
     unpack_instances_change,
 )
-from ochrespan.control_plane.feed_server import ShardHistory
-from ochrespan.control_plane.fleet_table import (
+from ochrespan.control_plane.feed.presence import SETTLING_S, RouterCensus
+from ochrespan.control_plane.feed.router_count import FALL_AFTER_S, RouterCount
+from ochrespan.control_plane.feed.server import ShardHistory
+from ochrespan.control_plane.feed.table import (
     NO_DIFFERENCE,
     FleetChange,
     FleetTable,
@@ -24,10 +25,11 @@
     with_whole_configuration,
     with_whole_shard,
 )
-from ochrespan.control_plane.instances import InstancesChange, record_of
-from ochrespan.control_plane.lag_watch import LagWatch
-from ochrespan.control_plane.presence import SETTLING_S, Presence, RouterCensus
-from ochrespan.control_plane.router_count import FALL_AFTER_S, RouterCount
+from ochrespan.control_plane.registry.change_batch import ChangeGathering
+from ochrespan.control_plane.registry.changes import InstancesChange
+from ochrespan.control_plane.registry.records import record_of
+from ochrespan.control_plane.registry.slow_start import ColdTimes
+from ochrespan.control_plane.replication.lag_detector import LagWatch
 from tests.control_plane_world import configuration, instance, route, service, tenant
 
 
--- a/tests/test_fleet_settings.py
+++ b/tests/test_fleet_settings.py
@@ -6,8 +6,8 @@
 import pytest
 import yaml
 
-from ochrespan.control_plane.checking import CheckFailed
-from ochrespan.control_plane.peer_addresses import peer_address, seed_peer_addresses
+from ochrespan.common.validation import CheckFailed
+from ochrespan.membership.peer_addresses import peer_address, seed_peer_addresses
 from ochrespan.programs.controller import control_address, host_settings
 from ochrespan.programs.settings import SettingsFile, bound, parse_settings, read_settings, settings_path
 
--- a/tests/test_fleetctl.py
+++ b/tests/test_fleetctl.py
@@ -4,11 +4,12 @@
 
 import pytest
 
-from ochrespan.control_plane import api
-from ochrespan.control_plane.checking import CheckFailed
-from ochrespan.coordination.shards import ALL_SHARDS
-from ochrespan.programs import control_client, fleetctl
-from ochrespan.programs.backup import Backup, read_backup, write_backup
+from ochrespan.common.validation import CheckFailed
+from ochrespan.control_plane.api import handlers as api
+from ochrespan.control_plane.shards import ALL_SHARDS
+from ochrespan.programs import fleetctl
+from ochrespan.programs.fleetctl_commands import control_client
+from ochrespan.programs.fleetctl_commands.backup_file import Backup, read_backup, write_backup
 from tests.control_plane_world import World, configuration, instance, route, service, tenant
 
 
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -4,15 +4,17 @@
 
 import pytest
 
-from ochrespan.control_plane import compact
-from ochrespan.control_plane.home_client import SILENT_OWNER_PAUSE_S, HomeClient
-from ochrespan.control_plane.home_messages import Home, HomeRequest
-from ochrespan.control_plane.home_owner import HomeOwner
-from ochrespan.control_plane.instances import InstanceMachine, RegisterInstance, record_fields, record_of
-from ochrespan.control_plane.prefix_homes import MOST_PREFIXES, AssignHomes, PrefixHomes
-from ochrespan.control_plane.quota_messages import NotTheOwner
-from ochrespan.control_plane.replica_types import NoVerdict
-from ochrespan.coordination.shards import shard_of
+from ochrespan.control_plane.owner_calls import NotTheOwner
+from ochrespan.control_plane.prefix_placement.client import SILENT_OWNER_PAUSE_S, HomeClient
+from ochrespan.control_plane.prefix_placement.messages import Home, HomeRequest
+from ochrespan.control_plane.prefix_placement.owner import HomeOwner
+from ochrespan.control_plane.registry.commands import RegisterInstance
+from ochrespan.control_plane.registry.prefix_placements import MOST_PREFIXES, AssignHomes, PrefixHomes
+from ochrespan.control_plane.registry.records import record_fields, record_of
+from ochrespan.control_plane.registry.state_machine import InstanceMachine
+from ochrespan.control_plane.replication.errors import NoVerdict
+from ochrespan.control_plane.shards import shard_of
+from ochrespan.transport import compact
 from ochrespan.transport.codec import encode
 from ochrespan.transport.rpc import CallFailed
 
--- a/tests/test_instances.py
+++ b/tests/test_instances.py
@@ -4,17 +4,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ochrespan.control_plane import instances
-from ochrespan.control_plane.heartbeats import MASS_TIMEOUTS, HeartbeatWatch, timeout_s
-from ochrespan.control_plane.instances import (
-    NO_CHANGE,
-    ExpireInstances,
-    InstanceMachine,
-    RegisterInstance,
-    RemoveInstance,
-    record_fields,
-    record_of,
-)
+from ochrespan.control_plane.registry import state_machine as instances
+from ochrespan.control_plane.registry.changes import NO_CHANGE
+from ochrespan.control_plane.registry.commands import ExpireInstances, RegisterInstance, RemoveInstance
+from ochrespan.control_plane.registry.heartbeats import MASS_TIMEOUTS, HeartbeatWatch, timeout_s
+from ochrespan.control_plane.registry.records import record_fields, record_of
+from ochrespan.control_plane.registry.state_machine import InstanceMachine
 from ochrespan.transport.codec import encode
 from tests.control_plane_world import instance
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -2,9 +2,10 @@
 
 import pytest
 
-from ochrespan.control_plane.membership import MembershipDriver, MembershipSettings, SwimDatagram, pack, unpack
-from ochrespan.coordination import swim_messages as swim
-from ochrespan.coordination.members import News
+from ochrespan.membership import messages as swim
+from ochrespan.membership.agent import MembershipDriver, MembershipSettings
+from ochrespan.membership.member_table import News
+from ochrespan.membership.wire import SwimDatagram, pack, unpack
 from ochrespan.transport import codec
 
 from .core_hosts import free_port, until
--- a/tests/test_observability.py
+++ b/tests/test_observability.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ochrespan.observability.logs import BURST, LINES_PER_S, RateLimit
-from ochrespan.observability.registry import Registry
+from ochrespan.observability.metrics import Registry
 
 
 def test_figures_are_rendered_in_the_exposition_format(snapshot):
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -5,8 +5,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ochrespan.control_plane import change_history, compact, orders
-from ochrespan.control_plane.orders import ConfigurationMachine, Judgement, OrderKind, encode_order, make_order
+from ochrespan.control_plane.config import change_history
+from ochrespan.control_plane.config import state_machine as orders
+from ochrespan.control_plane.config.commands import OrderKind, encode_order, make_order
+from ochrespan.control_plane.config.state_machine import ConfigurationMachine, Judgement
+from ochrespan.transport import compact
 from tests.control_plane_world import World, configuration, route
 
 
--- a/tests/test_orders_under_loss.py
+++ b/tests/test_orders_under_loss.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from ochrespan.control_plane import orders
-from ochrespan.control_plane.orders import ConfigurationMachine
+from ochrespan.control_plane.config import state_machine as orders
+from ochrespan.control_plane.config.state_machine import ConfigurationMachine
 
 from .core_sim.checks import Violation
 from .core_sim.operators import Operator, OrderBook, OrderMachine
--- a/tests/test_peer_security.py
+++ b/tests/test_peer_security.py
@@ -10,10 +10,10 @@
 import trustme
 import yaml
 
-from ochrespan.control_plane.checking import CheckFailed
+from ochrespan.common.validation import CheckFailed
 from ochrespan.programs.settings import parse_settings, secure_peers
 from ochrespan.transport import codec, rpc, tcp
-from ochrespan.transport.security import KeyFiles, PeerSecurity
+from ochrespan.transport.tls import KeyFiles, PeerSecurity
 from tests.core_hosts import free_port, kill, leader_of, make_host, propose
 
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -6,8 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ochrespan.control_plane.owners import SOLE_OWNER_S
-from ochrespan.control_plane.quota import (
+from ochrespan.control_plane.config.views import QuotaUnit, Tenant
+from ochrespan.control_plane.owner_calls import NotTheOwner
+from ochrespan.control_plane.quota.allocation import (
     EVEN_PART,
     GRANT_LIFETIME_S,
     SEND_DELAY_S,
@@ -17,11 +18,11 @@
     bounds_from,
     terms_for,
 )
-from ochrespan.control_plane.quota_client import IDLE_TENANT_S, SHORTEST_RETRY_S, QuotaClient, cost_of
-from ochrespan.control_plane.quota_messages import Grant, GrantRequest, NotTheOwner
-from ochrespan.control_plane.quota_owner import QuotaOwner
-from ochrespan.control_plane.views import QuotaUnit, Tenant
-from ochrespan.coordination.shards import ALL_SHARDS, shard_of
+from ochrespan.control_plane.quota.client import IDLE_TENANT_S, SHORTEST_RETRY_S, QuotaClient, cost_of
+from ochrespan.control_plane.quota.messages import Grant, GrantRequest
+from ochrespan.control_plane.quota.owner import QuotaOwner
+from ochrespan.control_plane.replication.groups import SOLE_OWNER_S
+from ochrespan.control_plane.shards import ALL_SHARDS, shard_of
 from ochrespan.transport.rpc import CallFailed
 
 BOUNDS = QuotaBounds(window_s=8.0, overshoot=0.1, slack=190_000.0)
--- a/tests/test_replica_host.py
+++ b/tests/test_replica_host.py
@@ -3,7 +3,7 @@
 import gevent
 import pytest
 
-from ochrespan.control_plane.replica_host import NotLeader
+from ochrespan.control_plane.replication.errors import NotLeader
 
 from .core_hosts import Journal, free_port, kill, leader_of, make_host, propose, until
 
--- a/tests/test_router_quotas.py
+++ b/tests/test_router_quotas.py
@@ -5,8 +5,8 @@
 import gevent
 import pytest
 
-from ochrespan.control_plane.quota_client import UNLIMITED, Taken
-from ochrespan.control_plane.views import QuotaUnit
+from ochrespan.control_plane.config.views import QuotaUnit
+from ochrespan.control_plane.quota.client import UNLIMITED, Taken
 from tests.fleet_standins import StandInServer, answer, configuration, route, router, stream, tenant
 
 USAGE = "X-Credential: key\r\nX-Token-Usage: 1460,80\r\n"
--- a/tests/test_router_tables.py
+++ b/tests/test_router_tables.py
@@ -7,20 +7,21 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ochrespan.control_plane import feed_client
-from ochrespan.control_plane.configuration import Configuration, change_to
-from ochrespan.control_plane.feed_client import FeedClient
-from ochrespan.control_plane.feed_messages import (
+from ochrespan.control_plane.config.configuration import Configuration, change_to
+from ochrespan.control_plane.config.views import ConfigurationView
+from ochrespan.control_plane.feed import client as feed_client
+from ochrespan.control_plane.feed.client import FeedClient
+from ochrespan.control_plane.feed.messages import (
     FeedDelta,
     FeedSnapshot,
     Freshness,
     pack_configuration_change,
     pack_instances_change,
 )
-from ochrespan.control_plane.fleet_table import FleetChange, FleetTable, with_instances_change, with_routers
-from ochrespan.control_plane.instances import InstancesChange, record_of
-from ochrespan.control_plane.views import ConfigurationView
-from ochrespan.coordination.shards import ALL_SHARDS, CONFIG_SHARD, shard_of
+from ochrespan.control_plane.feed.table import FleetChange, FleetTable, with_instances_change, with_routers
+from ochrespan.control_plane.registry.changes import InstancesChange
+from ochrespan.control_plane.registry.records import record_of
+from ochrespan.control_plane.shards import ALL_SHARDS, CONFIG_SHARD, shard_of
 from ochrespan.data_plane import routing_table
 from ochrespan.data_plane.deadlines import DeadlineHeap
 from ochrespan.data_plane.decisions import Server
--- a/tests/test_routing_table.py
+++ b/tests/test_routing_table.py
@@ -5,7 +5,7 @@
 import gevent
 import pytest
 
-from ochrespan.control_plane.views import Split
+from ochrespan.control_plane.config.views import Split
 from ochrespan.data_plane.deadlines import DeadlineHeap
 from ochrespan.data_plane.routing_table import RoutingTable
 from tests.fleet_standins import HOST, configuration, route, tenant
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -8,7 +8,7 @@
 
 from ochrespan.storage import records
 from ochrespan.storage.files import PosixDirectory
-from ochrespan.storage.store import LOG_NAMES, SLOT_NAMES, Store
+from ochrespan.storage.snapshot_store import LOG_NAMES, SLOT_NAMES, Store
 
 from .core_sim.disk import ProcessEnds, SimDirectory
 
--- a/tests/test_swim.py
+++ b/tests/test_swim.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from ochrespan.coordination.members import FleetMember, MemberState, MemberTable, News
-from ochrespan.coordination.swim import Swim
+from ochrespan.membership.member_table import FleetMember, MemberState, MemberTable, News
+from ochrespan.membership.protocol import Swim
 
 DELAY_S = 0.002
 
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -7,6 +7,7 @@
 import pytest
 from gevent.event import AsyncResult, Event
 
+from ochrespan.common.addresses import parse_address
 from ochrespan.transport import codec, rpc, tcp, udp
 
 
@@ -47,7 +48,7 @@
 @pytest.mark.parametrize("text", ["", "10.0.0.1", "10.0.0.1:", ":80", "10.0.0.1:x", "10.0.0.1:70000"])
 def test_a_malformed_address_is_refused(text):
     with pytest.raises(ValueError, match="IP:PORT"):
-        tcp.parse_address(text)
+        parse_address(text)
 
 
 @pytest.fixture
--- a/tests/test_willingness.py
+++ b/tests/test_willingness.py
@@ -1,6 +1,6 @@
 """When a controller leads nothing: by its disk, and by an operator's wish as long as others lead."""
 
-from ochrespan.control_plane.willingness import LONGEST_WITHOUT_LEADER_S, Willingness
+from ochrespan.control_plane.replication.leader_eligibility import LONGEST_WITHOUT_LEADER_S, Willingness
 
 
 def test_a_disk_in_trouble_and_an_operators_wish_each_are_enough():
