--- a/benchmarks/core_times.py
+++ b/benchmarks/core_times.py
@@ -24,7 +24,7 @@
 import defopt
 import gevent
 
-from ochrespan.control_plane.replication.errors import NotLeader, NoVerdict
+from ochrespan.control_plane.replication.errors import NotLeaderError, OutcomeUnknownError
 from ochrespan.control_plane.replication.host import ReplicaHost
 from ochrespan.control_plane.replication.state_machine import HostSettings
 from ochrespan.raft.state import Role
@@ -81,13 +81,13 @@
     def propose(request: Propose) -> Taken:
         try:
             host.propose(0, request.command, CALL_S)
-        except (NotLeader, NoVerdict):
+        except (NotLeaderError, OutcomeUnknownError):
             return Taken(False)
         return Taken(True)
 
     ended = gevent.event.Event()
     gevent.signal_handler(signal.SIGTERM, ended.set)
-    host.call_server.on_call(Propose, propose)
+    host.call_server.on_request(Propose, propose)
     host.start()
     ended.wait()
     host.stop()
@@ -103,7 +103,7 @@
             self._port = sock.getsockname()[1]
         self._folder = folder
         self._processes: dict[int, subprocess.Popen] = {}
-        self._callers = {number: rpc.Caller((f"127.0.0.{number}", self._port)) for number in (1, 2, 3)}
+        self._callers = {number: rpc.RpcClient((f"127.0.0.{number}", self._port)) for number in (1, 2, 3)}
         for number in (1, 2, 3):
             os.mkdir(f"{folder}/{number}")
             self.start(number)
@@ -135,7 +135,7 @@
         """Proposes until a machine has taken the order; its number."""
         while True:
             for number, caller in self._callers.items():
-                with contextlib.suppress(rpc.CallFailed):
+                with contextlib.suppress(rpc.RpcError):
                     if caller.call(Propose(b"order"), CALL_S).done:
                         return number
             gevent.sleep(PAUSE_S)
--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -95,7 +95,7 @@
         """`hot`: by kind, the part of its requests about one subject; `deals_homes`: as the owner of a service does."""
         self.hot = hot or {}
         self.deals_homes = deals_homes
-        self.homes: dict[str, str] = {}  # by shared prefix
+        self.placements: dict[str, str] = {}  # by shared prefix
         self.dealt: Counter[str] = Counter()  # tokens by server
         self.lot = random.Random(seed)
         self.kinds, self.load, self.tenants = kinds, load, tenants
@@ -183,10 +183,10 @@
         if shared < LEAST_SHARED_TOKENS:
             return "", False
         key = shared_prefix(parts)
-        if key in self.homes:
-            return self.homes[key], False
+        if key in self.placements:
+            return self.placements[key], False
         home = min(self.engines, key=lambda name: (self.dealt[name], name))
-        self.homes[key], self.dealt[home] = home, self.dealt[home] + shared
+        self.placements[key], self.dealt[home] = home, self.dealt[home] + shared
         return home, True
 
     # routers
--- a/examples/embed_coordination.py
+++ b/examples/embed_coordination.py
@@ -15,9 +15,9 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from ochrespan.raft.bootstrap import FormationSettings
+from ochrespan.raft.bootstrap import BootstrapSettings
 from ochrespan.raft.messages import EntryKind
-from ochrespan.raft.multi_raft import GroupTable
+from ochrespan.raft.multi_raft import MultiRaft
 
 GROUP = 0
 TICK_S = 0.06
@@ -39,8 +39,8 @@
         self.registers = {seed: Register() for seed in SEEDS}
         self.tables = {}
         for seed in SEEDS:
-            settings = FormationSettings(seed, SEEDS, bootstrap=True, tolerated=1)
-            self.tables[seed] = GroupTable(settings, (GROUP,), None, {}, chance, self.now)
+            settings = BootstrapSettings(seed, SEEDS, bootstrap=True, fault_tolerance=1)
+            self.tables[seed] = MultiRaft(settings, (GROUP,), None, {}, chance, self.now)
 
     def run(self, seconds: float) -> None:
         end = self.now + seconds
@@ -51,18 +51,18 @@
             while self._step():
                 pass
 
-    def leader(self) -> GroupTable | None:
+    def leader(self) -> MultiRaft | None:
         return next((table for table in self.tables.values() if table.replicas[GROUP].is_leader), None)
 
-    def kill(self, table: GroupTable) -> None:
+    def kill(self, table: MultiRaft) -> None:
         del self.tables[table.settings.address]
 
     def _step(self) -> bool:
         """Moves all that is waiting; tells whether anything was."""
         moved = False
         for address, table in list(self.tables.items()):
-            if table.take_changes():
-                table.written(self.now)  # a real program writes and syncs the changes before it says so
+            if table.take_updates():
+                table.persisted(self.now)  # a real program writes and syncs the changes before it says so
                 moved = True
             for index, entry in table.replicas[GROUP].take_committed():
                 if entry.kind == EntryKind.COMMAND:
--- a/ochrespan/common/validation.py
+++ b/ochrespan/common/validation.py
@@ -12,8 +12,8 @@
 from typing import Annotated, Any, NotRequired, get_args, get_origin, get_type_hints
 
 MAX_FINDINGS = 100
-SHOWN_CHARACTERS = 60
-LARGEST_WHOLE = 2**53
+MAX_SHOWN_CHARACTERS = 60
+MAX_INTEGER = 2**53
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
 Check = Callable[[Any, str, Findings], None]
 
 
-class CheckFailed(ValueError):
+class ValidationError(ValueError):
     """A document with at least one finding."""
 
     def __init__(self, findings: Sequence[Finding]) -> None:
@@ -51,10 +51,10 @@
     if isinstance(value, list):
         return f"a list of {len(value)}"
     text = repr(value)
-    return text if len(text) <= SHOWN_CHARACTERS else text[:SHOWN_CHARACTERS] + "..."
+    return text if len(text) <= MAX_SHOWN_CHARACTERS else text[:MAX_SHOWN_CHARACTERS] + "..."
 
 
-def report(findings: Findings, where: str, found: Any, allowed: str) -> None:
+def add_finding(findings: Findings, where: str, found: Any, allowed: str) -> None:
     """Adds a finding, unless there are MAX_FINDINGS of them already."""
     if len(findings) < MAX_FINDINGS:
         findings.append(Finding(where, found if isinstance(found, str) else show(found), allowed))
@@ -66,7 +66,7 @@
 
     def check(value: Any, where: str, findings: Findings) -> None:
         if not isinstance(value, str) or not smallest <= len(value) <= largest:
-            report(findings, where, show(value), allowed)
+            add_finding(findings, where, show(value), allowed)
 
     return check
 
@@ -77,32 +77,32 @@
 
     def check(value: Any, where: str, findings: Findings) -> None:
         if not isinstance(value, str) or value not in choices:
-            report(findings, where, show(value), allowed)
+            add_finding(findings, where, show(value), allowed)
 
     return check
 
 
-def whole(smallest: int = 0, largest: int = LARGEST_WHOLE) -> Check:
+def integer(smallest: int = 0, largest: int = MAX_INTEGER) -> Check:
     """A whole number within bounds; true and false are none."""
     allowed = f"a whole number of {smallest} to {largest}"
 
     def check(value: Any, where: str, findings: Findings) -> None:
         if type(value) is not int or not smallest <= value <= largest:
-            report(findings, where, show(value), allowed)
+            add_finding(findings, where, show(value), allowed)
 
     return check
 
 
-def number(smallest: float = 0.0, above: bool = False, largest: float = LARGEST_WHOLE) -> Check:
+def number(smallest: float = 0.0, above: bool = False, largest: float = MAX_INTEGER) -> Check:
     """A finite number of at least `smallest`, or above it, and at most `largest`."""
     allowed = f"a number {'above' if above else 'of at least'} {smallest:g}"
-    if largest != LARGEST_WHOLE:
+    if largest != MAX_INTEGER:
         allowed += f" and at most {largest:g}"
 
     def check(value: Any, where: str, findings: Findings) -> None:
         finite = type(value) is int or (type(value) is float and math.isfinite(value))
         if not finite or not smallest <= value <= largest or (above and value == smallest):
-            report(findings, where, show(value), allowed)
+            add_finding(findings, where, show(value), allowed)
 
     return check
 
@@ -110,7 +110,7 @@
 def flag(value: Any, where: str, findings: Findings) -> None:
     """True or false."""
     if type(value) is not bool:
-        report(findings, where, show(value), "true or false")
+        add_finding(findings, where, show(value), "true or false")
 
 
 def optional(check: Check) -> Check:
@@ -128,7 +128,7 @@
 
     def check(value: Any, where: str, findings: Findings) -> None:
         if not isinstance(value, list) or len(value) < smallest:
-            report(findings, where, show(value), "a list" if not smallest else f"a list of at least {smallest}")
+            add_finding(findings, where, show(value), "a list" if not smallest else f"a list of at least {smallest}")
             return
         for position, entry in enumerate(value):
             item(entry, f"{where}[{position}]", findings)
@@ -141,7 +141,7 @@
 
     def check(value: Any, where: str, findings: Findings) -> None:
         if not isinstance(value, dict):
-            report(findings, where, show(value), "a map")
+            add_finding(findings, where, show(value), "a map")
             return
         for key, entry in value.items():
             item(entry, f"{where}.{key}", findings)
@@ -163,12 +163,12 @@
 
     def check(value: Any, where: str, findings: Findings) -> None:
         if not isinstance(value, dict):
-            report(findings, where, show(value), "a map")
+            add_finding(findings, where, show(value), "a map")
             return
         prefix = f"{where}." if where else ""
         for name in required:
             if name not in value:
-                report(findings, prefix + name, "nothing", "a value")
+                add_finding(findings, prefix + name, "nothing", "a value")
         for name, field in value.items():
             if name in checks:
                 checks[name](field, prefix + name, findings)
--- a/ochrespan/control_plane/api/handlers.py
+++ b/ochrespan/control_plane/api/handlers.py
@@ -12,8 +12,8 @@
 from gevent.pywsgi import WSGIServer
 
 from ochrespan.common.addresses import Address
-from ochrespan.common.validation import Check, CheckFailed, Finding
-from ochrespan.control_plane.config.commands import OrderKind, make_order
+from ochrespan.common.validation import Check, Finding, ValidationError
+from ochrespan.control_plane.config.commands import ConfigCommandKind, make_command
 from ochrespan.control_plane.config.documents import (
     CHECK_CONFIGURATION,
     CHECK_INSTANCE,
@@ -32,11 +32,11 @@
     PRECONDITION_FAILED,
     RETRY_AFTER_S,
     UNAVAILABLE,
-    Answer,
-    json_answer,
-    refusal,
+    Response,
+    findings_response,
+    json_response,
 )
-from ochrespan.observability.metrics import CONTENT_TYPE, Registry
+from ochrespan.observability.metrics import CONTENT_TYPE, MetricsRegistry
 
 from .forwarding import ControlService
 
@@ -47,13 +47,13 @@
 CLUSTER_HEADER = "X-Fleet-Cluster"  # in an order: the fleet that it is meant for, as /api/status names it
 CLUSTER_VARIABLE = "HTTP_X_FLEET_CLUSTER"
 INSTANCES_PATH = "/api/instances/"
-FIGURES_PATH = "/api/metrics"
+METRICS_PATH = "/api/metrics"
 
 Environment = dict[str, Any]
-Handler = Callable[[Environment], Answer]
+Handler = Callable[[Environment], Response]
 
 
-class BodyTooLarge(Exception):
+class BodyTooLargeError(Exception):
     """A request's body exceeds MAX_BODY_BYTES."""
 
 
@@ -65,7 +65,7 @@
         service: ControlService,
         status: Callable[[], dict[str, Any]],
         ready: Callable[[], bool],
-        registry: Registry,
+        registry: MetricsRegistry,
     ) -> None:
         self._service = service
         self._status = status
@@ -81,7 +81,7 @@
         self._instance_methods: dict[str, Handler] = {"PUT": self._put_instance, "DELETE": self._delete_instance}
 
     def __call__(self, environment: Environment, start_response: Callable[..., Any]) -> Iterable[bytes]:
-        if (environment["REQUEST_METHOD"], environment["PATH_INFO"]) == ("GET", FIGURES_PATH):
+        if (environment["REQUEST_METHOD"], environment["PATH_INFO"]) == ("GET", METRICS_PATH):
             return self._figures(start_response)
         answer = self._answer(environment)
         body = answer.body
@@ -96,58 +96,58 @@
         start_response("200 OK", [("Content-Type", CONTENT_TYPE), ("Content-Length", str(len(body)))])
         return [body]
 
-    def _answer(self, environment: Environment) -> Answer:
+    def _answer(self, environment: Environment) -> Response:
         path, method = environment["PATH_INFO"], environment["REQUEST_METHOD"]
         methods = self._instance_methods if path.startswith(INSTANCES_PATH) else self._routes.get(path)
         if methods is None:
-            allowed = ", ".join((*self._routes, FIGURES_PATH, INSTANCES_PATH + "ID"))
-            return refusal(NOT_FOUND, [Finding("path", path, allowed)])
+            allowed = ", ".join((*self._routes, METRICS_PATH, INSTANCES_PATH + "ID"))
+            return findings_response(NOT_FOUND, [Finding("path", path, allowed)])
         handler = methods.get(method)
         if handler is None:
-            return refusal(METHOD_NOT_ALLOWED, [Finding("method", method, ", ".join(methods))])
+            return findings_response(METHOD_NOT_ALLOWED, [Finding("method", method, ", ".join(methods))])
         try:
             return handler(environment)
-        except CheckFailed as error:
-            return refusal(BAD_REQUEST, error.findings)
-        except BodyTooLarge:
+        except ValidationError as error:
+            return findings_response(BAD_REQUEST, error.findings)
+        except BodyTooLargeError:
             allowed = f"at most {MAX_BODY_BYTES} bytes"
-            return refusal(CONTENT_TOO_LARGE, [Finding("body", "a longer body", allowed)])
+            return findings_response(CONTENT_TOO_LARGE, [Finding("body", "a longer body", allowed)])
 
-    def _get_config(self, environment: Environment) -> Answer:
+    def _get_config(self, environment: Environment) -> Response:
         return self._service.read_configuration()
 
-    def _put_config(self, environment: Environment) -> Answer:
-        return self._order(OrderKind.WHOLE, CHECK_CONFIGURATION, environment)
+    def _put_config(self, environment: Environment) -> Response:
+        return self._order(ConfigCommandKind.WHOLE, CHECK_CONFIGURATION, environment)
 
-    def _patch_config(self, environment: Environment) -> Answer:
-        return self._order(OrderKind.PATCH, CHECK_PATCH, environment)
+    def _patch_config(self, environment: Environment) -> Response:
+        return self._order(ConfigCommandKind.PATCH, CHECK_PATCH, environment)
 
-    def _order(self, kind: OrderKind, check: Check, environment: Environment) -> Answer:
+    def _order(self, kind: ConfigCommandKind, check: Check, environment: Environment) -> Response:
         wanted, own = environment.get(CLUSTER_VARIABLE, ""), self._service.cluster_name()
         if wanted and own and wanted != own:
-            return refusal(PRECONDITION_FAILED, [Finding(CLUSTER_HEADER, wanted, f"{own}, or none")])
+            return findings_response(PRECONDITION_FAILED, [Finding(CLUSTER_HEADER, wanted, f"{own}, or none")])
         version, body = _read_version(environment), _read_body(environment)
-        return self._service.order(make_order(kind, version, read_json(body, check), _now_ms()))
+        return self._service.order(make_command(kind, version, read_json(body, check), _now_ms()))
 
-    def _get_history(self, environment: Environment) -> Answer:
+    def _get_history(self, environment: Environment) -> Response:
         return self._service.read_history()
 
-    def _put_leadership(self, environment: Environment) -> Answer:
+    def _put_leadership(self, environment: Environment) -> Response:
         wanted = read_json(_read_body(environment), CHECK_LEADERSHIP)
         return self._service.decline_leadership(wanted["decline_for_s"])
 
-    def _put_instance(self, environment: Environment) -> Answer:
+    def _put_instance(self, environment: Environment) -> Response:
         instance_id = _read_instance_id(environment)
         return self._service.report(record_of(instance_id, read_json(_read_body(environment), CHECK_INSTANCE)))
 
-    def _delete_instance(self, environment: Environment) -> Answer:
+    def _delete_instance(self, environment: Environment) -> Response:
         return self._service.ended(_read_instance_id(environment))
 
-    def _get_ready(self, environment: Environment) -> Answer:
-        return json_answer(OK if self._ready() else UNAVAILABLE, {})
+    def _get_ready(self, environment: Environment) -> Response:
+        return json_response(OK if self._ready() else UNAVAILABLE, {})
 
-    def _get_status(self, environment: Environment) -> Answer:
-        return json_answer(OK, self._status())
+    def _get_status(self, environment: Environment) -> Response:
+        return json_response(OK, self._status())
 
 
 def serve_api(address: Address, application: ControlApi) -> WSGIServer:
@@ -165,22 +165,22 @@
     given = environment.get("HTTP_IF_MATCH", "")
     bare = given.strip().removeprefix("W/").strip('"')
     if not bare.isascii() or not bare.isdigit():
-        raise CheckFailed([Finding("If-Match", json.dumps(given), "the version that the change builds on")])
+        raise ValidationError([Finding("If-Match", json.dumps(given), "the version that the change builds on")])
     return int(bare)
 
 
 def _read_body(environment: Environment) -> bytes:
     declared = environment.get("CONTENT_LENGTH") or ""
     if declared.isdigit() and int(declared) > MAX_BODY_BYTES:
-        raise BodyTooLarge
+        raise BodyTooLargeError
     try:
         body = environment["wsgi.input"].read(MAX_BODY_BYTES + 1)
     except OSError as error:
-        raise CheckFailed([Finding("body", str(error), "the whole body")]) from error
+        raise ValidationError([Finding("body", str(error), "the whole body")]) from error
     if len(body) > MAX_BODY_BYTES:
-        raise BodyTooLarge
+        raise BodyTooLargeError
     if declared.isdigit() and len(body) < int(declared):
-        raise CheckFailed([Finding("body", f"{len(body)} bytes", f"{declared} bytes, as announced")])
+        raise ValidationError([Finding("body", f"{len(body)} bytes", f"{declared} bytes, as announced")])
     return body
 
 
@@ -189,5 +189,5 @@
     instance_id = path.removeprefix(INSTANCES_PATH)
     if not 0 < len(instance_id) <= MAX_ID_CHARACTERS or "/" in instance_id or not instance_id.isprintable():
         allowed = f"1 to {MAX_ID_CHARACTERS} printable characters without a slash"
-        raise CheckFailed([Finding("path", json.dumps(instance_id), allowed)])
+        raise ValidationError([Finding("path", json.dumps(instance_id), allowed)])
     return instance_id
--- a/ochrespan/control_plane/config/change_history.py
+++ b/ochrespan/control_plane/config/change_history.py
@@ -9,7 +9,7 @@
 
 from .configuration import SECTIONS, ConfigurationChange
 
-REMEMBERED_CHANGES = 256
+MAX_REMEMBERED_CHANGES = 256
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
     """The records of the latest changes, oldest first; the same at every replica."""
 
     def __init__(self, fields: Iterable[Mapping[str, Any]] = ()) -> None:
-        self._records = deque((ChangeRecord(**each) for each in fields), maxlen=REMEMBERED_CHANGES)
+        self._records = deque((ChangeRecord(**each) for each in fields), maxlen=MAX_REMEMBERED_CHANGES)
 
     def add(self, record: ChangeRecord) -> None:
         """Appends a change and forgets the oldest beyond the bound."""
--- a/ochrespan/control_plane/config/configuration.py
+++ b/ochrespan/control_plane/config/configuration.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ochrespan.common.validation import CheckFailed, Findings, report, show
+from ochrespan.common.validation import Findings, ValidationError, add_finding, show
 
 SECTIONS = ("routes", "services", "tenants")
 Items = dict[str, dict[str, Any]]  # an item's document by its name
@@ -67,17 +67,17 @@
         return {"generation": self.version, **sections, **self.others}
 
     def changed_by(self, change: ConfigurationChange) -> Configuration:
-        """The next configuration; raises CheckFailed where it would be invalid."""
+        """The next configuration; raises ValidationError where it would be invalid."""
         findings: Findings = []
         if change.version <= self.version:
-            report(findings, "generation", show(change.version), f"a version above {self.version}")
+            add_finding(findings, "generation", show(change.version), f"a version above {self.version}")
         services = change.services.applied_to(self.services)
         routes = change.routes.applied_to(self.routes)
         _check_references(routes, services, change, findings)
         places = _merge_places(self, change, findings)
         keys = _merge_keys(self, change, findings)
         if findings:
-            raise CheckFailed(findings)
+            raise ValidationError(findings)
         tenants = change.tenants.applied_to(self.tenants)
         others = self.others if change.others is None else change.others
         return Configuration(change.version, routes, services, tenants, others, places, keys)
@@ -138,7 +138,9 @@
     for route in concerned:
         for service in services_of(route):
             if service not in services:
-                report(findings, f"routes.{route['name']}", f"the service {show(service)}", "a service that is known")
+                add_finding(
+                    findings, f"routes.{route['name']}", f"the service {show(service)}", "a service that is known"
+                )
 
 
 def _merge_places(
@@ -153,7 +155,7 @@
     for route in change.routes.upserted:
         holder = places.setdefault(place_of(route), route["name"])
         if holder != route["name"]:
-            report(
+            add_finding(
                 findings,
                 f"routes.{route['name']}",
                 f"the host and path_prefix of route {show(holder)}",
@@ -172,7 +174,7 @@
     for tenant in change.tenants.upserted:
         for position, key in enumerate(tenant["api_keys"]):
             if keys.setdefault(key, tenant["name"]) != tenant["name"]:
-                report(
+                add_finding(
                     findings,
                     f"tenants.{tenant['name']}.api_keys[{position}]",
                     f"a key of tenant {show(keys[key])}",
--- a/ochrespan/control_plane/config/documents.py
+++ b/ochrespan/control_plane/config/documents.py
@@ -12,23 +12,23 @@
 from ochrespan.common.addresses import parse_address
 from ochrespan.common.validation import (
     Check,
-    CheckFailed,
     Finding,
     Findings,
+    ValidationError,
+    add_finding,
     flag,
+    integer,
     list_of,
     number,
     one_of,
     optional,
-    report,
     show,
     text,
     typed,
-    whole,
 )
 
 MAX_ID_CHARACTERS = 200
-_COUNT = whole()
+_COUNT = integer()
 _MILLISECONDS = number()
 _NAME = text(1, 1024)
 _PRINTABLE = re.compile(r"[\x21-\x7e]+")
@@ -36,19 +36,19 @@
 
 def _path_prefix(value: Any, where: str, findings: Findings) -> None:
     if not isinstance(value, str) or not value.startswith("/") or not value.endswith("/"):
-        report(findings, where, show(value), "a path that begins and ends with a slash")
+        add_finding(findings, where, show(value), "a path that begins and ends with a slash")
 
 
 def _key(value: Any, where: str, findings: Findings) -> None:
     if not isinstance(value, str) or not _PRINTABLE.fullmatch(value):
-        report(findings, where, show(value), "a key of printable ASCII characters")
+        add_finding(findings, where, show(value), "a key of printable ASCII characters")
 
 
 def _address(value: Any, where: str, findings: Findings) -> None:
     try:
         parse_address(value if isinstance(value, str) else "")
     except ValueError:
-        report(findings, where, show(value), "IP:PORT")
+        add_finding(findings, where, show(value), "IP:PORT")
 
 
 class TrafficSplit(TypedDict):
@@ -103,8 +103,8 @@
 class LimitsDocument(TypedDict, total=False):
     """What a client may send, and how long it may take or remain idle."""
 
-    max_header_bytes: NotRequired[Annotated[int | None, optional(whole(1))]]
-    max_body_bytes: NotRequired[Annotated[int | None, optional(whole(0))]]
+    max_header_bytes: NotRequired[Annotated[int | None, optional(integer(1))]]
+    max_body_bytes: NotRequired[Annotated[int | None, optional(integer(0))]]
     header_timeout_ms: NotRequired[Annotated[float | None, optional(number(above=True))]]
     idle_timeout_ms: NotRequired[Annotated[float | None, optional(number(above=True))]]
 
@@ -120,11 +120,11 @@
         return
     split = value.get("traffic_split")
     if not split and value.get("backend") is None:
-        report(findings, f"{where}.backend", "nothing", "a service, or a traffic_split")
+        add_finding(findings, f"{where}.backend", "nothing", "a service, or a traffic_split")
     elif split and sum(part["weight"] for part in split) <= 0:
-        report(findings, f"{where}.traffic_split", "weights that add up to 0", "a sum above 0")
+        add_finding(findings, f"{where}.traffic_split", "weights that add up to 0", "a sum above 0")
     elif split is not None and not split:
-        report(findings, f"{where}.traffic_split", "an empty list", "at least one part")
+        add_finding(findings, f"{where}.traffic_split", "an empty list", "at least one part")
 
 
 def _uniquely_named(item: Check) -> Check:
@@ -140,7 +140,7 @@
         for position, entry in enumerate(value):
             first = positions.setdefault(entry["name"], position)
             if first != position:
-                report(
+                add_finding(
                     findings,
                     f"{where}[{position}].name",
                     f"{show(entry['name'])}, as in {where}[{first}]",
@@ -160,7 +160,7 @@
 class ConfigurationDocument(TypedDict):
     """The body of `PUT /api/config`."""
 
-    generation: Annotated[int, whole()]
+    generation: Annotated[int, integer()]
     routes: Annotated[list[RouteDocument], _ROUTES]
     services: Annotated[list[ServiceDocument], _SERVICES]
     limits: NotRequired[Annotated[LimitsDocument, _LIMITS]]
@@ -188,7 +188,7 @@
 class PatchDocument(TypedDict):
     """The body of `PATCH /api/config`."""
 
-    generation: Annotated[int, whole()]
+    generation: Annotated[int, integer()]
     upsert: NotRequired[Annotated[Upserts | None, optional(typed(Upserts))]]
     delete: NotRequired[Annotated[Deletions | None, optional(typed(Deletions))]]
 
@@ -206,7 +206,7 @@
     backend: Annotated[str, _NAME]
     address: Annotated[str, _address]
     state: Annotated[str, one_of("ready", "draining")]
-    sequence: NotRequired[Annotated[int, whole()]]
+    sequence: NotRequired[Annotated[int, integer()]]
     zone: NotRequired[Annotated[str | None, optional(text(0))]]
     generation: NotRequired[Annotated[str | None, optional(text(0))]]
     capacity: NotRequired[Annotated[int | None, optional(_COUNT)]]
@@ -232,13 +232,13 @@
 
 
 def read_json(body: bytes, check: Check) -> dict[str, Any]:
-    """The checked document in a request's body; raises CheckFailed with all findings."""
+    """The checked document in a request's body; raises ValidationError with all findings."""
     try:
         document = json.loads(body, parse_constant=_refuse_constant)
     except (ValueError, RecursionError) as error:
-        raise CheckFailed([Finding("body", str(error) or "too deep a nesting", "a whole JSON document")]) from error
+        raise ValidationError([Finding("body", str(error) or "too deep a nesting", "a whole JSON document")]) from error
     findings: Findings = []
     check(document, "", findings)
     if findings:
-        raise CheckFailed(findings)
+        raise ValidationError(findings)
     return document
--- a/ochrespan/control_plane/config/state_machine.py
+++ b/ochrespan/control_plane/config/state_machine.py
@@ -5,19 +5,19 @@
 import enum
 from dataclasses import dataclass
 
-from ochrespan.common.validation import CheckFailed, Finding
+from ochrespan.common.validation import Finding, ValidationError
 from ochrespan.transport import compact
 from ochrespan.transport.codec import MessageError, decode
 
 from .change_history import ChangeHistory, record_of_change
-from .commands import Order, OrderKind
+from .commands import ConfigCommand, ConfigCommandKind
 from .configuration import Configuration, ConfigurationChange, change_of_patch, change_to
 from .views import Tenant, tenant_view
 
-REMEMBERED_ORDERS = 8192
+MAX_REMEMBERED_COMMANDS = 8192
 
 
-class Judgement(enum.Enum):
+class CommandOutcome(enum.Enum):
     """What became of an order."""
 
     TAKEN = "taken"
@@ -28,16 +28,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class CommandResult:
     """The judgement of an order; `version` is the one it made, or else the current one."""
 
-    judgement: Judgement
+    judgement: CommandOutcome
     version: int
     findings: tuple[Finding, ...] = ()
     change: ConfigurationChange | None = None
 
 
-class ConfigurationMachine:
+class ConfigurationStateMachine:
     """Applies orders one after the other and remembers those that were taken, so that none is refused later."""
 
     def __init__(self) -> None:
@@ -46,13 +46,13 @@
         self._taken: dict[bytes, int] = {}  # version by digest, oldest first
         self._forgotten_version = 0  # the newest one whose order is no longer remembered
 
-    def apply(self, index: int, command: bytes) -> Verdict:
+    def apply(self, index: int, command: bytes) -> CommandResult:
         """The verdict on an order, the same at every replica."""
         try:
             order = decode(command)
         except MessageError as error:
             return self._refuse(Finding(error.where, error.found, error.allowed))
-        if not isinstance(order, Order):
+        if not isinstance(order, ConfigCommand):
             return self._refuse(Finding("command", type(order).__name__, "an order"))
         return self._judge(order)
 
@@ -75,27 +75,27 @@
         self.history = ChangeHistory(rest[0] if rest else ())
         self._forgotten_version = rest[1] if len(rest) > 1 else 0
 
-    def _judge(self, order: Order) -> Verdict:
+    def _judge(self, order: ConfigCommand) -> CommandResult:
         if (version := self._taken.get(order.digest)) is not None:
-            return Verdict(Judgement.TAKEN_BEFORE, version)
+            return CommandResult(CommandOutcome.TAKEN_BEFORE, version)
         if order.builds_on < self._forgotten_version:
-            return Verdict(Judgement.FORGOTTEN, self.current.version)
+            return CommandResult(CommandOutcome.FORGOTTEN, self.current.version)
         if order.builds_on != self.current.version:
-            return Verdict(Judgement.OTHER_VERSION, self.current.version)
-        make_change = change_to if order.kind == OrderKind.WHOLE else change_of_patch
+            return CommandResult(CommandOutcome.OTHER_VERSION, self.current.version)
+        make_change = change_to if order.kind == ConfigCommandKind.WHOLE else change_of_patch
         change = make_change(self.current, compact.unpack(order.body))
         try:
             self.current = self.current.changed_by(change)
-        except CheckFailed as error:
+        except ValidationError as error:
             return self._refuse(*error.findings)
         self._remember(order.digest, change.version)
         self.history.add(record_of_change(change, order.builds_on, order.kind, order.received_ms))
-        return Verdict(Judgement.TAKEN, change.version, change=change)
+        return CommandResult(CommandOutcome.TAKEN, change.version, change=change)
 
-    def _refuse(self, *findings: Finding) -> Verdict:
-        return Verdict(Judgement.INVALID, self.current.version, findings)
+    def _refuse(self, *findings: Finding) -> CommandResult:
+        return CommandResult(CommandOutcome.INVALID, self.current.version, findings)
 
     def _remember(self, digest: bytes, version: int) -> None:
         self._taken[digest] = version
-        if len(self._taken) > REMEMBERED_ORDERS:
+        if len(self._taken) > MAX_REMEMBERED_COMMANDS:
             self._forgotten_version = self._taken.pop(next(iter(self._taken)))
--- a/ochrespan/control_plane/controller.py
+++ b/ochrespan/control_plane/controller.py
@@ -12,22 +12,22 @@
 from ochrespan.control_plane.api.forwarding import ControlService
 from ochrespan.control_plane.api.handlers import ControlApi
 from ochrespan.control_plane.config.owner import ConfigurationOwner
-from ochrespan.control_plane.config.state_machine import ConfigurationMachine
-from ochrespan.control_plane.feed.messages import longest
-from ochrespan.control_plane.feed.presence import PresenceReporter, RouterCensus
+from ochrespan.control_plane.config.state_machine import ConfigurationStateMachine
+from ochrespan.control_plane.feed.messages import max_duration_s
+from ochrespan.control_plane.feed.presence import LiveRouters, PresenceReporter
 from ochrespan.control_plane.feed.server import FeedServer
-from ochrespan.control_plane.prefix_placement.owner import HomeOwner
+from ochrespan.control_plane.prefix_placement.owner import PrefixPlacementOwner
 from ochrespan.control_plane.quota.allocation import QuotaBounds
 from ochrespan.control_plane.quota.owner import QuotaOwner
 from ochrespan.control_plane.registry.owner import InstanceOwner
 from ochrespan.control_plane.registry.records import InstanceRecord, record_fields
-from ochrespan.control_plane.registry.state_machine import InstanceMachine
+from ochrespan.control_plane.registry.state_machine import InstanceStateMachine
 from ochrespan.control_plane.replication.groups import ReplicaGroups, cluster_name
-from ochrespan.control_plane.replication.lag_detector import LagWatch
+from ochrespan.control_plane.replication.lag_detector import LagDetector
 from ochrespan.control_plane.replication.state_machine import StateMachine
-from ochrespan.observability.metrics import Registry
-from ochrespan.transport.peer_clients import Peers
-from ochrespan.transport.rpc import CallServer
+from ochrespan.observability.metrics import MetricsRegistry
+from ochrespan.transport.peer_clients import PeerClients
+from ochrespan.transport.rpc import RpcServer
 
 from .shards import ALL_SHARDS, CONFIG_SHARD
 
@@ -38,8 +38,8 @@
     """The state machines of all shards."""
 
     def __init__(self) -> None:
-        self.configuration = ConfigurationMachine()
-        self.instances = {shard: InstanceMachine() for shard in ALL_SHARDS if shard != CONFIG_SHARD}
+        self.configuration = ConfigurationStateMachine()
+        self.instances = {shard: InstanceStateMachine() for shard in ALL_SHARDS if shard != CONFIG_SHARD}
 
     def records(self) -> list[InstanceRecord]:
         """The registered instances of all shards."""
@@ -63,7 +63,7 @@
         quota_bounds: QuotaBounds,
         groups: ReplicaGroups,
         state: ControlState,
-        call_server: CallServer,
+        call_server: RpcServer,
         seeds: Callable[[], Iterable[Address]],
     ) -> None:
         self._node = node
@@ -71,25 +71,25 @@
         self._address = address
         self._groups = groups
         self._state = state
-        self._peers = Peers()
-        self._census = RouterCensus(monotonic())
-        self._lag = LagWatch()
+        self._peers = PeerClients()
+        self._live_routers = LiveRouters(monotonic())
+        self._lag_detector = LagDetector()
         self._instance_owner = InstanceOwner(groups, state.instances, heartbeat_s)
         configuration_owner = ConfigurationOwner(groups, state.configuration)
         self.service = ControlService(groups, configuration_owner, self._instance_owner, state.instances, self._peers)
-        registry = Registry()
+        registry = MetricsRegistry()
         self._add_gauges(registry)
         self.api = ControlApi(self.service, self.status, self.is_ready, registry)
         self._feed = FeedServer(
-            groups, state.configuration, state.instances, self._census, self._lag, self._controllers
+            groups, state.configuration, state.instances, self._live_routers, self._lag_detector, self._controllers
         )
         self._presence = PresenceReporter(
-            address, zone, groups, self._census, self._lag, self._peers, self._known_addresses
+            address, zone, groups, self._live_routers, self._lag_detector, self._peers, self._known_addresses
         )
         self._seeds = seeds
         self._members: frozenset[Address] = frozenset()
         self._quota = QuotaOwner(groups, state.configuration.tenant, quota_bounds)
-        self._homes = HomeOwner(groups, state.instances)
+        self._homes = PrefixPlacementOwner(groups, state.instances)
         self._tasks: list[gevent.Greenlet] = []
         for part in (self.service, self._feed, self._presence, self._quota, self._homes):
             part.register(call_server)
@@ -119,12 +119,15 @@
 
     def members_changed(self, routers: Iterable[str], controllers: Iterable[Address]) -> None:
         """Membership holds these processes for living."""
-        self._census.members(routers)
+        self._live_routers.members(routers)
         self._members = frozenset(controllers)
 
     def is_ready(self) -> bool:
         """Whether every shard's group has a majority."""
-        return longest({shard: self._groups.quorum_age(shard) for shard in ALL_SHARDS}) <= READY_QUORUM_AGE_S
+        return (
+            max_duration_s({shard: self._groups.seconds_since_quorum(shard) for shard in ALL_SHARDS})
+            <= READY_QUORUM_AGE_S
+        )
 
     def status(self) -> dict[str, Any]:
         """What the command line shows."""
@@ -138,19 +141,19 @@
             "controllers": [
                 {"address": format_address(address), "zone": zone} for address, zone in self._controllers()
             ],
-            "routers": self._census.routers(),
+            "routers": self._live_routers.routers(),
             "instances": [record_fields(record) for record in self._state.records()],
         }
 
-    def _add_gauges(self, registry: Registry) -> None:
+    def _add_gauges(self, registry: MetricsRegistry) -> None:
         groups, by_shard = self._groups, ("shard",)
         configuration = self._state.configuration
         registry.gauge(
             "ochrespan_configuration_version", "The newest known one.", lambda: configuration.current.version
         )
         registry.gauge("ochrespan_instances", "Registered servers.", lambda: len(self._state.records()))
-        registry.gauge("ochrespan_routers", "Living routers.", lambda: len(self._census.routers()))
-        registry.gauge("ochrespan_feed_readers", "Routers that read here.", lambda: len(self._census.readers()))
+        registry.gauge("ochrespan_routers", "Living routers.", lambda: len(self._live_routers.routers()))
+        registry.gauge("ochrespan_feed_readers", "Routers that read here.", lambda: len(self._live_routers.readers()))
         registry.gauges(
             "ochrespan_shard_leads", "Whether this controller leads it.", by_shard, lambda: _each(groups.is_leader)
         )
@@ -159,11 +162,11 @@
         )
         registry.gauges(
             "ochrespan_shard_quorum_age_seconds", "Since a majority was heard of.", by_shard,
-            lambda: _each(groups.quorum_age),
+            lambda: _each(groups.seconds_since_quorum),
         )  # fmt: skip
         registry.gauges(
             "ochrespan_shard_bearable_losses", "Voters that may be lost now, of shards led here.", by_shard,
-            lambda: _led(groups.bearable_losses),
+            lambda: _led(groups.failures_tolerated),
         )  # fmt: skip
 
     def _shard_status(self, shard: int) -> dict[str, Any]:
@@ -172,8 +175,8 @@
             "shard": shard,
             "leader": None if leader is None else format_address(leader),
             "leads": self._groups.is_leader(shard),
-            "bearable_losses": self._groups.bearable_losses(shard),
-            "quorum_age_s": round(min(self._groups.quorum_age(shard), 1e9), 3),
+            "bearable_losses": self._groups.failures_tolerated(shard),
+            "quorum_age_s": round(min(self._groups.seconds_since_quorum(shard), 1e9), 3),
             "offset": self._groups.applied_index(shard),
         }
 
@@ -181,7 +184,7 @@
         return self._groups.voters(CONFIG_SHARD).union(self._seeds(), self._members)
 
     def _controllers(self) -> list[tuple[Address, str]]:
-        return [(self._address, self._zone), *self._census.controllers()]
+        return [(self._address, self._zone), *self._live_routers.controllers()]
 
 
 def _each(read: Callable[[int], float]) -> dict[tuple[str, ...], float]:
--- a/ochrespan/control_plane/feed/client.py
+++ b/ochrespan/control_plane/feed/client.py
@@ -16,7 +16,7 @@
 from ochrespan.common.addresses import Address, format_address
 from ochrespan.control_plane.shards import ALL_SHARDS, CONFIG_SHARD, shard_of
 from ochrespan.transport.codec import MessageError
-from ochrespan.transport.tcp import Connection, ConnectionClosed, dial
+from ochrespan.transport.tcp import Connection, ConnectionClosedError, dial
 
 from .controller_choice import ControllerChoice
 from .messages import (
@@ -24,12 +24,12 @@
     FeedSnapshot,
     Freshness,
     Subscribe,
-    are_strangers,
-    longest,
+    are_different_clusters,
+    max_duration_s,
     unpack_configuration_change,
     unpack_instances_change,
 )
-from .router_count import RouterCount
+from .router_count import RouterCountFilter
 from .table import (
     NO_DIFFERENCE,
     FleetChange,
@@ -44,19 +44,20 @@
 log = logging.getLogger(__name__)
 
 
-SILENCE_LIMIT_S = 1.2
-OLDEST_QUORUM_S = 1.0
-LONGEST_LAG_S = 0.4
-ANOTHER_LOG_S = 4.0  # a controller whose offsets are lower for so long, and that lags behind nobody, has another log
-PATIENCE_S = 3.0  # a first table of doubtful age is taken after this long without a better one
-PUBLISH_PAUSE = 20.0  # multiple of the time that taking up a table took, before the next one is told
-LONGEST_PUBLISH_PAUSE_S = 0.2
-SHORTEST_STAY_S = 5.0  # before a move to a controller that is merely nearer
+FEED_TIMEOUT_S = 1.2
+MAX_QUORUM_AGE_S = 1.0
+MAX_LAG_S = 0.4
+# a controller whose offsets are lower for so long, and that lags behind nobody, has another log
+LOG_RESET_CONFIRM_S = 4.0
+INCOMPLETE_TABLE_WAIT_S = 3.0  # a first table of doubtful age is taken after this long without a better one
+PUBLISH_PAUSE_FACTOR = 20.0  # multiple of the time that taking up a table took, before the next one is told
+MAX_PUBLISH_PAUSE_S = 0.2
+MIN_STAY_S = 5.0  # before a move to a controller that is merely nearer
 
 OnChange = Callable[[FleetTable, FleetChange], None]
 
 
-class LeaveController(Exception):
+class LeaveControllerError(Exception):
     """Another controller serves better."""
 
 
@@ -76,7 +77,7 @@
         self._cluster = 0  # the fleet whose state it has; a restart of the router forgets it
         self._offsets: dict[int, int] = {}
         self._lower_since: dict[int, float] = {}  # by shard, since when controllers have had lower offsets
-        self._count = RouterCount()
+        self._count = RouterCountFilter()
         self._members = 0  # routers that membership holds for living
         self._complete_since: float | None = None
         self._greenlet: gevent.Greenlet | None = None
@@ -108,9 +109,9 @@
             address = self._choice.best(monotonic())
             try:
                 self._follow(address)
-            except LeaveController as reason:
+            except LeaveControllerError as reason:
                 log.info("feed left controller=%s reason=%r", format_address(address), str(reason))
-            except (OSError, ConnectionClosed, MessageError) as error:
+            except (OSError, ConnectionClosedError, MessageError) as error:
                 log.info("feed lost controller=%s error=%r", format_address(address), str(error))
             self.controller = None
             self._publish_changes()
@@ -121,10 +122,10 @@
         connection = None
         try:
             connection = dial(address, self._choice.connect_timeout(address))
-            connection.limit_silence(SILENCE_LIMIT_S)
+            connection.limit_silence(FEED_TIMEOUT_S)
             connection.send(Subscribe(self._node, self._zone, dict(self._offsets), self._cluster))
             self._read(address, connection, since=monotonic())
-        except (OSError, ConnectionClosed, MessageError, LeaveController):
+        except (OSError, ConnectionClosedError, MessageError, LeaveControllerError):
             self._choice.failed(address, monotonic(), random.random())
             raise
         finally:
@@ -140,7 +141,7 @@
                 self._take_snapshot(received)
             elif isinstance(received, Freshness):
                 self._take_freshness(received, address)
-                if monotonic() - since > SHORTEST_STAY_S and self._choice.is_nearer_than(address, monotonic()):
+                if monotonic() - since > MIN_STAY_S and self._choice.is_nearer_than(address, monotonic()):
                     return
             if not connection.has_message:
                 self._publish_changes()
@@ -148,7 +149,7 @@
     def _take_delta(self, delta: FeedDelta) -> None:
         offset = self._offsets.get(delta.shard)
         if offset is None or delta.previous > offset:
-            raise LeaveController(f"gap in shard {delta.shard}: {delta.previous} after {offset}")
+            raise LeaveControllerError(f"gap in shard {delta.shard}: {delta.previous} after {offset}")
         if delta.offset <= offset:
             return
         if delta.shard == CONFIG_SHARD:
@@ -172,19 +173,19 @@
         self._draft_changed(*change)
 
     def _take_freshness(self, freshness: Freshness, address: Address) -> None:
-        if are_strangers(self._cluster, freshness.cluster):
-            raise LeaveController(f"it belongs to another fleet, {freshness.cluster} in place of {self._cluster}")
+        if are_different_clusters(self._cluster, freshness.cluster):
+            raise LeaveControllerError(f"it belongs to another fleet, {freshness.cluster} in place of {self._cluster}")
         self._take_offsets(freshness, address)
         self.leaders = {shard: (leader[0], leader[1]) for shard, leader in freshness.leaders.items()}
         self._choice.told({(ip, port): zone for ip, port, zone in freshness.controllers}, monotonic())
-        if (age := longest(freshness.quorum_ages)) > OLDEST_QUORUM_S:
+        if (age := max_duration_s(freshness.quorum_ages)) > MAX_QUORUM_AGE_S:
             self.controller = None
             if self._choice.another_has_rested(address, monotonic()):
-                raise LeaveController(f"no majority for {age:.1f} s")
+                raise LeaveControllerError(f"no majority for {age:.1f} s")
             self._publish_after_patience()
             return
-        if (lag := longest(freshness.lags)) > LONGEST_LAG_S:
-            raise LeaveController(f"behind other controllers for {lag:.1f} s")
+        if (lag := max_duration_s(freshness.lags)) > MAX_LAG_S:
+            raise LeaveControllerError(f"behind other controllers for {lag:.1f} s")
         self.controller = address
         self._cluster = self._cluster or freshness.cluster
         self._choice.succeeded(address)
@@ -199,7 +200,7 @@
 
     def _take_offsets(self, freshness: Freshness, address: Address) -> None:
         """Nothing was missed up to the offsets told. Where the log began anew, the shard is read from its beginning."""
-        now, is_current = monotonic(), longest(freshness.quorum_ages) <= OLDEST_QUORUM_S
+        now, is_current = monotonic(), max_duration_s(freshness.quorum_ages) <= MAX_QUORUM_AGE_S
         for shard, offset in freshness.offsets.items():
             known = self._offsets.get(shard)
             if known is None or offset >= known:
@@ -209,10 +210,10 @@
             elif (
                 is_current
                 and not freshness.lags.get(shard)
-                and now - self._lower_since.setdefault(shard, now) > ANOTHER_LOG_S
+                and now - self._lower_since.setdefault(shard, now) > LOG_RESET_CONFIRM_S
             ):
                 del self._offsets[shard], self._lower_since[shard]
-                raise LeaveController(f"shard {shard} has another log at {format_address(address)}")
+                raise LeaveControllerError(f"shard {shard} has another log at {format_address(address)}")
 
     def _draft_changed(self, draft: FleetTable, change: FleetChange) -> None:
         self._draft = draft
@@ -225,7 +226,7 @@
 
     def _publish_after_patience(self) -> None:
         since = self._complete_since
-        if self.table is None and since is not None and monotonic() - since > PATIENCE_S:
+        if self.table is None and since is not None and monotonic() - since > INCOMPLETE_TABLE_WAIT_S:
             self._publish(_everything(self._draft))
 
     def _publish_changes(self) -> None:
@@ -253,7 +254,7 @@
             log.exception("feed change not taken version=%d", self._draft.version)
             self._untold = change  # to be told again with the next one
         now = monotonic()
-        self._publish_from = now + min(LONGEST_PUBLISH_PAUSE_S, PUBLISH_PAUSE * (now - began))
+        self._publish_from = now + min(MAX_PUBLISH_PAUSE_S, PUBLISH_PAUSE_FACTOR * (now - began))
 
 
 def _everything(table: FleetTable) -> FleetChange:
--- a/ochrespan/control_plane/feed/controller_choice.py
+++ b/ochrespan/control_plane/feed/controller_choice.py
@@ -8,13 +8,13 @@
 
 from ochrespan.common.addresses import Address, format_address
 
-SHORTEST_BACK_OFF_S = 0.2
-LONGEST_BACK_OFF_S = 2.0
-SHORTEST_CONNECT_TIMEOUT_S = 0.25
-LONGEST_CONNECT_TIMEOUT_S = 1.0
-SHORTEST_PAUSE_S = 0.01
-LONGEST_PAUSE_S = 0.6
-TOLD_LASTS_S = 600.0
+MIN_BACKOFF_S = 0.2
+MAX_BACKOFF_S = 2.0
+MIN_CONNECT_TIMEOUT_S = 0.25
+MAX_CONNECT_TIMEOUT_S = 1.0
+MIN_PAUSE_S = 0.01
+MAX_PAUSE_S = 0.6
+CONTROLLER_TTL_S = 600.0
 
 
 @dataclass(slots=True)
@@ -48,7 +48,7 @@
             candidate = self._candidates.setdefault(address, _Candidate())
             candidate.zone, candidate.told_at = zone, now
         for address, candidate in list(self._candidates.items()):
-            if not candidate.is_seed and now - candidate.told_at > TOLD_LASTS_S:
+            if not candidate.is_seed and now - candidate.told_at > CONTROLLER_TTL_S:
                 del self._candidates[address]
 
     def best(self, now: float) -> Address:
@@ -71,13 +71,13 @@
         """The controller did not serve; `draw` from 0 to 1 spreads the routers' next tries."""
         candidate = self._candidates[address]
         candidate.failures += 1
-        back_off = min(SHORTEST_BACK_OFF_S * 2 ** min(candidate.failures, 10), LONGEST_BACK_OFF_S)
+        back_off = min(MIN_BACKOFF_S * 2 ** min(candidate.failures, 10), MAX_BACKOFF_S)
         candidate.not_before = now + back_off * (0.5 + draw / 2)
 
     def connect_timeout(self, address: Address) -> float:
         """How long to wait for a connection: a machine that is down says nothing, while another may be up already."""
         failures = min(self._candidates[address].failures, 10)
-        return min(SHORTEST_CONNECT_TIMEOUT_S * 2**failures, LONGEST_CONNECT_TIMEOUT_S)
+        return min(MIN_CONNECT_TIMEOUT_S * 2**failures, MAX_CONNECT_TIMEOUT_S)
 
     def succeeded(self, address: Address) -> None:
         """The controller serves well."""
@@ -86,7 +86,7 @@
     def pause(self, now: float, draw: float) -> float:
         """How long to wait before the next try."""
         rest = self._candidates[self.best(now)].not_before - now
-        return max(SHORTEST_PAUSE_S, min(rest, LONGEST_PAUSE_S)) * (0.5 + draw / 2)
+        return max(MIN_PAUSE_S, min(rest, MAX_PAUSE_S)) * (0.5 + draw / 2)
 
     def _rank(self, address: Address, now: float) -> tuple[float, bool, bytes]:
         candidate = self._candidates[address]
--- a/ochrespan/control_plane/feed/messages.py
+++ b/ochrespan/control_plane/feed/messages.py
@@ -75,7 +75,7 @@
     cluster: int = 0
 
 
-def are_strangers(first: int, second: int) -> bool:
+def are_different_clusters(first: int, second: int) -> bool:
     """Whether two processes belong to different foundings; 0 is not known."""
     return first != second and 0 not in (first, second)
 
@@ -104,6 +104,6 @@
     return InstancesChange(tuple(record_from_fields(each) for each in upserted), tuple(removed))
 
 
-def longest(spans: Mapping[int, float]) -> float:
+def max_duration_s(spans: Mapping[int, float]) -> float:
     """The longest of the spans of all shards."""
     return max(spans.values(), default=0.0)
--- a/ochrespan/control_plane/feed/presence.py
+++ b/ochrespan/control_plane/feed/presence.py
@@ -12,19 +12,19 @@
 
 from ochrespan.common.addresses import Address
 from ochrespan.control_plane.replication.groups import ReplicaGroups, applied_offsets
-from ochrespan.control_plane.replication.lag_detector import LagWatch
-from ochrespan.transport.peer_clients import Peers
-from ochrespan.transport.rpc import CallFailed, CallServer
+from ochrespan.control_plane.replication.lag_detector import LagDetector
+from ochrespan.transport.peer_clients import PeerClients
+from ochrespan.transport.rpc import RpcError, RpcServer
 
-from .messages import Presence, are_strangers
+from .messages import Presence, are_different_clusters
 
 log = logging.getLogger(__name__)
 
 
 REPORT_INTERVAL_S = 0.5
 REPORT_TIMEOUT_S = 0.8
-SETTLING_S = 2.0  # a controller that has just started does not know of most routers yet
-REPORT_LASTS_S = 3.5  # a router that moves between controllers stays counted
+STARTUP_SETTLE_S = 2.0  # a controller that has just started does not know of most routers yet
+REPORT_TTL_S = 3.5  # a router that moves between controllers stays counted
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,11 +34,11 @@
     at: float
 
 
-class RouterCensus:
+class LiveRouters:
     """The live routers: those of this controller and those that other controllers have told of lately."""
 
     def __init__(self, started: float) -> None:
-        self._settled_at = started + SETTLING_S
+        self._settled_at = started + STARTUP_SETTLE_S
         self._own: dict[str, float] = {}  # when each router was last among this controller's readers
         self._reports: dict[Address, _Report] = {}
         self._members: frozenset[str] = frozenset()
@@ -51,8 +51,8 @@
     def own(self, routers: Iterable[str], now: float) -> None:
         """Notes the routers that read this controller's feed now."""
         self._own.update(dict.fromkeys(routers, now))
-        self._own = {router: at for router, at in self._own.items() if now - at < REPORT_LASTS_S}
-        self._reports = {peer: each for peer, each in self._reports.items() if now - each.at < REPORT_LASTS_S}
+        self._own = {router: at for router, at in self._own.items() if now - at < REPORT_TTL_S}
+        self._reports = {peer: each for peer, each in self._reports.items() if now - each.at < REPORT_TTL_S}
         self._sorted = sorted(self._members.union(self._own, *(report.routers for report in self._reports.values())))
 
     def told(self, presence: Presence, now: float) -> None:
@@ -89,22 +89,22 @@
         address: Address,
         zone: str,
         groups: ReplicaGroups,
-        census: RouterCensus,
-        lag: LagWatch,
-        peers: Peers,
+        live_routers: LiveRouters,
+        lag: LagDetector,
+        peers: PeerClients,
         others: Callable[[], Iterable[Address]],
     ) -> None:
         self._address = address
         self._zone = zone
         self._groups = groups
-        self._census = census
-        self._lag = lag
+        self._live_routers = live_routers
+        self._lag_detector = lag
         self._peers = peers
         self._others = others
 
-    def register(self, call_server: CallServer) -> None:
+    def register(self, call_server: RpcServer) -> None:
         """Takes the reports of other controllers."""
-        call_server.on_call(Presence, self._answer)
+        call_server.on_request(Presence, self._answer)
 
     def run(self) -> None:
         """Reports until the greenlet is killed."""
@@ -121,20 +121,24 @@
     def _report_to(self, other: Address) -> None:
         try:
             reply = self._peers.call(other, self._own_presence(), REPORT_TIMEOUT_S)
-        except CallFailed as error:
+        except RpcError as error:
             log.debug("presence not told peer=%s error=%s", other, error)
             return
         if isinstance(reply, Presence):
             self._told(reply)
 
     def _told(self, presence: Presence) -> None:
-        if are_strangers(presence.cluster, self._groups.cluster()):
+        if are_different_clusters(presence.cluster, self._groups.cluster()):
             return
         now = monotonic()
-        self._census.told(presence, now)
-        self._lag.told(presence.offsets, applied_offsets(self._groups), now)
+        self._live_routers.told(presence, now)
+        self._lag_detector.told(presence.offsets, applied_offsets(self._groups), now)
 
     def _own_presence(self) -> Presence:
         return Presence(
-            *self._address, self._zone, self._census.readers(), applied_offsets(self._groups), self._groups.cluster()
+            *self._address,
+            self._zone,
+            self._live_routers.readers(),
+            applied_offsets(self._groups),
+            self._groups.cluster(),
         )
--- a/ochrespan/control_plane/feed/router_count.py
+++ b/ochrespan/control_plane/feed/router_count.py
@@ -4,10 +4,10 @@
 
 from collections import deque
 
-FALL_AFTER_S = 4.0
+DECREASE_DELAY_S = 4.0
 
 
-class RouterCount:
+class RouterCountFilter:
     """Controllers that have just started, or that routers are leaving, tell too low a count for a while."""
 
     def __init__(self) -> None:
@@ -18,6 +18,6 @@
         while self._told and self._told[-1][1] <= count:
             self._told.pop()
         self._told.append((now, count))
-        while now - self._told[0][0] > FALL_AFTER_S:
+        while now - self._told[0][0] > DECREASE_DELAY_S:
             self._told.popleft()
         return self._told[0][1]
--- a/ochrespan/control_plane/feed/server.py
+++ b/ochrespan/control_plane/feed/server.py
@@ -14,17 +14,17 @@
 
 from ochrespan.common.addresses import Address
 from ochrespan.control_plane.config.configuration import Configuration, change_to
-from ochrespan.control_plane.config.state_machine import ConfigurationMachine, Verdict
-from ochrespan.control_plane.registry.change_batch import ChangeGathering
+from ochrespan.control_plane.config.state_machine import CommandResult, ConfigurationStateMachine
+from ochrespan.control_plane.registry.change_batch import ChangeBatch
 from ochrespan.control_plane.registry.changes import InstancesChange
-from ochrespan.control_plane.registry.slow_start import ColdTimes
-from ochrespan.control_plane.registry.state_machine import InstanceMachine
-from ochrespan.control_plane.replication.groups import FRESH_QUORUM_S, ReplicaGroups, applied_offsets
-from ochrespan.control_plane.replication.lag_detector import LagWatch
+from ochrespan.control_plane.registry.slow_start import SlowStartTimes
+from ochrespan.control_plane.registry.state_machine import InstanceStateMachine
+from ochrespan.control_plane.replication.groups import MAX_QUORUM_AGE_S, ReplicaGroups, applied_offsets
+from ochrespan.control_plane.replication.lag_detector import LagDetector
 from ochrespan.control_plane.shards import ALL_SHARDS, CONFIG_SHARD
 from ochrespan.transport.codec import encode
-from ochrespan.transport.rpc import CallServer
-from ochrespan.transport.tcp import Connection, ConnectionClosed
+from ochrespan.transport.rpc import RpcServer
+from ochrespan.transport.tcp import Connection, ConnectionClosedError
 
 from .messages import (
     FRESHNESS_INTERVAL_S,
@@ -32,20 +32,20 @@
     FeedSnapshot,
     Freshness,
     Subscribe,
-    are_strangers,
-    longest,
+    are_different_clusters,
+    max_duration_s,
     pack_configuration_change,
     pack_instances_change,
 )
-from .presence import RouterCensus
+from .presence import LiveRouters
 
 log = logging.getLogger(__name__)
 
 
 HISTORY_BYTES = 4 * 1024 * 1024
 HISTORY_CHANGES = 4096
-SNAPSHOT_LASTS_S = 1.0
-GATHER_S = 0.02  # changes of a shard's instances that come closer together travel as one
+SNAPSHOT_CACHE_TTL_S = 1.0
+BATCH_INTERVAL_S = 0.02  # changes of a shard's instances that come closer together travel as one
 WAITING_INTERVAL_S = 0.04  # between messages while readers wait for a majority
 
 
@@ -58,8 +58,8 @@
     restored: bool = False  # the state has jumped, and its new offset is not known yet
     changes: deque[tuple[int, bytes]] = field(default_factory=deque)
     size: int = 0
-    gathering: ChangeGathering = field(default_factory=ChangeGathering)  # what is not among the changes yet
-    gathered_at: float = float("-inf")  # when it was last sent
+    batch: ChangeBatch = field(default_factory=ChangeBatch)  # what is not among the changes yet
+    batch_started_at: float = float("-inf")  # when it was last sent
 
     def add(self, offset: int, encoded: bytes) -> None:
         """Appends a change and drops the oldest ones beyond the bounds."""
@@ -73,7 +73,7 @@
     def restart(self, offset: int) -> None:
         """Forgets all changes: the state jumped to `offset`."""
         self.changes.clear()
-        self.gathering.take()
+        self.batch.take()
         self.size = 0
         self.start = self.last = offset
         self.restored = False
@@ -100,24 +100,24 @@
     def __init__(
         self,
         groups: ReplicaGroups,
-        configuration: ConfigurationMachine,
-        instances: Mapping[int, InstanceMachine],
-        census: RouterCensus,
-        lag: LagWatch,
+        configuration: ConfigurationStateMachine,
+        instances: Mapping[int, InstanceStateMachine],
+        live_routers: LiveRouters,
+        lag: LagDetector,
         controllers: Callable[[], Iterable[tuple[Address, str]]],
     ) -> None:
         self._groups = groups
         self._configuration = configuration
         self._instances = instances
-        self._census = census
-        self._lag = lag
-        self._cold = ColdTimes()
+        self._live_routers = live_routers
+        self._lag_detector = lag
+        self._cold = SlowStartTimes()
         self._packed: dict[int, tuple[int, float, bytes]] = {}  # by shard, an encoded snapshot, its offset and time
         self._controllers = controllers
         self._histories = {shard: ShardHistory() for shard in ALL_SHARDS}
         self._subscribers: dict[Connection, Subscriber] = {}
 
-    def register(self, call_server: CallServer) -> None:
+    def register(self, call_server: RpcServer) -> None:
         """Takes subscriptions on the port for other processes of the fleet."""
         call_server.on_push(Subscribe, self.subscribe)
 
@@ -127,27 +127,27 @@
         if isinstance(result, InstancesChange):
             self._cold.note(result, monotonic())
             if result and not history.restored:
-                self._gather(shard, index, result)
-        elif isinstance(result, Verdict) and result.change is not None and not history.restored:
+                self._add_to_batch(shard, index, result)
+        elif isinstance(result, CommandResult) and result.change is not None and not history.restored:
             self._send_change(shard, index, pack_configuration_change(result.change))
 
-    def _gather(self, shard: int, index: int, change: InstancesChange) -> None:
+    def _add_to_batch(self, shard: int, index: int, change: InstancesChange) -> None:
         """A change that comes alone is sent at once; others right behind it wait for each other."""
         history = self._histories[shard]
-        is_first = not history.gathering
-        history.gathering.add(index, change)
+        is_first = not history.batch
+        history.batch.add(index, change)
         if is_first:
-            pause = history.gathered_at + GATHER_S - monotonic()
+            pause = history.batch_started_at + BATCH_INTERVAL_S - monotonic()
             if pause > 0:
-                gevent.spawn_later(pause, self._send_gathered, shard)
+                gevent.spawn_later(pause, self._send_batch, shard)
             else:
-                self._send_gathered(shard)
+                self._send_batch(shard)
 
-    def _send_gathered(self, shard: int) -> None:
+    def _send_batch(self, shard: int) -> None:
         history = self._histories[shard]
-        if history.gathering:
-            history.gathered_at = monotonic()
-            self._send_change(shard, history.gathering.offset, pack_instances_change(history.gathering.take()))
+        if history.batch:
+            history.batch_started_at = monotonic()
+            self._send_change(shard, history.batch.offset, pack_instances_change(history.batch.take()))
 
     def _send_change(self, shard: int, offset: int, body: bytes) -> None:
         history = self._histories[shard]
@@ -174,14 +174,14 @@
 
     def subscribe(self, connection: Connection, request: Subscribe) -> None:
         """Brings a router up to date, and sends it all changes from now on; one of another fleet gets nothing."""
-        if are_strangers(request.cluster, self._groups.cluster()):
+        if are_different_clusters(request.cluster, self._groups.cluster()):
             log.warning("feed refused node=%s cluster=%d own=%d", request.node, request.cluster, self._groups.cluster())
             connection.close()
             return
         subscriber = Subscriber(request.node, connection)
         for shard, history in self._histories.items():
             self._settle(shard)
-            self._send_gathered(shard)
+            self._send_batch(shard)
             for encoded in self._missed(shard, history, request.offsets.get(shard, 0)):
                 self._send(subscriber, encoded)
         if connection.closed:
@@ -194,7 +194,7 @@
     def run(self) -> None:
         """Tells the subscribers how fresh the feed is until the greenlet is killed."""
         while True:
-            is_fresh = longest(self.send_freshness().quorum_ages) <= FRESH_QUORUM_S
+            is_fresh = max_duration_s(self.send_freshness().quorum_ages) <= MAX_QUORUM_AGE_S
             gevent.sleep(FRESHNESS_INTERVAL_S if is_fresh else WAITING_INTERVAL_S)
 
     def send_freshness(self) -> Freshness:
@@ -202,7 +202,7 @@
         for connection in [each for each in self._subscribers if each.closed]:
             self._drop(connection)
         for shard in self._histories:  # offsets are told below: all that they cover has to be sent before
-            self._send_gathered(shard)
+            self._send_batch(shard)
         self._take_census()
         freshness = self._freshness()
         for subscriber in list(self._subscribers.values()):
@@ -219,7 +219,7 @@
         """The encoded state of a shard; many readers that come at once get the same bytes."""
         offset, now = self._groups.applied_index(shard), monotonic()
         packed_offset, packed_at, encoded = self._packed.get(shard, (-1, 0.0, b""))
-        if packed_offset != offset or now - packed_at > SNAPSHOT_LASTS_S:
+        if packed_offset != offset or now - packed_at > SNAPSHOT_CACHE_TTL_S:
             encoded = encode(FeedSnapshot(shard, offset, self._packed_state(shard, now)))
             self._packed[shard] = (offset, now, encoded)
         return encoded
@@ -233,8 +233,8 @@
     def _freshness(self) -> Freshness:
         offsets = applied_offsets(self._groups)
         return Freshness(
-            lags=self._lag.lags(offsets, monotonic()),
-            quorum_ages={shard: self._groups.quorum_age(shard) for shard in ALL_SHARDS},
+            lags=self._lag_detector.lags(offsets, monotonic()),
+            quorum_ages={shard: self._groups.seconds_since_quorum(shard) for shard in ALL_SHARDS},
             offsets=offsets,
             controllers=[[ip, port, zone] for (ip, port), zone in self._controllers()],
             router_count=0,
@@ -244,16 +244,16 @@
         )
 
     def _freshness_for(self, subscriber: Subscriber, freshness: Freshness) -> Freshness:
-        freshness.router_count, freshness.router_rank = self._census.place_of(subscriber.node, monotonic())
+        freshness.router_count, freshness.router_rank = self._live_routers.place_of(subscriber.node, monotonic())
         return freshness
 
     def _take_census(self) -> None:
-        self._census.own({subscriber.node for subscriber in self._subscribers.values()}, monotonic())
+        self._live_routers.own({subscriber.node for subscriber in self._subscribers.values()}, monotonic())
 
     def _send(self, subscriber: Subscriber, encoded: bytes) -> None:
         try:
             subscriber.connection.send_encoded(encoded)
-        except ConnectionClosed as error:
+        except ConnectionClosedError as error:
             log.info("feed reader lost node=%s error=%r", subscriber.node, str(error))
             self._drop(subscriber.connection)
 
--- a/ochrespan/control_plane/prefix_placement/messages.py
+++ b/ochrespan/control_plane/prefix_placement/messages.py
@@ -9,7 +9,7 @@
 
 @message("home.ask")
 @dataclass(slots=True)
-class HomeRequest:
+class PrefixPlacementRequest:
     """A router meets shared parts of a prompt whose server it does not know, or whose server it cannot use."""
 
     service: str
@@ -20,7 +20,7 @@
 
 @message("home.is")
 @dataclass(slots=True)
-class Home:
+class PrefixPlacement:
     """The instance that keeps the shared parts; empty where the service has none."""
 
     instance: str
--- a/ochrespan/control_plane/prefix_placement/owner.py
+++ b/ochrespan/control_plane/prefix_placement/owner.py
@@ -11,17 +11,17 @@
 
 import gevent
 
-from ochrespan.control_plane.owner_calls import NotTheOwner
-from ochrespan.control_plane.registry.prefix_placements import AssignHomes, PrefixHomes
+from ochrespan.control_plane.owner_calls import NotOwnerResponse
+from ochrespan.control_plane.registry.prefix_placements import AssignPrefixes, PrefixPlacements
 from ochrespan.control_plane.registry.records import InstanceState
-from ochrespan.control_plane.registry.state_machine import InstanceMachine
-from ochrespan.control_plane.replication.errors import NotLeader, NoVerdict
+from ochrespan.control_plane.registry.state_machine import InstanceStateMachine
+from ochrespan.control_plane.replication.errors import NotLeaderError, OutcomeUnknownError
 from ochrespan.control_plane.replication.groups import ReplicaGroups
 from ochrespan.control_plane.shards import shard_of
 from ochrespan.transport.codec import encode
-from ochrespan.transport.rpc import CallServer
+from ochrespan.transport.rpc import RpcServer
 
-from .messages import Home, HomeRequest
+from .messages import PrefixPlacement, PrefixPlacementRequest
 
 log = logging.getLogger(__name__)
 
@@ -30,24 +30,24 @@
 REPLICATION_TIMEOUT_S = 3.0
 
 
-class HomeOwner:
+class PrefixPlacementOwner:
     """Answers routers for the services whose shards this process leads."""
 
     def __init__(
         self,
         groups: ReplicaGroups,
-        instances: Mapping[int, InstanceMachine],
+        instances: Mapping[int, InstanceStateMachine],
         later: Callable[..., object] = lambda call, *given: gevent.spawn_later(BATCH_S, call, *given),
     ) -> None:
         self._groups = groups
         self._instances = instances
         self._later = later
-        self._fresh: dict[str, PrefixHomes] = {}  # by service: placements that may not be replicated yet
+        self._fresh: dict[str, PrefixPlacements] = {}  # by service: placements that may not be replicated yet
         self._batches: dict[str, list[tuple[str, str, float]]] = {}
 
-    def register(self, call_server: CallServer) -> None:
+    def register(self, call_server: RpcServer) -> None:
         """Answers routers."""
-        call_server.on_call(HomeRequest, self.home)
+        call_server.on_request(PrefixPlacementRequest, self.home)
 
     def leadership_changed(self, shard: int, is_leader: bool) -> None:
         """To be called when this process begins or ceases to lead a shard."""
@@ -55,30 +55,30 @@
             del self._fresh[service]
             self._batches.pop(service, None)
 
-    def home(self, request: HomeRequest) -> Home | NotTheOwner:
+    def home(self, request: PrefixPlacementRequest) -> PrefixPlacement | NotOwnerResponse:
         """The instance that keeps the prefix: a known one, or the one with the fewest tokens so far."""
         shard, service = shard_of(request.service), request.service
         if not self._groups.is_leader(shard):
             leader = self._groups.leader(shard)
-            return NotTheOwner(*leader) if leader is not None else NotTheOwner()
+            return NotOwnerResponse(*leader) if leader is not None else NotOwnerResponse()
         machine = self._instances[shard]
-        fresh = self._fresh.setdefault(service, PrefixHomes())
-        known = fresh.of(service, request.prefix) or machine.homes.of(service, request.prefix)
+        fresh = self._fresh.setdefault(service, PrefixPlacements())
+        known = fresh.of(service, request.prefix) or machine.placements.of(service, request.prefix)
         ready = [
             record.id
             for record in machine.records.values()
             if record.backend == service and record.state == InstanceState.READY and record.id != request.unusable
         ]
         if known in ready:
-            return Home(known)
+            return PrefixPlacement(known)
         if not ready:
-            return Home("")
-        instance = min(ready, key=lambda name: (machine.homes.tokens(name) + fresh.tokens(name), name))
+            return PrefixPlacement("")
+        instance = min(ready, key=lambda name: (machine.placements.tokens(name) + fresh.tokens(name), name))
         self._place(service, (request.prefix, instance, request.tokens))
-        return Home(instance, is_new=True)
+        return PrefixPlacement(instance, is_new=True)
 
     def _place(self, service: str, entry: tuple[str, str, float]) -> None:
-        self._fresh[service].assign(AssignHomes(service, [entry]))
+        self._fresh[service].assign(AssignPrefixes(service, [entry]))
         if service not in self._batches:
             self._batches[service] = []
             self._later(self._replicate, service)
@@ -90,8 +90,8 @@
         if not entries:
             return
         try:
-            self._groups.propose(shard_of(service), encode(AssignHomes(service, entries)), REPLICATION_TIMEOUT_S)
-        except (NotLeader, NoVerdict) as error:
+            self._groups.propose(shard_of(service), encode(AssignPrefixes(service, entries)), REPLICATION_TIMEOUT_S)
+        except (NotLeaderError, OutcomeUnknownError) as error:
             log.info("placements not replicated service=%s count=%d error=%r", service, len(entries), str(error))
             return
         if (fresh := self._fresh.get(service)) is not None:
--- a/ochrespan/control_plane/quota/allocation.py
+++ b/ochrespan/control_plane/quota/allocation.py
@@ -15,11 +15,12 @@
 
 GRANT_LIFETIME_S = 0.5
 SEND_DELAY_S = 0.3  # from the moment when tokens are taken to the arrival of the request at a server
-SURE_PART = 0.8  # of what the bound leaves above rate and burst
-RATE_PART = 0.5  # of the overshoot that goes into the rate
-SHORTEST_WAIT_S = 0.001
-AHEAD_PART = 0.25  # of the bucket's level: at most this much is granted for requests that have not come yet
-EVEN_PART = 0.8  # of the sure share is dealt evenly, as a part has to hold a whole request; the rest by past grants
+RESERVED_FRACTION = 0.8  # of what the bound leaves above rate and burst
+RATE_FRACTION = 0.5  # of the overshoot that goes into the rate
+MIN_WAIT_S = 0.001
+PREFETCH_FRACTION = 0.25  # of the bucket's level: at most this much is granted for requests that have not come yet
+# of the sure share is dealt evenly, as a part has to hold a whole request; the rest by past grants
+EQUAL_FRACTION = 0.8
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +36,7 @@
         return (rate * self.window_s + burst) * (1 + self.overshoot) + self.slack
 
 
-def bounds_from(figures: Mapping[str, Any]) -> QuotaBounds:
+def quota_bounds(figures: Mapping[str, Any]) -> QuotaBounds:
     """The bounds as the settings name them."""
 
     def figure(name: str, default: float) -> float:
@@ -51,7 +52,7 @@
 
     rate: float
     depth: float
-    sure: float  # in any window, over all routers
+    reserved: float  # in any window, over all routers
     window_s: float
 
     @property
@@ -65,11 +66,11 @@
     allowed = bounds.allowed(rate, burst)
     granting_s = bounds.window_s + GRANT_LIFETIME_S + SEND_DELAY_S
     room = max(0.0, allowed - rate * granting_s - burst)
-    sure = SURE_PART * room
-    raised = rate * (1 + RATE_PART * bounds.overshoot)
-    owner_rate = max(0.0, min(raised, (allowed - sure - burst) / granting_s))
-    depth = allowed - sure - owner_rate * granting_s
-    return QuotaTerms(owner_rate, max(0.0, depth), sure, bounds.window_s)
+    reserved = RESERVED_FRACTION * room
+    raised = rate * (1 + RATE_FRACTION * bounds.overshoot)
+    owner_rate = max(0.0, min(raised, (allowed - reserved - burst) / granting_s))
+    depth = allowed - reserved - owner_rate * granting_s
+    return QuotaTerms(owner_rate, max(0.0, depth), reserved, bounds.window_s)
 
 
 class TokenBucket:
@@ -102,9 +103,9 @@
         return True
 
     def take_up_to(self, tokens: float, now: float) -> float:
-        """Takes at most AHEAD_PART of the level."""
+        """Takes at most PREFETCH_FRACTION of the level."""
         self.refill(now)
-        taken = max(0.0, min(tokens, AHEAD_PART * self.level))
+        taken = max(0.0, min(tokens, PREFETCH_FRACTION * self.level))
         self.level -= taken
         return taken
 
@@ -118,10 +119,10 @@
         missing = min(tokens, self.depth) - self.level
         if missing <= 0:
             return 0.0
-        return SHORTEST_WAIT_S + missing / self.rate if self.rate > 0 else float("inf")
+        return MIN_WAIT_S + missing / self.rate if self.rate > 0 else float("inf")
 
 
-class SlidingSum:
+class SlidingWindowSum:
     """The sum of what was added within the last seconds."""
 
     def __init__(self, span_s: float) -> None:
@@ -143,7 +144,7 @@
         return self._sum
 
 
-class SureShare:
+class ReservedShare:
     """What a router may spend of a tenant's tokens where no owner answers, or one that began with an empty bucket.
 
     The routers' parts add up to one at most: most is dealt evenly, the rest by what each was granted lately.
@@ -151,9 +152,9 @@
 
     def __init__(self, terms: QuotaTerms) -> None:
         self.terms = terms
-        self.even_share = 0.0
-        self._granted = SlidingSum(terms.window_s)
-        self._spent = SlidingSum(terms.window_s + SEND_DELAY_S)
+        self.equal_share = 0.0
+        self._granted = SlidingWindowSum(terms.window_s)
+        self._spent = SlidingWindowSum(terms.window_s + SEND_DELAY_S)
 
     def granted(self, tokens: float, now: float) -> None:
         """The owner has granted tokens to this router."""
@@ -163,15 +164,15 @@
         """Spends the tokens if this router's part has them left."""
         most = max(self.terms.most_granted, 1e-9)
         learned = min(1.0, self._granted.total(now) / most)
-        part = EVEN_PART * self.even_share + (1 - EVEN_PART) * learned
-        if self._spent.total(now) + tokens > part * self.terms.sure:
+        part = EQUAL_FRACTION * self.equal_share + (1 - EQUAL_FRACTION) * learned
+        if self._spent.total(now) + tokens > part * self.terms.reserved:
             return False
         self._spent.add(tokens, now)
         return True
 
 
 @dataclass(slots=True)
-class _Held:
+class _UnspentGrant:
     tokens: float
     expires_at: float
     epoch: int
@@ -181,7 +182,7 @@
     """The unspent grants of one tenant at a router, the oldest first."""
 
     def __init__(self) -> None:
-        self._grants: deque[_Held] = deque()
+        self._grants: deque[_UnspentGrant] = deque()
         self._left_over = 0.0  # expired unspent, to be told to the owner that granted it
         self.epoch = 0  # names the ownership under which the latest grant was given
 
@@ -190,7 +191,7 @@
         if epoch != self.epoch:
             self.epoch, self._left_over = epoch, 0.0
         if tokens > 0:
-            self._grants.append(_Held(tokens, asked_at + GRANT_LIFETIME_S, epoch))
+            self._grants.append(_UnspentGrant(tokens, asked_at + GRANT_LIFETIME_S, epoch))
 
     def give_back(self, tokens: float, epoch: int) -> None:
         """Tokens that were taken out of a grant, and surely will not be spent."""
--- a/ochrespan/control_plane/quota/client.py
+++ b/ochrespan/control_plane/quota/client.py
@@ -16,25 +16,25 @@
 
 from ochrespan.common.addresses import Address
 from ochrespan.control_plane.config.views import QuotaUnit, Tenant
-from ochrespan.control_plane.owner_calls import Call, ask_owner
+from ochrespan.control_plane.owner_calls import Call, call_owner
 
-from .allocation import SEND_DELAY_S, GrantedTokens, QuotaBounds, QuotaTerms, SureShare, terms_for
+from .allocation import SEND_DELAY_S, GrantedTokens, QuotaBounds, QuotaTerms, ReservedShare, terms_for
 from .messages import Grant, GrantRequest
 
-ANSWER_TIMEOUT_S = 0.3
-SILENT_OWNER_PAUSE_S = 0.1  # where no owner answered, none is asked again for this long
+RESPONSE_TIMEOUT_S = 0.3
+OWNER_BACKOFF_S = 0.1  # where no owner answered, none is asked again for this long
 NO_OWNER_RETRY_S = 0.5
-SHORTEST_RETRY_S = 0.4  # others wait for the same tokens, so a client that comes back at once is refused again
-LONGEST_WAIT_S = 0.12  # for tokens that the owner will have by then
-AHEAD_S = 0.2  # of a tenant's demand is asked for ahead
-AHEAD_FROM_REQUESTS_PER_S = 10.0
+MIN_RETRY_S = 0.4  # others wait for the same tokens, so a client that comes back at once is refused again
+MAX_WAIT_S = 0.12  # for tokens that the owner will have by then
+PREFETCH_S = 0.2  # of a tenant's demand is asked for ahead
+PREFETCH_MIN_REQUESTS_PER_S = 10.0
 DEMAND_WEIGHT = 0.5  # of the last second, in the mean of the demand
 DEMAND_INTERVAL_S = 1.0
 IDLE_TENANT_S = 60.0  # after which nothing is kept of a tenant
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class TokenReservation:
     """Whether a request may be sent; if not, when its client should come back."""
 
     allowed: bool
@@ -48,7 +48,7 @@
         return self.tokens == 0.0 or now - self.at <= SEND_DELAY_S
 
 
-UNLIMITED = Taken(True)
+UNLIMITED = TokenReservation(True)
 
 
 @dataclass(slots=True)
@@ -71,12 +71,12 @@
         self.requests += 1
 
     def wanted_ahead(self) -> float:
-        return self.tokens_per_s * AHEAD_S if self.requests_per_s >= AHEAD_FROM_REQUESTS_PER_S else 0.0
+        return self.tokens_per_s * PREFETCH_S if self.requests_per_s >= PREFETCH_MIN_REQUESTS_PER_S else 0.0
 
 
 @dataclass(slots=True)
 class _TenantState:
-    sure: SureShare
+    reserved: ReservedShare
     demand: _Demand
     used_at: float
     configured: int  # the number of the configuration that its terms and share are of
@@ -88,7 +88,7 @@
 class QuotaClient:
     """`ask_at(tenant)` names the processes to ask in turn: the owner as far as it is known, and who may know better.
 
-    `call(address, request, timeout)` asks one of them, or raises CallFailed.
+    `call(address, request, timeout)` asks one of them, or raises RpcError.
     """
 
     def __init__(
@@ -126,11 +126,11 @@
         state = self._states.get(name)
         if state is None:
             self._forget_idle(now)
-            state = _TenantState(SureShare(self._terms_of(tenant)), _Demand(now), now, 0)
+            state = _TenantState(ReservedShare(self._terms_of(tenant)), _Demand(now), now, 0)
             self._states[name] = state
         if state.configured != self._configured:
             state.configured = self._configured
-            state.sure.terms, state.sure.even_share = self._terms_of(tenant), 1 / self._router_count
+            state.reserved.terms, state.reserved.equal_share = self._terms_of(tenant), 1 / self._router_count
         state.used_at = now
         return state
 
@@ -154,14 +154,14 @@
         self._ask_ahead(tenant, state, now)
         return taken
 
-    def take(self, tenant: str, tokens: float) -> Taken:
+    def take(self, tenant: str, tokens: float) -> TokenReservation:
         """Takes the tokens, asking the owner if need be; where no owner answers, out of this router's sure share."""
         now = self._clock()
         if self.try_take(tenant, tokens, now):
             return self._taken(tenant, tokens, now)
         return self._take_by_asking(tenant, tokens)
 
-    def renew(self, tenant: str, taken: Taken) -> Taken:
+    def renew(self, tenant: str, taken: TokenReservation) -> TokenReservation:
         """Takes the tokens of a request anew that has not been sent: nothing changes if they still hold."""
         state = self._state_of(tenant)
         if state is None or taken.holds(self._clock()):
@@ -169,21 +169,21 @@
         self.release(tenant, taken)
         return self._take_by_asking(tenant, taken.tokens)
 
-    def release(self, tenant: str, taken: Taken) -> None:
+    def release(self, tenant: str, taken: TokenReservation) -> None:
         """The request was surely not sent, and will not be: its tokens go back to the owner with the next request."""
         state = self._state_of(tenant)
         if state is not None and taken.epoch is not None:
             state.granted.give_back(taken.tokens, taken.epoch)
 
-    def _take_by_asking(self, tenant: str, tokens: float) -> Taken:
+    def _take_by_asking(self, tenant: str, tokens: float) -> TokenReservation:
         """Waits where the owner will have the tokens shortly, since a refusal would cost the client more."""
         taken = self._take_once(tenant, tokens)
-        if not taken.allowed and taken.retry_after_s <= LONGEST_WAIT_S:
+        if not taken.allowed and taken.retry_after_s <= MAX_WAIT_S:
             self._pause(taken.retry_after_s)
             taken = self._take_once(tenant, tokens)
-        return taken if taken.allowed else replace(taken, retry_after_s=max(taken.retry_after_s, SHORTEST_RETRY_S))
+        return taken if taken.allowed else replace(taken, retry_after_s=max(taken.retry_after_s, MIN_RETRY_S))
 
-    def _take_once(self, tenant: str, tokens: float) -> Taken:
+    def _take_once(self, tenant: str, tokens: float) -> TokenReservation:
         state = self._state_of(tenant)
         if state is None:
             return UNLIMITED  # the limit was lifted meanwhile
@@ -192,13 +192,13 @@
         if state.granted.take(tokens, now):
             return self._taken(tenant, tokens, now)
         has_settled = grant is not None and grant.owner_age_s >= self._bounds.window_s
-        if not has_settled and state.sure.take(tokens, now):
-            return Taken(True, 0.0, tokens, None, now)
-        return Taken(False, NO_OWNER_RETRY_S if grant is None else grant.retry_after_s)
+        if not has_settled and state.reserved.take(tokens, now):
+            return TokenReservation(True, 0.0, tokens, None, now)
+        return TokenReservation(False, NO_OWNER_RETRY_S if grant is None else grant.retry_after_s)
 
-    def _taken(self, tenant: str, tokens: float, now: float) -> Taken:
+    def _taken(self, tenant: str, tokens: float, now: float) -> TokenReservation:
         state = self._state_of(tenant)
-        return UNLIMITED if state is None else Taken(True, 0.0, tokens, state.granted.epoch, now)
+        return UNLIMITED if state is None else TokenReservation(True, 0.0, tokens, state.granted.epoch, now)
 
     def _ask_ahead(self, tenant: str, state: _TenantState, now: float) -> None:
         wanted = state.demand.wanted_ahead()
@@ -219,16 +219,16 @@
             return None
         left_over = state.granted.take_left_over()
         request = GrantRequest(tenant, self._router, needed, ahead, left_over, state.granted.epoch)
-        grant = ask_owner(self._call, self._ask_at(tenant), request, Grant, ANSWER_TIMEOUT_S, f"tenant={tenant}")
+        grant = call_owner(self._call, self._ask_at(tenant), request, Grant, RESPONSE_TIMEOUT_S, f"tenant={tenant}")
         if grant is None:
-            state.silent_until = self._clock() + SILENT_OWNER_PAUSE_S
+            state.silent_until = self._clock() + OWNER_BACKOFF_S
             return None
         state.granted.add(grant.tokens, asked_at, grant.epoch)
-        state.sure.granted(grant.tokens, asked_at)
+        state.reserved.granted(grant.tokens, asked_at)
         return grant
 
 
-def cost_of(tenant: Tenant, token_usage: tuple[float, float] | None) -> float:
+def request_cost(tenant: Tenant, token_usage: tuple[float, float] | None) -> float:
     """What a request counts for: its tokens, or 1 where the tenant's quota is in requests."""
     if tenant.unit is not QuotaUnit.TOKENS:
         return 1.0
--- a/ochrespan/control_plane/quota/owner.py
+++ b/ochrespan/control_plane/quota/owner.py
@@ -13,10 +13,10 @@
 from time import monotonic
 
 from ochrespan.control_plane.config.views import Tenant
-from ochrespan.control_plane.owner_calls import NotTheOwner
-from ochrespan.control_plane.replication.groups import SOLE_OWNER_S, ReplicaGroups
+from ochrespan.control_plane.owner_calls import NotOwnerResponse
+from ochrespan.control_plane.replication.groups import LEASE_DURATION_S, ReplicaGroups
 from ochrespan.control_plane.shards import shard_of
-from ochrespan.transport.rpc import CallServer
+from ochrespan.transport.rpc import RpcServer
 
 from .allocation import QuotaBounds, TokenBucket, terms_for
 from .messages import Grant, GrantRequest
@@ -24,7 +24,7 @@
 log = logging.getLogger(__name__)
 
 
-LONGEST_RETRY_S = 5.0
+MAX_RETRY_S = 5.0
 
 
 class QuotaOwner:
@@ -46,9 +46,9 @@
         self._numbers = itertools.count(random.SystemRandom().getrandbits(48))
         self._buckets: dict[str, TokenBucket] = {}
 
-    def register(self, call_server: CallServer) -> None:
+    def register(self, call_server: RpcServer) -> None:
         """Answers routers."""
-        call_server.on_call(GrantRequest, self.grant)
+        call_server.on_request(GrantRequest, self.grant)
 
     def leadership_changed(self, shard: int, is_leader: bool) -> None:
         """To be called when this process begins or ceases to lead a shard."""
@@ -60,26 +60,26 @@
         else:
             self._owner_since.pop(shard, None)
 
-    def grant(self, request: GrantRequest) -> Grant | NotTheOwner:
+    def grant(self, request: GrantRequest) -> Grant | NotOwnerResponse:
         """Answers a router: tokens, none, or who to ask instead."""
         shard = shard_of(request.tenant)
         if not self._owns(shard):
             leader = self._groups.leader(shard)
-            return NotTheOwner(*leader) if leader is not None else NotTheOwner()
+            return NotOwnerResponse(*leader) if leader is not None else NotOwnerResponse()
         tenant, epoch, now = self._tenant(request.tenant), self._epochs[shard], self._clock()
         age = now - self._owner_since[shard]
         if tenant is None:
-            return Grant(0.0, LONGEST_RETRY_S, epoch, age)
+            return Grant(0.0, MAX_RETRY_S, epoch, age)
         bucket = self._bucket(tenant, shard, now)
         if request.epoch == epoch and request.left_over > 0:
             bucket.put_back(request.left_over)
         if not bucket.take(request.needed, now, on_credit=True):
             log.debug("at its limit tenant=%s needed=%.0f level=%.0f", request.tenant, request.needed, bucket.level)
-            return Grant(0.0, min(LONGEST_RETRY_S, bucket.wait_for(request.needed, now)), epoch, age)
+            return Grant(0.0, min(MAX_RETRY_S, bucket.wait_for(request.needed, now)), epoch, age)
         return Grant(request.needed + bucket.take_up_to(request.ahead, now), 0.0, epoch, age)
 
     def _owns(self, shard: int) -> bool:
-        return shard in self._owner_since and self._groups.lease_age(shard) < SOLE_OWNER_S
+        return shard in self._owner_since and self._groups.lease_age_s(shard) < LEASE_DURATION_S
 
     def _bucket(self, tenant: Tenant, shard: int, now: float) -> TokenBucket:
         terms = terms_for(tenant.rate_per_s, tenant.burst, self._bounds)
--- a/ochrespan/control_plane/quota/router_setup.py
+++ b/ochrespan/control_plane/quota/router_setup.py
@@ -9,9 +9,9 @@
 from ochrespan.control_plane.feed.client import FeedClient
 from ochrespan.control_plane.feed.table import FleetTable
 from ochrespan.control_plane.shards import shard_of
-from ochrespan.transport.peer_clients import Peers
+from ochrespan.transport.peer_clients import PeerClients
 
-from .allocation import bounds_from
+from .allocation import quota_bounds
 from .client import QuotaClient
 
 
@@ -26,9 +26,9 @@
     return ask_at
 
 
-def quota_client_for(router: str, figures: Mapping[str, Any], feed: FeedClient, peers: Peers) -> QuotaClient:
+def quota_client_for(router: str, figures: Mapping[str, Any], feed: FeedClient, peers: PeerClients) -> QuotaClient:
     """The quota client of a router; `figures` are the `bounds` of its settings."""
-    return QuotaClient(router, bounds_from(figures), owners_of(feed), peers.call)
+    return QuotaClient(router, quota_bounds(figures), owners_of(feed), peers.call)
 
 
 def configure_quotas(quotas: QuotaClient, table: FleetTable) -> None:
--- a/ochrespan/control_plane/registry/change_batch.py
+++ b/ochrespan/control_plane/registry/change_batch.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True)
-class ChangeGathering:
+class ChangeBatch:
     """The latest word on each instance that changed; None where it was removed."""
 
     offset: int = 0  # of the latest change
--- a/ochrespan/control_plane/registry/heartbeats.py
+++ b/ochrespan/control_plane/registry/heartbeats.py
@@ -8,18 +8,18 @@
 
 TIMEOUT_HEARTBEATS = 3.5
 TIMEOUT_SLACK_S = 1.0
-LONGEST_GAP_S = 1.0  # a watcher that was itself away for longer begins anew
-MASS_SHARE = 0.5  # more than this share silent at once points to the watcher, or to its links
-MASS_SMALLEST = 3
-MASS_TIMEOUTS = 2.0
+MAX_CHECK_GAP_S = 1.0  # a watcher that was itself away for longer begins anew
+MASS_EXPIRY_FRACTION = 0.5  # more than this share silent at once points to the watcher, or to its links
+MASS_EXPIRY_MIN_INSTANCES = 3
+MASS_EXPIRY_TIMEOUTS = 2.0
 
 
-def timeout_s(heartbeat_s: float) -> float:
+def heartbeat_timeout_s(heartbeat_s: float) -> float:
     """How long an instance may be silent."""
     return TIMEOUT_HEARTBEATS * heartbeat_s + TIMEOUT_SLACK_S
 
 
-class HeartbeatWatch:
+class HeartbeatMonitor:
     """The last report of each instance of one shard, kept while this process owns the shard."""
 
     def __init__(self, timeout: float) -> None:
@@ -55,10 +55,10 @@
         gap, self._checked_at = now - self._checked_at, now
         if self._listening_since is None:
             return []
-        if gap > LONGEST_GAP_S:
+        if gap > MAX_CHECK_GAP_S:
             self._listening_since = now
         ages = {each: now - max(self._heard_at.get(each, 0.0), self._listening_since) for each in registered}
         silent = [each for each, age in ages.items() if age > self._timeout]
-        if len(silent) >= MASS_SMALLEST and len(silent) > MASS_SHARE * len(ages):
-            return [each for each in silent if ages[each] > MASS_TIMEOUTS * self._timeout]
+        if len(silent) >= MASS_EXPIRY_MIN_INSTANCES and len(silent) > MASS_EXPIRY_FRACTION * len(ages):
+            return [each for each in silent if ages[each] > MASS_EXPIRY_TIMEOUTS * self._timeout]
         return silent
--- a/ochrespan/control_plane/registry/owner.py
+++ b/ochrespan/control_plane/registry/owner.py
@@ -10,15 +10,15 @@
 
 import gevent
 
-from ochrespan.control_plane.replication.errors import NotLeader, NoVerdict
-from ochrespan.control_plane.replication.groups import CALL_TIMEOUT_S, SOLE_OWNER_S, ReplicaGroups
-from ochrespan.control_plane.responses import OK, Answer, json_answer, unavailable
+from ochrespan.control_plane.replication.errors import NotLeaderError, OutcomeUnknownError
+from ochrespan.control_plane.replication.groups import CALL_TIMEOUT_S, LEASE_DURATION_S, ReplicaGroups
+from ochrespan.control_plane.responses import OK, Response, json_response, unavailable_response
 from ochrespan.transport.codec import encode, message
 
 from .commands import ExpireInstances, RegisterInstance, RemoveInstance
-from .heartbeats import HeartbeatWatch, timeout_s
+from .heartbeats import HeartbeatMonitor, heartbeat_timeout_s
 from .records import InstanceRecord, record_fields, record_from_fields
-from .state_machine import InstanceMachine
+from .state_machine import InstanceStateMachine
 
 log = logging.getLogger(__name__)
 
@@ -44,12 +44,12 @@
 
 
 class InstanceOwner:
-    """Answers servers where this process leads the shard of their service; raises NotLeader elsewhere."""
+    """Answers servers where this process leads the shard of their service; raises NotLeaderError elsewhere."""
 
-    def __init__(self, groups: ReplicaGroups, machines: Mapping[int, InstanceMachine], heartbeat_s: float) -> None:
+    def __init__(self, groups: ReplicaGroups, machines: Mapping[int, InstanceStateMachine], heartbeat_s: float) -> None:
         self._groups = groups
         self._machines = machines
-        self._watches = {shard: HeartbeatWatch(timeout_s(heartbeat_s)) for shard in machines}
+        self._watches = {shard: HeartbeatMonitor(heartbeat_timeout_s(heartbeat_s)) for shard in machines}
 
     def leadership_changed(self, shard: int, is_leader: bool) -> None:
         """To be called when this process begins or ceases to lead a shard."""
@@ -60,41 +60,41 @@
         else:
             self._watches[shard].end()
 
-    def report(self, report: InstanceReport) -> Answer:
+    def report(self, report: InstanceReport) -> Response:
         """Acknowledges a report: a mere heartbeat at once, a change after its commitment."""
         shard, record = report.shard, record_from_fields(report.record)
         self._require_leadership(shard)
         machine, watch = self._machines[shard], self._watches[shard]
         watch.heard(record.id, record.sequence, monotonic())
-        if not _is_news(machine, record):
+        if not _is_change(machine, record):
             return self._soft_acknowledgement(shard)
         try:
             self._groups.propose(shard, encode(RegisterInstance(record_fields(record))), CALL_TIMEOUT_S)
-        except NoVerdict as error:
-            return unavailable("instance", str(error) or "no commitment in time")
-        return json_answer(OK, {})
+        except OutcomeUnknownError as error:
+            return unavailable_response("instance", str(error) or "no commitment in time")
+        return json_response(OK, {})
 
-    def ended(self, request: InstanceEnded) -> Answer:
+    def ended(self, request: InstanceEnded) -> Response:
         """Acknowledges the end of an instance after its commitment."""
         self._require_leadership(request.shard)
         if self._machines[request.shard].is_gone(request.id):
             return self._soft_acknowledgement(request.shard)
         try:
             self._groups.propose(request.shard, encode(RemoveInstance(request.id)), CALL_TIMEOUT_S)
-        except NoVerdict as error:
-            return unavailable("instance", str(error) or "no commitment in time")
+        except OutcomeUnknownError as error:
+            return unavailable_response("instance", str(error) or "no commitment in time")
         self._watches[request.shard].forget(request.id)
-        return json_answer(OK, {})
+        return json_response(OK, {})
 
     def watch(self) -> None:
         """Expires silent instances until the greenlet is killed."""
         while True:
             gevent.sleep(EXPIRY_INTERVAL_S)
             for shard in self._watches:
-                if silent := self.find_silent(shard, monotonic()):
+                if silent := self.find_expired(shard, monotonic()):
                     gevent.spawn(self._expire, shard, silent)
 
-    def find_silent(self, shard: int, now: float) -> list[str]:
+    def find_expired(self, shard: int, now: float) -> list[str]:
         """Instances of a shard that this process leads and that were silent for too long."""
         silent = self._watches[shard].expired(self._machines[shard].records, now)
         return silent if silent and self._groups.is_leader(shard) else []
@@ -104,7 +104,7 @@
         sequences = {each: records[each].sequence for each in silent if each in records}
         try:
             change = self._groups.propose(shard, encode(ExpireInstances(sequences)), CALL_TIMEOUT_S)
-        except (NoVerdict, NotLeader) as error:
+        except (OutcomeUnknownError, NotLeaderError) as error:
             log.info("expiry undecided shard=%d error=%r", shard, str(error))
             return
         for instance_id in change.removed:
@@ -113,15 +113,15 @@
 
     def _require_leadership(self, shard: int) -> None:
         if not self._groups.is_leader(shard):
-            raise NotLeader(self._groups.leader(shard))
+            raise NotLeaderError(self._groups.leader(shard))
 
-    def _soft_acknowledgement(self, shard: int) -> Answer:
-        if self._groups.lease_age(shard) > SOLE_OWNER_S:
-            return unavailable("instance", "no majority")
-        return json_answer(OK, {})
+    def _soft_acknowledgement(self, shard: int) -> Response:
+        if self._groups.lease_age_s(shard) > LEASE_DURATION_S:
+            return unavailable_response("instance", "no majority")
+        return json_response(OK, {})
 
 
-def _is_news(machine: InstanceMachine, record: InstanceRecord) -> bool:
+def _is_change(machine: InstanceStateMachine, record: InstanceRecord) -> bool:
     known = machine.records.get(record.id)
     if known is not None and known.same_apart_from_time(record):
         return False
--- a/ochrespan/control_plane/registry/prefix_placements.py
+++ b/ochrespan/control_plane/registry/prefix_placements.py
@@ -11,26 +11,26 @@
 
 from ochrespan.transport.codec import message
 
-MOST_PREFIXES = 2048  # of one service; those placed longest ago are forgotten
+MAX_PREFIXES = 2048  # of one service; those placed longest ago are forgotten
 
 
 @message("cp.homes")
 @dataclass(slots=True)
-class AssignHomes:
+class AssignPrefixes:
     """Prefixes of a service's prompts that were placed: prefix, instance and tokens of each."""
 
     service: str
     entries: list[tuple[str, str, float]]
 
 
-class PrefixHomes:
+class PrefixPlacements:
     """The prefixes of some services."""
 
     def __init__(self, services: dict[str, list[Any]] | None = None) -> None:
         self._services: dict[str, dict[str, tuple[str, float]]] = {}
         self._tokens: dict[str, float] = {}  # by instance
         for service, entries in (services or {}).items():
-            self.assign(AssignHomes(service, [tuple(entry) for entry in entries]))
+            self.assign(AssignPrefixes(service, [tuple(entry) for entry in entries]))
 
     def of(self, service: str, prefix: str) -> str:
         """The instance that keeps a prefix, empty where none is known to."""
@@ -40,14 +40,14 @@
         """The tokens of all prefixes that an instance keeps."""
         return self._tokens.get(instance, 0.0)
 
-    def assign(self, command: AssignHomes) -> None:
+    def assign(self, command: AssignPrefixes) -> None:
         """Takes placements over; a later one replaces an earlier one of the same prefix."""
         known = self._services.setdefault(command.service, {})
         for prefix, instance, tokens in command.entries:
             self._drop(known, prefix)
             known[prefix] = (instance, tokens)
             self._tokens[instance] = self._tokens.get(instance, 0.0) + tokens
-            if len(known) > MOST_PREFIXES:
+            if len(known) > MAX_PREFIXES:
                 self._drop(known, next(iter(known)))
 
     def forget(self, service: str, prefixes: list[str]) -> None:
--- a/ochrespan/control_plane/registry/slow_start.py
+++ b/ochrespan/control_plane/registry/slow_start.py
@@ -10,7 +10,7 @@
 MILLISECONDS = 1000.0
 
 
-class ColdTimes:
+class SlowStartTimes:
     """The end of each instance's cold time, counted from when its record was applied here."""
 
     def __init__(self) -> None:
--- a/ochrespan/control_plane/registry/state_machine.py
+++ b/ochrespan/control_plane/registry/state_machine.py
@@ -15,10 +15,10 @@
 
 from .changes import NO_CHANGE, InstancesChange
 from .commands import ExpireInstances, RegisterInstance, RemoveInstance
-from .prefix_placements import AssignHomes, PrefixHomes
+from .prefix_placements import AssignPrefixes, PrefixPlacements
 from .records import InstanceRecord, InstanceState, record_fields, record_from_fields
 
-REMEMBERED_GONE = 8192
+MAX_REMEMBERED_REMOVALS = 8192
 
 
 @dataclass(slots=True)
@@ -30,18 +30,18 @@
     def add(self, instance_id: str, sequence: int, final: bool, draining: bool = False) -> None:
         self.entries.pop(instance_id, None)
         self.entries[instance_id] = [sequence, final, draining]
-        if len(self.entries) > REMEMBERED_GONE:
+        if len(self.entries) > MAX_REMEMBERED_REMOVALS:
             del self.entries[next(iter(self.entries))]
 
 
-class InstanceMachine:
+class InstanceStateMachine:
     """The instances of the services of one shard."""
 
     def __init__(self) -> None:
         self.records: dict[str, InstanceRecord] = {}
         self._ids_by_address: dict[str, str] = {}
         self._departed = _Departed()
-        self.homes = PrefixHomes()
+        self.placements = PrefixPlacements()
 
     def apply(self, index: int, command: bytes) -> InstancesChange:
         """What the command changed; nothing for one that comes too late."""
@@ -55,8 +55,8 @@
             return self._remove(decoded.id)
         if isinstance(decoded, ExpireInstances):
             return self._expire(decoded.sequences)
-        if isinstance(decoded, AssignHomes):
-            self.homes.assign(decoded)
+        if isinstance(decoded, AssignPrefixes):
+            self.placements.assign(decoded)
         return NO_CHANGE
 
     def accepts(self, record: InstanceRecord) -> bool:
@@ -77,15 +77,15 @@
     def snapshot(self) -> bytes:
         """The whole state, compressed."""
         records = [record_fields(record) for record in self.records.values()]
-        return compact.pack([records, self._departed.entries, self.homes.fields()])
+        return compact.pack([records, self._departed.entries, self.placements.fields()])
 
     def restore(self, data: bytes) -> None:
         """Takes over the state of a snapshot."""
-        records, departed, *homes = compact.unpack(data)  # snapshots of earlier versions lack the homes
+        records, departed, *placements = compact.unpack(data)  # snapshots of earlier versions lack the homes
         self.records = {fields["id"]: record_from_fields(fields) for fields in records}
         self._ids_by_address = {record.address: record.id for record in self.records.values()}
         self._departed = _Departed(departed)
-        self.homes = PrefixHomes(homes[0] if homes else None)
+        self.placements = PrefixPlacements(placements[0] if placements else None)
 
     def _register(self, record: InstanceRecord) -> InstancesChange:
         if not self.accepts(record):
--- a/ochrespan/control_plane/replication/applier.py
+++ b/ochrespan/control_plane/replication/applier.py
@@ -12,7 +12,7 @@
 from ochrespan.raft.messages import Entry, EntryKind
 from ochrespan.raft.replica import Replica
 
-from .errors import NoVerdict
+from .errors import OutcomeUnknownError
 from .state_machine import StateMachine
 
 log = logging.getLogger(__name__)
@@ -48,13 +48,13 @@
             result.set(None)
         failed, replica.failed_reads = replica.failed_reads, []
         for result in failed:
-            result.set_exception(NoVerdict("leadership was lost"))
+            result.set_exception(OutcomeUnknownError("leadership was lost"))
 
     def restore(self, shard: int, last_index: int, data: bytes) -> None:
         self.machines[shard].restore(data)
         for key in [key for key in self._waiting if key[0] == shard and key[1] <= last_index]:
-            self._waiting.pop(key)[1].set_exception(NoVerdict("replaced by a snapshot"))
-        call_back(self.on_restored, shard)
+            self._waiting.pop(key)[1].set_exception(OutcomeUnknownError("replaced by a snapshot"))
+        run_callback(self.on_restored, shard)
 
     def _apply(self, shard: int, index: int, entry: Entry) -> None:
         result = None
@@ -66,7 +66,7 @@
         if term == entry.term:
             waiting.set(result)
         else:
-            waiting.set_exception(NoVerdict("leadership was lost before commitment"))
+            waiting.set_exception(OutcomeUnknownError("leadership was lost before commitment"))
 
     def _apply_command(self, shard: int, index: int, command: bytes) -> Any:
         """A machine that raises does so at every replica: its command has no effect and no result."""
@@ -75,11 +75,11 @@
         except Exception:
             log.exception("command failed shard=%d index=%d", shard, index)
             return None
-        call_back(self.on_applied, shard, index, command, result)
+        run_callback(self.on_applied, shard, index, command, result)
         return result
 
 
-def call_back(callback: Callable[..., None], *arguments: Any) -> None:
+def run_callback(callback: Callable[..., None], *arguments: Any) -> None:
     """What a callback raises must not cost the entries behind it."""
     try:
         callback(*arguments)
--- a/ochrespan/control_plane/replication/disk_writer.py
+++ b/ochrespan/control_plane/replication/disk_writer.py
@@ -13,14 +13,14 @@
 import gevent
 from gevent.event import Event
 
-from ochrespan.storage.snapshot_store import Store
+from ochrespan.storage.snapshot_store import SnapshotStore
 
 log = logging.getLogger(__name__)
 
 
 RETRY_S = 0.25
-SMALLEST_LOG_BYTES = 1024 * 1024  # a checkpoint isn't worth its cost below
-DISK_SHARE_OF_LOG = 16  # a log may fill one part in this many of the disk
+MIN_LOG_BYTES = 1024 * 1024  # a checkpoint isn't worth its cost below
+LOG_DISK_DIVISOR = 16  # a log may fill one part in this many of the disk
 
 
 class DiskWriter:
@@ -28,14 +28,14 @@
 
     def __init__(
         self,
-        store: Store,
+        store: SnapshotStore,
         disk_bytes: int,
         take: Callable[[], list[bytes]],
         durable: Callable[[], None],
         image: Callable[[], bytes],
     ) -> None:
         self._store, self._take, self._durable, self._image = store, take, durable, image
-        self._log_limit = max(SMALLEST_LOG_BYTES // 4, min(4 * SMALLEST_LOG_BYTES, disk_bytes // DISK_SHARE_OF_LOG))
+        self._log_limit = max(MIN_LOG_BYTES // 4, min(4 * MIN_LOG_BYTES, disk_bytes // LOG_DISK_DIVISOR))
         self._image_bytes = 0
         self._wake = Event()
         self._began: float | None = None
@@ -107,7 +107,7 @@
         return True
 
     def _checkpoint_wanted(self) -> bool:
-        if self._store.checkpoint_under_way:
+        if self._store.checkpoint_in_progress:
             return time.monotonic() >= self._checkpoint_at
         return self._store.log_bytes > max(self._log_limit, 2 * self._image_bytes)
 
--- a/ochrespan/control_plane/replication/errors.py
+++ b/ochrespan/control_plane/replication/errors.py
@@ -5,11 +5,11 @@
 from ochrespan.common.addresses import Address, format_address
 
 
-class NoVerdict(Exception):
+class OutcomeUnknownError(Exception):
     """The command may or may not be applied: the leader was lost, time ran out, or there is no quorum."""
 
 
-class NotLeader(Exception):
+class NotLeaderError(Exception):
     """The command was surely not appended here. `leader`: who may lead, if known."""
 
     def __init__(self, leader: Address | None) -> None:
--- a/ochrespan/control_plane/replication/groups.py
+++ b/ochrespan/control_plane/replication/groups.py
@@ -8,8 +8,9 @@
 from ochrespan.control_plane.shards import ALL_SHARDS
 
 CALL_TIMEOUT_S = 0.9  # callers wait for a second
-FRESH_QUORUM_S = 1.0  # a feed whose controller has not heard of a majority for longer is not current
-SOLE_OWNER_S = 0.4  # a majority that answered so lately elects no other: shorter than the shortest election time-out
+MAX_QUORUM_AGE_S = 1.0  # a feed whose controller has not heard of a majority for longer is not current
+# a majority that answered so lately elects no other: shorter than the shortest election time-out
+LEASE_DURATION_S = 0.4
 
 
 class ReplicaGroups(Protocol):
@@ -25,11 +26,11 @@
 
     def cluster(self) -> int: ...
 
-    def bearable_losses(self, shard: int) -> int | None: ...
+    def failures_tolerated(self, shard: int) -> int | None: ...
 
-    def quorum_age(self, shard: int) -> float: ...
+    def seconds_since_quorum(self, shard: int) -> float: ...
 
-    def lease_age(self, shard: int) -> float: ...
+    def lease_age_s(self, shard: int) -> float: ...
 
     def applied_index(self, shard: int) -> int: ...
 
--- a/ochrespan/control_plane/replication/host.py
+++ b/ochrespan/control_plane/replication/host.py
@@ -12,33 +12,33 @@
 from gevent.event import AsyncResult, Event
 
 from ochrespan.common.addresses import Address
-from ochrespan.raft.bootstrap import FormationSettings
-from ochrespan.raft.multi_raft import GroupTable
+from ochrespan.raft.bootstrap import BootstrapSettings
+from ochrespan.raft.multi_raft import MultiRaft
 from ochrespan.raft.replica import Replica
 from ochrespan.raft.state import Role
 from ochrespan.storage.files import PosixDirectory
-from ochrespan.storage.snapshot_store import Store
+from ochrespan.storage.snapshot_store import SnapshotStore
 from ochrespan.transport import rpc
-from ochrespan.transport.peer_connections import PeerLinks
+from ochrespan.transport.peer_connections import PeerConnections
 from ochrespan.transport.tcp import Connection
 
-from .applier import Applier, call_back
+from .applier import Applier, run_callback
 from .disk_writer import RETRY_S, DiskWriter
-from .errors import NotLeader, NoVerdict
-from .leader_eligibility import Willingness
-from .persistent_records import pack_image, pack_record, replay, unpack_image
+from .errors import NotLeaderError, OutcomeUnknownError
+from .leader_eligibility import LeaderEligibility
+from .persistent_records import pack_checkpoint, pack_record, replay, unpack_checkpoint
 from .raft_wire import RaftBatch, pack_envelope, unpack_envelope
 from .state_machine import HostSettings, StateMachine
 
 log = logging.getLogger(__name__)
 
 
-TICK_S = 0.06
-MAINTAIN_S = 0.5
+TICK_INTERVAL_S = 0.06
+MAINTENANCE_INTERVAL_S = 0.5
 SLOW_DISK_S = 1.5  # a write that takes longer makes this process hand over what it leads
-STOP_S = 1.0
-LEAVE_S = 0.3  # after the hand-over, for a spare to take this process's place
-MEGABYTE = 1024 * 1024
+STOP_TIMEOUT_S = 1.0
+REPLACEMENT_WAIT_S = 0.3  # after the hand-over, for a spare to take this process's place
+BYTES_PER_MB = 1024 * 1024
 
 
 class ReplicaHost:
@@ -46,16 +46,16 @@
 
     def __init__(self, settings: HostSettings, machines: Mapping[int, StateMachine]) -> None:
         self.settings = settings
-        self.call_server = rpc.CallServer(settings.address)
+        self.call_server = rpc.RpcServer(settings.address)
         self.on_leadership: Callable[[int, bool], None] = lambda shard, leads: None
         self._applier = Applier(machines)
-        self._table: GroupTable | None = None
+        self._table: MultiRaft | None = None
         self._disk: DiskWriter | None = None
-        self._links = PeerLinks()
+        self._links = PeerConnections()
         self._peers: dict[Connection, Address] = {}
         self._leading: set[int] = set()
         self._bearable_losses: dict[int, int | None] = {}  # as last told, by shard
-        self._willingness = Willingness()
+        self._eligibility = LeaderEligibility()
         self._wake = Event()
         self._greenlets: list[gevent.Greenlet] = []
         self._stopping = False
@@ -93,10 +93,10 @@
         if self._table is not None:
             self._table.leave(time.monotonic())
             self._wake.set()
-            deadline = time.monotonic() + STOP_S
+            deadline = time.monotonic() + STOP_TIMEOUT_S
             while self._leads_anything() and time.monotonic() < deadline:
-                gevent.sleep(TICK_S / 3)
-            gevent.sleep(min(LEAVE_S, max(0.0, deadline - time.monotonic())))
+                gevent.sleep(TICK_INTERVAL_S / 3)
+            gevent.sleep(min(REPLACEMENT_WAIT_S, max(0.0, deadline - time.monotonic())))
         gevent.killall(self._greenlets, block=False)
         if self._disk is not None:
             self._disk.stop()
@@ -104,27 +104,32 @@
         self.call_server.stop()
 
     def propose(self, shard: int, command: bytes, timeout: float) -> Any:
-        """The result of the command after its commitment. Raises NotLeader or NoVerdict."""
+        """The result of the command after its commitment. Raises NotLeaderError or OutcomeUnknownError."""
         placed = self._table and self._table.replicas[shard].propose(time.monotonic(), command)
         if not placed:
-            raise NotLeader(self.leader(shard))
+            raise NotLeaderError(self.leader(shard))
         with self._applier.waiting(shard, *placed) as result:
             self._wake.set()
             try:
                 return result.get(timeout=timeout)
             except gevent.Timeout as error:
-                raise NoVerdict("not committed in time") from error
+                raise OutcomeUnknownError("not committed in time") from error
 
     def read_barrier(self, shard: int, timeout: float) -> None:
-        """Returns when the state here holds all that was acknowledged before. Raises NotLeader or NoVerdict."""
+        """Returns when the state here holds all that was acknowledged before.
+
+        Raises:
+            NotLeaderError: This process does not lead the shard.
+            OutcomeUnknownError: No majority has confirmed the leadership in time.
+        """
         result = AsyncResult()
         if not self._table or not self._table.replicas[shard].read(time.monotonic(), result):
-            raise NotLeader(self.leader(shard))
+            raise NotLeaderError(self.leader(shard))
         self._wake.set()
         try:
             result.get(timeout=timeout)
         except gevent.Timeout as error:
-            raise NoVerdict("not confirmed in time") from error
+            raise OutcomeUnknownError("not confirmed in time") from error
 
     def add_seeds(self, seeds: Iterable[Address]) -> None:
         """Seeds of changed settings: further processes to ask for the groups."""
@@ -147,11 +152,11 @@
 
     def decline_leadership(self, span_s: float) -> None:
         """Hands over what this process leads, and leads nothing for so long, as long as others lead; 0 ends that."""
-        self._willingness.decline(time.monotonic(), span_s)
+        self._eligibility.decline(time.monotonic(), span_s)
 
     def declines_leadership_for(self) -> float:
         """Seconds for which `decline_leadership` still holds."""
-        return self._willingness.declines_for(time.monotonic())
+        return self._eligibility.declines_for(time.monotonic())
 
     def leader_since(self, shard: int) -> float | None:
         """By the steady clock, since when this process leads the shard."""
@@ -159,19 +164,19 @@
 
     def cluster(self) -> int:
         """The number of the founding that this process belongs to; 0 while it belongs to none."""
-        return self._table.formation.identity.cluster if self._table is not None else 0
+        return self._table.bootstrap.identity.cluster if self._table is not None else 0
 
-    def bearable_losses(self, shard: int) -> int | None:
+    def failures_tolerated(self, shard: int) -> int | None:
         """How many more voters of a shard that is led here may be lost now; None where it is led elsewhere."""
-        return self._table.replicas[shard].bearable_losses if self._table is not None else None
+        return self._table.replicas[shard].failures_tolerated if self._table is not None else None
 
-    def quorum_age(self, shard: int) -> float:
+    def seconds_since_quorum(self, shard: int) -> float:
         """Seconds since this process knew that the shard's group had a majority."""
-        return self._table.replicas[shard].quorum_age(time.monotonic()) if self._table else float("inf")
+        return self._table.replicas[shard].seconds_since_quorum(time.monotonic()) if self._table else float("inf")
 
-    def lease_age(self, shard: int) -> float:
+    def lease_age_s(self, shard: int) -> float:
         """Seconds since a majority answered this process as the shard's leader; infinite where it doesn't lead."""
-        return self._table.replicas[shard].lease_age(time.monotonic()) if self._table else float("inf")
+        return self._table.replicas[shard].lease_age_s(time.monotonic()) if self._table else float("inf")
 
     def applied_index(self, shard: int) -> int:
         return self._table.replicas[shard].core.applied_index if self._table else 0
@@ -180,7 +185,7 @@
 
     def _open(self) -> None:
         directory = PosixDirectory(self.settings.data_dir)
-        store = Store(directory)
+        store = SnapshotStore(directory)
         recovered = None
         while recovered is None:
             try:
@@ -188,15 +193,15 @@
             except OSError as error:
                 log.error("disk not readable error=%s", error)
                 gevent.sleep(RETRY_S)
-        image = unpack_image(recovered.image) if recovered.image is not None else []
+        image = unpack_checkpoint(recovered.image) if recovered.image is not None else []
         identity, durable = replay([*image, *recovered.records])
         settings = self.settings
-        formation = FormationSettings(settings.address, settings.seeds, settings.bootstrap, settings.tolerated_machines)
+        bootstrap = BootstrapSettings(settings.address, settings.seeds, settings.bootstrap, settings.fault_tolerance)
         for shard, state in durable.items():
             if state.log.snapshot.index and shard in self._applier.machines:
                 self._applier.restore(shard, state.log.snapshot.index, state.log.snapshot.data)
-        self._table = GroupTable(
-            formation, tuple(self._applier.machines), identity, durable, random.SystemRandom(), time.monotonic()
+        self._table = MultiRaft(
+            bootstrap, tuple(self._applier.machines), identity, durable, random.SystemRandom(), time.monotonic()
         )
         log.info(
             "replica host started node=%s replica=%d empty=%s bootstrap=%s",
@@ -205,7 +210,7 @@
             identity is None,
             settings.bootstrap,
         )
-        disk_bytes = settings.disk_mb * MEGABYTE
+        disk_bytes = settings.disk_mb * BYTES_PER_MB
         self._disk = DiskWriter(store, disk_bytes, self._take_records, self._durable, self._image)
         self._disk.start()
         self._greenlets += [gevent.spawn(self._for_ever, self._tick), gevent.spawn(self._for_ever, self._run)]
@@ -220,12 +225,12 @@
                 loop()
             except Exception:
                 log.exception("replica host failed and goes on")
-                gevent.sleep(TICK_S)
+                gevent.sleep(TICK_INTERVAL_S)
 
     def _connection_closed(self, connection: Connection) -> None:
         peer = self._peers.pop(connection, None)
         if peer is not None and self._table is not None and not self._stopping:
-            self._table.peer_lost(time.monotonic(), peer)
+            self._table.peer_disconnected(time.monotonic(), peer)
 
     def _received(self, connection: Connection, batch: RaftBatch) -> None:
         if self._table is None:
@@ -251,8 +256,8 @@
             self._wake.set()
             if now >= maintain_at:
                 self._links.maintain()
-                maintain_at = now + MAINTAIN_S
-            gevent.sleep(TICK_S)
+                maintain_at = now + MAINTENANCE_INTERVAL_S
+            gevent.sleep(TICK_INTERVAL_S)
 
     def _run(self) -> None:
         while True:
@@ -268,14 +273,14 @@
     def _judge_willingness(self, now: float) -> None:
         disk_in_trouble = self._disk.pending_for > SLOW_DISK_S or self._disk.failed
         has_leaders = all(replica.leader is not None for replica in self._table.replicas.values())
-        abstains = self._willingness.abstains(now, disk_in_trouble, has_leaders)
+        withholds_votes = self._eligibility.withholds_votes(now, disk_in_trouble, has_leaders)
         replica = next(iter(self._table.replicas.values()))
-        if abstains != replica.core.abstaining:
-            self._table.abstain(now, abstains)
+        if withholds_votes != replica.core.withholding_votes:
+            self._table.withhold_votes(now, withholds_votes)
 
     def _note_bearable_losses(self, shard: int, replica: Replica) -> None:
         """Tells the log when a shard that is led here bears more or fewer losses than before."""
-        losses = replica.bearable_losses
+        losses = replica.failures_tolerated
         if losses != self._bearable_losses.get(shard):
             self._bearable_losses[shard] = losses
             if losses is not None:
@@ -290,15 +295,15 @@
         if leads != (shard in self._leading):
             (self._leading.add if leads else self._leading.discard)(shard)
             log.info("leadership shard=%d leads=%s term=%d", shard, leads, self._table.replicas[shard].core.term)
-            call_back(self.on_leadership, shard, leads)
+            run_callback(self.on_leadership, shard, leads)
 
     # Disk
 
     def _take_records(self) -> list[bytes]:
-        return [pack_record(change) for change in self._table.take_changes()]
+        return [pack_record(change) for change in self._table.take_updates()]
 
     def _durable(self) -> None:
-        self._table.written(time.monotonic())
+        self._table.persisted(time.monotonic())
         self._wake.set()
 
     def _image(self) -> bytes:
@@ -306,7 +311,7 @@
             if replica.core.applied_index > replica.core.log.snapshot.index:
                 replica.compact(self._applier.machines[shard].snapshot())
         images = [replica.image() for replica in self._table.replicas.values()]
-        return pack_image(self._table.formation.identity, images)
+        return pack_checkpoint(self._table.bootstrap.identity, images)
 
     # Planned end
 
--- a/ochrespan/control_plane/replication/lag_detector.py
+++ b/ochrespan/control_plane/replication/lag_detector.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 
 
-class LagWatch:
+class LagDetector:
     """What other controllers have applied that this one has not, and since when that is known."""
 
     def __init__(self) -> None:
--- a/ochrespan/control_plane/replication/leader_eligibility.py
+++ b/ochrespan/control_plane/replication/leader_eligibility.py
@@ -8,11 +8,11 @@
 log = logging.getLogger(__name__)
 
 
-LONGEST_WITHOUT_LEADER_S = 3.0  # of any shard, after which an operator's request gives way: somebody has to lead
+MAX_LEADERLESS_S = 3.0  # of any shard, after which an operator's request gives way: somebody has to lead
 
 
 @dataclass(slots=True)
-class Willingness:
+class LeaderEligibility:
     """Times are seconds of the steady clock."""
 
     _declines_until: float = 0.0
@@ -29,7 +29,7 @@
         """Seconds for which an operator's wish still holds."""
         return max(0.0, self._declines_until - now)
 
-    def abstains(self, now: float, disk_in_trouble: bool, has_leaders: bool) -> bool:
+    def withholds_votes(self, now: float, disk_in_trouble: bool, has_leaders: bool) -> bool:
         """Whether to lead nothing now; `has_leaders`: every shard's leader is known."""
         if disk_in_trouble != self._disk_in_trouble:
             self._disk_in_trouble = disk_in_trouble
@@ -43,6 +43,6 @@
             self._leaderless_since = None
         elif self._leaderless_since is None:
             self._leaderless_since = now
-        elif now - self._leaderless_since > LONGEST_WITHOUT_LEADER_S:
+        elif now - self._leaderless_since > MAX_LEADERLESS_S:
             self._declines_until = now
-            log.warning("leadership accepted again: a shard has had no leader for_s=%g", LONGEST_WITHOUT_LEADER_S)
+            log.warning("leadership accepted again: a shard has had no leader for_s=%g", MAX_LEADERLESS_S)
--- a/ochrespan/control_plane/replication/persistent_records.py
+++ b/ochrespan/control_plane/replication/persistent_records.py
@@ -10,40 +10,40 @@
 
 from ochrespan.raft.bootstrap import Identity
 from ochrespan.raft.log import ReplicaLog, Snapshot
-from ochrespan.raft.membership_config import Configuration
+from ochrespan.raft.membership_config import MembershipConfig
 from ochrespan.raft.messages import Entry
-from ochrespan.raft.state import DurableChange, DurableState
+from ochrespan.raft.state import PersistentState, PersistentUpdate
 
-from .raft_wire import _pack_entries, _pack_snapshot, _unpack_entries, _unpack_snapshot
+from .raft_wire import pack_entries, pack_snapshot, unpack_entries, unpack_snapshot
 
 # Records of the store
 
 _IDENTITY = 0
-_CHANGE = 1
+_UPDATE = 1
 
 
-def pack_record(change: Identity | DurableChange) -> bytes:
+def pack_record(change: Identity | PersistentUpdate) -> bytes:
     if isinstance(change, Identity):
-        return ormsgpack.packb([_IDENTITY, change.replica_id, change.cluster, change.founders])
+        return ormsgpack.packb([_IDENTITY, change.replica_id, change.cluster, change.initial_members])
     return ormsgpack.packb(
         [
-            _CHANGE,
+            _UPDATE,
             change.group,
             change.term,
             change.vote,
-            _pack_snapshot(change.snapshot),
+            pack_snapshot(change.snapshot),
             change.first_index,
-            _pack_entries(change.entries),
+            pack_entries(change.entries),
         ]
     )
 
 
-def pack_image(identity: Identity, changes: list[DurableChange]) -> bytes:
+def pack_checkpoint(identity: Identity, changes: list[PersistentUpdate]) -> bytes:
     """The whole state as the records that lead to it."""
     return ormsgpack.packb([pack_record(identity), *map(pack_record, changes)])
 
 
-def unpack_image(image: bytes) -> list[bytes]:
+def unpack_checkpoint(image: bytes) -> list[bytes]:
     return ormsgpack.unpackb(image)
 
 
@@ -51,10 +51,10 @@
 class _GroupState:
     term: int = 0
     vote: int = 0
-    snapshot: Snapshot = dataclasses.field(default_factory=lambda: Snapshot(0, 0, Configuration(), b""))
+    snapshot: Snapshot = dataclasses.field(default_factory=lambda: Snapshot(0, 0, MembershipConfig(), b""))
     entries: list[Entry] = dataclasses.field(default_factory=list)
 
-    def apply(self, change: DurableChange) -> None:
+    def apply(self, change: PersistentUpdate) -> None:
         self.term, self.vote = change.term, change.vote
         replaced = change.snapshot
         if replaced is not None and (replaced.index > self.snapshot.index or not self.snapshot.configuration.voters):
@@ -64,12 +64,12 @@
         self.entries += change.entries[max(0, start - change.first_index) :]
 
 
-def _unpack_identity(replica_id: int, cluster: int, founders: Iterable[Iterable] = ()) -> Identity:
+def _unpack_identity(replica_id: int, cluster: int, initial_members: Iterable[Iterable] = ()) -> Identity:
     """Records of earlier versions lack the founders."""
-    return Identity(replica_id, cluster, tuple((host, port) for host, port in founders))
+    return Identity(replica_id, cluster, tuple((host, port) for host, port in initial_members))
 
 
-def replay(packed_records: list[bytes]) -> tuple[Identity | None, dict[int, DurableState]]:
+def replay(packed_records: list[bytes]) -> tuple[Identity | None, dict[int, PersistentState]]:
     """The identity and the groups' states that a sequence of records leads to."""
     identity, groups = None, {}
     for packed in packed_records:
@@ -81,9 +81,9 @@
             identity = following
             continue
         group, term, vote, snapshot, first_index, entries = fields
-        change = DurableChange(group, term, vote, _unpack_snapshot(snapshot), first_index, _unpack_entries(entries))
+        change = PersistentUpdate(group, term, vote, unpack_snapshot(snapshot), first_index, unpack_entries(entries))
         groups.setdefault(group, _GroupState()).apply(change)
     return identity, {
-        group: DurableState(state.term, state.vote, ReplicaLog(state.snapshot, state.entries))
+        group: PersistentState(state.term, state.vote, ReplicaLog(state.snapshot, state.entries))
         for group, state in groups.items()
     }
--- a/ochrespan/control_plane/replication/raft_wire.py
+++ b/ochrespan/control_plane/replication/raft_wire.py
@@ -6,46 +6,46 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ochrespan.raft.cluster_messages import Found, Join, JoinReply, Leave
+from ochrespan.raft.cluster_messages import BootstrapProposal, JoinRequest, JoinResponse, LeaveNotice
 from ochrespan.raft.envelope import Envelope
 from ochrespan.raft.log import Snapshot
-from ochrespan.raft.membership_config import Configuration
+from ochrespan.raft.membership_config import MembershipConfig
 from ochrespan.raft.messages import (
-    Append,
-    AppendReply,
-    CampaignNow,
+    AppendEntries,
+    AppendEntriesResponse,
     Entry,
     Heartbeat,
-    HeartbeatReply,
-    SnapshotChunk,
-    SnapshotReply,
-    VoteReply,
-    VoteRequest,
+    HeartbeatResponse,
+    InstallSnapshot,
+    InstallSnapshotResponse,
+    RequestVote,
+    RequestVoteResponse,
+    TimeoutNow,
 )
 from ochrespan.transport.codec import message
 
 # The place of a type in this list is its number on the wire: types are added at the end only.
 _MESSAGE_TYPES: tuple[type, ...] = (
-    VoteRequest,
-    VoteReply,
-    Append,
-    AppendReply,
+    RequestVote,
+    RequestVoteResponse,
+    AppendEntries,
+    AppendEntriesResponse,
     Heartbeat,
-    HeartbeatReply,
-    SnapshotChunk,
-    SnapshotReply,
-    CampaignNow,
-    Join,
-    JoinReply,
-    Found,
-    Leave,
+    HeartbeatResponse,
+    InstallSnapshot,
+    InstallSnapshotResponse,
+    TimeoutNow,
+    JoinRequest,
+    JoinResponse,
+    BootstrapProposal,
+    LeaveNotice,
 )
 _numbers = {message_type: number for number, message_type in enumerate(_MESSAGE_TYPES)}
 _fields = {
     message_type: tuple(field.name for field in dataclasses.fields(message_type)) for message_type in _MESSAGE_TYPES
 }
-_APPEND = _numbers[Append]
-_ENTRIES_FIELD = _fields[Append].index("entries")
+_APPEND = _numbers[AppendEntries]
+_ENTRIES_FIELD = _fields[AppendEntries].index("entries")
 
 
 @message("raft")
@@ -75,8 +75,8 @@
 def _pack_message(value: Any) -> list:
     message_type = type(value)
     fields = [getattr(value, name) for name in _fields[message_type]]
-    if message_type is Append:
-        fields[_ENTRIES_FIELD] = _pack_entries(value.entries)
+    if message_type is AppendEntries:
+        fields[_ENTRIES_FIELD] = pack_entries(value.entries)
     return [_numbers[message_type], *fields]
 
 
@@ -84,26 +84,26 @@
     message_type = _MESSAGE_TYPES[number]
     fields = fields[: len(_fields[message_type])]
     if number == _APPEND:
-        fields[_ENTRIES_FIELD] = _unpack_entries(fields[_ENTRIES_FIELD])
+        fields[_ENTRIES_FIELD] = unpack_entries(fields[_ENTRIES_FIELD])
     return message_type(*fields)
 
 
-def _pack_entries(entries: list[Entry]) -> list[list]:
+def pack_entries(entries: list[Entry]) -> list[list]:
     return [[entry.term, int(entry.kind), entry.data] for entry in entries]
 
 
-def _unpack_entries(packed: list[list]) -> list[Entry]:
+def unpack_entries(packed: list[list]) -> list[Entry]:
     return [Entry(*fields) for fields in packed]
 
 
-def _pack_snapshot(snapshot: Snapshot | None) -> list | None:
+def pack_snapshot(snapshot: Snapshot | None) -> list | None:
     if snapshot is None:
         return None
     return [snapshot.index, snapshot.term, snapshot.configuration.to_bytes(), snapshot.data]
 
 
-def _unpack_snapshot(packed: list | None) -> Snapshot | None:
+def unpack_snapshot(packed: list | None) -> Snapshot | None:
     if packed is None:
         return None
     index, term, configuration, data = packed
-    return Snapshot(index, term, Configuration.from_bytes(configuration), data)
+    return Snapshot(index, term, MembershipConfig.from_bytes(configuration), data)
--- a/ochrespan/control_plane/replication/state_machine.py
+++ b/ochrespan/control_plane/replication/state_machine.py
@@ -28,5 +28,5 @@
     data_dir: str
     disk_mb: int
     bootstrap: bool
-    tolerated_machines: int  # machine losses at once that lose nothing
+    fault_tolerance: int  # machine losses at once that lose nothing
     node: str = ""
--- a/ochrespan/control_plane/responses.py
+++ b/ochrespan/control_plane/responses.py
@@ -24,7 +24,7 @@
 
 @message("cp.answer")
 @dataclass(slots=True)
-class Answer:
+class Response:
     """A final answer to a call of the control interface; the body is packed by `compact`."""
 
     status: int
@@ -38,20 +38,20 @@
 
 @message("cp.elsewhere")
 @dataclass(slots=True)
-class NotTheLeader:
+class NotLeaderResponse:
     """This process does not lead the shard, and the call has left no trace."""
 
 
-def json_answer(status: int, document: Any) -> Answer:
+def json_response(status: int, document: Any) -> Response:
     """An answer with a JSON body."""
-    return Answer(status, compact.compress(json.dumps(document, ensure_ascii=False).encode()))
+    return Response(status, compact.compress(json.dumps(document, ensure_ascii=False).encode()))
 
 
-def refusal(status: int, findings: Iterable[Finding]) -> Answer:
+def findings_response(status: int, findings: Iterable[Finding]) -> Response:
     """An answer that names the findings."""
-    return json_answer(status, {"findings": [each.fields() for each in findings]})
+    return json_response(status, {"findings": [each.fields() for each in findings]})
 
 
-def unavailable(where: str, found: str) -> Answer:
+def unavailable_response(where: str, found: str) -> Response:
     """No verdict: the caller asks again, here or elsewhere."""
-    return refusal(UNAVAILABLE, [Finding(where, found, "a replica group that can decide")])
+    return findings_response(UNAVAILABLE, [Finding(where, found, "a replica group that can decide")])
--- a/ochrespan/data_plane/dispatcher.py
+++ b/ochrespan/data_plane/dispatcher.py
@@ -6,7 +6,7 @@
 from collections.abc import Collection, Iterable
 from typing import Protocol
 
-from ochrespan.observability.metrics import Registry
+from ochrespan.observability.metrics import MetricsRegistry
 
 from .deadlines import Deadline, DeadlineHeap
 from .decisions import Action, Outcome, Request, Server
@@ -42,7 +42,7 @@
     def __init__(self, scheduler: SchedulerLike, deadlines: DeadlineHeap, figures: RouterFigures | None = None) -> None:
         self._scheduler = scheduler
         self._deadlines = deadlines
-        self._figures = figures or RouterFigures(Registry())
+        self._figures = figures or RouterFigures(MetricsRegistry())
         self._takers: dict[str, DecisionTaker] = {}
         self._tick: Deadline | None = None
         self._tick_at = float("inf")
--- a/ochrespan/data_plane/front.py
+++ b/ochrespan/data_plane/front.py
@@ -13,7 +13,7 @@
 
 from gevent.event import Event
 
-from ochrespan.control_plane.quota.client import cost_of
+from ochrespan.control_plane.quota.client import request_cost
 
 from .client_connection import ClientConnection, ReadLimits
 from .decision_record import DecisionRecord, milliseconds
@@ -28,7 +28,7 @@
 
 if TYPE_CHECKING:
     from ochrespan.control_plane.config.views import Tenant
-    from ochrespan.control_plane.prefix_placement.messages import Home
+    from ochrespan.control_plane.prefix_placement.messages import PrefixPlacement
 
 log = logging.getLogger(__name__)
 
@@ -50,9 +50,9 @@
 
 
 class Homes(Protocol):
-    """What is used of `control_plane.home_client.HomeClient`; the call may wait for a short time."""
+    """What is used of `control_plane.home_client.PrefixPlacementClient`; the call may wait for a short time."""
 
-    def home(self, service: str, prefix: str, tokens: float) -> Home: ...
+    def home(self, service: str, prefix: str, tokens: float) -> PrefixPlacement: ...
 
 
 @dataclass(slots=True)
@@ -147,7 +147,7 @@
         client.answer_until = request.deadline + ANSWER_GRACE_S
         ticket = None
         if tenant is not None and self._tickets is not None:
-            ticket = self._take_tokens(client, request, cost_of(tenant, usage))
+            ticket = self._take_tokens(client, request, request_cost(tenant, usage))
             if not ticket.is_valid:
                 return over_quota(request_id, ticket.retry_after_s)
         self._find_home(request)
--- a/ochrespan/data_plane/quota_ticket.py
+++ b/ochrespan/data_plane/quota_ticket.py
@@ -8,7 +8,7 @@
 from .client_connection import ClientConnection
 
 if TYPE_CHECKING:
-    from ochrespan.control_plane.quota.client import Taken
+    from ochrespan.control_plane.quota.client import TokenReservation
 
 ASK_INTERVAL_S = 0.05  # between two questions for a tenant, but for the first one of each request
 
@@ -16,9 +16,9 @@
 class Quotas(Protocol):
     """What is used of `control_plane.quota_client.QuotaClient`; `take` and `renew` may wait for a short time."""
 
-    def take(self, tenant: str, tokens: float) -> Taken: ...
-    def renew(self, tenant: str, taken: Taken) -> Taken: ...
-    def release(self, tenant: str, taken: Taken) -> None: ...
+    def take(self, tenant: str, tokens: float) -> TokenReservation: ...
+    def renew(self, tenant: str, taken: TokenReservation) -> TokenReservation: ...
+    def release(self, tenant: str, taken: TokenReservation) -> None: ...
 
 
 class QuotaTicket:
@@ -57,7 +57,7 @@
 class TicketDesk:
     """Gives tickets; where a tenant is short of tokens for a moment, its requests wait in place of coming back.
 
-    Of the requests that wait, whichever comes first after ASK_INTERVAL_S asks again, so they do not add up to a load
+    Of the requests that wait, whichever comes first after QUERY_INTERVAL_S asks again, so they do not add up to a load
     on the tenant's owner. Their order does not matter: where there are too many, serving the oldest first would make
     all of them late.
     """
--- a/ochrespan/data_plane/readiness.py
+++ b/ochrespan/data_plane/readiness.py
@@ -9,8 +9,8 @@
 
 from gevent.pywsgi import WSGIServer
 
-from ochrespan.common.validation import CheckFailed, Finding, Findings, flag
-from ochrespan.observability.metrics import CONTENT_TYPE, Registry
+from ochrespan.common.validation import Finding, Findings, ValidationError, flag
+from ochrespan.observability.metrics import CONTENT_TYPE, MetricsRegistry
 
 from .own_answers import OwnAnswer, StartResponse
 
@@ -32,7 +32,11 @@
     """Answers 200 while `is_ready` says so, else 503. The library's own handler does for a question a second."""
 
     def __init__(
-        self, listener: Any, is_ready: Callable[[], bool], set_drained: Callable[[bool], None], registry: Registry
+        self,
+        listener: Any,
+        is_ready: Callable[[], bool],
+        set_drained: Callable[[bool], None],
+        registry: MetricsRegistry,
     ) -> None:
         environment = {"SERVER_NAME": "router"}  # else the library would look the name up
         super().__init__(listener, self._respond, log=None, error_log=None, environ=environment)
@@ -55,7 +59,7 @@
     def _change(self, environ: Environment, start_response: StartResponse) -> Iterable[bytes]:
         try:
             wanted = _read_readiness(environ)
-        except CheckFailed as error:
+        except ValidationError as error:
             findings = [each.fields() for each in error.findings]
             return _respond_with_json(start_response, HTTPStatus.BAD_REQUEST, {"findings": findings})
         self._set_drained(wanted["drained"])
@@ -67,11 +71,11 @@
     try:
         document = json.loads(body) if len(body) <= MAX_BODY_BYTES else None
     except ValueError as error:
-        raise CheckFailed([Finding("body", str(error), "a whole JSON document")]) from error
+        raise ValidationError([Finding("body", str(error), "a whole JSON document")]) from error
     findings: Findings = []
     flag(document.get("drained") if isinstance(document, dict) else None, "drained", findings)
     if findings:
-        raise CheckFailed(findings)
+        raise ValidationError(findings)
     return Readiness(drained=document["drained"])
 
 
--- a/ochrespan/data_plane/router_figures.py
+++ b/ochrespan/data_plane/router_figures.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ochrespan.observability.metrics import Registry
+from ochrespan.observability.metrics import MetricsRegistry
 
 from .decisions import Action, Outcome
 
@@ -12,7 +12,7 @@
 class RouterFigures:
     """Counts what the scheduler decides and how attempts end."""
 
-    def __init__(self, registry: Registry) -> None:
+    def __init__(self, registry: MetricsRegistry) -> None:
         self.registry = registry
         self._decisions = registry.counter(
             "ochrespan_router_decisions_total", "Attempts sent, requests refused or failed.", "decision"
--- a/ochrespan/data_plane/router_node.py
+++ b/ochrespan/data_plane/router_node.py
@@ -12,7 +12,7 @@
 import gevent
 
 from ochrespan.common.addresses import Address, parse_address
-from ochrespan.observability.metrics import Registry
+from ochrespan.observability.metrics import MetricsRegistry
 
 from .deadlines import DeadlineHeap
 from .decision_record import DecisionLog
@@ -86,7 +86,7 @@
         table_is_fresh: Callable[[], bool] = lambda: True,
     ) -> None:
         deadlines = DeadlineHeap(gevent.get_hub().loop)
-        registry = Registry()
+        registry = MetricsRegistry()
         self._dispatcher = Dispatcher(scheduler, deadlines, RouterFigures(registry))
         self._pools = ServerPools(deadlines)
         self.decision_log = DecisionLog()
@@ -99,7 +99,7 @@
         self._version = 0
         self._add_gauges(registry)
 
-    def _add_gauges(self, registry: Registry) -> None:
+    def _add_gauges(self, registry: MetricsRegistry) -> None:
         registry.gauge("ochrespan_router_requests", "Requests that are held.", lambda: self._dispatcher.running)
         registry.gauge("ochrespan_router_connections", "Connections of clients.", lambda: self.ingress.open_connections)
         registry.gauge("ochrespan_router_ready", "Whether new connections are welcome.", self.is_ready)
--- a/ochrespan/membership/messages.py
+++ b/ochrespan/membership/messages.py
@@ -1,22 +1,22 @@
-"""Messages of SWIM membership; `news` travels along with probes and their answers."""
+"""Messages of SWIM membership; `updates` travels along with probes and their answers."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from .member_table import News
+from .member_table import MemberUpdate
 
 
 @dataclass(slots=True)
 class Ping:
     number: int
-    news: list[News]
+    updates: list[MemberUpdate]
 
 
 @dataclass(slots=True)
 class Ack:
     number: int
-    news: list[News]
+    updates: list[MemberUpdate]
 
 
 @dataclass(slots=True)
@@ -31,7 +31,7 @@
     number: int
     host: str
     port: int
-    news: list[News]
+    updates: list[MemberUpdate]
 
 
 @dataclass(slots=True)
@@ -39,7 +39,7 @@
     """All that the sender knows, in several messages; `answer` asks for the same in return."""
 
     answer: bool
-    news: list[News]
+    updates: list[MemberUpdate]
 
 
 SwimMessage = Ping | Ack | Nack | PingRequest | Sync
--- a/ochrespan/membership/wire.py
+++ b/ochrespan/membership/wire.py
@@ -7,7 +7,7 @@
 from ochrespan.membership import messages as swim_messages
 from ochrespan.transport.codec import message
 
-from .member_table import News
+from .member_table import MemberUpdate
 from .messages import SwimMessage
 
 
@@ -18,7 +18,7 @@
 
     kind: int
     fields: list
-    news: list[list]
+    updates: list[list]
 
 
 _KINDS: tuple[type, ...] = (
@@ -28,17 +28,17 @@
     swim_messages.PingRequest,
     swim_messages.Sync,
 )
-_news_fields = tuple(News.__dataclass_fields__)
+_update_fields = tuple(MemberUpdate.__dataclass_fields__)
 
 
 def pack(value: SwimMessage) -> SwimDatagram:
-    names = [name for name in value.__dataclass_fields__ if name != "news"]
-    rows = [[getattr(item, name) for name in _news_fields] for item in getattr(value, "news", [])]
+    names = [name for name in value.__dataclass_fields__ if name != "updates"]
+    rows = [[getattr(item, name) for name in _update_fields] for item in getattr(value, "updates", [])]
     return SwimDatagram(_KINDS.index(type(value)), [getattr(value, name) for name in names], rows)
 
 
 def unpack(datagram: SwimDatagram) -> SwimMessage:
     """Raises ValueError, TypeError or IndexError where the datagram is malformed."""
     kind = _KINDS[datagram.kind]
-    news = [News(*row[: len(_news_fields)]) for row in datagram.news]
-    return kind(*datagram.fields) if kind is swim_messages.Nack else kind(*datagram.fields, news)
+    updates = [MemberUpdate(*row[: len(_update_fields)]) for row in datagram.updates]
+    return kind(*datagram.fields) if kind is swim_messages.Nack else kind(*datagram.fields, updates)
--- a/ochrespan/observability/metrics.py
+++ b/ochrespan/observability/metrics.py
@@ -37,7 +37,7 @@
     read: Callable[[], Mapping[LabelValues, float]]
 
 
-class Registry:
+class MetricsRegistry:
     """The figures of a process by name. A name stands for one figure."""
 
     def __init__(self) -> None:
--- a/ochrespan/programs/controller.py
+++ b/ochrespan/programs/controller.py
@@ -10,13 +10,13 @@
 from gevent.event import Event
 
 from ochrespan.common.addresses import Address, parse_address
-from ochrespan.common.validation import CheckFailed, Finding
+from ochrespan.common.validation import Finding, ValidationError
 from ochrespan.control_plane.api.handlers import serve_api
 from ochrespan.control_plane.controller import ControllerNode, ControlState
-from ochrespan.control_plane.quota.allocation import bounds_from
+from ochrespan.control_plane.quota.allocation import quota_bounds
 from ochrespan.control_plane.replication.host import ReplicaHost
 from ochrespan.control_plane.replication.state_machine import HostSettings
-from ochrespan.membership.agent import CONTROLLER_ROLE, MembershipDriver, membership_settings
+from ochrespan.membership.agent import CONTROLLER_ROLE, MembershipAgent, membership_settings
 from ochrespan.membership.peer_addresses import peer_address, seed_peer_addresses
 from ochrespan.observability import logs
 
@@ -31,23 +31,23 @@
 
 
 def control_address(settings: Settings) -> Address:
-    """Where the control interface listens; raises CheckFailed."""
+    """Where the control interface listens; raises ValidationError."""
     if "control" not in settings["listen"]:
-        raise CheckFailed([Finding("listen.control", "nothing", "IP:PORT")])
+        raise ValidationError([Finding("listen.control", "nothing", "IP:PORT")])
     return parse_address(settings["listen"]["control"])
 
 
 def host_settings(settings: Settings) -> HostSettings:
-    """What the replicas need of the settings; raises CheckFailed."""
+    """What the replicas need of the settings; raises ValidationError."""
     if not settings.get("data_dir"):
-        raise CheckFailed([Finding("data_dir", "nothing", "a folder for the replicas")])
+        raise ValidationError([Finding("data_dir", "nothing", "a folder for the replicas")])
     return HostSettings(
         address=peer_address(settings),
         seeds=tuple(seed_peer_addresses(settings)),
         data_dir=settings["data_dir"],
         disk_mb=int(settings.get("limits", {}).get("disk_mb") or DEFAULT_DISK_MB),
         bootstrap=settings.get("bootstrap", False),
-        tolerated_machines=settings.get("fault_tolerance", {}).get("machines", 0),
+        fault_tolerance=settings.get("fault_tolerance", {}).get("machines", 0),
         node=settings["node"],
     )
 
@@ -66,13 +66,13 @@
             zone=settings["zone"],
             address=address,
             heartbeat_s=settings.get("heartbeat_ms", DEFAULT_HEARTBEAT_MS) / 1000,
-            quota_bounds=bounds_from(settings.get("bounds", {})),
+            quota_bounds=quota_bounds(settings.get("bounds", {})),
             groups=self._host,
             state=state,
             call_server=self._host.call_server,
             seeds=lambda: seed_peer_addresses(self._settings),
         )
-        self._membership = MembershipDriver(membership_settings(settings, CONTROLLER_ROLE), self._members_changed)
+        self._membership = MembershipAgent(membership_settings(settings, CONTROLLER_ROLE), self._members_changed)
         self._host.on_applied = self._node.applied
         self._host.on_restored = self._node.restored
         self._host.on_leadership = self._node.leadership_changed
@@ -113,7 +113,7 @@
         settings_file = SettingsFile(settings_path())
         secure_peers(settings_file.current)
         controller = Controller(settings_file.current)
-    except CheckFailed as error:
+    except ValidationError as error:
         for finding in error.findings:
             log.error("settings refused where=%r found=%r allowed=%r", finding.where, finding.found, finding.allowed)
         return EXIT_BAD_SETTINGS
--- a/ochrespan/programs/fleetctl.py
+++ b/ochrespan/programs/fleetctl.py
@@ -12,12 +12,12 @@
 
 import defopt
 
-from ochrespan.common.validation import CheckFailed
+from ochrespan.common.validation import ValidationError
 from ochrespan.control_plane.api.handlers import CLUSTER_HEADER
 from ochrespan.programs.fleetctl_commands import reports as fleet_reports
 from ochrespan.programs.fleetctl_commands.common import (
     EXIT_FAILED,
-    CommandFailed,
+    CommandFailedError,
     client_for,
     client_of,
     current_configuration,
@@ -124,7 +124,7 @@
     listed = value_of(client.get("/api/status"))["instances"]
     record = next((each for each in listed if each["id"] == instance), None)
     if record is None:
-        raise CommandFailed(f"instance: found {instance!r}, allowed one of those that `instances` shows")
+        raise CommandFailedError(f"instance: found {instance!r}, allowed one of those that `instances` shows")
     drain_instance(client, record)
     return f"draining: {instance} of {record['backend']} at {record['address']}"
 
@@ -184,9 +184,9 @@
     """Runs a command, prints its result, and returns the exit status."""
     try:
         print(defopt.run(COMMANDS, argv=arguments, show_types=False))
-    except CheckFailed as error:
+    except ValidationError as error:
         return _fail("\n".join(map(str, error.findings)), EXIT_FAILED)
-    except CommandFailed as error:
+    except CommandFailedError as error:
         return _fail(str(error), error.code)
     return 0
 
--- a/ochrespan/programs/fleetctl_commands/backup_file.py
+++ b/ochrespan/programs/fleetctl_commands/backup_file.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from ochrespan.common.validation import CheckFailed, Finding
+from ochrespan.common.validation import Finding, ValidationError
 from ochrespan.control_plane.config.documents import CHECK_CONFIGURATION
 from ochrespan.control_plane.registry.records import InstanceState
 
@@ -50,27 +50,27 @@
 
 
 def read_backup(path: Path) -> Backup:
-    """The backup in a file; raises CheckFailed with what is wrong with it."""
+    """The backup in a file; raises ValidationError with what is wrong with it."""
     try:
         document = json.loads(path.read_bytes())
     except OSError as error:
-        raise CheckFailed([Finding(str(path), str(error.strerror), "a readable file")]) from error
+        raise ValidationError([Finding(str(path), str(error.strerror), "a readable file")]) from error
     except ValueError as error:
-        raise CheckFailed([Finding(str(path), str(error), "a whole JSON document")]) from error
+        raise ValidationError([Finding(str(path), str(error), "a whole JSON document")]) from error
     found = document.get("format") if isinstance(document, dict) else None
     if found != FORMAT:
-        raise CheckFailed([Finding(f"{path}: format", repr(found), repr(FORMAT))])
+        raise ValidationError([Finding(f"{path}: format", repr(found), repr(FORMAT))])
     if document.get("format_version") != FORMAT_VERSION:
-        raise CheckFailed(
+        raise ValidationError(
             [Finding(f"{path}: format_version", repr(document.get("format_version")), str(FORMAT_VERSION))]
         )
     body = {name: document.get(name) for name in ("taken_at", "configuration", "instances")}
     if document.get("checksum") != _checksum(body):
-        raise CheckFailed([Finding(f"{path}: checksum", repr(document.get("checksum")), _checksum(body))])
+        raise ValidationError([Finding(f"{path}: checksum", repr(document.get("checksum")), _checksum(body))])
     findings: list[Finding] = []
     CHECK_CONFIGURATION(body["configuration"], "configuration", findings)
     if findings:
-        raise CheckFailed([Finding(f"{path}: {each.where}", each.found, each.allowed) for each in findings])
+        raise ValidationError([Finding(f"{path}: {each.where}", each.found, each.allowed) for each in findings])
     return Backup(**body)
 
 
--- a/ochrespan/programs/fleetctl_commands/common.py
+++ b/ochrespan/programs/fleetctl_commands/common.py
@@ -8,7 +8,7 @@
 from returns.result import Result, Success
 
 from ochrespan.common.addresses import Address, parse_address
-from ochrespan.common.validation import CheckFailed, Finding
+from ochrespan.common.validation import Finding, ValidationError
 from ochrespan.control_plane.config.configuration import Configuration, change_to
 from ochrespan.control_plane.config.documents import CHECK_CONFIGURATION, read_json
 from ochrespan.programs.settings import read_settings, settings_path
@@ -19,7 +19,7 @@
 EXIT_UNDECIDED = 3
 
 
-class CommandFailed(Exception):
+class CommandFailedError(Exception):
     """A command has no result; `code` is the exit status."""
 
     def __init__(self, text: str, code: int = EXIT_FAILED) -> None:
@@ -48,27 +48,27 @@
 
 
 def read_configuration(file: Path) -> dict[str, Any]:
-    """The configuration in a file; raises CheckFailed with all findings."""
+    """The configuration in a file; raises ValidationError with all findings."""
     try:
         document = read_json(file.read_bytes(), CHECK_CONFIGURATION)
     except OSError as error:
-        raise CheckFailed([Finding(str(file), str(error.strerror), "a readable file")]) from error
+        raise ValidationError([Finding(str(file), str(error.strerror), "a readable file")]) from error
     Configuration().changed_by(change_to(Configuration(), document))
     return document
 
 
 def value_of(result: Result[Any, CallError]) -> Any:
-    """The document of an answer; raises CommandFailed."""
+    """The document of an answer; raises CommandFailedError."""
     if isinstance(result, Success):
         return result.unwrap()
     error = result.failure()
     undecided = is_undecided(error)
     text = f"{error}\n  no verdict: the call may or may not have been carried out" if undecided else str(error)
-    raise CommandFailed(text, EXIT_UNDECIDED if undecided else EXIT_FAILED)
+    raise CommandFailedError(text, EXIT_UNDECIDED if undecided else EXIT_FAILED)
 
 
 def _addresses(argument: str, texts: list[str]) -> list[Address]:
     try:
         return [parse_address(text) for text in texts]
     except ValueError as error:
-        raise CheckFailed([Finding(argument, str(error), "IP:PORT")]) from error
+        raise ValidationError([Finding(argument, str(error), "IP:PORT")]) from error
--- a/ochrespan/programs/fleetctl_commands/state_commands.py
+++ b/ochrespan/programs/fleetctl_commands/state_commands.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from ochrespan.common.validation import CheckFailed, Finding
+from ochrespan.common.validation import Finding, ValidationError
 from ochrespan.control_plane.registry.records import InstanceState
 
 from .backup_file import Backup, read_backup, write_backup
@@ -28,7 +28,7 @@
     try:
         write_backup(file, Backup(taken_at, configuration, instances))
     except OSError as error:
-        raise CheckFailed([Finding(str(file), str(error.strerror), "a file that can be written")]) from error
+        raise ValidationError([Finding(str(file), str(error.strerror), "a file that can be written")]) from error
     return f"{file}: version {configuration['generation']}, {len(instances)} servers"
 
 
@@ -58,7 +58,7 @@
 
 
 def drain_instance(client: ControlClient, record: dict[str, Any]) -> None:
-    """Reports a server as draining in its place; raises CommandFailed."""
+    """Reports a server as draining in its place; raises CommandFailedError."""
     fields = {name: value for name, value in record.items() if name != "id"}
     report = {**fields, "state": InstanceState.DRAINING.value, "sequence": record["sequence"] + 1}
     value_of(client.put(f"/api/instances/{record['id']}", report))
--- a/ochrespan/programs/router_process.py
+++ b/ochrespan/programs/router_process.py
@@ -11,15 +11,15 @@
 from gevent.event import Event
 
 from ochrespan.common.addresses import Address, parse_address
-from ochrespan.common.validation import CheckFailed, Finding
+from ochrespan.common.validation import Finding, ValidationError
 from ochrespan.control_plane.feed.client import FeedClient
 from ochrespan.control_plane.feed.table import FleetChange, FleetTable
-from ochrespan.control_plane.prefix_placement.client import HomeClient
+from ochrespan.control_plane.prefix_placement.client import PrefixPlacementClient
 from ochrespan.control_plane.quota.router_setup import configure_quotas, owners_of, quota_client_for
-from ochrespan.membership.agent import ROUTER_ROLE, MembershipDriver, membership_settings
+from ochrespan.membership.agent import ROUTER_ROLE, MembershipAgent, membership_settings
 from ochrespan.membership.peer_addresses import seed_peer_addresses
 from ochrespan.observability import logs
-from ochrespan.transport.peer_clients import Peers
+from ochrespan.transport.peer_clients import PeerClients
 
 from ..data_plane.router_node import DrainTimes, MachineLimits, RouterNode
 from ..data_plane.scheduler import Scheduler
@@ -34,9 +34,9 @@
 
 
 def listen_address(settings: Settings, name: str) -> Address:
-    """Where the router listens for clients (`front`) or for the platform (`ready`); raises CheckFailed."""
+    """Where the router listens for clients (`front`) or for the platform (`ready`); raises ValidationError."""
     if name not in settings["listen"]:
-        raise CheckFailed([Finding(f"listen.{name}", "nothing", "IP:PORT")])
+        raise ValidationError([Finding(f"listen.{name}", "nothing", "IP:PORT")])
     return parse_address(settings["listen"][name])
 
 
@@ -58,10 +58,10 @@
         )
         self._settings = settings
         self._feed = FeedClient(settings["node"], settings["zone"], seed_peer_addresses(settings), self._table_changed)
-        self._membership = MembershipDriver(membership_settings(settings, ROUTER_ROLE), self._members_changed)
-        peers = Peers()
+        self._membership = MembershipAgent(membership_settings(settings, ROUTER_ROLE), self._members_changed)
+        peers = PeerClients()
         self._quotas = quota_client_for(settings["node"], settings.get("bounds", {}), self._feed, peers)
-        homes = HomeClient(owners_of(self._feed), peers.call, scheduler.is_usable)
+        homes = PrefixPlacementClient(owners_of(self._feed), peers.call, scheduler.is_usable)
         self._node = RouterNode(
             _listener_at(listen_address(settings, "front"), listener),
             listen_address(settings, "ready"),
@@ -121,7 +121,7 @@
         settings_file = SettingsFile(settings_path(), settings_changed)
         secure_peers(settings_file.current)
         router = Router(settings_file.current, listener)
-    except CheckFailed as error:
+    except ValidationError as error:
         for finding in error.findings:
             log.error("settings refused where=%r found=%r allowed=%r", finding.where, finding.found, finding.allowed)
         return EXIT_BAD_SETTINGS
--- a/ochrespan/programs/settings.py
+++ b/ochrespan/programs/settings.py
@@ -13,19 +13,19 @@
 
 from ochrespan.common.addresses import parse_address
 from ochrespan.common.validation import (
-    CheckFailed,
     Finding,
     Findings,
+    ValidationError,
+    add_finding,
     flag,
+    integer,
     list_of,
     map_of,
     number,
     optional,
-    report,
     show,
     text,
     typed,
-    whole,
 )
 from ochrespan.observability.logs import DEFAULT_LEVEL, LEVELS, set_level
 from ochrespan.transport.tcp import secure_connections
@@ -42,18 +42,18 @@
     try:
         parse_address(value if isinstance(value, str) else "")
     except ValueError:
-        report(findings, where, show(value), "IP:PORT")
+        add_finding(findings, where, show(value), "IP:PORT")
 
 
 def _port_range(value: Any, where: str, findings: Findings) -> None:
     ports = value if isinstance(value, list) else []
     if len(ports) != 2 or not all(type(port) is int and 0 < port < 65536 for port in ports) or ports[0] > ports[1]:
-        report(findings, where, show(value), "two rising port numbers")
+        add_finding(findings, where, show(value), "two rising port numbers")
 
 
 def _log_level(value: Any, where: str, findings: Findings) -> None:
     if value not in LEVELS:
-        report(findings, where, show(value), ", ".join(LEVELS))
+        add_finding(findings, where, show(value), ", ".join(LEVELS))
 
 
 class Listen(TypedDict):
@@ -68,9 +68,9 @@
     """What the machine grants a process."""
 
     cpu_share: NotRequired[Annotated[float, number(above=True)]]
-    cores: NotRequired[Annotated[int, whole(1)]]
+    cores: NotRequired[Annotated[int, integer(1)]]
     memory_mb: NotRequired[Annotated[float, number()]]
-    max_fds: NotRequired[Annotated[int, whole()]]
+    max_fds: NotRequired[Annotated[int, integer()]]
     link_mbps: NotRequired[Annotated[float, number()]]
     disk_mb: NotRequired[Annotated[float, number()]]
 
@@ -78,9 +78,9 @@
 class FaultTolerance(TypedDict, total=False):
     """What may be lost at once."""
 
-    machines: NotRequired[Annotated[int, whole()]]
-    zones: NotRequired[Annotated[int, whole()]]
-    regions: NotRequired[Annotated[int, whole()]]
+    machines: NotRequired[Annotated[int, integer()]]
+    zones: NotRequired[Annotated[int, integer()]]
+    regions: NotRequired[Annotated[int, integer()]]
 
 
 class PeerTls(TypedDict):
@@ -122,36 +122,36 @@
 
 
 def parse_settings(source: str, place: str) -> Settings:
-    """The settings in YAML text; raises CheckFailed with all findings."""
+    """The settings in YAML text; raises ValidationError with all findings."""
     try:
         document = yaml.load(source, Loader=getattr(yaml, "CSafeLoader", yaml.SafeLoader))
     except yaml.YAMLError as error:
-        raise CheckFailed([Finding(place, " ".join(str(error).split()), "a YAML document")]) from error
+        raise ValidationError([Finding(place, " ".join(str(error).split()), "a YAML document")]) from error
     findings: Findings = []
     _check_settings(document, "", findings)
     if findings:
-        raise CheckFailed([Finding(f"{place}: {each.where}", each.found, each.allowed) for each in findings])
+        raise ValidationError([Finding(f"{place}: {each.where}", each.found, each.allowed) for each in findings])
     return document
 
 
 def settings_path(environment: Mapping[str, str] = os.environ) -> Path:
-    """Where the settings file lies; raises CheckFailed where nothing says so."""
+    """Where the settings file lies; raises ValidationError where nothing says so."""
     path = environment.get(SETTINGS_VARIABLE)
     if not path:
-        raise CheckFailed([Finding(SETTINGS_VARIABLE, "nothing", "the path of a settings file")])
+        raise ValidationError([Finding(SETTINGS_VARIABLE, "nothing", "the path of a settings file")])
     return Path(path)
 
 
 def read_settings(path: Path) -> Settings:
-    """The settings in the file at `path`; raises CheckFailed."""
+    """The settings in the file at `path`; raises ValidationError."""
     try:
         return parse_settings(path.read_text(), str(path))
     except (OSError, UnicodeDecodeError) as error:
-        raise CheckFailed([Finding(str(path), str(error), "a readable text file")]) from error
+        raise ValidationError([Finding(str(path), str(error), "a readable text file")]) from error
 
 
 def secure_peers(settings: Settings) -> None:
-    """Turns TLS between the processes of the fleet on where the settings ask for it; raises CheckFailed."""
+    """Turns TLS between the processes of the fleet on where the settings ask for it; raises ValidationError."""
     files = settings.get("peer_tls")
     if not files:
         return
@@ -161,7 +161,7 @@
         secure_connections(PeerSecurity(KeyFiles(files["certificate"], files["key"], files["authority"])))
     except OSError as error:
         allowed = "PEM files of a certificate, its key and the authority"
-        raise CheckFailed([Finding("peer_tls", str(error), allowed)]) from error
+        raise ValidationError([Finding("peer_tls", str(error), allowed)]) from error
 
 
 def bound(settings: Settings, name: str, default: float) -> float:
@@ -199,7 +199,7 @@
         self._stamp = self._read_stamp()
         try:
             fresh = read_settings(self._path)
-        except CheckFailed as error:
+        except ValidationError as error:
             log.error("settings kept findings=%r", str(error))
             return
         if fresh != self.current:
--- a/ochrespan/raft/envelope.py
+++ b/ochrespan/raft/envelope.py
@@ -7,7 +7,7 @@
 
 from ochrespan.common.addresses import Address
 
-PROCESS = -1  # in place of a group's number: messages between processes
+PROCESS_GROUP = -1  # in place of a group's number: messages between processes
 
 
 @dataclass(slots=True)
--- a/ochrespan/raft/leader.py
+++ b/ochrespan/raft/leader.py
@@ -10,21 +10,29 @@
 
 from .log import Snapshot
 from .membership_config import Member
-from .messages import Append, AppendReply, Entry, EntryKind, Heartbeat, SnapshotChunk, SnapshotReply
-from .state import ReplicaCore
+from .messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    Entry,
+    EntryKind,
+    Heartbeat,
+    InstallSnapshot,
+    InstallSnapshotResponse,
+)
+from .state import ReplicaState
 
 MAX_APPEND_ENTRIES = 256
 MAX_APPEND_BYTES = 32 * 1024
-MAX_APPENDS_UNDER_WAY = 32
-MAX_BYTES_UNDER_WAY = 64 * 1024  # of appends: what a follower's link and disk have taken bounds what it is sent
+MAX_APPENDS_IN_FLIGHT = 32
+MAX_BYTES_IN_FLIGHT = 64 * 1024  # of appends: what a follower's link and disk have taken bounds what it is sent
 SNAPSHOT_CHUNK_BYTES = 32 * 1024
-MAX_CHUNKS_UNDER_WAY = 2  # heartbeats and votes travel behind them: 0.1 s at 5 Mbit/s
-SLOWEST_LINK_BYTES_PER_S = 125_000  # a message is not taken for lost before such a link has carried what is under way
-LONGEST_RESEND_S = 5.0
-COMMIT_PAUSE_S = 0.02  # between messages to one follower that only tell it a higher commit index
+MAX_CHUNKS_IN_FLIGHT = 2  # heartbeats and votes travel behind them: 0.1 s at 5 Mbit/s
+MIN_LINK_BYTES_PER_S = 125_000  # a message is not taken for lost before such a link has carried what is under way
+MAX_RESEND_S = 5.0
+COMMIT_NOTICE_INTERVAL_S = 0.02  # between messages to one follower that only tell it a higher commit index
 
 
-class Mode(Enum):
+class ProgressMode(Enum):
     """PROBE: one append at a time until it is known what the follower has. PIPELINE: appends without waiting."""
 
     PROBE = "probe"
@@ -38,49 +46,49 @@
 
     member: Member
     next: int
-    heard_at: float  # when anything last came from it
-    steady_since: float  # since when it has been heard without a long pause
+    last_contact_at: float  # when anything last came from it
+    stable_since: float  # since when it has been heard without a long pause
     match: int = 0
     stamp: float = float("-inf")  # the newest stamp that it has repeated
-    willing: bool = True
-    mode: Mode = Mode.PROBE
-    under_way: int = 0  # appends or chunks without an answer
-    bytes_under_way: int = 0
+    eligible: bool = True
+    mode: ProgressMode = ProgressMode.PROBE
+    in_flight: int = 0  # appends or chunks without an answer
+    bytes_in_flight: int = 0
     sent_at: float = float("-inf")
     sent_stamp: float = float("-inf")
     resends: int = 0  # since something was last taken
     snapshot: Snapshot | None = None  # the image that is being sent, to its end, whatever is taken meanwhile
     snapshot_offset: int = 0  # bytes of it that have arrived
     snapshot_sent: int = 0
-    commit_told: int = 0  # the highest commit index that it was sent
-    commit_told_at: float = float("-inf")
+    commit_index_sent: int = 0  # the highest commit index that it was sent
+    commit_index_sent_at: float = float("-inf")
 
     def send_again(self) -> None:
         """What is under way counts as lost."""
-        self.under_way = self.bytes_under_way = 0
-        if self.mode is Mode.SNAPSHOT:
+        self.in_flight = self.bytes_in_flight = 0
+        if self.mode is ProgressMode.SNAPSHOT:
             self.snapshot_sent = self.snapshot_offset
             return
-        self.mode = Mode.PROBE
+        self.mode = ProgressMode.PROBE
         if self.match:
             self.next = self.match + 1
 
     def begin_transfer(self, snapshot: Snapshot) -> None:
         """The log doesn't reach back to what the follower has: it gets an image first."""
-        self.mode, self.snapshot = Mode.SNAPSHOT, snapshot
+        self.mode, self.snapshot = ProgressMode.SNAPSHOT, snapshot
         self.snapshot_offset = self.snapshot_sent = 0
-        self.under_way = self.bytes_under_way = 0
+        self.in_flight = self.bytes_in_flight = 0
 
     def resend_after(self, resend_s: float) -> float:
         """Seconds without an answer after which what is under way counts as lost; longer with each time in a row."""
-        carried_s = self.bytes_under_way / SLOWEST_LINK_BYTES_PER_S
-        return min(LONGEST_RESEND_S, resend_s * 2 ** min(self.resends, 10)) + carried_s
+        carried_s = self.bytes_in_flight / MIN_LINK_BYTES_PER_S
+        return min(MAX_RESEND_S, resend_s * 2 ** min(self.resends, 10)) + carried_s
 
 
-class Replication:
+class LeaderReplication:
     """Sends the log to voters and learners and moves the commit index."""
 
-    def __init__(self, core: ReplicaCore) -> None:
+    def __init__(self, core: ReplicaState) -> None:
         self._core = core
         self.progress: dict[int, Progress] = {}
         self.learners: dict[int, Member] = {}
@@ -118,7 +126,7 @@
             self.broadcast_heartbeat()
         for progress in self.progress.values():
             waited = core.now - progress.sent_at
-            if progress.under_way and waited > progress.resend_after(core.timing.resend_s):
+            if progress.in_flight and waited > progress.resend_after(core.timing.resend_s):
                 progress.resends += 1
                 progress.send_again()
 
@@ -133,7 +141,7 @@
             if progress.member.address == address:
                 progress.stamp = float("-inf")
 
-    def held_from(self) -> int | None:
+    def retained_from(self) -> int | None:
         """Entries behind this index are wanted by followers that are being sent an image."""
         images = [progress.snapshot.index for progress in self.progress.values() if progress.snapshot is not None]
         return min(images, default=None)
@@ -142,23 +150,23 @@
         """Heartbeats fall on multiples of their interval, so those of several groups travel together."""
         core = self._core
         self._heartbeat_due = (core.now // core.timing.heartbeat_s + 1) * core.timing.heartbeat_s
-        stamp, quorum_age = core.stamp(), core.now - core.quorum_known_at
+        stamp, seconds_since_quorum = core.stamp(), core.now - core.last_quorum_at
         self.last_broadcast = stamp
         for member_id, progress in self.progress.items():
-            self._send_heartbeat(member_id, progress, stamp, quorum_age)
+            self._send_heartbeat(member_id, progress, stamp, seconds_since_quorum)
 
     def send_commits(self) -> None:
         """Tells followers what they may apply now, so that a change need not wait for the next heartbeat."""
         core = self._core
         for member_id, progress in self.progress.items():
-            is_news = min(core.commit_index, progress.match) > progress.commit_told
-            if is_news and core.now - progress.commit_told_at >= COMMIT_PAUSE_S:
-                self._send_heartbeat(member_id, progress, core.stamp(), core.now - core.quorum_known_at)
+            is_news = min(core.commit_index, progress.match) > progress.commit_index_sent
+            if is_news and core.now - progress.commit_index_sent_at >= COMMIT_NOTICE_INTERVAL_S:
+                self._send_heartbeat(member_id, progress, core.stamp(), core.now - core.last_quorum_at)
 
-    def _send_heartbeat(self, member_id: int, progress: Progress, stamp: float, quorum_age: float) -> None:
+    def _send_heartbeat(self, member_id: int, progress: Progress, stamp: float, seconds_since_quorum: float) -> None:
         core = self._core
-        progress.commit_told, progress.commit_told_at = min(core.commit_index, progress.match), core.now
-        core.send(member_id, Heartbeat(core.term, progress.commit_told, stamp, quorum_age))
+        progress.commit_index_sent, progress.commit_index_sent_at = min(core.commit_index, progress.match), core.now
+        core.send(member_id, Heartbeat(core.term, progress.commit_index_sent, stamp, seconds_since_quorum))
 
     def send_entries(self, receiving: set[Address]) -> None:
         """Sends to each replica what it lacks, as far as its mode allows.
@@ -173,31 +181,35 @@
                     self._send_chunk(member_id, progress)
                 else:
                     self._send_append(member_id, progress)
-            if progress.mode is Mode.SNAPSHOT and self._is_heard(progress):
+            if progress.mode is ProgressMode.SNAPSHOT and self._is_heard(progress):
                 receiving.add(progress.member.address)
 
-    def accepted(self, member_id: int, reply: AppendReply) -> None:
+    def accepted(self, member_id: int, reply: AppendEntriesResponse) -> None:
         progress = self.progress[member_id]
-        if progress.under_way:
-            progress.bytes_under_way -= progress.bytes_under_way // progress.under_way
-            progress.under_way -= 1
+        if progress.in_flight:
+            progress.bytes_in_flight -= progress.bytes_in_flight // progress.in_flight
+            progress.in_flight -= 1
         if reply.accepted:
             progress.resends = 0
             progress.match = max(progress.match, reply.index)
             progress.next = max(progress.next, progress.match + 1)
-            progress.mode, progress.snapshot = Mode.PIPELINE, None
+            progress.mode, progress.snapshot = ProgressMode.PIPELINE, None
             self.advance_commit()
-        elif progress.mode is not Mode.SNAPSHOT:
+        elif progress.mode is not ProgressMode.SNAPSHOT:
             progress.next = max(progress.match + 1, min(reply.index, progress.next - 1))
-            progress.mode, progress.under_way, progress.bytes_under_way = Mode.PROBE, 0, 0
+            progress.mode, progress.in_flight, progress.bytes_in_flight = ProgressMode.PROBE, 0, 0
 
-    def chunk_arrived(self, member_id: int, reply: SnapshotReply) -> None:
+    def chunk_arrived(self, member_id: int, reply: InstallSnapshotResponse) -> None:
         progress = self.progress[member_id]
-        if progress.mode is not Mode.SNAPSHOT or progress.snapshot is None or reply.index != progress.snapshot.index:
+        if (
+            progress.mode is not ProgressMode.SNAPSHOT
+            or progress.snapshot is None
+            or reply.index != progress.snapshot.index
+        ):
             return
         if reply.offset > progress.snapshot_offset:
-            progress.bytes_under_way = max(0, progress.bytes_under_way - (reply.offset - progress.snapshot_offset))
-            progress.under_way = max(0, progress.under_way - 1)
+            progress.bytes_in_flight = max(0, progress.bytes_in_flight - (reply.offset - progress.snapshot_offset))
+            progress.in_flight = max(0, progress.in_flight - 1)
             progress.snapshot_offset, progress.resends = reply.offset, 0
             progress.snapshot_sent = max(progress.snapshot_sent, reply.offset)
         elif reply.stamp == progress.sent_stamp:  # behind a gap: one before it was lost
@@ -219,7 +231,7 @@
         core = self._core
         ids = [member.id for member in core.configuration.voters if member.id in self.progress]
         for member_id in sorted(ids, key=lambda voter: -self.progress[voter].match):
-            if core.now - self.progress[member_id].heard_at < core.timing.voter_silence_s:
+            if core.now - self.progress[member_id].last_contact_at < core.timing.voter_timeout_s:
                 yield member_id, self.progress[member_id]
 
     def _match(self, member_id: int) -> int:
@@ -231,22 +243,22 @@
     def _may_send(self, progress: Progress) -> bool:
         last_index = self._core.log.last_index
         match progress.mode:
-            case Mode.SNAPSHOT:
+            case ProgressMode.SNAPSHOT:
                 is_whole = progress.snapshot_sent >= len(progress.snapshot.data)
-                return progress.under_way < MAX_CHUNKS_UNDER_WAY and not (is_whole and progress.under_way)
-            case Mode.PROBE:
-                return not progress.under_way and (progress.next <= last_index or not progress.match)
+                return progress.in_flight < MAX_CHUNKS_IN_FLIGHT and not (is_whole and progress.in_flight)
+            case ProgressMode.PROBE:
+                return not progress.in_flight and (progress.next <= last_index or not progress.match)
             case _:
-                has_room = progress.bytes_under_way < MAX_BYTES_UNDER_WAY
-                return progress.next <= last_index and has_room and progress.under_way < MAX_APPENDS_UNDER_WAY
+                has_room = progress.bytes_in_flight < MAX_BYTES_IN_FLIGHT
+                return progress.next <= last_index and has_room and progress.in_flight < MAX_APPENDS_IN_FLIGHT
 
     def _is_heard(self, progress: Progress) -> bool:
         """Whether a transfer goes on: a voter whose disk is gone must not hold up the one that has its address now."""
-        return self._core.now - progress.heard_at < self._core.timing.election_min_s
+        return self._core.now - progress.last_contact_at < self._core.timing.election_min_s
 
     def _needs_image(self, progress: Progress) -> bool:
         """Whether an image has to come first, since the log doesn't reach back far enough."""
-        return progress.mode is Mode.SNAPSHOT or self._core.log.term_at(progress.next - 1) is None
+        return progress.mode is ProgressMode.SNAPSHOT or self._core.log.term_at(progress.next - 1) is None
 
     def _send_append(self, member_id: int, progress: Progress) -> None:
         core, previous = self._core, progress.next - 1
@@ -254,7 +266,7 @@
         stamp = self._note_sent(progress, sum(len(entry.data) for entry in entries))
         core.send(
             member_id,
-            Append(
+            AppendEntries(
                 core.term,
                 previous,
                 core.log.term_at(previous),
@@ -263,12 +275,12 @@
                 stamp,
             ),
         )
-        if progress.mode is Mode.PIPELINE:
+        if progress.mode is ProgressMode.PIPELINE:
             progress.next += len(entries)
 
     def _send_chunk(self, member_id: int, progress: Progress) -> None:
         core = self._core
-        if progress.mode is not Mode.SNAPSHOT:
+        if progress.mode is not ProgressMode.SNAPSHOT:
             progress.begin_transfer(core.log.snapshot)
         snapshot, size = progress.snapshot, len(progress.snapshot.data)
         offset = progress.snapshot_sent if progress.snapshot_sent < size else max(0, size - SNAPSHOT_CHUNK_BYTES)
@@ -277,7 +289,7 @@
         stamp = self._note_sent(progress, len(piece))
         core.send(
             member_id,
-            SnapshotChunk(
+            InstallSnapshot(
                 core.term,
                 snapshot.index,
                 snapshot.term,
@@ -291,7 +303,7 @@
 
     def _note_sent(self, progress: Progress, size: int) -> float:
         """Counts a message as under way and gives its stamp."""
-        progress.under_way += 1
-        progress.bytes_under_way += size
+        progress.in_flight += 1
+        progress.bytes_in_flight += size
         progress.sent_at, progress.sent_stamp = self._core.now, self._core.stamp()
         return progress.sent_stamp
--- a/ochrespan/raft/leadership_transfer.py
+++ b/ochrespan/raft/leadership_transfer.py
@@ -2,15 +2,15 @@
 
 from __future__ import annotations
 
-from .leader import Replication
-from .messages import CampaignNow
-from .state import ReplicaCore
+from .leader import LeaderReplication
+from .messages import TimeoutNow
+from .state import ReplicaState
 
 
-class HandOver:
+class LeadershipTransfer:
     """One attempt at a time. While it is under way the leader takes no proposals; it ends after a while by itself."""
 
-    def __init__(self, core: ReplicaCore, replication: Replication) -> None:
+    def __init__(self, core: ReplicaState, replication: LeaderReplication) -> None:
         self._core, self._replication = core, replication
         self.reset()
 
@@ -40,11 +40,11 @@
         """Chooses `target`, or the voter that has most of the log, among those that are heard and willing."""
         if self.under_way:
             return
-        willing = [voter for voter, progress in self._replication.voters_by_match() if progress.willing]
-        self._target = target if target in willing else next(iter(willing), 0)
+        eligible = [voter for voter, progress in self._replication.voters_by_match() if progress.eligible]
+        self._target = target if target in eligible else next(iter(eligible), 0)
         self._told = False
         if self._target:
-            self._until = self._core.now + self._core.timing.hand_over_s
+            self._until = self._core.now + self._core.timing.leadership_transfer_s
             self.drive()
 
     def drive(self) -> None:
@@ -52,4 +52,4 @@
         progress = self._replication.progress.get(self._target)
         if self.under_way and not self._told and progress and progress.match >= self._core.log.last_index:
             self._told = True
-            self._core.send(self._target, CampaignNow(self._core.term))
+            self._core.send(self._target, TimeoutNow(self._core.term))
--- a/ochrespan/raft/log.py
+++ b/ochrespan/raft/log.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from .membership_config import Configuration
+from .membership_config import MembershipConfig
 from .messages import Entry, EntryKind
 
 
@@ -14,11 +14,11 @@
 
     index: int
     term: int
-    configuration: Configuration
+    configuration: MembershipConfig
     data: bytes
 
 
-EMPTY_SNAPSHOT = Snapshot(0, 0, Configuration(), b"")
+EMPTY_SNAPSHOT = Snapshot(0, 0, MembershipConfig(), b"")
 
 
 class ReplicaLog:
@@ -30,7 +30,7 @@
         self._start_term = snapshot.term
         self._entries: list[Entry] = []
         self._has_commands = False
-        self._configurations: list[tuple[int, Configuration]] = [(snapshot.index, snapshot.configuration)]
+        self._configurations: list[tuple[int, MembershipConfig]] = [(snapshot.index, snapshot.configuration)]
         for entry in entries or []:
             self._push(entry)
         self.stable_index = self.last_index
@@ -50,7 +50,7 @@
         return self._entries[-1].term if self._entries else self._start_term
 
     @property
-    def configuration(self) -> Configuration:
+    def configuration(self) -> MembershipConfig:
         return self._configurations[-1][1]
 
     @property
@@ -64,7 +64,7 @@
             self._has_commands = self._start > 0 or any(entry.kind == EntryKind.COMMAND for entry in self._entries)
         return self._has_commands
 
-    def configuration_at(self, index: int) -> Configuration:
+    def configuration_at(self, index: int) -> MembershipConfig:
         return next(configuration for at, configuration in reversed(self._configurations) if at <= index)
 
     def term_at(self, index: int) -> int | None:
@@ -109,16 +109,16 @@
         self.__init__(snapshot)
 
     def compact(
-        self, snapshot: Snapshot, keep: int, keep_bytes: int, held_from: int | None = None, held_bytes: int = 0
+        self, snapshot: Snapshot, keep: int, keep_bytes: int, retained_from: int | None = None, held_bytes: int = 0
     ) -> None:
         """Replaces entries up to `snapshot.index` by it, except the last `keep` of them or fewer, by their size.
 
-        Those behind `held_from` stay too, up to `held_bytes`.
+        Those behind `retained_from` stay too, up to `held_bytes`.
         """
         start = min(snapshot.index, self.stable_index)
         oldest, most_bytes = snapshot.index - keep, keep_bytes
-        if held_from is not None and held_from < oldest:
-            oldest, most_bytes = held_from, held_bytes
+        if retained_from is not None and retained_from < oldest:
+            oldest, most_bytes = retained_from, held_bytes
         kept_bytes = 0
         while start > max(self._start, oldest):
             kept_bytes += len(self.entry(start).data)
@@ -132,23 +132,23 @@
         kept = [pair for pair in self._configurations if pair[0] > start]
         self._configurations = [(start, self.configuration_at(start)), *kept]
 
-    def take_unwritten(self) -> tuple[int, list[Entry]]:
-        """The first index and the entries that no write has covered; the next `written` is about them."""
+    def take_unpersisted(self) -> tuple[int, list[Entry]]:
+        """The first index and the entries that no write has covered; the next `persisted` is about them."""
         first = self._written_to + 1
         self._written_to = self._writing_to = self.last_index
         return first, self._entries[first - self._start - 1 :]
 
-    def has_unwritten(self) -> bool:
+    def has_unpersisted(self) -> bool:
         return self._written_to < self.last_index
 
-    def written(self) -> None:
+    def persisted(self) -> None:
         """The write that was under way is durable."""
         self.stable_index = max(self.stable_index, self._writing_to)
 
     def _push(self, entry: Entry) -> None:
         self._entries.append(entry)
         if entry.kind == EntryKind.CONFIGURATION:
-            self._configurations.append((self.last_index, Configuration.from_bytes(entry.data)))
+            self._configurations.append((self.last_index, MembershipConfig.from_bytes(entry.data)))
 
     def _truncate(self, index: int) -> None:
         del self._entries[index - self._start - 1 :]
--- a/ochrespan/raft/membership_config.py
+++ b/ochrespan/raft/membership_config.py
@@ -23,14 +23,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Configuration:
+class MembershipConfig:
     """The voters of a group, and those of the configuration being left, if a change is under way."""
 
     voters: tuple[Member, ...] = ()
     outgoing: tuple[Member, ...] = field(default=())
 
     @classmethod
-    def of(cls, members: Iterable[Member]) -> Configuration:
+    def of(cls, members: Iterable[Member]) -> MembershipConfig:
         return cls(tuple(sorted(members, key=lambda member: member.id)))
 
     @property
@@ -59,20 +59,20 @@
                 reached.append(values[len(side) // 2])
         return min(reached)
 
-    def towards(self, voters: Iterable[Member]) -> Configuration:
+    def towards(self, voters: Iterable[Member]) -> MembershipConfig:
         """The joint configuration that leads from this one to `voters`."""
-        return Configuration(Configuration.of(voters).voters, self.voters)
+        return MembershipConfig(MembershipConfig.of(voters).voters, self.voters)
 
-    def settled(self) -> Configuration:
+    def settled(self) -> MembershipConfig:
         """The configuration after a change has ended."""
-        return Configuration(self.voters)
+        return MembershipConfig(self.voters)
 
     def to_bytes(self) -> bytes:
         sides = [[[member.id, *member.address] for member in side] for side in (self.voters, self.outgoing)]
         return json.dumps(sides, separators=(",", ":")).encode()
 
     @classmethod
-    def from_bytes(cls, data: bytes) -> Configuration:
+    def from_bytes(cls, data: bytes) -> MembershipConfig:
         voters, outgoing = (
             tuple(Member(replica_id, (host, port)) for replica_id, host, port in side) for side in json.loads(data)
         )
--- a/ochrespan/raft/messages.py
+++ b/ochrespan/raft/messages.py
@@ -27,25 +27,25 @@
 
 
 @dataclass(slots=True)
-class VoteRequest:
+class RequestVote:
     """Asks for a vote. `pre_vote` asks only whether a vote would be given and changes nothing at the receiver."""
 
     term: int
     last_index: int
     last_term: int
     pre_vote: bool
-    hand_over: bool  # the leader itself asked for this election, so its lease doesn't stand in the way
+    leadership_transfer: bool  # the leader itself asked for this election, so its lease doesn't stand in the way
 
 
 @dataclass(slots=True)
-class VoteReply:
+class RequestVoteResponse:
     term: int
     granted: bool
     pre_vote: bool
 
 
 @dataclass(slots=True)
-class Append:
+class AppendEntries:
     """Entries that follow `previous_index`."""
 
     term: int
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True)
-class AppendReply:
+class AppendEntriesResponse:
     """`index`: where accepted, the last index that is now durable here; where refused, where to try next."""
 
     term: int
@@ -71,18 +71,18 @@
     term: int
     commit: int
     stamp: float
-    quorum_age: float  # seconds since the leader knew that it had a majority
+    seconds_since_quorum: float  # seconds since the leader knew that it had a majority
 
 
 @dataclass(slots=True)
-class HeartbeatReply:
+class HeartbeatResponse:
     term: int
     stamp: float
-    willing: bool  # whether it would lead: its disk keeps up
+    eligible: bool  # whether it would lead: its disk keeps up
 
 
 @dataclass(slots=True)
-class SnapshotChunk:
+class InstallSnapshot:
     """A piece of the leader's snapshot up to `index`, at `offset` of `size` bytes."""
 
     term: int
@@ -96,7 +96,7 @@
 
 
 @dataclass(slots=True)
-class SnapshotReply:
+class InstallSnapshotResponse:
     """`offset`: bytes of the snapshot at `index` that have arrived."""
 
     term: int
@@ -106,20 +106,20 @@
 
 
 @dataclass(slots=True)
-class CampaignNow:
+class TimeoutNow:
     """The leader hands its leadership over to the receiver."""
 
     term: int
 
 
 Message = (
-    VoteRequest
-    | VoteReply
-    | Append
-    | AppendReply
+    RequestVote
+    | RequestVoteResponse
+    | AppendEntries
+    | AppendEntriesResponse
     | Heartbeat
-    | HeartbeatReply
-    | SnapshotChunk
-    | SnapshotReply
-    | CampaignNow
+    | HeartbeatResponse
+    | InstallSnapshot
+    | InstallSnapshotResponse
+    | TimeoutNow
 )
