--- a/ochrespan/raft/multi_raft.py
+++ b/ochrespan/raft/multi_raft.py
@@ -9,38 +9,38 @@
 
 from ochrespan.common.addresses import Address
 
-from .bootstrap import ASK_INTERVAL_S, FOUNDING_ASK_INTERVAL_S, Formation, FormationSettings, Identity
-from .cluster_messages import Found, Join, JoinReply, Leave, cluster_of, members_of
-from .envelope import PROCESS, Envelope
+from .bootstrap import BOOTSTRAP_QUERY_INTERVAL_S, QUERY_INTERVAL_S, Bootstrap, BootstrapSettings, Identity
+from .cluster_messages import BootstrapProposal, JoinRequest, JoinResponse, LeaveNotice, cluster_id_of, proposed_members
+from .envelope import PROCESS_GROUP, Envelope
 from .membership_config import Member
-from .messages import Append, Heartbeat, SnapshotChunk
+from .messages import AppendEntries, Heartbeat, InstallSnapshot
 from .replica import Replica
-from .state import DurableChange, DurableState, Role, Timing
+from .state import PersistentState, PersistentUpdate, Role, Timing
 
 log = logging.getLogger(__name__)
 
-LEADER_LOST_S = 0.5  # a replica that isn't a voter asks again when no leader was heard for this long
+LEADER_TIMEOUT_S = 0.5  # a replica that isn't a voter asks again when no leader was heard for this long
 LEAVE_INTERVAL_S = 0.1
-LONGEST_EXCHANGE_S = 0.4  # a leader that ends as planned waits no longer for a spare to become a voter
-STEADY_S = 5.0  # a voter heard for this long may be handed the groups that it should lead
-HAND_OVER_INTERVAL_S = 1.0
+MAX_REPLACEMENT_S = 0.4  # a leader that ends as planned waits no longer for a spare to become a voter
+MIN_STABLE_S = 5.0  # a voter heard for this long may be handed the groups that it should lead
+TRANSFER_INTERVAL_S = 1.0
 
 
-class GroupTable:
+class MultiRaft:
     """Routes messages to the replicas and collects what they send and write."""
 
     def __init__(
         self,
-        settings: FormationSettings,
+        settings: BootstrapSettings,
         groups: tuple[int, ...],
         known: Identity | None,
-        durable: dict[int, DurableState],
+        durable: dict[int, PersistentState],
         source: random.Random,
         now: float,
         timing: Timing | None = None,
     ) -> None:
         self.settings, self.timing = settings, timing or Timing()
-        self.formation = Formation.begin(settings, known, source, now)
+        self.bootstrap = Bootstrap.begin(settings, known, source, now)
         self.addresses: dict[int, Address] = {}
         self.contacts: set[Address] = set(settings.seeds)
         self._strangers: set[Address] = set()  # processes of other clusters that were told of in the log
@@ -48,12 +48,12 @@
         self._process_outbox: list[tuple[Address, int, Any]] = []
         self._ask_at = self._balance_at = now
         self._identity_written = known
-        self._leave_at = self._hand_over_at = float("inf")
-        self.replicas = {group: self._replica(group, durable.get(group) or DurableState(), now) for group in groups}
+        self._leave_at = self._transfer_at = float("inf")
+        self.replicas = {group: self._replica(group, durable.get(group) or PersistentState(), now) for group in groups}
 
     @property
     def id(self) -> int:
-        return self.formation.identity.replica_id
+        return self.bootstrap.identity.replica_id
 
     def tick(self, now: float) -> None:
         for replica in self.replicas.values():
@@ -61,35 +61,35 @@
         if now >= self._leave_at:
             self.leave(now)
         if now >= self._ask_at:
-            self._ask_at = now + (FOUNDING_ASK_INTERVAL_S if self.formation.is_founder else ASK_INTERVAL_S)
+            self._ask_at = now + (BOOTSTRAP_QUERY_INTERVAL_S if self.bootstrap.is_initial_member else QUERY_INTERVAL_S)
             self._ask(now)
         if now >= self._balance_at:
-            self._balance_at = now + HAND_OVER_INTERVAL_S
+            self._balance_at = now + TRANSFER_INTERVAL_S
             self._balance(now)
 
     def receive(self, now: float, envelope: Envelope) -> None:
-        own = self.formation.identity
+        own = self.bootstrap.identity
         if envelope.cluster and own.cluster and envelope.cluster != own.cluster:
             self._receive_other_cluster(now, envelope)
             return
         if envelope.to not in (0, self.id):
-            if any(isinstance(message, Append | Heartbeat | SnapshotChunk) for _, message in envelope.frames):
-                self.formation.leader_seen()
+            if any(isinstance(message, AppendEntries | Heartbeat | InstallSnapshot) for _, message in envelope.frames):
+                self.bootstrap.leader_seen()
             self._send_process(envelope.address, 0, self._join_request(now, every_group=True))
             return
         self.addresses[envelope.sender] = envelope.address
         for group, message in envelope.frames:
-            if group == PROCESS:
+            if group == PROCESS_GROUP:
                 self._receive_process(now, envelope, message)
             elif replica := self.replicas.get(group):
-                if not own.cluster and isinstance(message, Append | Heartbeat | SnapshotChunk):
-                    own = self.formation.identity = Identity(self.id, envelope.cluster)
+                if not own.cluster and isinstance(message, AppendEntries | Heartbeat | InstallSnapshot):
+                    own = self.bootstrap.identity = Identity(self.id, envelope.cluster)
                 replica.receive(now, envelope.sender, message)
 
-    def peer_lost(self, now: float, address: Address) -> None:
+    def peer_disconnected(self, now: float, address: Address) -> None:
         """The connection from a process has ended. If it led, it is probably gone; the others are asked by pre-vote."""
         for replica in self.replicas.values():
-            replica.peer_lost(now, address)
+            replica.peer_disconnected(now, address)
 
     def leave(self, now: float) -> None:
         """A planned end begins: spares take this process's places if there are any, and what it leads is handed over.
@@ -98,19 +98,19 @@
         again while the process is still there.
         """
         self._leave_at = now + LEAVE_INTERVAL_S
-        self._hand_over_at = min(self._hand_over_at, now + LONGEST_EXCHANGE_S)
+        self._transfer_at = min(self._transfer_at, now + MAX_REPLACEMENT_S)
         for replica in self.replicas.values():
             leader = replica.leader
             if leader and leader.id != self.id:
-                self._send_process(leader.address, leader.id, Leave())
+                self._send_process(leader.address, leader.id, LeaveNotice())
             elif replica.core.role is Role.LEADER:
                 replica.leave(now, self.id)
-                if now >= self._hand_over_at or not replica.reconfiguration.spares():
-                    replica.hand_over(now)
+                if now >= self._transfer_at or not replica.reconfiguration.spares():
+                    replica.transfer_leadership(now)
 
     def take_envelopes(self) -> list[tuple[Address, Envelope]]:
         envelopes: dict[tuple[Address, int], Envelope] = {}
-        identity = self.formation.identity
+        identity = self.bootstrap.identity
 
         def envelope(address: Address, to: int) -> Envelope:
             key = (address, to)
@@ -124,65 +124,65 @@
                 if address := self._address_of(replica, to):
                     envelope(address, to).frames.append((group, message))
         for address, to, message in self._process_outbox:
-            envelope(address, to).frames.append((PROCESS, message))
+            envelope(address, to).frames.append((PROCESS_GROUP, message))
         self._process_outbox = []
         return [(address, value) for (address, _), value in envelopes.items()]
 
-    def take_changes(self) -> list[Identity | DurableChange]:
-        """What is to be written now, in one piece; `written` follows when it is durable."""
-        changes: list[Identity | DurableChange] = []
-        if self._identity_written != self.formation.identity:
-            self._identity_written = self.formation.identity
-            changes.append(self.formation.identity)
-        changes += [change for replica in self.replicas.values() if (change := replica.take_change())]
+    def take_updates(self) -> list[Identity | PersistentUpdate]:
+        """What is to be written now, in one piece; `persisted` follows when it is durable."""
+        changes: list[Identity | PersistentUpdate] = []
+        if self._identity_written != self.bootstrap.identity:
+            self._identity_written = self.bootstrap.identity
+            changes.append(self.bootstrap.identity)
+        changes += [change for replica in self.replicas.values() if (change := replica.take_update())]
         return changes
 
-    def written(self, now: float) -> None:
+    def persisted(self, now: float) -> None:
         for replica in self.replicas.values():
-            replica.written(now)
+            replica.persisted(now)
 
     def add_contacts(self, addresses: Iterable[Address]) -> None:
         """Further processes that may know the groups, from changed settings for example."""
         self.contacts.update(addresses)
 
-    def abstain(self, now: float, abstaining: bool) -> None:
+    def withhold_votes(self, now: float, withholding_votes: bool) -> None:
         for replica in self.replicas.values():
-            replica.abstain(now, abstaining)
+            replica.withhold_votes(now, withholding_votes)
 
     # Between processes
 
     def _receive_process(self, now: float, envelope: Envelope, message: Any) -> None:
         match message:
-            case Join():
-                self.formation.heard(now, envelope.sender, envelope.address, message)
+            case JoinRequest():
+                self.bootstrap.heard(now, envelope.sender, envelope.address, message)
                 self._joins(now, envelope, message)
-                self._propose_founding(now)
-            case JoinReply():
-                self.formation.heard(now, envelope.sender, envelope.address, message)
+                self._propose_bootstrap(now)
+            case JoinResponse():
+                self.bootstrap.heard(now, envelope.sender, envelope.address, message)
                 self.contacts.update((host, port) for host, port in message.contacts)
-                self._propose_founding(now)
-            case Found():
-                if self.formation.accepts(message):
-                    self._form(now, message)
-            case Leave():
+                self._propose_bootstrap(now)
+            case BootstrapProposal():
+                if self.bootstrap.accepts(message):
+                    self._start_groups(now, message)
+            case LeaveNotice():
                 for replica in self.replicas.values():
                     replica.leave(now, envelope.sender)
 
     def _receive_other_cluster(self, now: float, envelope: Envelope) -> None:
         """Foundings may have crossed at a first start; else a process of another deployment is not listened to."""
         for group, message in envelope.frames:
-            if group != PROCESS:
+            if group != PROCESS_GROUP:
                 continue
-            if isinstance(message, JoinReply) and message.settled and self._is_blank:
+            if isinstance(message, JoinResponse) and message.settled and self._is_blank:
                 log.warning("founding given up, another has commitments peer=%s:%d", *envelope.address)
-                self._give_up(now)
+                self._abandon_bootstrap(now)
                 return
-            if isinstance(message, Found) and self._prefers(message):
-                self._form(now, message)
+            if isinstance(message, BootstrapProposal) and self._prefers(message):
+                self._start_groups(now, message)
                 return
-            if isinstance(message, Join):
-                self.formation.heard(now, envelope.sender, envelope.address, message)
-            if isinstance(message, Join | Found) and self._is_settled:
+            if isinstance(message, JoinRequest):
+                self.bootstrap.heard(now, envelope.sender, envelope.address, message)
+            if isinstance(message, JoinRequest | BootstrapProposal) and self._is_settled:
                 self._send_process(envelope.address, 0, self._join_reply(now, []))
         if envelope.address not in self._strangers:
             self._strangers.add(envelope.address)
@@ -190,15 +190,15 @@
                 "other cluster peer=%s:%d found=%d own=%d",
                 *envelope.address,
                 envelope.cluster,
-                self.formation.identity.cluster,
+                self.bootstrap.identity.cluster,
             )
 
-    def _prefers(self, message: Found) -> bool:
+    def _prefers(self, message: BootstrapProposal) -> bool:
         """Whether another founding is to be taken in place of this process's own: all choose the same one."""
-        members = members_of(message)
+        members = proposed_members(message)
         if not self._is_blank or self._has_voted or all(member.id != self.id for member in members):
             return False
-        return (not message.voted, cluster_of(members)) < (True, self.formation.identity.cluster)
+        return (not message.voted, cluster_id_of(members)) < (True, self.bootstrap.identity.cluster)
 
     @property
     def _is_blank(self) -> bool:
@@ -214,9 +214,9 @@
         """A group is known to have commitments."""
         return any(replica.core.commit_index for replica in self.replicas.values())
 
-    def _joins(self, now: float, envelope: Envelope, message: Join) -> None:
+    def _joins(self, now: float, envelope: Envelope, message: JoinRequest) -> None:
         contacts: set[Address] = set()
-        if not self.formation.empty:
+        if not self.bootstrap.empty:
             member = Member(envelope.sender, envelope.address)
             for group in message.groups:
                 if replica := self.replicas.get(group):
@@ -225,48 +225,50 @@
         contacts.discard(envelope.address)
         self._send_process(envelope.address, envelope.sender, self._join_reply(now, sorted(contacts)))
 
-    def _join_reply(self, now: float, contacts: list[Address]) -> JoinReply:
-        formation = self.formation
-        founders = [list(founder) for founder in formation.identity.founders]
+    def _join_reply(self, now: float, contacts: list[Address]) -> JoinResponse:
+        bootstrap = self.bootstrap
+        initial_members = [list(founder) for founder in bootstrap.identity.initial_members]
         listed = [list(contact) for contact in contacts]
-        return JoinReply(formation.empty, listed, self._is_blank, founders, formation.age(now), self._is_settled)
+        return JoinResponse(
+            bootstrap.empty, listed, self._is_blank, initial_members, bootstrap.age(now), self._is_settled
+        )
 
     def _ask(self, now: float) -> None:
-        self._propose_founding(now)
-        if founding := self._founding():
-            self._tell_founding(now, founding)
+        self._propose_bootstrap(now)
+        if founding := self._bootstrap_members():
+            self._announce_bootstrap(now, founding)
         request = self._join_request(now, every_group=False)
         if request.groups:
             for address in sorted(self.contacts | {member.address for member in self._members()}):
                 self._send_process(address, 0, request)
 
-    def _propose_founding(self, now: float) -> None:
-        if found := self.formation.proposal(now):
-            self._form(now, found)
-            self._tell_founding(now, self._founding())
+    def _propose_bootstrap(self, now: float) -> None:
+        if found := self.bootstrap.proposal(now):
+            self._start_groups(now, found)
+            self._announce_bootstrap(now, self._bootstrap_members())
 
-    def _founding(self) -> tuple[Member, ...]:
+    def _bootstrap_members(self) -> tuple[Member, ...]:
         """The first members, as long as their groups have no entry here."""
-        if self.formation.empty or not self._is_blank:
+        if self.bootstrap.empty or not self._is_blank:
             return ()
         return next(iter(self.replicas.values())).core.configuration.voters
 
-    def _tell_founding(self, now: float, founding: tuple[Member, ...]) -> None:
+    def _announce_bootstrap(self, now: float, founding: tuple[Member, ...]) -> None:
         """Until there is an entry, the other founders may not have heard, or may be in a founding that crossed."""
-        if self.formation.led_to_nothing(now, founding):
+        if self.bootstrap.has_stalled(now, founding):
             log.warning("founding given up, it led to nothing replica=%d", self.id)
-            self._give_up(now)
+            self._abandon_bootstrap(now)
             self._ask_at = now
             return
-        message = Found([[member.id, *member.address] for member in founding], self._has_voted)
+        message = BootstrapProposal([[member.id, *member.address] for member in founding], self._has_voted)
         for member in founding:
             self._send_process(member.address, 0, message)
 
-    def _join_request(self, now: float, every_group: bool) -> Join:
+    def _join_request(self, now: float, every_group: bool) -> JoinRequest:
         groups = [group for group, replica in self.replicas.items() if every_group or self._lacks_leader(now, replica)]
-        formation = self.formation
-        founders = [list(founder) for founder in formation.identity.founders]
-        return Join(groups, formation.empty, self._is_blank, founders, formation.age(now))
+        bootstrap = self.bootstrap
+        initial_members = [list(founder) for founder in bootstrap.identity.initial_members]
+        return JoinRequest(groups, bootstrap.empty, self._is_blank, initial_members, bootstrap.age(now))
 
     @staticmethod
     def _lacks_leader(now: float, replica: Replica) -> bool:
@@ -274,23 +276,23 @@
         core = replica.core
         if core.role is Role.LEADER:
             return False
-        return now - core.leader_heard_at > LEADER_LOST_S
+        return now - core.last_leader_contact_at > LEADER_TIMEOUT_S
 
-    def _form(self, now: float, message: Found) -> None:
+    def _start_groups(self, now: float, message: BootstrapProposal) -> None:
         """Begins every group with the founding members."""
-        configuration = self.formation.accept(now, message)
+        configuration = self.bootstrap.accept(now, message)
         for replica in self.replicas.values():
             replica.found(now, configuration)
         log.info("groups formed replica=%d members=%d", self.id, len(configuration.voters))
 
-    def _give_up(self, now: float) -> None:
+    def _abandon_bootstrap(self, now: float) -> None:
         """Leaves a founding whose groups have no entry here, as a process with an empty disk and a new id."""
-        self.formation.give_up()
-        self.replicas = {group: self._replica(group, DurableState(), now) for group in self.replicas}
+        self.bootstrap.abandon()
+        self.replicas = {group: self._replica(group, PersistentState(), now) for group in self.replicas}
 
-    def _replica(self, group: int, durable: DurableState, now: float) -> Replica:
-        smallest = 2 * self.settings.tolerated + 1
-        return Replica(group, self.id, durable, self._random, self.timing, smallest, now)
+    def _replica(self, group: int, durable: PersistentState, now: float) -> Replica:
+        min_voters = 2 * self.settings.fault_tolerance + 1
+        return Replica(group, self.id, durable, self._random, self.timing, min_voters, now)
 
     def _members(self) -> list[Member]:
         return [
@@ -305,9 +307,9 @@
             if not replica.is_leader or core.preferred or core.configuration.joint or not voters:
                 continue
             wanted = replica.replication.progress.get(voters[core.group % len(voters)].id)
-            since = max(core.leader_since or now, wanted.steady_since if wanted else now)
-            if wanted and wanted.willing and now - since > STEADY_S and wanted.match >= core.commit_index:
-                replica.hand_over(now, wanted.member.id)
+            since = max(core.leader_since or now, wanted.stable_since if wanted else now)
+            if wanted and wanted.eligible and now - since > MIN_STABLE_S and wanted.match >= core.commit_index:
+                replica.transfer_leadership(now, wanted.member.id)
                 return
 
     def _address_of(self, replica: Replica, member_id: int) -> Address | None:
--- a/ochrespan/raft/replica.py
+++ b/ochrespan/raft/replica.py
@@ -1,7 +1,7 @@
 """One replica of one group: Raft with pre-vote, check-quorum, learners and confirmed reads, without any I/O.
 
 The caller passes the time and received messages in, and takes messages to send, changes to write and committed entries
-to apply out. One write is under way at a time; `written` ends it.
+to apply out. One write is under way at a time; `persisted` ends it.
 """
 
 from __future__ import annotations
@@ -13,33 +13,34 @@
 from ochrespan.common.addresses import Address
 
 from .election import Election
-from .follower import Following
-from .leader import Replication
-from .leadership_transfer import HandOver
+from .follower import Follower
+from .leader import LeaderReplication
+from .leadership_transfer import LeadershipTransfer
 from .log import Snapshot
-from .membership_config import Configuration, Member
+from .membership_config import Member, MembershipConfig
 from .messages import (
-    Append,
-    AppendReply,
-    CampaignNow,
+    AppendEntries,
+    AppendEntriesResponse,
     Entry,
     EntryKind,
     Heartbeat,
-    HeartbeatReply,
+    HeartbeatResponse,
+    InstallSnapshot,
+    InstallSnapshotResponse,
     Message,
-    SnapshotChunk,
-    SnapshotReply,
-    VoteReply,
-    VoteRequest,
+    RequestVote,
+    RequestVoteResponse,
+    TimeoutNow,
 )
 from .reconfiguration import Reconfiguration
-from .state import DurableChange, DurableState, ReplicaCore, Role, Timing
+from .state import PersistentState, PersistentUpdate, ReplicaState, Role, Timing
 
-READ_ROUND_S = 0.02  # a read doesn't begin another round of heartbeats sooner than this after one without an answer
-MEMBERS_PATIENCE_S = 0.6
-KEPT_ENTRIES = 500  # entries kept behind a snapshot, so that followers who lag a little need no snapshot
-KEPT_BYTES = 1024 * 1024
-HELD_BYTES = 16 * 1024 * 1024  # the same behind an image that is being sent to a follower
+# a read doesn't begin another round of heartbeats sooner than this after one without an answer
+READ_HEARTBEAT_INTERVAL_S = 0.02
+MEMBERS_WAIT_S = 0.6
+RETAINED_ENTRIES = 500  # entries kept behind a snapshot, so that followers who lag a little need no snapshot
+RETAINED_BYTES = 1024 * 1024
+MAX_TRANSFER_RETAINED_BYTES = 16 * 1024 * 1024  # the same behind an image that is being sent to a follower
 
 
 class Replica:
@@ -47,23 +48,23 @@
         self,
         group: int,
         replica_id: int,
-        durable: DurableState,
+        durable: PersistentState,
         source: random.Random,
         timing: Timing,
-        smallest: int,
+        min_voters: int,
         now: float,
     ) -> None:
-        self.core = ReplicaCore(group, replica_id, timing, durable, source)
+        self.core = ReplicaState(group, replica_id, timing, durable, source)
         self.core.now = now
         self.core.on_step_down = self._stepped_down
-        self.replication = Replication(self.core)
-        self.reconfiguration = Reconfiguration(self.core, self.replication, smallest)
+        self.replication = LeaderReplication(self.core)
+        self.reconfiguration = Reconfiguration(self.core, self.replication, min_voters)
         self._election = Election(self.core, self._elected)
-        self._following = Following(self.core)
+        self._follower = Follower(self.core)
         self._reads: list[tuple[float, int, Any]] = []  # stamp, index that has to be applied, token
         self.failed_reads: list[Any] = []
         self._lease_from = float("-inf")
-        self._hand_over = HandOver(self.core, self.replication)
+        self._leadership_transfer = LeadershipTransfer(self.core, self.replication)
         self.core.set_first_deadline()
 
     # What the caller asks
@@ -76,15 +77,15 @@
         """
         core = self.core
         has_begun = core.role is Role.LEADER and core.commit_index >= self.replication.term_start_index
-        return has_begun and not self._hand_over.is_given_away
+        return has_begun and not self._leadership_transfer.is_given_away
 
     @property
     def leader(self) -> Member | None:
         return self.core.configuration.members().get(self.core.leader_id)
 
     @property
-    def takes_proposals(self) -> bool:
-        return self.core.role is Role.LEADER and not self.handing_over and not self._awaits_members
+    def accepts_proposals(self) -> bool:
+        return self.core.role is Role.LEADER and not self.is_transferring_leadership and not self._awaits_members
 
     @property
     def _awaits_members(self) -> bool:
@@ -93,24 +94,24 @@
         What a majority of a group that is too small, or on its way to another, has acknowledged could go with them.
         """
         core = self.core
-        if core.log.has_commands or core.now - (core.leader_since or core.now) >= MEMBERS_PATIENCE_S:
+        if core.log.has_commands or core.now - (core.leader_since or core.now) >= MEMBERS_WAIT_S:
             return False
         return not self.reconfiguration.is_whole()
 
     @property
-    def bearable_losses(self) -> int | None:
+    def failures_tolerated(self) -> int | None:
         """How many more voters may be lost now while the others can decide; None where this replica doesn't lead."""
-        return self.reconfiguration.bearable_losses() if self.is_leader else None
+        return self.reconfiguration.failures_tolerated() if self.is_leader else None
 
     @property
-    def handing_over(self) -> bool:
-        return self._hand_over.under_way
+    def is_transferring_leadership(self) -> bool:
+        return self._leadership_transfer.under_way
 
-    def quorum_age(self, now: float) -> float:
+    def seconds_since_quorum(self, now: float) -> float:
         """Seconds since this replica knew that the group has a majority."""
-        return now - self.core.quorum_known_at
+        return now - self.core.last_quorum_at
 
-    def lease_age(self, now: float) -> float:
+    def lease_age_s(self, now: float) -> float:
         """Seconds since a majority answered this leader over connections that have not ended; infinite for others.
 
         While it is shorter than the shortest election time-out, no other leader can have been elected.
@@ -119,13 +120,13 @@
 
     # Events
 
-    def found(self, now: float, configuration: Configuration) -> None:
+    def found(self, now: float, configuration: MembershipConfig) -> None:
         """The group begins with these members, in place of a founding that has no entry here."""
         core = self.core
         core.now = now
         core.install(Snapshot(0, 0, configuration, b""))
         core.restored = None
-        core.set_founding_deadline()
+        core.set_bootstrap_deadline()
         self.tick(now)
 
     def tick(self, now: float) -> None:
@@ -138,22 +139,22 @@
     def receive(self, now: float, sender: int, message: Message) -> None:
         self.core.now = now
         match message:
-            case VoteRequest():
+            case RequestVote():
                 self._election.answer(sender, message)
-            case VoteReply():
+            case RequestVoteResponse():
                 self._election.count(sender, message)
-            case CampaignNow():
+            case TimeoutNow():
                 self._election.campaign_now(message)
-            case Append() | Heartbeat() | SnapshotChunk():
+            case AppendEntries() | Heartbeat() | InstallSnapshot():
                 self._from_leader(sender, message)
-            case AppendReply() | HeartbeatReply() | SnapshotReply():
+            case AppendEntriesResponse() | HeartbeatResponse() | InstallSnapshotResponse():
                 self._from_follower(sender, message)
         self._deliver_own()
 
     def propose(self, now: float, command: bytes) -> tuple[int, int] | None:
         """Index and term of the new entry; None where this replica doesn't lead."""
         self.core.now = now
-        if not self.takes_proposals:
+        if not self.accepts_proposals:
             return None
         return self.replication.append(EntryKind.COMMAND, command), self.core.term
 
@@ -170,7 +171,7 @@
         if self.core.role is Role.LEADER:
             self.reconfiguration.join(member)
 
-    def peer_lost(self, now: float, address: Address) -> None:
+    def peer_disconnected(self, now: float, address: Address) -> None:
         """The connections with a process have ended: its replica may elect another leader sooner than by silence.
 
         What it answered before is no sign of a majority any more.
@@ -189,19 +190,19 @@
         self.core.now = now
         self.reconfiguration.leave(member_id)
 
-    def hand_over(self, now: float, target: int = 0) -> None:
+    def transfer_leadership(self, now: float, target: int = 0) -> None:
         """Begins to hand leadership to `target`, or to the voter that has most of the log."""
         self.core.now = now
         if self.core.role is Role.LEADER:
-            self._hand_over.begin(target)
+            self._leadership_transfer.begin(target)
 
-    def abstain(self, now: float, abstaining: bool) -> None:
+    def withhold_votes(self, now: float, withholding_votes: bool) -> None:
         """The disk doesn't keep up, or does again: while it doesn't, this replica neither leads nor wants to."""
-        self.core.abstaining = abstaining
-        if abstaining:
-            self.hand_over(now)
+        self.core.withholding_votes = withholding_votes
+        if withholding_votes:
+            self.transfer_leadership(now)
         else:
-            self._hand_over.forget()
+            self._leadership_transfer.forget()
 
     def compact(self, data: bytes) -> None:
         """The state machine's state as applied now takes the place of the entries before it."""
@@ -209,14 +210,20 @@
         index, term = core.applied_index, core.log.term_at(core.applied_index)
         if index > core.log.snapshot.index and term is not None:
             snapshot = Snapshot(index, term, core.log.configuration_at(index), data)
-            core.log.compact(snapshot, KEPT_ENTRIES, KEPT_BYTES, self.replication.held_from(), HELD_BYTES)
-
-    def image(self) -> DurableChange:
+            core.log.compact(
+                snapshot,
+                RETAINED_ENTRIES,
+                RETAINED_BYTES,
+                self.replication.retained_from(),
+                MAX_TRANSFER_RETAINED_BYTES,
+            )
+
+    def image(self) -> PersistentUpdate:
         """All that a disk needs to know of this replica."""
         core, log = self.core, self.core.log
         first = log.snapshot.index + 1
         entries = log.slice(first, log.last_index, sys.maxsize)
-        return DurableChange(core.group, core.term, core.vote, log.snapshot, first, entries)
+        return PersistentUpdate(core.group, core.term, core.vote, log.snapshot, first, entries)
 
     # Output
 
@@ -227,12 +234,12 @@
         messages, self.core.outbox = self.core.outbox, []
         return messages
 
-    def take_change(self) -> DurableChange | None:
-        return self.core.take_change()
+    def take_update(self) -> PersistentUpdate | None:
+        return self.core.take_update()
 
-    def written(self, now: float) -> None:
+    def persisted(self, now: float) -> None:
         self.core.now = now
-        self.core.written()
+        self.core.persisted()
         if self.core.role is Role.LEADER:
             self.replication.advance_commit()
         self._deliver_own()
@@ -269,17 +276,17 @@
     def _lead(self) -> None:
         core, timing = self.core, self.core.timing
         self._note_quorum()
-        if core.now - max(core.quorum_known_at, core.leader_since or 0.0) > timing.election_max_s:
+        if core.now - max(core.last_quorum_at, core.leader_since or 0.0) > timing.election_max_s:
             core.become_follower(core.term, leader_id=0)
             return
         removed = not core.is_voter and core.commit_index >= core.log.configuration_index
-        if (removed or core.abstaining) and not self.handing_over:
-            if self._hand_over.tried:
+        if (removed or core.withholding_votes) and not self.is_transferring_leadership:
+            if self._leadership_transfer.tried:
                 core.become_follower(core.term, leader_id=0)
                 return
-            self._hand_over.begin()
-        if self.handing_over:
-            self._hand_over.drive()
+            self._leadership_transfer.begin()
+        if self.is_transferring_leadership:
+            self._leadership_transfer.drive()
         else:
             self.reconfiguration.tick()
         self.replication.tick()
@@ -288,35 +295,37 @@
         """When a majority last answered."""
         stamp = self.replication.quorum_stamp()
         self._lease_from = max(self._lease_from, stamp)
-        self.core.quorum_known_at = max(self.core.quorum_known_at, stamp)
+        self.core.last_quorum_at = max(self.core.last_quorum_at, stamp)
 
     def _flush(self, receiving: set[Address]) -> None:
         replication = self.replication
         if self._reads and self._reads[-1][0] > replication.last_broadcast:
             answered = replication.quorum_stamp() >= replication.last_broadcast
-            if answered or self.core.now - replication.last_broadcast > READ_ROUND_S:
+            if answered or self.core.now - replication.last_broadcast > READ_HEARTBEAT_INTERVAL_S:
                 replication.broadcast_heartbeat()
         replication.send_entries(receiving)
         replication.send_commits()
 
-    def _from_leader(self, sender: int, message: Append | Heartbeat | SnapshotChunk) -> None:
+    def _from_leader(self, sender: int, message: AppendEntries | Heartbeat | InstallSnapshot) -> None:
         core = self.core
         if message.term < core.term:
-            core.send(sender, HeartbeatReply(core.term, message.stamp, not core.abstaining))
+            core.send(sender, HeartbeatResponse(core.term, message.stamp, not core.withholding_votes))
             return
         if message.term > core.term or core.role is not Role.FOLLOWER:
             core.become_follower(message.term, sender)
-        core.leader_id, core.leader_heard_at = sender, core.now
+        core.leader_id, core.last_leader_contact_at = sender, core.now
         core.reset_election_deadline()
         match message:
-            case Append():
-                self._following.append(sender, message)
+            case AppendEntries():
+                self._follower.append(sender, message)
             case Heartbeat():
-                self._following.heartbeat(sender, message)
-            case SnapshotChunk():
-                self._following.chunk(sender, message)
+                self._follower.heartbeat(sender, message)
+            case InstallSnapshot():
+                self._follower.chunk(sender, message)
 
-    def _from_follower(self, sender: int, message: AppendReply | HeartbeatReply | SnapshotReply) -> None:
+    def _from_follower(
+        self, sender: int, message: AppendEntriesResponse | HeartbeatResponse | InstallSnapshotResponse
+    ) -> None:
         core = self.core
         if message.term > core.term:
             core.become_follower(message.term, leader_id=0)
@@ -324,32 +333,32 @@
         progress = self.replication.progress.get(sender)
         if core.role is not Role.LEADER or message.term < core.term or progress is None:
             return
-        if core.now - progress.heard_at > core.timing.election_min_s:
-            progress.steady_since = core.now
+        if core.now - progress.last_contact_at > core.timing.election_min_s:
+            progress.stable_since = core.now
             self.replication.returned(progress)
-        progress.heard_at = core.now
+        progress.last_contact_at = core.now
         progress.stamp = max(progress.stamp, message.stamp)
         self._note_quorum()
         match message:
-            case AppendReply():
+            case AppendEntriesResponse():
                 self.replication.accepted(sender, message)
-                self._hand_over.drive()
-            case SnapshotReply():
+                self._leadership_transfer.drive()
+            case InstallSnapshotResponse():
                 self.replication.chunk_arrived(sender, message)
-            case HeartbeatReply():
-                progress.willing = message.willing
+            case HeartbeatResponse():
+                progress.eligible = message.eligible
 
     def _elected(self) -> None:
         core = self.core
         core.role, core.leader_id, core.leader_since = Role.LEADER, core.id, core.now
         self._lease_from = float("-inf")
-        self._hand_over.reset()
+        self._leadership_transfer.reset()
         self.replication.start()
 
     def _stepped_down(self) -> None:
         self.failed_reads += [token for _, _, token in self._reads]
         self._reads = []
-        self._hand_over.reset()
+        self._leadership_transfer.reset()
 
     def _deliver_own(self) -> None:
         """A candidate's vote for itself counts when it has become durable."""
--- a/ochrespan/raft/state.py
+++ b/ochrespan/raft/state.py
@@ -8,8 +8,8 @@
 from enum import Enum
 
 from .log import ReplicaLog, Snapshot
-from .membership_config import Configuration
-from .messages import AppendReply, Entry, Message
+from .membership_config import MembershipConfig
+from .messages import AppendEntriesResponse, Entry, Message
 
 
 class Role(Enum):
@@ -27,15 +27,15 @@
     election_min_s: float = 0.6
     election_max_s: float = 1.2
     resend_s: float = 0.3
-    voter_silence_s: float = 1.0
-    replaced_silence_s: float = 0.3  # the same for a voter whose address another id has taken
-    lost_connection_s: float = 0.2  # how long a leader whose connection has ended may take to be heard again
-    learner_silence_s: float = 3.0
-    hand_over_s: float = 0.6
+    voter_timeout_s: float = 1.0
+    replaced_voter_timeout_s: float = 0.3  # the same for a voter whose address another id has taken
+    disconnect_timeout_s: float = 0.2  # how long a leader whose connection has ended may take to be heard again
+    learner_timeout_s: float = 3.0
+    leadership_transfer_s: float = 0.6
 
 
 @dataclass(slots=True)
-class DurableState:
+class PersistentState:
     """What a replica needs from its disk when it starts."""
 
     term: int = 0
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class DurableChange:
+class PersistentUpdate:
     """What is to be written: term and vote, then a snapshot that replaces the log, then entries from `first_index` on.
 
     Entries on the disk from `first_index` on are dropped before `entries` are added.
@@ -58,11 +58,11 @@
     entries: list[Entry]
 
 
-class ReplicaCore:
+class ReplicaState:
     """State of one replica of one group. `now` is set by the caller before each step."""
 
     def __init__(
-        self, group: int, replica_id: int, timing: Timing, durable: DurableState, source: random.Random
+        self, group: int, replica_id: int, timing: Timing, durable: PersistentState, source: random.Random
     ) -> None:
         self.group, self.id, self.timing, self.random = group, replica_id, timing, source
         self.now = 0.0
@@ -70,16 +70,16 @@
         self.role = Role.FOLLOWER
         self.leader_id = 0
         self.leader_since: float | None = None
-        self.leader_heard_at = float("-inf")
-        self.quorum_known_at = float("-inf")
+        self.last_leader_contact_at = float("-inf")
+        self.last_quorum_at = float("-inf")
         self.election_deadline = 0.0
-        self.abstaining = False
+        self.withholding_votes = False
         self.commit_index = self.log.snapshot.index
         self.applied_index = self.log.snapshot.index
         self.restored: Snapshot | None = None
         self.outbox: list[tuple[int, Message]] = []
         self.on_step_down: Callable[[], None] = lambda: None
-        self._held: list[tuple[int, int, Message]] = []  # number of the write that has to be durable first
+        self._pending_messages: list[tuple[int, int, Message]] = []  # number of the write that has to be durable first
         self._last_stamp = 0.0
         self._writes_begun = 0
         self._writes_done = 0
@@ -87,7 +87,7 @@
         self._snapshot_dirty = False
 
     @property
-    def configuration(self) -> Configuration:
+    def configuration(self) -> MembershipConfig:
         return self.log.configuration
 
     @property
@@ -114,9 +114,9 @@
 
     def suspect_leader(self) -> None:
         """The leader's process may have ended: it is given up unless it is heard within a few heartbeats."""
-        self.leader_heard_at = float("-inf")
-        shortest = self.timing.lost_connection_s * (1.0 if self.preferred else 1.25)
-        deadline = self.now + self.random.uniform(shortest, self.timing.lost_connection_s * 1.75)
+        self.last_leader_contact_at = float("-inf")
+        shortest = self.timing.disconnect_timeout_s * (1.0 if self.preferred else 1.25)
+        deadline = self.now + self.random.uniform(shortest, self.timing.disconnect_timeout_s * 1.75)
         self.election_deadline = min(self.election_deadline, deadline)
 
     def set_first_deadline(self) -> None:
@@ -125,7 +125,7 @@
         span = (shortest / 12, shortest / 6) if self.preferred else (shortest / 5, shortest / 2)
         self.election_deadline = self.now + self.random.uniform(*span)
 
-    def set_founding_deadline(self) -> None:
+    def set_bootstrap_deadline(self) -> None:
         """The group has just been formed: there is no leader yet, and the other members hear of it in these moments."""
         shortest = self.timing.election_min_s
         span = (0.0, 0.0) if self.preferred else (shortest / 10, shortest / 3)
@@ -148,7 +148,7 @@
         """Holds a message until all that stands in memory now has been written."""
         needed = self._writes_begun + self.needs_write()
         if needed > self._writes_done:
-            self._held.append((needed, to, message))
+            self._pending_messages.append((needed, to, message))
         else:
             self.outbox.append((to, message))
 
@@ -164,7 +164,11 @@
         led = self.role is Role.LEADER
         if term > self.term:
             self.enter_term(term)
-        self._held = [held for held in self._held if not isinstance(held[2], AppendReply) or held[2].term == term]
+        self._pending_messages = [
+            held
+            for held in self._pending_messages
+            if not isinstance(held[2], AppendEntriesResponse) or held[2].term == term
+        ]
         self.role, self.leader_id, self.leader_since = Role.FOLLOWER, leader_id, None
         self.reset_election_deadline()
         if led:
@@ -179,21 +183,21 @@
         self.restored = snapshot
 
     def needs_write(self) -> bool:
-        return self._state_dirty or self._snapshot_dirty or self.log.has_unwritten()
+        return self._state_dirty or self._snapshot_dirty or self.log.has_unpersisted()
 
-    def take_change(self) -> DurableChange | None:
-        """What is to be written now; `written` tells when it is durable. One write is under way at a time."""
+    def take_update(self) -> PersistentUpdate | None:
+        """What is to be written now; `persisted` tells when it is durable. One write is under way at a time."""
         if not self.needs_write():
             return None
         self._writes_begun += 1
         snapshot = self.log.snapshot if self._snapshot_dirty else None
-        first_index, entries = self.log.take_unwritten()
+        first_index, entries = self.log.take_unpersisted()
         self._state_dirty = self._snapshot_dirty = False
-        return DurableChange(self.group, self.term, self.vote, snapshot, first_index, entries)
+        return PersistentUpdate(self.group, self.term, self.vote, snapshot, first_index, entries)
 
-    def written(self) -> None:
-        """The write that `take_change` began is durable: what waited for it may be sent."""
+    def persisted(self) -> None:
+        """The write that `take_update` began is durable: what waited for it may be sent."""
         self._writes_done = self._writes_begun
-        self.log.written()
-        self.outbox += [(to, message) for needed, to, message in self._held if needed <= self._writes_done]
-        self._held = [held for held in self._held if held[0] > self._writes_done]
+        self.log.persisted()
+        self.outbox += [(to, message) for needed, to, message in self._pending_messages if needed <= self._writes_done]
+        self._pending_messages = [held for held in self._pending_messages if held[0] > self._writes_done]
--- a/ochrespan/storage/snapshot_store.py
+++ b/ochrespan/storage/snapshot_store.py
@@ -18,14 +18,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Recovered:
+class RecoveredState:
     """What was on the disk: the newest image, and the records after it in their order. Both empty at first."""
 
     image: bytes | None
     records: list[bytes]
 
 
-class Store:
+class SnapshotStore:
     def __init__(self, directory: Directory) -> None:
         self._directory = directory
         self._slot_generation = 0
@@ -40,11 +40,11 @@
         return self._durable_end + len(self._pending)
 
     @property
-    def checkpoint_under_way(self) -> bool:
+    def checkpoint_in_progress(self) -> bool:
         """The log of the next generation has begun, and its slot is still to be written."""
         return self._log_generation > self._slot_generation
 
-    def open(self) -> Recovered:
+    def open(self) -> RecoveredState:
         """Reads what is there. Everything that is returned is durable."""
         for name in (*SLOT_NAMES, *LOG_NAMES):
             self._directory.create(name)
@@ -60,7 +60,7 @@
             if content is not None and content.generation == generation:
                 found += content.records
                 self._continue_log(content)
-        return Recovered(image, found)
+        return RecoveredState(image, found)
 
     def append(self, payloads: list[bytes]) -> None:
         """Adds records to the log; they are durable when `flush` has returned."""
@@ -87,7 +87,7 @@
 
         A checkpoint that failed half-way is begun again without a new log.
         """
-        if self.checkpoint_under_way:
+        if self.checkpoint_in_progress:
             return
         if self._pending:
             raise RuntimeError("records are waiting to be flushed")
--- a/ochrespan/transport/compact.py
+++ b/ochrespan/transport/compact.py
@@ -12,7 +12,7 @@
 _PLAIN, _COMPRESSED = b"\x00", b"\x01"
 
 
-class NotPackable(ValueError):
+class PackingError(ValueError):
     """A value that msgpack cannot express: a string that is no Unicode, or a number of more than 64 bits."""
 
 
@@ -26,7 +26,7 @@
     try:
         return ormsgpack.packb(value, option=ormsgpack.OPT_SORT_KEYS)
     except (ormsgpack.MsgpackEncodeError, RecursionError) as error:
-        raise NotPackable(str(error)) from error
+        raise PackingError(str(error)) from error
 
 
 def compress(data: bytes) -> bytes:
--- a/ochrespan/transport/peer_clients.py
+++ b/ochrespan/transport/peer_clients.py
@@ -7,19 +7,19 @@
 
 from ochrespan.common.addresses import Address
 
-from .rpc import Caller
+from .rpc import RpcClient
 
 
-class Peers:
+class PeerClients:
     """One connection to each other controller, opened when it is first needed."""
 
     def __init__(self) -> None:
-        self._callers: dict[Address, Caller] = {}
+        self._callers: dict[Address, RpcClient] = {}
 
     def call(self, address: Address, request: Any, timeout: float) -> Any:
-        """The reply of the process at `address`; raises CallFailed."""
+        """The reply of the process at `address`; raises RpcError."""
         if address not in self._callers:
-            self._callers[address] = Caller(address)
+            self._callers[address] = RpcClient(address)
         return self._callers[address].call(request, timeout)
 
     def keep_only(self, addresses: Iterable[Address]) -> None:
--- a/ochrespan/transport/peer_connections.py
+++ b/ochrespan/transport/peer_connections.py
@@ -15,7 +15,7 @@
 from ochrespan.common.addresses import Address, format_address
 
 from .codec import encode
-from .tcp import Connection, ConnectionClosed, dial
+from .tcp import Connection, ConnectionClosedError, dial
 
 log = logging.getLogger(__name__)
 
@@ -23,11 +23,11 @@
 DIAL_TIMEOUT_S = 0.5
 DIAL_PAUSE_S = 0.1
 QUEUED_MESSAGES = 32  # kept while the connection comes up
-SILENCE_S = 0.9  # a peer that hasn't been heard for so long gets a new connection
-FORGET_S = 10.0
+PEER_TIMEOUT_S = 0.9  # a peer that hasn't been heard for so long gets a new connection
+IDLE_CLOSE_S = 10.0
 
 
-class PeerLink:
+class PeerConnection:
     """Sends to one address."""
 
     def __init__(self, address: Address) -> None:
@@ -42,7 +42,7 @@
     def send(self, data: bytes) -> None:
         self.used_at = time.monotonic()
         if self._connection is not None and not self._connection.closed:
-            with contextlib.suppress(ConnectionClosed):
+            with contextlib.suppress(ConnectionClosedError):
                 self._connection.send_encoded(data)
             return
         self._queue.append(data)
@@ -53,7 +53,7 @@
     def renew(self, heard_at: float) -> None:
         """Closes a connection over which a silent peer may never be reached again."""
         now = time.monotonic()
-        if self._connection is not None and now - max(heard_at, self._connected_at) > SILENCE_S:
+        if self._connection is not None and now - max(heard_at, self._connected_at) > PEER_TIMEOUT_S:
             self.close()
 
     def close(self) -> None:
@@ -72,22 +72,22 @@
             self._dialling = False
         self._connection, self._connected_at = connection, time.monotonic()
         queued, self._queue = list(self._queue), deque(maxlen=QUEUED_MESSAGES)
-        with contextlib.suppress(ConnectionClosed):
+        with contextlib.suppress(ConnectionClosedError):
             for data in queued:
                 connection.send_encoded(data)
 
 
-class PeerLinks:
+class PeerConnections:
     """The links of a process, and when each peer was last heard."""
 
     def __init__(self) -> None:
-        self._links: dict[Address, PeerLink] = {}
+        self._links: dict[Address, PeerConnection] = {}
         self._heard_at: dict[Address, float] = {}
 
     def send(self, address: Address, value: object) -> None:
         link = self._links.get(address)
         if link is None:
-            link = self._links[address] = PeerLink(address)
+            link = self._links[address] = PeerConnection(address)
         link.send(encode(value))
 
     def heard(self, address: Address) -> None:
@@ -98,7 +98,7 @@
         now = time.monotonic()
         for address, link in list(self._links.items()):
             link.renew(self._heard_at.get(address, 0.0))
-            if now - link.used_at > FORGET_S:
+            if now - link.used_at > IDLE_CLOSE_S:
                 link.close()
                 del self._links[address]
 
--- a/ochrespan/transport/rpc.py
+++ b/ochrespan/transport/rpc.py
@@ -20,7 +20,7 @@
 from ochrespan.common.addresses import Address
 
 from .codec import MessageError, decode, encode, message
-from .tcp import Connection, ConnectionClosed, Listener, dial
+from .tcp import Connection, ConnectionClosedError, Listener, dial
 
 log = logging.getLogger(__name__)
 
@@ -30,24 +30,24 @@
 
 @message("call")
 @dataclass(slots=True)
-class Call:
+class RpcRequest:
     number: int
     body: bytes  # an encoded message
 
 
 @message("reply")
 @dataclass(slots=True)
-class Reply:
+class RpcResponse:
     number: int
     body: bytes  # an encoded message; empty where the call failed
     error: str = ""
 
 
-class CallFailed(Exception):
+class RpcError(Exception):
     """No reply: the connection ended, the time ran out, or the peer could not carry the call out."""
 
 
-class Caller:
+class RpcClient:
     """Keeps one connection to a peer, opened when it is first needed and again after it has ended."""
 
     def __init__(self, address: Address) -> None:
@@ -58,12 +58,12 @@
         self._dialling: AsyncResult | None = None
 
     def call(self, request: Any, timeout: float) -> Any:
-        """The reply's message; raises CallFailed after at most `timeout` seconds."""
+        """The reply's message; raises RpcError after at most `timeout` seconds."""
         try:
             with gevent.Timeout(timeout, TimeoutError):
                 return self._call(request)
-        except (TimeoutError, OSError, ConnectionClosed, MessageError) as error:
-            raise CallFailed(f"{self.address[0]}:{self.address[1]}: {error or 'no reply in time'}") from error
+        except (TimeoutError, OSError, ConnectionClosedError, MessageError) as error:
+            raise RpcError(f"{self.address[0]}:{self.address[1]}: {error or 'no reply in time'}") from error
 
     def close(self) -> None:
         if self._connection is not None:
@@ -74,12 +74,12 @@
         number, result = next(self._numbers), AsyncResult()
         self._waiting[number] = (connection, result)
         try:
-            connection.send(Call(number, encode(request)))
+            connection.send(RpcRequest(number, encode(request)))
             reply = result.get()
         finally:
             self._waiting.pop(number, None)
         if reply.error:
-            raise CallFailed(reply.error)
+            raise RpcError(reply.error)
         return decode(reply.body)
 
     def _connected(self) -> Connection:
@@ -100,13 +100,13 @@
         try:
             while True:
                 reply = connection.receive()
-                if isinstance(reply, Reply):
+                if isinstance(reply, RpcResponse):
                     self._take(connection, reply)
-        except (ConnectionClosed, MessageError) as error:
+        except (ConnectionClosedError, MessageError) as error:
             connection.close()
             self._fail_calls(connection, str(error))
 
-    def _take(self, connection: Connection, reply: Reply) -> None:
+    def _take(self, connection: Connection, reply: RpcResponse) -> None:
         """A reply belongs to the call with its number, on the connection that carried the call."""
         asked_on, result = self._waiting.get(reply.number, (None, None))
         if asked_on is connection:
@@ -116,10 +116,10 @@
         """Ends the calls of one connection; those of its successor go on."""
         for asked_on, result in list(self._waiting.values()):
             if asked_on is connection:
-                result.set_exception(ConnectionClosed(reason))
+                result.set_exception(ConnectionClosedError(reason))
 
 
-class CallServer:
+class RpcServer:
     """Answers calls by the type of their message; other messages go to the handler of their type as pushes."""
 
     def __init__(self, address: Address) -> None:
@@ -132,7 +132,7 @@
     def address(self) -> Address:
         return self._listener.address
 
-    def on_call(self, request_type: type, handler: Callable[[Any], Any]) -> None:
+    def on_request(self, request_type: type, handler: Callable[[Any], Any]) -> None:
         """`handler(request)` runs in a greenlet of its own and returns the reply's message."""
         self._call_handlers[request_type] = handler
 
@@ -155,22 +155,22 @@
     def _receive(self, connection: Connection) -> None:
         while True:
             received = connection.receive()
-            if isinstance(received, Call):
+            if isinstance(received, RpcRequest):
                 gevent.spawn(self._answer, connection, received)
             elif handler := self._push_handlers.get(type(received)):
                 handler(connection, received)
             else:
                 log.warning("unexpected message type=%s", type(received).__name__)
 
-    def _answer(self, connection: Connection, call: Call) -> None:
+    def _answer(self, connection: Connection, call: RpcRequest) -> None:
         try:
             request = decode(call.body)
             handler = self._call_handlers.get(type(request))
             if handler is None:
                 raise MessageError("call", type(request).__name__, "a call that this process answers")
-            reply = Reply(call.number, encode(handler(request)))
+            reply = RpcResponse(call.number, encode(handler(request)))
         except Exception as error:
             log.warning("call failed error=%r", error)
-            reply = Reply(call.number, b"", repr(error))
-        with contextlib.suppress(ConnectionClosed):
+            reply = RpcResponse(call.number, b"", repr(error))
+        with contextlib.suppress(ConnectionClosedError):
             connection.send(reply)
--- a/ochrespan/transport/tcp.py
+++ b/ochrespan/transport/tcp.py
@@ -42,7 +42,7 @@
     _security = security
 
 
-class ConnectionClosed(Exception):
+class ConnectionClosedError(Exception):
     """The connection has ended, or its peer could not keep up."""
 
 
@@ -75,22 +75,22 @@
         return self._closed
 
     def send(self, value: Any) -> None:
-        """Queues a message; raises ConnectionClosed."""
+        """Queues a message; raises ConnectionClosedError."""
         self.send_encoded(encode(value))
 
     def send_encoded(self, data: bytes) -> None:
         """Queues a message that `codec.encode` has made, which may go to many connections."""
         if self._closed:
-            raise ConnectionClosed(format_address(self.peer))
+            raise ConnectionClosedError(format_address(self.peer))
         if self._queued_bytes > MAX_QUEUED_BYTES:
             self.close()
-            raise ConnectionClosed(f"{format_address(self.peer)} reads too slowly")
+            raise ConnectionClosedError(f"{format_address(self.peer)} reads too slowly")
         self._outgoing.append(_length.pack(len(data)) + data)
         self._queued_bytes += len(data)
         self._wake.set()
 
     def receive(self, timeout: float | None = None) -> Any:
-        """The next message. Raises ConnectionClosed, MessageError, or TimeoutError after `timeout` seconds.
+        """The next message. Raises ConnectionClosedError, MessageError, or TimeoutError after `timeout` seconds.
 
         A frame is taken whole or not at all: after a time-out the next call goes on with the bytes that have arrived.
         """
@@ -143,10 +143,10 @@
                 data = self._socket.recv(RECEIVE_BYTES)
             except (OSError, ValueError) as error:  # ValueError: TLS on a socket that was closed meanwhile
                 self.close()
-                raise ConnectionClosed(f"{format_address(self.peer)}: {error}") from error
+                raise ConnectionClosedError(f"{format_address(self.peer)}: {error}") from error
             if not data:
                 self.close()
-                raise ConnectionClosed(format_address(self.peer))
+                raise ConnectionClosedError(format_address(self.peer))
             self._received += data
 
     def _write(self) -> None:
@@ -216,7 +216,7 @@
         self._connections.add(connection)
         try:
             self._handle(connection)
-        except ConnectionClosed:
+        except ConnectionClosedError:
             pass
         except MessageError as error:
             log.warning("bad message peer=%s error=%s", format_address(peer), error)
--- a/tests/control_plane_fakes.py
+++ b/tests/control_plane_fakes.py
@@ -8,10 +8,10 @@
 import gevent
 
 from ochrespan.common.addresses import Address
-from ochrespan.control_plane.replication.errors import NotLeader, NoVerdict
+from ochrespan.control_plane.replication.errors import NotLeaderError, OutcomeUnknownError
 from ochrespan.control_plane.replication.state_machine import StateMachine
 from ochrespan.control_plane.shards import ALL_SHARDS
-from ochrespan.transport.rpc import CallServer
+from ochrespan.transport.rpc import RpcServer
 
 
 class SharedLog:
@@ -39,14 +39,14 @@
         self.cluster_number = 0
         self.losses: int | None = 1
         self.lose_commands = 0
-        self.call_server = CallServer(("127.0.0.1", 0))
+        self.call_server = RpcServer(("127.0.0.1", 0))
         self.call_server.start()
         self.log.members[self.call_server.address] = self
 
     def cluster(self) -> int:
         return self.cluster_number
 
-    def bearable_losses(self, shard: int) -> int | None:
+    def failures_tolerated(self, shard: int) -> int | None:
         return self.losses if self.is_leader(shard) else None
 
     @property
@@ -69,10 +69,10 @@
     def propose(self, shard: int, command: bytes, timeout: float) -> Any:
         gevent.sleep(0)
         if not self.is_leader(shard):
-            raise NotLeader(self.leader(shard))
+            raise NotLeaderError(self.leader(shard))
         if self.lose_commands:
             self.lose_commands -= 1
-            raise NoVerdict("lost before it was appended")
+            raise OutcomeUnknownError("lost before it was appended")
         self.log.commands[shard].append(command)
         for member in self.log.members.values():
             if member is not self:
@@ -80,7 +80,7 @@
         result = self.catch_up(shard)
         if self.lose_verdicts_after_commit:
             self.lose_verdicts_after_commit -= 1
-            raise NoVerdict("committed, but nobody heard")
+            raise OutcomeUnknownError("committed, but nobody heard")
         return result
 
     def catch_up(self, shard: int) -> Any:
@@ -95,7 +95,7 @@
 
     def read_barrier(self, shard: int, timeout: float) -> None:
         if not self.is_leader(shard):
-            raise NotLeader(self.leader(shard))
+            raise NotLeaderError(self.leader(shard))
 
     def leader(self, shard: int) -> Address | None:
         return self.log.leaders[shard]
@@ -103,10 +103,10 @@
     def is_leader(self, shard: int) -> bool:
         return self.log.leaders[shard] == self.address
 
-    def quorum_age(self, shard: int) -> float:
+    def seconds_since_quorum(self, shard: int) -> float:
         return self.quorum_ages[shard]
 
-    def lease_age(self, shard: int) -> float:
+    def lease_age_s(self, shard: int) -> float:
         return self.quorum_ages[shard] if self.is_leader(shard) else float("inf")
 
     def applied_index(self, shard: int) -> int:
--- a/tests/core_hosts.py
+++ b/tests/core_hosts.py
@@ -8,7 +8,7 @@
 import gevent
 import ormsgpack
 
-from ochrespan.control_plane.replication.errors import NotLeader, NoVerdict
+from ochrespan.control_plane.replication.errors import NotLeaderError, OutcomeUnknownError
 from ochrespan.control_plane.replication.host import ReplicaHost
 from ochrespan.control_plane.replication.state_machine import HostSettings
 
@@ -75,7 +75,7 @@
         for host in hosts:
             try:
                 return host.propose(shard, command, 2.0)
-            except (NotLeader, NoVerdict):
+            except (NotLeaderError, OutcomeUnknownError):
                 continue
         gevent.sleep(0.01)
     raise AssertionError("no leader took the command: " + "; ".join(describe(host, shard) for host in hosts))
@@ -89,7 +89,7 @@
     return (
         f"{host.settings.node} {core.role.value} term={core.term} vote={core.vote} leader={core.leader_id} "
         f"last={core.log.last_index} stable={core.log.stable_index} commit={core.commit_index} "
-        f"abstaining={core.abstaining} heard={core.now - core.leader_heard_at:.2f} "
+        f"abstaining={core.withholding_votes} heard={core.now - core.last_leader_contact_at:.2f} "
         f"deadline={core.election_deadline - core.now:.2f} writing={host._disk.pending_for:.2f} "
         f"failed={host._disk.failed} voters={[member.id for member in core.configuration.voters]} id={core.id}"
     )
--- a/tests/core_sim/checks.py
+++ b/tests/core_sim/checks.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 from typing import TYPE_CHECKING
 
-from ochrespan.control_plane.replication.groups import SOLE_OWNER_S
+from ochrespan.control_plane.replication.groups import LEASE_DURATION_S
 from ochrespan.raft.state import Role
 
 if TYPE_CHECKING:
@@ -58,7 +58,7 @@
 
     def acknowledged(self, node: Node, shard: int, command: str) -> None:
         """One fleet answers the operators, whomever they ask."""
-        cluster = node.table.formation.identity.cluster
+        cluster = node.table.bootstrap.identity.cluster
         if self._clusters.setdefault(shard, cluster) != cluster:
             raise Violation("two clusters", f"{node.address[0]} acknowledges {command} beside another fleet")
         self.acked[shard].append(command)
@@ -89,7 +89,7 @@
         """What is answered by the lease, without a round of messages, has one author at a time."""
         replica = node.table.replicas[shard]
         newest = self._newest_led[shard] = max(self._newest_led.get(shard, 0), replica.core.term)
-        if replica.core.term < newest and replica.lease_age(self._world.now) <= SOLE_OWNER_S:
+        if replica.core.term < newest and replica.lease_age_s(self._world.now) <= LEASE_DURATION_S:
             raise Violation("two owners", f"{node.address[0]} in term {replica.core.term} of {newest}, shard {shard}")
 
     def vote(self, replica_id: int, address: str, shard: int, term: int, candidate: int) -> None:
--- a/tests/core_sim/node.py
+++ b/tests/core_sim/node.py
@@ -10,12 +10,17 @@
 import ormsgpack
 
 from ochrespan.common.addresses import Address
-from ochrespan.control_plane.replication.host import SLOW_DISK_S, TICK_S
-from ochrespan.control_plane.replication.persistent_records import pack_image, pack_record, replay, unpack_image
-from ochrespan.raft.bootstrap import FormationSettings
+from ochrespan.control_plane.replication.host import SLOW_DISK_S, TICK_INTERVAL_S
+from ochrespan.control_plane.replication.persistent_records import (
+    pack_checkpoint,
+    pack_record,
+    replay,
+    unpack_checkpoint,
+)
+from ochrespan.raft.bootstrap import BootstrapSettings
 from ochrespan.raft.messages import EntryKind
-from ochrespan.raft.multi_raft import GroupTable
-from ochrespan.storage.snapshot_store import Store
+from ochrespan.raft.multi_raft import MultiRaft
+from ochrespan.storage.snapshot_store import SnapshotStore
 
 from .disk import SimDirectory
 
@@ -50,10 +55,10 @@
         self.hung_until = 0.0
         self.frozen_until = 0.0
         self.life = 0
-        self.table: GroupTable | None = None
+        self.table: MultiRaft | None = None
         self.machines: dict[int, Machine] = {}
         self.waiting: dict[tuple[int, int], tuple[int, str, Callable[[Any], None]]] = {}
-        self._store: Store | None = None
+        self._store: SnapshotStore | None = None
         self._write_began: float | None = None
 
     @property
@@ -65,24 +70,24 @@
     def start(self, seeds: tuple[Address, ...], bootstrap: bool) -> None:
         world = self.world
         self.life += 1
-        self._store = Store(self.disk)
+        self._store = SnapshotStore(self.disk)
         try:
             recovered = self._store.open()
         except OSError:
             self._later(RETRY_S, lambda: self.start(seeds, bootstrap))
             return
-        image = unpack_image(recovered.image) if recovered.image is not None else []
+        image = unpack_checkpoint(recovered.image) if recovered.image is not None else []
         identity, durable = replay([*image, *recovered.records])
         self.machines = {shard: world.machine_type() for shard in world.shards}
         for shard, state in durable.items():
             if state.log.snapshot.index:
                 self.machines[shard].restore(state.log.snapshot.data)
-        settings = FormationSettings(self.address, seeds, bootstrap, world.tolerated)
+        settings = BootstrapSettings(self.address, seeds, bootstrap, world.fault_tolerance)
         self.table = world.make_table(settings, identity, durable)
         self._write_began = None
         self.waiting = {}
         world.checks.started(self)
-        self._later(world.random.uniform(0, TICK_S), self._tick)
+        self._later(world.random.uniform(0, TICK_INTERVAL_S), self._tick)
 
     def kill(self, silent: bool = False) -> None:
         """The process ends; a write that was under way may have reached the file, but no sync."""
@@ -157,18 +162,18 @@
 
     def _tick(self) -> None:
         slow = self._write_began is not None and self.world.now - self._write_began > SLOW_DISK_S
-        if slow != next(iter(self.table.replicas.values())).core.abstaining:
-            self.table.abstain(self.world.now, slow)
+        if slow != next(iter(self.table.replicas.values())).core.withholding_votes:
+            self.table.withhold_votes(self.world.now, slow)
         self.table.tick(self.world.now)
         self.pump()
-        self._later(TICK_S, self._tick)
+        self._later(TICK_INTERVAL_S, self._tick)
 
     # Disk
 
     def _write(self) -> None:
         if self._write_began is not None:
             return
-        records = [pack_record(change) for change in self.table.take_changes()]
+        records = [pack_record(change) for change in self.table.take_updates()]
         if records:
             self._store.append(records)
             self._begin(self._finish_write)
@@ -184,8 +189,8 @@
             self._later(RETRY_S, self._finish_write)
             return
         self._write_began = None
-        self.table.written(self.world.now)
-        if self._store.log_bytes > LOG_LIMIT_BYTES or self._store.checkpoint_under_way:
+        self.table.persisted(self.world.now)
+        if self._store.log_bytes > LOG_LIMIT_BYTES or self._store.checkpoint_in_progress:
             self._store.begin_checkpoint()
             image = self._image()
             self._begin(lambda: self._finish_checkpoint(image))
@@ -200,7 +205,9 @@
     def _image(self) -> bytes:
         for shard, replica in self.table.replicas.items():
             replica.compact(self.machines[shard].snapshot())
-        return pack_image(self.table.formation.identity, [replica.image() for replica in self.table.replicas.values()])
+        return pack_checkpoint(
+            self.table.bootstrap.identity, [replica.image() for replica in self.table.replicas.values()]
+        )
 
     def _latency(self) -> float:
         normal = self.world.random.uniform(0.0005, 0.002) * self.latency_x
--- a/tests/core_sim/operators.py
+++ b/tests/core_sim/operators.py
@@ -6,8 +6,8 @@
 
 import ormsgpack
 
-from ochrespan.control_plane.config.commands import OrderKind, encode_order, make_order
-from ochrespan.control_plane.config.state_machine import ConfigurationMachine, Judgement, Verdict
+from ochrespan.control_plane.config.commands import ConfigCommandKind, encode_command, make_command
+from ochrespan.control_plane.config.state_machine import CommandOutcome, CommandResult, ConfigurationStateMachine
 
 from .checks import Violation
 from .node import Machine
@@ -25,9 +25,9 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.configuration = ConfigurationMachine()
+        self.configuration = ConfigurationStateMachine()
 
-    def apply(self, index: int, command: str) -> Verdict | None:
+    def apply(self, index: int, command: str) -> CommandResult | None:
         super().apply(index, command)
         return self.configuration.apply(index, bytes.fromhex(command)) if _is_order(command) else None
 
@@ -51,19 +51,19 @@
         self.refused: set[bytes] = set()
         self.repeats = 0
 
-    def answered(self, digest: bytes, builds_on: int, verdict: Verdict) -> None:
-        if verdict.judgement in (Judgement.TAKEN, Judgement.TAKEN_BEFORE):
+    def answered(self, digest: bytes, builds_on: int, verdict: CommandResult) -> None:
+        if verdict.judgement in (CommandOutcome.TAKEN, CommandOutcome.TAKEN_BEFORE):
             if digest in self.refused:
                 raise Violation("confirmed after a refusal", f"the order on {builds_on}")
             if self.confirmed.setdefault(builds_on, digest) != digest:
                 raise Violation("two orders on one version", f"on {builds_on}")
-            self.repeats += verdict.judgement is Judgement.TAKEN_BEFORE
-        elif verdict.judgement is not Judgement.FORGOTTEN:
+            self.repeats += verdict.judgement is CommandOutcome.TAKEN_BEFORE
+        elif verdict.judgement is not CommandOutcome.FORGOTTEN:
             if self.confirmed.get(builds_on) == digest:
                 raise Violation("a repeat refused", f"the order on {builds_on}: {verdict.judgement.value}")
             self.refused.add(digest)
 
-    def at_the_end(self, machine: ConfigurationMachine) -> None:
+    def at_the_end(self, machine: ConfigurationStateMachine) -> None:
         taken = set(machine._taken)
         if taken & self.refused:
             raise Violation("a refused order is in force", "at the end")
@@ -91,15 +91,15 @@
             ],
             "services": [{"name": "s"}],
         }
-        order = make_order(OrderKind.WHOLE, self.version, document)
-        self._send(encode_order(order).hex(), order.digest, self.version)
+        order = make_command(ConfigCommandKind.WHOLE, self.version, document)
+        self._send(encode_command(order).hex(), order.digest, self.version)
 
     def _send(self, command: str, digest: bytes, builds_on: int) -> None:
         """To any machine that takes it, and again unchanged after a time without an answer."""
         self._asked += 1
         number = self._asked
 
-        def answer(verdict: Verdict) -> None:
+        def answer(verdict: CommandResult) -> None:
             if number == self._asked:
                 self._answered(digest, builds_on, verdict)
 
@@ -114,7 +114,7 @@
             lambda: number == self._asked and self._send(command, digest, builds_on),
         )
 
-    def _answered(self, digest: bytes, builds_on: int, verdict: Verdict) -> None:
+    def _answered(self, digest: bytes, builds_on: int, verdict: CommandResult) -> None:
         if self._world.random.random() < self.answers_lost:
             return  # on its way to the operator
         self._asked += 1
--- a/tests/core_sim/search.py
+++ b/tests/core_sim/search.py
@@ -17,10 +17,10 @@
 
 from ochrespan.control_plane.replication.persistent_records import pack_record, replay
 from ochrespan.raft.log import ReplicaLog, Snapshot
-from ochrespan.raft.membership_config import Configuration, Member
-from ochrespan.raft.messages import AppendReply, Heartbeat, HeartbeatReply, VoteReply
+from ochrespan.raft.membership_config import Member, MembershipConfig
+from ochrespan.raft.messages import AppendEntriesResponse, Heartbeat, HeartbeatResponse, RequestVoteResponse
 from ochrespan.raft.replica import Replica
-from ochrespan.raft.state import DurableState, Role, Timing
+from ochrespan.raft.state import PersistentState, Role, Timing
 
 from .checks import Violation
 
@@ -65,12 +65,12 @@
         members = [Member(number, ("10.0.0.1", number)) for number in (1, 2, 3)]
         state = cls({}, {}, {}, {}, budget)
         for member in members:
-            log = ReplicaLog(Snapshot(0, 0, Configuration.of(members), b""))
+            log = ReplicaLog(Snapshot(0, 0, MembershipConfig.of(members), b""))
             state.places[member.id], state.disks[member.id] = member.id, []
-            state.replicas[member.id] = state._replica(member.id, DurableState(0, 0, log))
+            state.replicas[member.id] = state._replica(member.id, PersistentState(0, 0, log))
         return state
 
-    def _replica(self, replica_id: int, durable: DurableState) -> Replica:
+    def _replica(self, replica_id: int, durable: PersistentState) -> Replica:
         return Replica(0, replica_id, durable, Middle, Timing(), 3, self.now)
 
     # Steps
@@ -124,8 +124,8 @@
 
     def _write(self, replica_id: int) -> None:
         replica = self.replicas[replica_id]
-        self.disks[replica_id].append(pack_record(replica.take_change()))
-        replica.written(self.now)
+        self.disks[replica_id].append(pack_record(replica.take_update()))
+        replica.persisted(self.now)
 
     def _timeout(self, replica_id: int) -> None:
         self._spend(timeouts=1)
@@ -156,7 +156,7 @@
     def _restart(self, replica_id: int) -> None:
         self._lose_messages_to(replica_id)
         first = State.first(self.budget).replicas[replica_id].core if replica_id <= 3 else None
-        durable = replay(self.disks[replica_id])[1].get(0, DurableState())
+        durable = replay(self.disks[replica_id])[1].get(0, PersistentState())
         if first is not None and not durable.log.configuration.voters:
             durable.log = ReplicaLog(first.log.snapshot, durable.log.slice(1, 99, 9999))
         self.replicas[replica_id] = self._replica(replica_id, durable)
@@ -169,7 +169,7 @@
         new_id = replica_id + 10
         self.places[new_id] = self.places.pop(replica_id)
         self.disks[new_id] = []
-        self.replicas[new_id] = self._replica(new_id, DurableState())
+        self.replicas[new_id] = self._replica(new_id, PersistentState())
 
     def _change(self, replica_id: int) -> None:
         """The leader hears the wiped machine ask, and makes the next change of members if one is due."""
@@ -194,7 +194,10 @@
 
     def _collect(self, sender: int, replica: Replica) -> None:
         for receiver, message in replica.take_messages():
-            if isinstance(message, Heartbeat | HeartbeatReply) or self.cut in ((sender, receiver), (receiver, sender)):
+            if isinstance(message, Heartbeat | HeartbeatResponse) or self.cut in (
+                (sender, receiver),
+                (receiver, sender),
+            ):
                 continue
             self.channels.setdefault((sender, receiver), []).append(message)
 
@@ -243,14 +246,23 @@
         entries = tuple((entry.term, entry.data) for entry in log.slice(1, 99, 9999))
         progress = (
             tuple(
-                (other, known.match, known.next, known.mode, known.under_way, self.now - known.heard_at < SHORT_S)
+                (
+                    other,
+                    known.match,
+                    known.next,
+                    known.mode,
+                    known.in_flight,
+                    self.now - known.last_contact_at < SHORT_S,
+                )
                 for other, known in sorted(replica.replication.progress.items())
             )
             if core.role is Role.LEADER
             else ()
         )
         granted = frozenset(replica._election._granted) if core.role is not Role.FOLLOWER else frozenset()
-        held = tuple((needed - core._writes_begun, to, _plain(message)) for needed, to, message in core._held)
+        held = tuple(
+            (needed - core._writes_begun, to, _plain(message)) for needed, to, message in core._pending_messages
+        )
         return (
             core.term,
             core.vote,
@@ -260,7 +272,7 @@
             log.stable_index,
             core.commit_index,
             core.needs_write(),
-            self.now - core.leader_heard_at < SHORT_S,
+            self.now - core.last_leader_contact_at < SHORT_S,
             granted,
             held,
             progress,
@@ -272,11 +284,11 @@
 def _matters(replica: Replica, message) -> bool:
     """Whether the receiver, now or after what it may still receive, could heed a message."""
     core = replica.core
-    if isinstance(message, VoteReply):
+    if isinstance(message, RequestVoteResponse):
         if message.pre_vote and message.granted:
             return core.role is Role.PRE_CANDIDATE and message.term == core.term + 1
         return message.term > core.term or message.granted and core.role is Role.CANDIDATE and message.term == core.term
-    if isinstance(message, AppendReply):
+    if isinstance(message, AppendEntriesResponse):
         return message.term > core.term or core.role is Role.LEADER and message.term == core.term
     return True
 
--- a/tests/core_sim/troubles.py
+++ b/tests/core_sim/troubles.py
@@ -97,7 +97,7 @@
     def _victims(self, node: Node) -> list[Node]:
         """Up to as many machines as may be lost at once, `node` first."""
         others = [other for other in self.world.nodes.values() if other is not node]
-        return [node, *self.random.sample(others, self.random.randrange(self.world.tolerated))]
+        return [node, *self.random.sample(others, self.random.randrange(self.world.fault_tolerance))]
 
     def _wipe(self, node: Node) -> None:
         if self._calm():
--- a/tests/core_sim/world.py
+++ b/tests/core_sim/world.py
@@ -8,8 +8,8 @@
 
 from ochrespan.common.addresses import Address
 from ochrespan.control_plane.replication.raft_wire import pack_envelope
-from ochrespan.raft.messages import VoteReply
-from ochrespan.raft.multi_raft import GroupTable
+from ochrespan.raft.messages import RequestVoteResponse
+from ochrespan.raft.multi_raft import MultiRaft
 from ochrespan.transport.codec import encode
 
 from .checks import Checks, Read
@@ -26,17 +26,17 @@
     """Runs events in the order of their time. All chance comes from one seed."""
 
     def __init__(
-        self, seed: int, size: int = 3, tolerated: int = 1, shards=(0, 1), seeds=(1, 2, 3), starting: bool = True
+        self, seed: int, size: int = 3, fault_tolerance: int = 1, shards=(0, 1), seeds=(1, 2, 3), starting: bool = True
     ) -> None:
         self.random = random.Random(seed)
         self.now = 100.0
-        self.shards, self.tolerated = shards, tolerated
+        self.shards, self.fault_tolerance = shards, fault_tolerance
         self.seeds = tuple(map(address, seeds))
         self.cuts: set[tuple[Address, Address]] = set()
         self.bytes_per_s: dict[Address, float] = {}  # of the links of a machine; those that aren't named are endless
         self.carried: dict[tuple[Address, Address], int] = {}  # bytes, where a link has an end
         self.checks = Checks(self)
-        self.table_type = GroupTable
+        self.table_type = MultiRaft
         self.machine_type: Callable[[], Machine] = Machine
         self.nodes = {address(number): Node(self, address(number)) for number in range(1, size + 1)}
         self._events: list = []
@@ -50,7 +50,7 @@
         """The first start of a machine."""
         self.later(delay, None, lambda: node.start(self.seeds, True))
 
-    def make_table(self, settings, identity, durable) -> GroupTable:
+    def make_table(self, settings, identity, durable) -> MultiRaft:
         return self.table_type(settings, tuple(self.shards), identity, durable, self.random, self.now)
 
     # Events
@@ -77,7 +77,7 @@
 
     def post(self, sender: Node, to: Address, envelope) -> None:
         for shard, message in envelope.frames:
-            if isinstance(message, VoteReply) and message.granted and not message.pre_vote:
+            if isinstance(message, RequestVoteResponse) and message.granted and not message.pre_vote:
                 self.checks.vote(envelope.sender, sender.address[0], shard, message.term, envelope.to)
         receiver = self.nodes.get(to)
         if receiver is None or (sender.address, to) in self.cuts:
@@ -104,13 +104,15 @@
         """The system resets the connections of a process that ends, where no cut holds that up."""
         for node in self.nodes.values():
             if node.running and node.address != gone and (gone, node.address) not in self.cuts:
-                self.later(0.001, node, lambda node=node: node.table.peer_lost(self.now, gone))
+                self.later(0.001, node, lambda node=node: node.table.peer_disconnected(self.now, gone))
 
     def reset(self, first: Node, second: Node) -> None:
         """The connections between two machines are reset."""
         for node, peer in ((first, second), (second, first)):
             if node.running:
-                self.later(0.001, node, lambda node=node, peer=peer: node.table.peer_lost(self.now, peer.address))
+                self.later(
+                    0.001, node, lambda node=node, peer=peer: node.table.peer_disconnected(self.now, peer.address)
+                )
 
     # Clients
 
--- a/tests/golden/make_disks.py
+++ b/tests/golden/make_disks.py
@@ -17,21 +17,21 @@
 
 import ormsgpack
 
-from ochrespan.control_plane.config.commands import OrderKind, encode_order, make_order
+from ochrespan.control_plane.config.commands import ConfigCommandKind, encode_command, make_command
 from ochrespan.control_plane.controller import ControlState
 from ochrespan.control_plane.registry.commands import ExpireInstances, RegisterInstance, RemoveInstance
-from ochrespan.control_plane.registry.prefix_placements import AssignHomes
+from ochrespan.control_plane.registry.prefix_placements import AssignPrefixes
 from ochrespan.control_plane.registry.records import record_fields, record_of
-from ochrespan.control_plane.replication.persistent_records import pack_image, pack_record
+from ochrespan.control_plane.replication.persistent_records import pack_checkpoint, pack_record
 from ochrespan.control_plane.shards import CONFIG_SHARD, shard_of
-from ochrespan.raft.bootstrap import FormationSettings, Identity
+from ochrespan.raft.bootstrap import BootstrapSettings, Identity
 from ochrespan.raft.log import Snapshot
-from ochrespan.raft.membership_config import Configuration, Member
+from ochrespan.raft.membership_config import Member, MembershipConfig
 from ochrespan.raft.messages import Entry, EntryKind
-from ochrespan.raft.multi_raft import GroupTable
-from ochrespan.raft.state import DurableChange
+from ochrespan.raft.multi_raft import MultiRaft
+from ochrespan.raft.state import PersistentUpdate
 from ochrespan.storage.files import PosixDirectory
-from ochrespan.storage.snapshot_store import LOG_NAMES, Store
+from ochrespan.storage.snapshot_store import LOG_NAMES, SnapshotStore
 from ochrespan.transport import compact
 from ochrespan.transport.codec import encode
 from tests.control_plane_world import configuration, instance, route, service, tenant
@@ -53,13 +53,13 @@
     def __init__(self, folder: Path) -> None:
         folder.mkdir(parents=True, exist_ok=True)
         self._directory = PosixDirectory(str(folder))
-        self._store = Store(self._directory)
+        self._store = SnapshotStore(self._directory)
         self._store.open()
         self._machines = ControlState().machines
         self._now = 0.0
-        settings = FormationSettings(OWN_ADDRESS, (OWN_ADDRESS,), True, 0)
+        settings = BootstrapSettings(OWN_ADDRESS, (OWN_ADDRESS,), True, 0)
         source = random.Random(SEED)
-        self._table = GroupTable(settings, tuple(self._machines), None, {}, source, self._now)
+        self._table = MultiRaft(settings, tuple(self._machines), None, {}, source, self._now)
         for _ in range(PATIENCE_STEPS):
             self._step()
         if not all(replica.is_leader for replica in self._table.replicas.values()):
@@ -78,7 +78,7 @@
             if replica.core.applied_index > replica.core.log.snapshot.index:
                 replica.compact(self._machines[shard].snapshot())
         images = [replica.image() for replica in self._table.replicas.values()]
-        return pack_image(self._table.formation.identity, images)
+        return pack_checkpoint(self._table.bootstrap.identity, images)
 
     def checkpoint(self) -> None:
         """Writes the whole state to the next slot."""
@@ -92,11 +92,11 @@
         self._now += STEP_S
         self._table.tick(self._now)
         self._table.take_envelopes()
-        changes = self._table.take_changes()
+        changes = self._table.take_updates()
         if changes:
             self._store.append([pack_record(change) for change in changes])
             self._store.flush()
-            self._table.written(self._now)
+            self._table.persisted(self._now)
         for shard, replica in self._table.replicas.items():
             for index, entry in replica.take_committed():
                 if entry.kind == EntryKind.COMMAND:
@@ -116,18 +116,18 @@
         "delete": {"routes": ["r1"], "tenants": ["beta"]},
     }
     return [
-        _order(OrderKind.WHOLE, 0, configuration(1)),
-        _order(OrderKind.WHOLE, 1, third),
-        _order(OrderKind.PATCH, 3, patch),
+        _order(ConfigCommandKind.WHOLE, 0, configuration(1)),
+        _order(ConfigCommandKind.WHOLE, 1, third),
+        _order(ConfigCommandKind.PATCH, 3, patch),
     ]
 
 
 def refused_orders() -> list[bytes]:
     """Orders in the log that change nothing: a repeated one, one on an old version and an invalid one."""
     return [
-        _order(OrderKind.WHOLE, 0, configuration(1)),
-        _order(OrderKind.WHOLE, 1, configuration(9)),
-        _order(OrderKind.WHOLE, 4, configuration(9, route("r9", "unknown"))),
+        _order(ConfigCommandKind.WHOLE, 0, configuration(1)),
+        _order(ConfigCommandKind.WHOLE, 1, configuration(9)),
+        _order(ConfigCommandKind.WHOLE, 4, configuration(9, route("r9", "unknown"))),
     ]
 
 
@@ -135,8 +135,8 @@
     """Changes behind a checkpoint: a large one, and one of the limits alone."""
     large = route("r4", "drafts", route_type=LARGE_TEXT)
     return [
-        _order(OrderKind.PATCH, 4, {"generation": 6, "upsert": {"routes": [large]}}),
-        _order(OrderKind.PATCH, 6, {"generation": 7, "delete": {"limits": ["idle_timeout_ms"]}}),
+        _order(ConfigCommandKind.PATCH, 4, {"generation": 6, "upsert": {"routes": [large]}}),
+        _order(ConfigCommandKind.PATCH, 6, {"generation": 7, "delete": {"limits": ["idle_timeout_ms"]}}),
     ]
 
 
@@ -216,23 +216,23 @@
 def make_without_founders(folder: Path) -> None:
     """The record of the identity is of an earlier version, which knew no founders."""
     own = Member(77, OWN_ADDRESS)
-    members = Configuration.of([own])
+    members = MembershipConfig.of([own])
     records = [ormsgpack.packb([0, own.id, 4242])]
     for shard in ControlState().machines:
         commands = first_orders() if shard == CONFIG_SHARD else _reports_of(shard, first_reports())
         entries = [Entry(3, EntryKind.COMMAND, command) for command in commands]
-        records.append(pack_record(DurableChange(shard, 3, own.id, Snapshot(0, 0, members, b""), 1, entries)))
+        records.append(pack_record(PersistentUpdate(shard, 3, own.id, Snapshot(0, 0, members, b""), 1, entries)))
     _write_log(folder, records)
 
 
 def make_earlier_snapshots(folder: Path) -> None:
     """Snapshots without history and placements, an order without its time, a report with an unknown field."""
     own = Member(78, OWN_ADDRESS)
-    members = Configuration.of([own])
+    members = MembershipConfig.of([own])
     configuration_state = [configuration(5), [[bytes(range(16)), 4], [bytes(range(16, 32)), 5]]]
     records_state = [record_fields(record_of("judge-1", instance(2))), {**_plain_record(), "left_out_later": 1}]
     instances_state = [records_state, {"judge-0": [4, True, False]}]
-    order = make_order(OrderKind.WHOLE, 5, configuration(8, route("r8")))
+    order = make_command(ConfigCommandKind.WHOLE, 5, configuration(8, route("r8")))
     earlier_order = ormsgpack.packb(["cp.order", order.kind, order.builds_on, order.digest, order.body])
     judges = shard_of(SERVICES[0])
     identity = Identity(own.id, 4243, (OWN_ADDRESS,))
@@ -241,30 +241,30 @@
         state = configuration_state if shard == CONFIG_SHARD else instances_state if shard == judges else [[], {}]
         snapshot = Snapshot(40 + shard, 6, members, compact.pack(state))
         entries = [Entry(7, EntryKind.COMMAND, earlier_order)] if shard == CONFIG_SHARD else []
-        records.append(pack_record(DurableChange(shard, 7, own.id, snapshot, 41 + shard, entries)))
+        records.append(pack_record(PersistentUpdate(shard, 7, own.id, snapshot, 41 + shard, entries)))
     _write_log(folder, records)
 
 
 def make_three_voters(folder: Path) -> None:
     """One of three voters: entries that a later leader replaced, a snapshot that it sent, members under change."""
     own, second, third, fourth = (Member(100 + number, (f"10.0.9.{number}", 17500)) for number in range(1, 5))
-    members = Configuration.of([own, second, third])
+    members = MembershipConfig.of([own, second, third])
     joint = members.towards([own, second, fourth])
     orders, judges = first_orders(), shard_of(SERVICES[0])
-    founders = tuple(member.address for member in (own, second, third))
+    initial_members = tuple(member.address for member in (own, second, third))
     reports = _reports_of(judges, first_reports())
     sent = Snapshot(30, 8, members, compact.pack([[_plain_record()], {}, {"judges": [["prefix-9", "judge-9", 3.0]]}]))
     changes = [
-        Identity(own.id, 0, founders),
-        Identity(own.id, 4244, founders),
-        DurableChange(CONFIG_SHARD, 0, 0, Snapshot(0, 0, members, b""), 1, []),
-        DurableChange(judges, 0, 0, Snapshot(0, 0, members, b""), 1, []),
-        DurableChange(CONFIG_SHARD, 1, second.id, None, 1, _commands(1, [orders[0], refused_orders()[2]])),
-        DurableChange(CONFIG_SHARD, 4, 0, None, 2, _commands(4, orders[1:2])),
-        DurableChange(CONFIG_SHARD, 5, third.id, None, 3, [Entry(5, EntryKind.CONFIGURATION, joint.to_bytes())]),
-        DurableChange(CONFIG_SHARD, 5, third.id, None, 4, _commands(5, orders[2:])),
-        DurableChange(judges, 2, own.id, None, 1, _commands(2, reports[:2])),
-        DurableChange(judges, 9, 0, sent, 31, _commands(9, reports[:1])),
+        Identity(own.id, 0, initial_members),
+        Identity(own.id, 4244, initial_members),
+        PersistentUpdate(CONFIG_SHARD, 0, 0, Snapshot(0, 0, members, b""), 1, []),
+        PersistentUpdate(judges, 0, 0, Snapshot(0, 0, members, b""), 1, []),
+        PersistentUpdate(CONFIG_SHARD, 1, second.id, None, 1, _commands(1, [orders[0], refused_orders()[2]])),
+        PersistentUpdate(CONFIG_SHARD, 4, 0, None, 2, _commands(4, orders[1:2])),
+        PersistentUpdate(CONFIG_SHARD, 5, third.id, None, 3, [Entry(5, EntryKind.CONFIGURATION, joint.to_bytes())]),
+        PersistentUpdate(CONFIG_SHARD, 5, third.id, None, 4, _commands(5, orders[2:])),
+        PersistentUpdate(judges, 2, own.id, None, 1, _commands(2, reports[:2])),
+        PersistentUpdate(judges, 9, 0, sent, 31, _commands(9, reports[:1])),
     ]
     _write_log(folder, [pack_record(change) for change in changes])
 
@@ -298,15 +298,15 @@
 def _write_log(folder: Path, records: list[bytes]) -> None:
     folder.mkdir(parents=True, exist_ok=True)
     directory = PosixDirectory(str(folder))
-    store = Store(directory)
+    store = SnapshotStore(directory)
     store.open()
     store.append(records)
     store.flush()
     directory.close()
 
 
-def _order(kind: OrderKind, builds_on: int, document: dict[str, Any]) -> bytes:
-    return encode_order(make_order(kind, builds_on, document, RECEIVED_MS + builds_on))
+def _order(kind: ConfigCommandKind, builds_on: int, document: dict[str, Any]) -> bytes:
+    return encode_command(make_command(kind, builds_on, document, RECEIVED_MS + builds_on))
 
 
 def _report(instance_id: str, document: dict[str, Any]) -> tuple[int, bytes]:
@@ -323,7 +323,7 @@
 
 
 def _place(service_name: str, entries: list[tuple[str, str, float]]) -> tuple[int, bytes]:
-    return shard_of(service_name), encode(AssignHomes(service_name, entries))
+    return shard_of(service_name), encode(AssignPrefixes(service_name, entries))
 
 
 def _reports_of(shard: int, reports: list[tuple[int, bytes]]) -> list[bytes]:
--- a/tests/golden/stored_state.py
+++ b/tests/golden/stored_state.py
@@ -12,15 +12,15 @@
 from typing import Any
 
 from ochrespan.control_plane.controller import ControlState
-from ochrespan.control_plane.replication.persistent_records import replay, unpack_image
+from ochrespan.control_plane.replication.persistent_records import replay, unpack_checkpoint
 from ochrespan.control_plane.shards import CONFIG_SHARD
 from ochrespan.raft.bootstrap import Identity
 from ochrespan.raft.log import ReplicaLog
-from ochrespan.raft.membership_config import Configuration
+from ochrespan.raft.membership_config import MembershipConfig
 from ochrespan.raft.messages import EntryKind
-from ochrespan.raft.state import DurableState
+from ochrespan.raft.state import PersistentState
 from ochrespan.storage.files import PosixDirectory
-from ochrespan.storage.snapshot_store import Store
+from ochrespan.storage.snapshot_store import SnapshotStore
 from ochrespan.transport import compact
 
 EXPECTED_NAME = "expected.json"
@@ -51,13 +51,13 @@
     (folder / EXPECTED_NAME).write_text(json.dumps(state, indent=1, sort_keys=True) + "\n")
 
 
-def _recover(folder: Path) -> tuple[Identity | None, dict[int, DurableState]]:
+def _recover(folder: Path) -> tuple[Identity | None, dict[int, PersistentState]]:
     directory = PosixDirectory(str(folder))
     try:
-        recovered = Store(directory).open()
+        recovered = SnapshotStore(directory).open()
     finally:
         directory.close()
-    image = unpack_image(recovered.image) if recovered.image is not None else []
+    image = unpack_checkpoint(recovered.image) if recovered.image is not None else []
     return replay([*image, *recovered.records])
 
 
@@ -74,11 +74,11 @@
 def _identity_fields(identity: Identity | None) -> dict[str, Any] | None:
     if identity is None:
         return None
-    founders = [list(address) for address in identity.founders]
-    return {"replica_id": identity.replica_id, "cluster": identity.cluster, "founders": founders}
+    initial_members = [list(address) for address in identity.initial_members]
+    return {"replica_id": identity.replica_id, "cluster": identity.cluster, "founders": initial_members}
 
 
-def _raft_fields(state: DurableState) -> dict[str, Any]:
+def _raft_fields(state: PersistentState) -> dict[str, Any]:
     log = state.log
     entries = [log.entry(index) for index in range(log.first_index, log.last_index + 1)]
     return {
@@ -98,7 +98,7 @@
     }
 
 
-def _member_fields(configuration: Configuration) -> dict[str, Any]:
+def _member_fields(configuration: MembershipConfig) -> dict[str, Any]:
     sides = {"voters": configuration.voters, "outgoing": configuration.outgoing}
     return {name: [[member.id, *member.address] for member in side] for name, side in sides.items()}
 
@@ -114,5 +114,5 @@
 
 
 def _instance_fields(machine: Any) -> dict[str, Any]:
-    records, departed, homes = compact.unpack(machine.snapshot())
-    return {"records": records, "departed": departed, "homes": homes}
+    records, departed, placements = compact.unpack(machine.snapshot())
+    return {"records": records, "departed": departed, "homes": placements}
--- a/tests/golden/test_control_interface.py
+++ b/tests/golden/test_control_interface.py
@@ -116,7 +116,7 @@
 
 
 def test_an_order_too_old_to_be_remembered(transcript, snapshot, monkeypatch):
-    monkeypatch.setattr(orders, "REMEMBERED_ORDERS", 1)
+    monkeypatch.setattr(orders, "MAX_REMEMBERED_COMMANDS", 1)
     for version in range(3):
         transcript.ask(0, "PUT", CONFIG, configuration(version + 1), If_Match=str(version))
     transcript.ask(0, "PUT", CONFIG, configuration(1), If_Match="0")
--- a/tests/golden/test_decision_record_fields.py
+++ b/tests/golden/test_decision_record_fields.py
@@ -1,6 +1,6 @@
 """The fields of a decision record: their names, their order, their JSON types, and the line of a known record."""
 
-from ochrespan.control_plane.quota.client import UNLIMITED, Taken
+from ochrespan.control_plane.quota.client import UNLIMITED, TokenReservation
 from ochrespan.data_plane.decision_record import ANY, HOME, MOVED, AttemptRecord, DecisionLog
 from tests.fleet_standins import StandInServer, answer, configuration, route, router, stream
 from tests.test_decision_record import LIMITED, PROMPT, USAGE, Written, ask, real_scheduler
@@ -51,17 +51,17 @@
 
 
 def test_the_record_of_a_served_stream_has_its_fields_in_order(snapshot):
-    written = Written()
-    with router(real_scheduler(), decision_log=written.log, quotas=ScriptedQuotas([UNLIMITED])) as made:
+    persisted = Written()
+    with router(real_scheduler(), decision_log=persisted.log, quotas=ScriptedQuotas([UNLIMITED])) as made:
         view = configuration(route(kind="streaming"), tenants=(LIMITED,))
         assert ask(made, view, StandInServer(stream(1, 2, 3))).read_answer().whole
-    assert shape_of(written.one()) == snapshot
+    assert shape_of(persisted.one()) == snapshot
 
 
 def test_the_record_of_a_refused_request_has_its_fields_in_order(snapshot):
-    written = Written()
-    quotas = ScriptedQuotas([Taken(False, 0.01), Taken(False, 0.75)])
-    with router(decision_log=written.log, quotas=quotas) as made:
+    persisted = Written()
+    quotas = ScriptedQuotas([TokenReservation(False, 0.01), TokenReservation(False, 0.75)])
+    with router(decision_log=persisted.log, quotas=quotas) as made:
         client = ask(made, configuration(route(), tenants=(LIMITED,)), StandInServer(answer()), headers=USAGE + PROMPT)
         assert client.read_answer().status == 429
-    assert shape_of(written.one()) == snapshot
+    assert shape_of(persisted.one()) == snapshot
--- a/tests/golden/test_fleetctl_output.py
+++ b/tests/golden/test_fleetctl_output.py
@@ -213,9 +213,9 @@
 
 def test_the_file_that_a_backup_writes(files, snapshot):
     run_against(FLEET, "backup OUT", files)
-    written = json.loads(files["OUT"].read_text())
-    assert json.dumps({**written, "taken_at": "TIME", "checksum": "CHECKSUM"}, indent=2) == snapshot
-    body = {name: written[name] for name in ("taken_at", "configuration", "instances")}
+    persisted = json.loads(files["OUT"].read_text())
+    assert json.dumps({**persisted, "taken_at": "TIME", "checksum": "CHECKSUM"}, indent=2) == snapshot
+    body = {name: persisted[name] for name in ("taken_at", "configuration", "instances")}
     assert files["OUT"].read_text() == backup_text(**body)
 
 
--- a/tests/golden/test_metric_names.py
+++ b/tests/golden/test_metric_names.py
@@ -13,7 +13,7 @@
 from ochrespan.data_plane.router_node import DrainTimes, MachineLimits, RouterNode
 from ochrespan.data_plane.scheduler import Scheduler
 from ochrespan.observability import logs
-from ochrespan.observability.metrics import Registry
+from ochrespan.observability.metrics import MetricsRegistry
 from tests.control_plane_world import World
 from tests.fleet_standins import unused_address
 from tests.golden.exchanges import Transcript
@@ -74,7 +74,7 @@
 
 
 def test_labels_of_a_router_s_decisions_and_of_the_ends_of_its_attempts(snapshot):
-    registry = Registry()
+    registry = MetricsRegistry()
     figures = RouterFigures(registry)
     for action in (Send("r-1", "i-1", 1, 0, 1.0), Refuse("r-1", 503, 0.1), Fail("r-1", 502)):
         figures.decided(action)
@@ -93,10 +93,10 @@
     handlers, level = root.handlers[:], root.level
     root.handlers.clear()
     try:
-        with redirect_stderr(StringIO()) as written:
+        with redirect_stderr(StringIO()) as persisted:
             logs.configure()
             yield lines
-        lines += written.getvalue().splitlines()
+        lines += persisted.getvalue().splitlines()
     finally:
         root.handlers[:] = handlers
         root.setLevel(level)
@@ -130,7 +130,7 @@
         record = logging.LogRecord(LOGGER, logging.INFO, "file.py", 1, "event number=%d", (1,), None)
         return record if limit.filter(record) else None
 
-    written = [record.getMessage() for record in (offer() for _ in range(60)) if record]
+    persisted = [record.getMessage() for record in (offer() for _ in range(60)) if record]
     now = 1.0
     later = offer()
-    assert [len(written), written[0], later.getMessage()] == snapshot
+    assert [len(persisted), persisted[0], later.getMessage()] == snapshot
--- a/tests/golden/test_settings_findings.py
+++ b/tests/golden/test_settings_findings.py
@@ -13,7 +13,7 @@
 import pytest
 import yaml
 
-from ochrespan.common.validation import MAX_FINDINGS, CheckFailed
+from ochrespan.common.validation import MAX_FINDINGS, ValidationError
 from ochrespan.control_plane.config.documents import (
     CHECK_CONFIGURATION,
     CHECK_INSTANCE,
@@ -21,7 +21,7 @@
     CHECK_PATCH,
     read_json,
 )
-from ochrespan.control_plane.quota.allocation import bounds_from
+from ochrespan.control_plane.quota.allocation import quota_bounds
 from ochrespan.programs import controller, router_process
 from ochrespan.programs.settings import Settings, parse_settings, read_settings, secure_peers, settings_path
 from tests.control_plane_world import configuration, instance, route, service, tenant
@@ -85,7 +85,7 @@
     """The findings as people read them; empty where nothing is wrong."""
     try:
         check()
-    except CheckFailed as error:
+    except ValidationError as error:
         assert str(error) == "; ".join(str(finding) for finding in error.findings)
         return [str(finding) for finding in error.findings]
     return []
@@ -229,7 +229,7 @@
 
 def read_by_controller(settings: dict[str, Any]) -> dict[str, Any]:
     """What a controller takes from its settings, by the keys of the settings."""
-    parts = ("ReplicaHost", "ControllerNode", "MembershipDriver")
+    parts = ("ReplicaHost", "ControllerNode", "MembershipAgent")
     with patch.multiple(controller, **{part: MagicMock() for part in parts}):
         controller.Controller(settings)
         node = controller.ControllerNode.call_args.kwargs
@@ -242,7 +242,7 @@
         "data_dir": host.data_dir,
         "limits.disk_mb": host.disk_mb,
         "bootstrap": host.bootstrap,
-        "fault_tolerance.machines": host.tolerated_machines,
+        "fault_tolerance.machines": host.fault_tolerance,
         "heartbeat_ms in seconds": node["heartbeat_s"],
         "bounds of quotas": astuple(node["quota_bounds"]),
     }
@@ -250,7 +250,7 @@
 
 def read_by_router(settings: dict[str, Any]) -> dict[str, Any]:
     """What a router takes from its settings, by the keys of the settings."""
-    parts = ("Scheduler", "FeedClient", "MembershipDriver", "HomeClient", "RouterNode", "quota_client_for")
+    parts = ("Scheduler", "FeedClient", "MembershipAgent", "PrefixPlacementClient", "RouterNode", "quota_client_for")
     with patch.multiple(router_process, **{part: MagicMock() for part in parts}):
         router = router_process.Router(settings)
         router.stop()
@@ -282,8 +282,8 @@
 
 
 def test_bounds_of_quotas_and_their_defaults(snapshot):
-    read = {name: astuple(bounds_from({name: BOUND_VALUE})) for name in BOUNDS_OF_QUOTAS}
-    assert {"defaults": astuple(bounds_from({})), **read} == snapshot
+    read = {name: astuple(quota_bounds({name: BOUND_VALUE})) for name in BOUNDS_OF_QUOTAS}
+    assert {"defaults": astuple(quota_bounds({})), **read} == snapshot
 
 
 # Documents for the control interface
--- a/tests/golden/test_wire_bytes.py
+++ b/tests/golden/test_wire_bytes.py
@@ -20,21 +20,21 @@
 import pytest
 from gevent import socket
 
-from ochrespan.control_plane.config.commands import OrderKind
+from ochrespan.control_plane.config.commands import ConfigCommandKind
 from ochrespan.control_plane.config.configuration import Configuration
-from ochrespan.control_plane.config.state_machine import ConfigurationMachine
+from ochrespan.control_plane.config.state_machine import ConfigurationStateMachine
 from ochrespan.control_plane.feed import messages as feed_messages
-from ochrespan.control_plane.prefix_placement.messages import Home, HomeRequest
-from ochrespan.control_plane.registry.prefix_placements import PrefixHomes
+from ochrespan.control_plane.prefix_placement.messages import PrefixPlacement, PrefixPlacementRequest
+from ochrespan.control_plane.registry.prefix_placements import PrefixPlacements
 from ochrespan.control_plane.registry.records import InstanceState
-from ochrespan.control_plane.registry.state_machine import InstanceMachine
+from ochrespan.control_plane.registry.state_machine import InstanceStateMachine
 from ochrespan.control_plane.shards import CONFIG_SHARD, shard_of
-from ochrespan.membership.member_table import MemberState, number_of
-from ochrespan.raft.cluster_messages import cluster_of
+from ochrespan.membership.member_table import MemberState, member_number
+from ochrespan.raft.cluster_messages import cluster_id_of
 from ochrespan.raft.messages import EntryKind
 from ochrespan.storage import records
 from ochrespan.transport import codec, compact
-from ochrespan.transport.rpc import Caller, CallServer
+from ochrespan.transport.rpc import RpcClient, RpcServer
 from ochrespan.transport.tcp import Connection
 from ochrespan.transport.udp import DatagramEndpoint
 
@@ -189,7 +189,9 @@
     first, second = datagram[PLACE_OF_NEWS]
     datagram[PLACE_OF_NEWS] = [first[:-1], [*second, "of a later version"]]
     sample = wire_samples.SWIM_SAMPLES[0]
-    expected = dataclasses.replace(sample, news=[dataclasses.replace(sample.news[0], accuser=0), sample.news[1]])
+    expected = dataclasses.replace(
+        sample, updates=[dataclasses.replace(sample.updates[0], suspected_by=0), sample.updates[1]]
+    )
     assert wire_samples.decode_membership(pack_raw(datagram)) == expected
 
 
@@ -212,9 +214,9 @@
     assert compact.decompress(encoded).hex() == compact.decompress(RECORDED[name]).hex()
 
 
-def restored_configuration(kept: int) -> ConfigurationMachine:
+def restored_configuration(kept: int) -> ConfigurationStateMachine:
     """The state that a snapshot on record leads to when only its first parts are there."""
-    machine = ConfigurationMachine()
+    machine = ConfigurationStateMachine()
     machine.restore(compact.pack(compact.unpack(RECORDED["snapshot/configuration"])[:kept]))
     return machine
 
@@ -224,7 +226,7 @@
 
 
 def test_the_snapshot_of_the_configuration_on_record_leads_to_the_same_state():
-    expected, machine = wire_samples.configuration_machine(), ConfigurationMachine()
+    expected, machine = wire_samples.configuration_machine(), ConfigurationStateMachine()
     machine.restore(RECORDED["snapshot/configuration"])
     assert machine.current == expected.current
     assert machine.current != Configuration()
@@ -254,8 +256,8 @@
 
 
 def test_the_empty_snapshot_of_the_configuration_leads_to_the_empty_state():
-    machine = ConfigurationMachine()
-    machine.restore(ConfigurationMachine().snapshot())
+    machine = ConfigurationStateMachine()
+    machine.restore(ConfigurationStateMachine().snapshot())
     assert machine.current == Configuration()
     assert compact.unpack(machine.snapshot()) == [{"generation": 0, "routes": [], "services": []}, [], [], 0]
 
@@ -265,17 +267,17 @@
 
 
 def test_the_snapshot_of_instances_on_record_leads_to_the_same_state():
-    expected, machine = wire_samples.instance_machine(), InstanceMachine()
+    expected, machine = wire_samples.instance_machine(), InstanceStateMachine()
     machine.restore(RECORDED["snapshot/instances"])
     assert machine.records == expected.records
     assert sorted(machine.records) == ["chat-1", "code-1"]
     assert (machine.is_gone("chat-3"), machine.is_gone("chat-2")) == (True, False)
-    assert machine.homes.fields() == expected.homes.fields()
+    assert machine.placements.fields() == expected.placements.fields()
     assert_same_content(machine.snapshot(), "snapshot/instances")
 
 
 def test_a_snapshot_of_instances_by_an_earlier_version_has_no_homes():
-    machine = InstanceMachine()
+    machine = InstanceStateMachine()
     instances, departed, _ = compact.unpack(RECORDED["snapshot/instances"])
     machine.restore(compact.pack([instances, departed]))
     assert compact.unpack(machine.snapshot()) == [instances, departed, {}]
@@ -286,9 +288,9 @@
 
 
 def test_the_homes_of_prefixes_on_record_lead_to_the_same_state():
-    homes = PrefixHomes(compact.unpack(RECORDED["snapshot/homes"]))
-    assert homes.fields() == wire_samples.prefix_homes().fields()
-    assert (homes.of("chat", "p1"), homes.tokens("chat-2")) == ("chat-2", 65.5)
+    placements = PrefixPlacements(compact.unpack(RECORDED["snapshot/homes"]))
+    assert placements.fields() == wire_samples.prefix_homes().fields()
+    assert (placements.of("chat", "p1"), placements.tokens("chat-2")) == ("chat-2", 65.5)
 
 
 # Files of the store
@@ -312,7 +314,7 @@
 
 
 def test_the_words_and_numbers_of_states_and_kinds_stay_as_they_are():
-    assert [kind.value for kind in OrderKind] == ["whole", "patch"]
+    assert [kind.value for kind in ConfigCommandKind] == ["whole", "patch"]
     assert [state.value for state in InstanceState] == ["ready", "draining"]
     assert [state.value for state in MemberState] == [0, 1, 2, 3]
     assert [kind.value for kind in EntryKind] == [0, 1]
@@ -321,16 +323,16 @@
 def test_numbers_that_are_derived_from_names_stay_as_they_are():
     assert CONFIG_SHARD == 0
     assert [shard_of(service) for service in ("chat", "code", "ü", "")] == SHARDS_OF_SERVICES
-    assert number_of(("10.0.0.1", 8000)) == NUMBER_OF_ADDRESS
-    assert cluster_of(wire_samples.SETTLED.voters) == NUMBER_OF_CLUSTER
+    assert member_number(("10.0.0.1", 8000)) == NUMBER_OF_ADDRESS
+    assert cluster_id_of(wire_samples.SETTLED.voters) == NUMBER_OF_CLUSTER
 
 
 # Frames and datagrams
 
 
 FRAME_START = b"\x00\x00\x00"  # in front of the length's last byte, for messages of under 256 bytes
-HOME_REQUEST = HomeRequest(service="chat", prefix="p1", tokens=512.5, unusable="chat-1")
-HOME = Home(instance="chat-2", is_new=True)
+HOME_REQUEST = PrefixPlacementRequest(service="chat", prefix="p1", tokens=512.5, unusable="chat-1")
+HOME = PrefixPlacement(instance="chat-2", is_new=True)
 
 
 def frame(message: bytes) -> bytes:
@@ -389,8 +391,8 @@
 @contextmanager
 def server_of_homes(handler: Any) -> Iterator[socket.socket]:
     """A plain socket that is connected to a server of calls for homes."""
-    server = CallServer(LOOPBACK)
-    server.on_call(HomeRequest, handler)
+    server = RpcServer(LOOPBACK)
+    server.on_request(PrefixPlacementRequest, handler)
     server.start()
     plain = socket.create_connection(server.address, timeout=SOCKET_TIMEOUT_S)
     try:
@@ -404,7 +406,7 @@
     expected = frame(pack_raw(["reply", 77, RECORDED["home.is"], ""]))
     asked = []
 
-    def answer(request: HomeRequest) -> Home:
+    def answer(request: PrefixPlacementRequest) -> PrefixPlacement:
         asked.append(request)
         return HOME
 
@@ -417,7 +419,7 @@
 def test_a_call_that_fails_is_answered_with_the_error_and_no_body():
     expected = frame(pack_raw(["reply", 78, b"", "ValueError('no home')"]))
 
-    def fail(request: HomeRequest) -> Home:
+    def fail(request: PrefixPlacementRequest) -> PrefixPlacement:
         raise ValueError("no home")
 
     with server_of_homes(fail) as plain:
@@ -427,7 +429,7 @@
 
 def test_a_caller_numbers_its_calls_from_one():
     listener = listen()
-    caller = Caller(listener.getsockname())
+    caller = RpcClient(listener.getsockname())
     calls = [gevent.spawn(caller.call, HOME_REQUEST, SOCKET_TIMEOUT_S)]
     plain, _ = listener.accept()
     plain.settimeout(SOCKET_TIMEOUT_S)
--- a/tests/golden/wire_samples.py
+++ b/tests/golden/wire_samples.py
@@ -11,35 +11,35 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ochrespan.control_plane.config.commands import Order, OrderKind, make_order
+from ochrespan.control_plane.config.commands import ConfigCommand, ConfigCommandKind, make_command
 from ochrespan.control_plane.config.configuration import ConfigurationChange, SectionChange
 from ochrespan.control_plane.config.owner import ReadConfiguration, ReadHistory
-from ochrespan.control_plane.config.state_machine import ConfigurationMachine
+from ochrespan.control_plane.config.state_machine import ConfigurationStateMachine
 from ochrespan.control_plane.feed import messages as feed_messages
-from ochrespan.control_plane.owner_calls import NotTheOwner
-from ochrespan.control_plane.prefix_placement.messages import Home, HomeRequest
+from ochrespan.control_plane.owner_calls import NotOwnerResponse
+from ochrespan.control_plane.prefix_placement.messages import PrefixPlacement, PrefixPlacementRequest
 from ochrespan.control_plane.quota import messages as quota_messages
 from ochrespan.control_plane.registry.changes import InstancesChange
 from ochrespan.control_plane.registry.commands import ExpireInstances, RegisterInstance, RemoveInstance
 from ochrespan.control_plane.registry.owner import InstanceEnded, InstanceReport
-from ochrespan.control_plane.registry.prefix_placements import AssignHomes, PrefixHomes
+from ochrespan.control_plane.registry.prefix_placements import AssignPrefixes, PrefixPlacements
 from ochrespan.control_plane.registry.records import InstanceRecord, record_fields
-from ochrespan.control_plane.registry.state_machine import InstanceMachine
+from ochrespan.control_plane.registry.state_machine import InstanceStateMachine
 from ochrespan.control_plane.replication import persistent_records, raft_wire
-from ochrespan.control_plane.responses import Answer, NotTheLeader
+from ochrespan.control_plane.responses import NotLeaderResponse, Response
 from ochrespan.membership import messages as swim_messages
 from ochrespan.membership import wire as swim_wire
-from ochrespan.membership.member_table import News
+from ochrespan.membership.member_table import MemberUpdate
 from ochrespan.raft import cluster_messages, messages
 from ochrespan.raft.bootstrap import Identity
 from ochrespan.raft.envelope import Envelope
 from ochrespan.raft.log import Snapshot
-from ochrespan.raft.membership_config import Configuration, Member
+from ochrespan.raft.membership_config import Member, MembershipConfig
 from ochrespan.raft.messages import Entry, EntryKind
-from ochrespan.raft.state import DurableChange
+from ochrespan.raft.state import PersistentUpdate
 from ochrespan.storage import records
 from ochrespan.transport import codec, compact
-from ochrespan.transport.rpc import Call, Reply
+from ochrespan.transport.rpc import RpcRequest, RpcResponse
 
 LARGE_ID = 2**62 + 11
 LARGE_CLUSTER = 2**63 - 25
@@ -82,7 +82,7 @@
     "quota.grant": ["tokens", "retry_after_s", "epoch", "owner_age_s=0.0"],
     "raft": ["cluster", "sender", "host", "port", "to", "frames"],
     "reply": ["number", "body", "error=''"],
-    "swim": ["kind", "fields", "news"],
+    "swim": ["kind", "fields", "updates"],
 }
 
 
@@ -162,22 +162,22 @@
 RECEIVED_MS = 1_717_000_000_123
 
 
-def whole_order() -> Order:
+def whole_order() -> ConfigCommand:
     """An order that replaces the whole configuration."""
-    return make_order(OrderKind.WHOLE, 0, FIRST_DOCUMENT, RECEIVED_MS)
+    return make_command(ConfigCommandKind.WHOLE, 0, FIRST_DOCUMENT, RECEIVED_MS)
 
 
-def patch_order() -> Order:
+def patch_order() -> ConfigCommand:
     """An order that patches the configuration of `whole_order`."""
-    return make_order(OrderKind.PATCH, 7, PATCH_DOCUMENT, RECEIVED_MS + 1)
+    return make_command(ConfigCommandKind.PATCH, 7, PATCH_DOCUMENT, RECEIVED_MS + 1)
 
 
 MESSAGE_CASES = [
-    message_case("call", Call(number=LARGE_INDEX, body=b"\x91\xa7cp.read")),
-    message_case("reply", Reply(number=3, body=b"", error="no leader"), ("",)),
-    message_case("reply/body", Reply(number=4, body=b"\x00\xff")),
-    message_case("cp.answer", Answer(status=503, packed_body=b'\x00{"findings": []}')),
-    message_case("cp.elsewhere", NotTheLeader()),
+    message_case("call", RpcRequest(number=LARGE_INDEX, body=b"\x91\xa7cp.read")),
+    message_case("reply", RpcResponse(number=3, body=b"", error="no leader"), ("",)),
+    message_case("reply/body", RpcResponse(number=4, body=b"\x00\xff")),
+    message_case("cp.answer", Response(status=503, packed_body=b'\x00{"findings": []}')),
+    message_case("cp.elsewhere", NotLeaderResponse()),
     message_case("cp.read", ReadConfiguration()),
     message_case("cp.history", ReadHistory()),
     message_case("cp.report", InstanceReport(shard=3, record=_plain(FULL_INSTANCE))),
@@ -187,8 +187,8 @@
     message_case("cp.remove", RemoveInstance(id="chat-1")),
     message_case("cp.expire", ExpireInstances(sequences={"chat-2": 4, "code-1": LARGE_INDEX})),
     message_case("cp.expire/empty", ExpireInstances(sequences={})),
-    message_case("cp.homes", AssignHomes(service="chat", entries=[["p1", "chat-1", 512.5], ["p2", "", 0.0]])),
-    message_case("cp.homes/empty", AssignHomes(service="chat", entries=[])),
+    message_case("cp.homes", AssignPrefixes(service="chat", entries=[["p1", "chat-1", 512.5], ["p2", "", 0.0]])),
+    message_case("cp.homes/empty", AssignPrefixes(service="chat", entries=[])),
     message_case("cp.order/whole", whole_order(), (0,)),
     message_case("cp.order/patch", patch_order(), (0,)),
     message_case(
@@ -230,8 +230,10 @@
         ),
         ({}, 0),
     ),
-    message_case("home.ask", HomeRequest(service="chat", prefix="p1", tokens=512.5, unusable="chat-1"), ("",)),
-    message_case("home.is", Home(instance="chat-2", is_new=True), (False,)),
+    message_case(
+        "home.ask", PrefixPlacementRequest(service="chat", prefix="p1", tokens=512.5, unusable="chat-1"), ("",)
+    ),
+    message_case("home.is", PrefixPlacement(instance="chat-2", is_new=True), (False,)),
     message_case(
         "quota.ask",
         quota_messages.GrantRequest(
@@ -244,7 +246,7 @@
         quota_messages.Grant(tokens=112.5, retry_after_s=0.25, epoch=LARGE_INDEX, owner_age_s=3.5),
         (0.0,),
     ),
-    message_case("quota.elsewhere", NotTheOwner(ip="10.0.0.3", port=8000), ("", 0)),
+    message_case("quota.elsewhere", NotOwnerResponse(ip="10.0.0.3", port=8000), ("", 0)),
 ]
 
 
@@ -260,19 +262,19 @@
 # A sample of each Raft message, the place in this list being its number on the wire, with the defaults of its last
 # fields.
 RAFT_SAMPLES: list[tuple[Any, tuple[Any, ...]]] = [
-    (messages.VoteRequest(term=7, last_index=LARGE_INDEX, last_term=6, pre_vote=True, hand_over=False), ()),
-    (messages.VoteReply(term=7, granted=True, pre_vote=False), ()),
+    (messages.RequestVote(term=7, last_index=LARGE_INDEX, last_term=6, pre_vote=True, leadership_transfer=False), ()),
+    (messages.RequestVoteResponse(term=7, granted=True, pre_vote=False), ()),
     (
-        messages.Append(
+        messages.AppendEntries(
             term=7, previous_index=LARGE_INDEX, previous_term=5, entries=ENTRIES, commit=LARGE_INDEX - 1, stamp=STAMP
         ),
         (),
     ),
-    (messages.AppendReply(term=7, accepted=False, index=LARGE_INDEX, stamp=STAMP), ()),
-    (messages.Heartbeat(term=7, commit=300, stamp=STAMP, quorum_age=SMALL_FLOAT), ()),
-    (messages.HeartbeatReply(term=7, stamp=STAMP, willing=True), ()),
+    (messages.AppendEntriesResponse(term=7, accepted=False, index=LARGE_INDEX, stamp=STAMP), ()),
+    (messages.Heartbeat(term=7, commit=300, stamp=STAMP, seconds_since_quorum=SMALL_FLOAT), ()),
+    (messages.HeartbeatResponse(term=7, stamp=STAMP, eligible=True), ()),
     (
-        messages.SnapshotChunk(
+        messages.InstallSnapshot(
             term=7,
             index=300,
             index_term=6,
@@ -284,25 +286,28 @@
         ),
         (),
     ),
-    (messages.SnapshotReply(term=7, index=300, offset=65_538, stamp=STAMP), ()),
-    (messages.CampaignNow(term=7), ()),
+    (messages.InstallSnapshotResponse(term=7, index=300, offset=65_538, stamp=STAMP), ()),
+    (messages.TimeoutNow(term=7), ()),
     (
-        cluster_messages.Join(groups=[0, 1, 4], empty=False, blank=True, founders=FOUNDERS, age_s=0.375),
+        cluster_messages.JoinRequest(groups=[0, 1, 4], empty=False, blank=True, initial_members=FOUNDERS, age_s=0.375),
         (False, [], -1.0),
     ),
     (
-        cluster_messages.JoinReply(
+        cluster_messages.JoinResponse(
             empty=False,
             contacts=[["10.0.0.4", 8000]],
             blank=True,
-            founders=FOUNDERS,
+            initial_members=FOUNDERS,
             age_s=0.375,
             settled=True,
         ),
         (False, [], -1.0, False),
     ),
-    (cluster_messages.Found(members=[[LARGE_ID, "10.0.0.1", 8000], [2, "10.0.0.2", 8010]], voted=True), (False,)),
-    (cluster_messages.Leave(), ()),
+    (
+        cluster_messages.BootstrapProposal(members=[[LARGE_ID, "10.0.0.1", 8000], [2, "10.0.0.2", 8010]], voted=True),
+        (False,),
+    ),
+    (cluster_messages.LeaveNotice(), ()),
 ]
 RAFT_GROUP = 4
 
@@ -328,7 +333,7 @@
     return f"raft/{number:02}"
 
 
-EMPTY_APPEND = messages.Append(term=1, previous_index=0, previous_term=0, entries=[], commit=0, stamp=0.0)
+EMPTY_APPEND = messages.AppendEntries(term=1, previous_index=0, previous_term=0, entries=[], commit=0, stamp=0.0)
 ENVELOPE_CASES = [
     *(
         WireCase(raft_name(number), envelope_of(value), encode_envelope, decode_envelope)
@@ -343,7 +348,7 @@
 # Membership
 
 NEWS = [
-    News(
+    MemberUpdate(
         host="10.0.0.1",
         port=8000,
         role="controller",
@@ -351,18 +356,18 @@
         node="controller-1",
         state=1,
         incarnation=LARGE_INDEX,
-        accuser=2**32 - 7,
+        suspected_by=2**32 - 7,
     ),
-    News(host="10.0.0.9", port=8300, role="router", zone="", node="router-1", state=3, incarnation=0),
+    MemberUpdate(host="10.0.0.9", port=8300, role="router", zone="", node="router-1", state=3, incarnation=0),
 ]
 
 # A sample of each membership message; the place in this list is its number on the wire.
 SWIM_SAMPLES = [
-    swim_messages.Ping(number=LARGE_INDEX, news=NEWS),
-    swim_messages.Ack(number=70_000, news=NEWS[1:]),
+    swim_messages.Ping(number=LARGE_INDEX, updates=NEWS),
+    swim_messages.Ack(number=70_000, updates=NEWS[1:]),
     swim_messages.Nack(number=12),
-    swim_messages.PingRequest(number=13, host="10.0.0.5", port=8020, news=NEWS[:1]),
-    swim_messages.Sync(answer=True, news=NEWS),
+    swim_messages.PingRequest(number=13, host="10.0.0.5", port=8020, updates=NEWS[:1]),
+    swim_messages.Sync(answer=True, updates=NEWS),
 ]
 
 
@@ -386,30 +391,32 @@
         WireCase(swim_name(number), value, encode_membership, decode_membership)
         for number, value in enumerate(SWIM_SAMPLES)
     ),
-    WireCase("swim/00/empty", swim_messages.Ping(number=0, news=[]), encode_membership, decode_membership),
+    WireCase("swim/00/empty", swim_messages.Ping(number=0, updates=[]), encode_membership, decode_membership),
 ]
 
 
 # Members of a group
 
-SETTLED = Configuration.of([Member(LARGE_ID, ("10.0.0.1", 8000)), Member(2, ("10.0.0.2", 8010))])
+SETTLED = MembershipConfig.of([Member(LARGE_ID, ("10.0.0.1", 8000)), Member(2, ("10.0.0.2", 8010))])
 JOINT = SETTLED.towards([Member(3, ("10.0.0.3", 8020)), Member(2, ("10.0.0.2", 8010))])
 MEMBERS_CASES = [
-    WireCase(f"members/{name}", value, Configuration.to_bytes, Configuration.from_bytes)
-    for name, value in (("empty", Configuration()), ("settled", SETTLED), ("joint", JOINT))
+    WireCase(f"members/{name}", value, MembershipConfig.to_bytes, MembershipConfig.from_bytes)
+    for name, value in (("empty", MembershipConfig()), ("settled", SETTLED), ("joint", JOINT))
 ]
 
 
 # Records of the store
 
-IDENTITY = Identity(replica_id=LARGE_ID, cluster=LARGE_CLUSTER, founders=(("10.0.0.1", 8000), ("10.0.0.2", 8010)))
+IDENTITY = Identity(
+    replica_id=LARGE_ID, cluster=LARGE_CLUSTER, initial_members=(("10.0.0.1", 8000), ("10.0.0.2", 8010))
+)
 UNMARKED_IDENTITY = Identity(replica_id=5)
 STORED_SNAPSHOT = Snapshot(index=300, term=6, configuration=JOINT, data=b"\x00\x92\x90\x90")
-CHANGE_WITH_SNAPSHOT = DurableChange(
+CHANGE_WITH_SNAPSHOT = PersistentUpdate(
     group=4, term=7, vote=LARGE_ID, snapshot=STORED_SNAPSHOT, first_index=301, entries=ENTRIES
 )
-CHANGE_WITHOUT_SNAPSHOT = DurableChange(group=0, term=1, vote=0, snapshot=None, first_index=1, entries=ENTRIES[:1])
-CHANGE_WITHOUT_ENTRIES = DurableChange(group=1, term=2, vote=5, snapshot=None, first_index=1, entries=[])
+CHANGE_WITHOUT_SNAPSHOT = PersistentUpdate(group=0, term=1, vote=0, snapshot=None, first_index=1, entries=ENTRIES[:1])
+CHANGE_WITHOUT_ENTRIES = PersistentUpdate(group=1, term=2, vote=5, snapshot=None, first_index=1, entries=[])
 
 
 def decode_identity(data: bytes) -> Identity | None:
@@ -417,23 +424,23 @@
     return persistent_records.replay([data])[0]
 
 
-def decode_change(data: bytes) -> DurableChange:
+def decode_change(data: bytes) -> PersistentUpdate:
     """The change that leads from an empty group to the state that a record of the store leads to."""
     ((group, state),) = persistent_records.replay([data])[1].items()
     log = state.log
     snapshot = log.snapshot if log.snapshot.index else None
     entries = [log.entry(index) for index in range(log.first_index, log.last_index + 1)]
-    return DurableChange(group, state.term, state.vote, snapshot, log.first_index, entries)
+    return PersistentUpdate(group, state.term, state.vote, snapshot, log.first_index, entries)
 
 
-def encode_image(image: tuple[Identity, list[DurableChange]]) -> bytes:
+def encode_image(image: tuple[Identity, list[PersistentUpdate]]) -> bytes:
     """The bytes of an image of the store."""
-    return persistent_records.pack_image(*image)
+    return persistent_records.pack_checkpoint(*image)
 
 
-def decode_image(data: bytes) -> tuple[Identity, list[DurableChange]]:
+def decode_image(data: bytes) -> tuple[Identity, list[PersistentUpdate]]:
     """The identity and the changes in an image of the store."""
-    identity, *changes = persistent_records.unpack_image(data)
+    identity, *changes = persistent_records.unpack_checkpoint(data)
     return decode_identity(identity), [decode_change(change) for change in changes]
 
 
@@ -501,17 +508,17 @@
 # Snapshots of the state machines
 
 
-def configuration_machine() -> ConfigurationMachine:
+def configuration_machine() -> ConfigurationStateMachine:
     """The state after a whole order and a patch on top of it."""
-    machine = ConfigurationMachine()
+    machine = ConfigurationStateMachine()
     machine.apply(1, codec.encode(whole_order()))
     machine.apply(2, codec.encode(patch_order()))
     return machine
 
 
-def instance_machine() -> InstanceMachine:
+def instance_machine() -> InstanceStateMachine:
     """A state with instances that are registered, expired and gone, and with homes of prefixes."""
-    machine = InstanceMachine()
+    machine = InstanceStateMachine()
     commands = [
         RegisterInstance(record_fields(FULL_INSTANCE)),
         RegisterInstance(record_fields(SMALL_INSTANCE)),
@@ -519,25 +526,25 @@
         RegisterInstance(record_fields(dataclasses.replace(OTHER_INSTANCE, id="chat-3", address="10.1.0.10:9000"))),
         ExpireInstances({"chat-2": 4}),
         RemoveInstance("chat-3"),
-        AssignHomes("chat", [("p1", "chat-1", 512.5), ("p2", "chat-1", 64.0)]),
-        AssignHomes("code", [("p1", "code-1", 1.0)]),
+        AssignPrefixes("chat", [("p1", "chat-1", 512.5), ("p2", "chat-1", 64.0)]),
+        AssignPrefixes("code", [("p1", "code-1", 1.0)]),
     ]
     for index, command in enumerate(commands, 1):
         machine.apply(index, codec.encode(command))
     return machine
 
 
-def prefix_homes() -> PrefixHomes:
+def prefix_homes() -> PrefixPlacements:
     """The homes of the prefixes of two services, one of them without any."""
-    homes = PrefixHomes()
-    homes.assign(AssignHomes("chat", [("p1", "chat-1", 512.5), ("p2", "chat-2", 64.0), ("p1", "chat-2", 1.5)]))
-    homes.assign(AssignHomes("code", []))
-    return homes
+    placements = PrefixPlacements()
+    placements.assign(AssignPrefixes("chat", [("p1", "chat-1", 512.5), ("p2", "chat-2", 64.0), ("p1", "chat-2", 1.5)]))
+    placements.assign(AssignPrefixes("code", []))
+    return placements
 
 
-def pack_homes(homes: PrefixHomes) -> bytes:
+def pack_homes(placements: PrefixPlacements) -> bytes:
     """The homes as they stand in a snapshot."""
-    return compact.pack(homes.fields())
+    return compact.pack(placements.fields())
 
 
 # Files of the store
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ochrespan.common.validation import CheckFailed
+from ochrespan.common.validation import ValidationError
 from ochrespan.control_plane.config.configuration import Configuration, change_of_patch, change_to
 from ochrespan.control_plane.config.documents import CHECK_CONFIGURATION, CHECK_INSTANCE, CHECK_PATCH, read_json
 from tests.control_plane_world import configuration, instance, route, service, tenant
@@ -24,7 +24,7 @@
 
 
 def findings_of(document, current=None):
-    with pytest.raises(CheckFailed) as caught:
+    with pytest.raises(ValidationError) as caught:
         taken(document, current)
     for finding in caught.value.findings:
         assert finding.where and finding.found and finding.allowed
@@ -93,7 +93,7 @@
     ],
 )
 def test_what_cannot_be_read_whole_is_refused(body):
-    with pytest.raises(CheckFailed):
+    with pytest.raises(ValidationError):
         read_json(body, CHECK_CONFIGURATION)
 
 
@@ -133,7 +133,7 @@
 )
 def test_a_patch_is_judged_with_what_it_leaves_standing(patch, where):
     current = taken(configuration(1, route("r1"), tenants=[tenant("t", "k")]))
-    with pytest.raises(CheckFailed) as caught:
+    with pytest.raises(ValidationError) as caught:
         patched(current, **patch)
     assert [finding.where for finding in caught.value.findings] == [where]
 
@@ -188,6 +188,6 @@
     ],
 )
 def test_a_malformed_report_of_a_server_is_refused(fields):
-    with pytest.raises(CheckFailed) as caught:
+    with pytest.raises(ValidationError) as caught:
         read_json(json.dumps({**instance(1), **fields}).encode(), CHECK_INSTANCE)
     assert next(iter(fields)) in caught.value.findings[0].where
--- a/tests/test_control_api.py
+++ b/tests/test_control_api.py
@@ -6,7 +6,7 @@
 import pytest
 from geventhttpclient import HTTPClient
 
-from ochrespan.control_plane.api.forwarding import NO_MAJORITY_S
+from ochrespan.control_plane.api.forwarding import NO_QUORUM_S
 from ochrespan.control_plane.replication.groups import CALL_TIMEOUT_S, cluster_name
 from ochrespan.control_plane.shards import ALL_SHARDS
 from ochrespan.raft.state import Timing
@@ -143,7 +143,7 @@
     world.controllers[0].put_config(configuration(5), 0)
     for shard in ALL_SHARDS:
         world.log.leaders[shard] = None
-        world.controllers[1].groups.quorum_ages[shard] = NO_MAJORITY_S + 0.1
+        world.controllers[1].groups.quorum_ages[shard] = NO_QUORUM_S + 0.1
     began = monotonic()
     status, _ = world.controllers[1].call(method, path, body, **headers)
     assert status == 503
--- a/tests/test_controller_choice.py
+++ b/tests/test_controller_choice.py
@@ -1,6 +1,6 @@
 """Which controller a router follows."""
 
-from ochrespan.control_plane.feed.controller_choice import LONGEST_BACK_OFF_S, TOLD_LASTS_S, ControllerChoice
+from ochrespan.control_plane.feed.controller_choice import CONTROLLER_TTL_S, MAX_BACKOFF_S, ControllerChoice
 
 A, B, C = ("10.0.0.1", 7500), ("10.0.0.2", 7500), ("10.0.0.3", 7500)
 ZONES = {A: "a", B: "b", C: "c"}
@@ -26,7 +26,7 @@
     assert choice.best(0.5) == C
     for _ in range(20):
         choice.failed(C, 0.0, 1.0)
-    assert choice.best(LONGEST_BACK_OFF_S - 0.1) != C and choice.best(LONGEST_BACK_OFF_S + 0.1) == C
+    assert choice.best(MAX_BACKOFF_S - 0.1) != C and choice.best(MAX_BACKOFF_S + 0.1) == C
     choice.succeeded(C)
     choice.failed(C, 10.0, 1.0)
     assert choice.best(10.5) == C
@@ -43,11 +43,11 @@
 def test_controllers_that_are_told_of_no_more_are_forgotten_but_not_the_seeds():
     choice = ControllerChoice("edge-1", "c", [A])
     choice.told({C: "c"}, 0.0)
-    choice.told({B: "b"}, TOLD_LASTS_S + 1)
-    assert choice.best(TOLD_LASTS_S + 1) in (A, B)
+    choice.told({B: "b"}, CONTROLLER_TTL_S + 1)
+    assert choice.best(CONTROLLER_TTL_S + 1) in (A, B)
     choice.add_seeds([B])
-    choice.told({}, 3 * TOLD_LASTS_S)
-    assert choice.best(3 * TOLD_LASTS_S) == B
+    choice.told({}, 3 * CONTROLLER_TTL_S)
+    assert choice.best(3 * CONTROLLER_TTL_S) == B
 
 
 def test_another_controller_is_worth_a_try_only_once_it_has_rested():
--- a/tests/test_core_behaviour.py
+++ b/tests/test_core_behaviour.py
@@ -6,12 +6,12 @@
 
 from ochrespan.raft import leader as replication
 from ochrespan.raft import replica as replica_module
-from ochrespan.raft.leadership_transfer import HandOver
+from ochrespan.raft.leadership_transfer import LeadershipTransfer
 from ochrespan.raft.log import ReplicaLog
-from ochrespan.raft.membership_config import Configuration, Member
+from ochrespan.raft.membership_config import Member, MembershipConfig
 from ochrespan.raft.messages import Entry, EntryKind
-from ochrespan.raft.reconfiguration import Standing, next_voters
-from ochrespan.raft.state import DurableState, Timing
+from ochrespan.raft.reconfiguration import GroupHealth, next_voters
+from ochrespan.raft.state import PersistentState, Timing
 
 from .core_sim.checks import Violation
 from .core_sim.troubles import play
@@ -41,7 +41,7 @@
 
 
 def test_five_machines_whose_seeds_name_three_become_a_group_of_five():
-    world = World(1, size=5, tolerated=2)
+    world = World(1, size=5, fault_tolerance=2)
     world.run(4.0)
     assert all(voters(world, shard) == {1, 2, 3, 4, 5} for shard in world.shards)
 
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize(
-    ("count", "spares", "lost", "smallest", "expected"),
+    ("count", "spares", "lost", "min_voters", "expected"),
     [
         (3, (), (), 3, None),
         (3, (), (3,), 3, None),
@@ -68,10 +68,10 @@
         (7, (8,), (), 3, None),
     ],
 )
-def test_the_next_voters_of_a_group(count, spares, lost, smallest, expected):
-    configuration = Configuration.of(MEMBERS[:count])
-    standing = Standing(tuple(MEMBERS[spare - 1] for spare in spares), lost)
-    found = next_voters(configuration, standing, smallest)
+def test_the_next_voters_of_a_group(count, spares, lost, min_voters, expected):
+    configuration = MembershipConfig.of(MEMBERS[:count])
+    standing = GroupHealth(tuple(MEMBERS[spare - 1] for spare in spares), lost)
+    found = next_voters(configuration, standing, min_voters)
     assert (found and {member.id for member in found}) == expected
 
 
@@ -162,20 +162,20 @@
     assert world.leader(0) not in (None, leader)
     assert len(world.checks.acked[0]) == 3
     world.run(5.0)
-    assert not leader.table.replicas[0].core.abstaining
+    assert not leader.table.replicas[0].core.withholding_votes
 
 
 @pytest.mark.parametrize("told", [True, False])
 def test_a_leader_that_told_another_to_campaign_owns_nothing_any_more(told, monkeypatch):
     """However lately it heard a majority: the successor is elected at once, and no word of that need come through."""
     if not told:
-        monkeypatch.setattr(HandOver, "is_given_away", False)
+        monkeypatch.setattr(LeadershipTransfer, "is_given_away", False)
     world = World(6)
     world.run(5.0)
     leader = world.leader(0)
     successor = next(node for node in world.nodes.values() if node is not leader)
     world.cuts |= {(at, leader.address) for at in world.nodes if at != leader.address}
-    leader.table.replicas[0].hand_over(world.now, successor.table.id)
+    leader.table.replicas[0].transfer_leadership(world.now, successor.table.id)
     leader.pump()
     assert leader.table.replicas[0].is_leader is not told
     try:
@@ -206,7 +206,7 @@
 @pytest.mark.parametrize("seed", range(8))
 def test_snapshots_in_many_pieces_bear_the_troubles_too(seed, monkeypatch):
     monkeypatch.setattr(replication, "SNAPSHOT_CHUNK_BYTES", 40)
-    monkeypatch.setattr(replica_module, "KEPT_ENTRIES", 5)
+    monkeypatch.setattr(replica_module, "RETAINED_ENTRIES", 5)
     play(World(seed, size=4), 15.0)
 
 
@@ -214,9 +214,9 @@
 def test_a_lost_disk_that_was_being_sent_an_image_does_not_hold_up_its_successor(mended, monkeypatch):
     """One group at a time sends an image to a process; what goes to the old id of an address must not count."""
     monkeypatch.setattr(replication, "SNAPSHOT_CHUNK_BYTES", 40)
-    monkeypatch.setattr(replica_module, "KEPT_ENTRIES", 5)
+    monkeypatch.setattr(replica_module, "RETAINED_ENTRIES", 5)
     if not mended:
-        monkeypatch.setattr(replication.Replication, "_is_heard", lambda self, progress: True)
+        monkeypatch.setattr(replication.LeaderReplication, "_is_heard", lambda self, progress: True)
     world = World(3)
     world.run(6.0)
     member = next(node for node in world.nodes.values() if node is not world.leader(0))
@@ -226,7 +226,7 @@
         world.order(0)
         world.run(0.005)
     old_id = member.table.id
-    assert world.leader(0).table.replicas[0].replication.progress[old_id].mode is replication.Mode.SNAPSHOT
+    assert world.leader(0).table.replicas[0].replication.progress[old_id].mode is replication.ProgressMode.SNAPSHOT
     member.wipe()
     world.cuts.clear()
     member.start(world.seeds, bootstrap=False)
@@ -235,11 +235,11 @@
 
 
 def test_entries_behind_a_snapshot_are_bounded_by_count_and_bytes(monkeypatch):
-    monkeypatch.setattr(replica_module, "KEPT_ENTRIES", 10)
-    monkeypatch.setattr(replica_module, "KEPT_BYTES", 1000)
+    monkeypatch.setattr(replica_module, "RETAINED_ENTRIES", 10)
+    monkeypatch.setattr(replica_module, "RETAINED_BYTES", 1000)
     for size, kept in [(10, 10), (300, 3)]:
         log = ReplicaLog(entries=[Entry(1, EntryKind.COMMAND, bytes(size)) for _ in range(50)])
-        replica = replica_module.Replica(0, 1, DurableState(1, 0, log), random.Random(1), Timing(), 3, 0.0)
+        replica = replica_module.Replica(0, 1, PersistentState(1, 0, log), random.Random(1), Timing(), 3, 0.0)
         replica.core.commit_index = replica.core.applied_index = 40
         replica.compact(b"state")
         assert (log.first_index, log.last_index) == (41 - kept, 50)
--- a/tests/test_core_checkers.py
+++ b/tests/test_core_checkers.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from ochrespan.raft.bootstrap import Formation
-from ochrespan.raft.leader import Replication
-from ochrespan.raft.membership_config import Configuration
+from ochrespan.raft.bootstrap import Bootstrap
+from ochrespan.raft.leader import LeaderReplication
+from ochrespan.raft.membership_config import MembershipConfig
 from ochrespan.raft.replica import Replica
-from ochrespan.raft.state import ReplicaCore
+from ochrespan.raft.state import ReplicaState
 
 from .core_sim.checks import Violation
 from .core_sim.troubles import play
@@ -31,7 +31,7 @@
 
 
 def test_an_acknowledgement_before_the_sync_is_caught_as_a_lost_order(monkeypatch):
-    monkeypatch.setattr(ReplicaCore, "send_when_durable", ReplicaCore.send)
+    monkeypatch.setattr(ReplicaState, "send_when_durable", ReplicaState.send)
     caught({"lost order", "two histories"}, ("power_all", "slow_disk"))
 
 
@@ -39,43 +39,43 @@
     def of_one(self, value_of):
         return max(value_of(member.id) for member in self.voters)
 
-    monkeypatch.setattr(Configuration, "majority_value", of_one)
+    monkeypatch.setattr(MembershipConfig, "majority_value", of_one)
     caught({"lost order", "two histories", "stale read"}, ("isolate", "kill"))
 
 
 def test_a_forgotten_vote_is_caught_as_two_votes_or_two_leaders_of_one_term(monkeypatch):
-    original = ReplicaCore.cast_vote
+    original = ReplicaState.cast_vote
 
     def forget(self, candidate):
         original(self, candidate)
         self.vote = 0
 
-    monkeypatch.setattr(ReplicaCore, "cast_vote", forget)
+    monkeypatch.setattr(ReplicaState, "cast_vote", forget)
     caught({"two votes of one term", "two leaders of one term"}, ("kill_all", "cut_one_way", "cut"))
 
 
 def test_a_state_that_goes_back_is_caught(monkeypatch):
-    original = ReplicaCore.become_follower
+    original = ReplicaState.become_follower
 
     def forget_applied(self, term, leader_id):
         original(self, term, leader_id)
         self.applied_index = self.log.snapshot.index
 
-    monkeypatch.setattr(ReplicaCore, "become_follower", forget_applied)
+    monkeypatch.setattr(ReplicaState, "become_follower", forget_applied)
     caught({"version going back"}, ("kill", "isolate"))
 
 
 def test_a_wiped_replica_that_keeps_its_id_is_caught_when_it_starts(monkeypatch):
-    original = Formation.begin.__func__
+    original = Bootstrap.begin.__func__
 
     def by_address(cls, settings, known, source, now):
-        formation = original(cls, settings, known, source, now)
+        bootstrap = original(cls, settings, known, source, now)
         if known is None:
             number = int(settings.address[0].rsplit(".", 1)[1])
-            formation.identity = dataclasses.replace(formation.identity, replica_id=number)
-        return formation
+            bootstrap.identity = dataclasses.replace(bootstrap.identity, replica_id=number)
+        return bootstrap
 
-    monkeypatch.setattr(Formation, "begin", classmethod(by_address))
+    monkeypatch.setattr(Bootstrap, "begin", classmethod(by_address))
     caught({"an id with two disks"}, ("wipe", "final"))
 
 
@@ -89,12 +89,12 @@
 
 
 def test_an_owner_that_counts_on_a_majority_for_too_long_is_caught_as_two_owners(monkeypatch):
-    monkeypatch.setattr("tests.core_sim.checks.SOLE_OWNER_S", 1.0)
+    monkeypatch.setattr("tests.core_sim.checks.LEASE_DURATION_S", 1.0)
     caught({"two owners"}, ("isolate", "freeze"))
 
 
 def test_an_owner_that_counts_on_answers_over_connections_that_ended_is_caught(monkeypatch):
-    monkeypatch.setattr(Replication, "forget_answers", lambda self, address: None)
+    monkeypatch.setattr(LeaderReplication, "forget_answers", lambda self, address: None)
     caught({"two owners"}, ("cut_reset",))
 
 
@@ -102,7 +102,7 @@
     def half(self, agreeing):
         return any(agreeing(member.id) for member in self.voters)
 
-    monkeypatch.setattr(Configuration, "has_majority", half)
+    monkeypatch.setattr(MembershipConfig, "has_majority", half)
     caught({"two leaders of one term", "two histories", "lost order"}, ("isolate", "kill_all"))
 
 
@@ -111,5 +111,5 @@
         core = self._core
         return core.log.last_index if member_id == core.id else self.progress[member_id].match
 
-    monkeypatch.setattr(Replication, "_match", in_memory)
+    monkeypatch.setattr(LeaderReplication, "_match", in_memory)
     caught({"lost order", "two histories"}, ("final", "power_all", "slow_disk"), gap_s=0.4)
--- a/tests/test_core_formation.py
+++ b/tests/test_core_formation.py
@@ -5,11 +5,17 @@
 import pytest
 
 from ochrespan.common.addresses import Address
-from ochrespan.raft.bootstrap import AGREEMENT_S, START_SPREAD_S, Formation, FormationSettings
-from ochrespan.raft.cluster_messages import LATER_LIFE, Found, Join, cluster_of, members_of
+from ochrespan.raft.bootstrap import ABANDON_AFTER_S, MAX_START_SPREAD_S, Bootstrap, BootstrapSettings
+from ochrespan.raft.cluster_messages import (
+    NOT_FIRST_START,
+    BootstrapProposal,
+    JoinRequest,
+    cluster_id_of,
+    proposed_members,
+)
 from ochrespan.raft.envelope import Envelope
 from ochrespan.raft.messages import Heartbeat
-from ochrespan.raft.multi_raft import GroupTable
+from ochrespan.raft.multi_raft import MultiRaft
 
 from .core_sim.checks import Violation
 from .core_sim.node import Node
@@ -32,7 +38,7 @@
 
 
 def clusters(world: World) -> set[int]:
-    return {node.table.formation.identity.cluster for node in world.running()}
+    return {node.table.bootstrap.identity.cluster for node in world.running()}
 
 
 def machines_of(world: World, shard: int = 0) -> list[Address]:
@@ -89,7 +95,7 @@
 
 
 def test_one_seed_alone_is_a_group():
-    world = world_of(1, {1: 0.0}, size=1, tolerated=0, seeds=(1,))
+    world = world_of(1, {1: 0.0}, size=1, fault_tolerance=0, seeds=(1,))
     world.run(1.0)
     assert ordered(world)
 
@@ -97,13 +103,13 @@
 def test_the_members_follow_from_the_word_of_all_whatever_the_order_of_the_seeds():
     foundings = []
     for seeds in [tuple(map(address, (1, 2, 3))), tuple(map(address, (3, 1, 2)))]:
-        formation = Formation.begin(FormationSettings(address(1), seeds, True, 1), None, random.Random(1), 0.0)
+        bootstrap = Bootstrap.begin(BootstrapSettings(address(1), seeds, True, 1), None, random.Random(1), 0.0)
         for number in (2, 3):
             mark = [list(at) for at in sorted(seeds)]
-            formation.heard(0.1, number, address(number), Join([0], True, True, mark, 0.1))
-        foundings.append(formation.proposal(0.1))
+            bootstrap.heard(0.1, number, address(number), JoinRequest([0], True, True, mark, 0.1))
+        foundings.append(bootstrap.proposal(0.1))
     assert foundings[0] == foundings[1]
-    assert [member.address for member in members_of(foundings[0])] == list(map(address, (1, 2, 3)))
+    assert [member.address for member in proposed_members(foundings[0])] == list(map(address, (1, 2, 3)))
 
 
 # Foundings that cross, and foundings that lead to nothing
@@ -126,16 +132,16 @@
     """None of the three has an entry: nothing can have been acknowledged."""
     world = world_of(2, {1: 0.0, 2: 0.0, 3: 0.0})
     founder, *others = world.nodes.values()
-    while not founder.running or founder.table.formation.empty:
+    while not founder.running or founder.table.bootstrap.empty:
         world.run(0.001)
     isolate(world, founder)
     for node in others:
         node.wipe()
         node.start(world.seeds, bootstrap=True)
-    world.run(START_SPREAD_S)  # from here on the word of most is not enough for the two
+    world.run(MAX_START_SPREAD_S)  # from here on the word of most is not enough for the two
     assert founder.table.replicas[0].core.log.last_index == 0
     world.cuts.clear()
-    world.run(AGREEMENT_S + 4.0)
+    world.run(ABANDON_AFTER_S + 4.0)
     assert ordered(world)
     assert len(clusters(world)) == 1
 
@@ -179,7 +185,7 @@
     isolate(world, leader)
     world.cuts -= {(wiped.address, lagging.address), (lagging.address, wiped.address)}
     world.run(20.0)
-    assert wiped.table.formation.empty
+    assert wiped.table.bootstrap.empty
     assert world.leader(0) is None
     world.cuts.clear()
     world.run(5.0)
@@ -187,7 +193,7 @@
     # what was acknowledged stays on the one disk that has it, and nobody answers in its stead.
     assert not ordered(world)
     assert leader.machines[0].commands[:1] == world.checks.acked[0]
-    assert {node.table.formation.empty for node in (wiped, lagging)} == {True}
+    assert {node.table.bootstrap.empty for node in (wiped, lagging)} == {True}
 
 
 def test_two_new_machines_whose_seeds_name_just_these_two_found_nothing():
@@ -198,7 +204,7 @@
     for number in (4, 5):
         world.add(number).start(world.seeds, bootstrap=False)
     world.run(30.0)
-    assert all(world.nodes[address(number)].table.formation.empty for number in (4, 5))
+    assert all(world.nodes[address(number)].table.bootstrap.empty for number in (4, 5))
     assert not world.nodes[address(4)].propose(0, "0:beside")
 
 
@@ -213,7 +219,7 @@
         node.wipe()
         node.start(world.seeds, bootstrap=False)
     world.run(30.0)
-    assert all(node.table.formation.empty for node in others)
+    assert all(node.table.bootstrap.empty for node in others)
 
 
 def test_processes_killed_before_their_first_entry_form_the_groups_again():
@@ -250,7 +256,7 @@
         node.start(world.seeds, bootstrap=False)
     world.run(20.0)
     assert world.leader(0) is None
-    assert all(node.table.formation.empty for node in wiped)
+    assert all(node.table.bootstrap.empty for node in wiped)
 
 
 def test_disks_without_a_mark_are_founded_by_the_operators_word_alone():
@@ -263,7 +269,7 @@
         node.wipe()
         node.latency_x = 1.0
         node.start(world.seeds, bootstrap=False)
-    world.run(2 * AGREEMENT_S)
+    world.run(2 * ABANDON_AFTER_S)
     assert world.leader(0) is None
     for node in world.nodes.values():
         node.kill()
@@ -276,37 +282,37 @@
 def test_an_id_never_comes_back_with_another_disk():
     ids = set()
     for bootstrap in (True, True, False):
-        settings = FormationSettings(address(1), tuple(map(address, (1, 2, 3))), bootstrap, 1)
-        ids.add(Formation.begin(settings, None, random.Random(len(ids)), 0.0).identity.replica_id)
+        settings = BootstrapSettings(address(1), tuple(map(address, (1, 2, 3))), bootstrap, 1)
+        ids.add(Bootstrap.begin(settings, None, random.Random(len(ids)), 0.0).identity.replica_id)
     assert len(ids) == 3
 
 
 def test_a_member_without_the_mark_stays_in_its_founding():
     """It lost its disk before its first sync and was counted in by the others: its id may be needed."""
     seeds = tuple(map(address, (1, 2, 3)))
-    formation = Formation.begin(FormationSettings(address(3), seeds, False, 1), None, random.Random(1), 0.0)
-    founding = Found([[1, *address(1)], [2, *address(2)], [formation.identity.replica_id, *address(3)]])
-    formation.accept(0.1, founding)
-    assert not formation.led_to_nothing(10.0, members_of(founding))
+    bootstrap = Bootstrap.begin(BootstrapSettings(address(3), seeds, False, 1), None, random.Random(1), 0.0)
+    founding = BootstrapProposal([[1, *address(1)], [2, *address(2)], [bootstrap.identity.replica_id, *address(3)]])
+    bootstrap.accept(0.1, founding)
+    assert not bootstrap.has_stalled(10.0, proposed_members(founding))
 
 
 def test_members_of_foundings_that_crossed_hear_that_the_others_have_no_entry():
     seeds = tuple(map(address, (1, 2, 3)))
     tables = []
     for number in (1, 2):
-        settings = FormationSettings(address(number), seeds, True, 1)
-        tables.append(GroupTable(settings, (0,), None, {}, random.Random(number), 0.0))
+        settings = BootstrapSettings(address(number), seeds, True, 1)
+        tables.append(MultiRaft(settings, (0,), None, {}, random.Random(number), 0.0))
     first, second = tables
     for table, other in ((first, 11), (second, 12)):
         own = [table.id, *table.settings.address]
         ids = [own if at == table.settings.address else [other + position, *at] for position, at in enumerate(seeds)]
-        table._form(0.0, Found(ids, True))
+        table._start_groups(0.0, BootstrapProposal(ids, True))
         table.replicas[0].core.enter_term(1)
     second._ask(1.0)
     for to, envelope in second.take_envelopes():
         if to == first.settings.address:
             first.receive(1.0, envelope)
-    assert first.formation._holdings[second.settings.address].blank
+    assert first.bootstrap._holdings[second.settings.address].blank
 
 
 # The word of most
@@ -316,7 +322,7 @@
     ("ages", "group_known", "may"),
     [
         ({2: 0.1}, False, True),
-        ({2: START_SPREAD_S + 0.3}, False, False),  # it has waited since long before: a group may live beside it
+        ({2: MAX_START_SPREAD_S + 0.3}, False, False),  # it has waited since long before: a group may live beside it
         ({2: -1.0}, False, False),  # it starts for the second time
         ({2: 0.1}, True, False),
         ({}, False, False),
@@ -324,13 +330,13 @@
 )
 def test_the_word_of_most_founders_is_enough_in_their_first_start_alone(ages, group_known, may):
     seeds = tuple(map(address, (1, 2, 3)))
-    formation = Formation.begin(FormationSettings(address(1), seeds, True, 1), None, random.Random(1), 10.0)
+    bootstrap = Bootstrap.begin(BootstrapSettings(address(1), seeds, True, 1), None, random.Random(1), 10.0)
     mark = [list(at) for at in seeds]
     for number, age in ages.items():
-        formation.heard(10.25, number, address(number), Join([0], True, True, mark, age))
+        bootstrap.heard(10.25, number, address(number), JoinRequest([0], True, True, mark, age))
     if group_known:
-        formation.heard(10.2, 9, address(9), Join([0], False, False))
-    found = formation.proposal(10.25)
+        bootstrap.heard(10.2, 9, address(9), JoinRequest([0], False, False))
+    found = bootstrap.proposal(10.25)
     assert (found is not None) is may
     if found:
         assert [tuple(member[1:]) for member in found.members] == list(seeds)
@@ -339,34 +345,35 @@
 def test_a_founder_that_a_leader_takes_for_another_id_counts_for_no_first_start():
     """A leader speaks to the place of a machine that was late, or that has just lost its disk."""
     seeds = tuple(map(address, (1, 2, 3)))
-    table = GroupTable(FormationSettings(address(2), seeds, True, 1), (0,), None, {}, random.Random(1), 10.0)
-    assert table.formation.age(10.2) >= 0
+    table = MultiRaft(BootstrapSettings(address(2), seeds, True, 1), (0,), None, {}, random.Random(1), 10.0)
+    assert table.bootstrap.age(10.2) >= 0
     envelope = Envelope(7, 99, address(3), table.id + 1, [(0, Heartbeat(1, 0, 5.0, 0.0))])
     table.receive(10.1, envelope)
-    assert table.formation.age(10.2) == LATER_LIFE
-    table.formation.heard(10.2, 5, address(1), Join([0], True, True, [list(at) for at in seeds], 0.1))
-    assert table.formation.proposal(10.3) is None
+    assert table.bootstrap.age(10.2) == NOT_FIRST_START
+    table.bootstrap.heard(10.2, 5, address(1), JoinRequest([0], True, True, [list(at) for at in seeds], 0.1))
+    assert table.bootstrap.proposal(10.3) is None
 
 
 def test_a_founding_that_names_another_id_at_this_address_is_not_taken():
     seeds = tuple(map(address, (1, 2, 3)))
-    formation = Formation.begin(FormationSettings(address(1), seeds, True, 1), None, random.Random(1), 0.0)
-    assert not formation.accepts(Found([[number, *address(number)] for number in (1, 2, 3)]))
+    bootstrap = Bootstrap.begin(BootstrapSettings(address(1), seeds, True, 1), None, random.Random(1), 0.0)
+    assert not bootstrap.accepts(BootstrapProposal([[number, *address(number)] for number in (1, 2, 3)]))
 
 
 def test_clusters_differ_by_their_members():
     first, second = (
-        members_of(Found([[number, *address(number)] for number in numbers])) for numbers in ((1, 2), (1, 3))
+        proposed_members(BootstrapProposal([[number, *address(number)] for number in numbers]))
+        for numbers in ((1, 2), (1, 3))
     )
-    assert cluster_of(first) != cluster_of(second)
-    assert cluster_of(first) == cluster_of(first[::-1])
+    assert cluster_id_of(first) != cluster_id_of(second)
+    assert cluster_id_of(first) == cluster_id_of(first[::-1])
 
 
 # The checkers catch the faults that these are for
 
 
 def test_founding_on_the_word_of_the_empty_alone_is_caught(monkeypatch):
-    monkeypatch.setattr(Formation, "_enough_for_first_start", lambda self, now, empty: len(empty) > 1)
+    monkeypatch.setattr(Bootstrap, "_enough_for_first_start", lambda self, now, empty: len(empty) > 1)
     world = World(1)
     lagging = world.nodes[address(3)]
     isolate(world, lagging)
--- a/tests/test_core_search.py
+++ b/tests/test_core_search.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from ochrespan.raft.membership_config import Configuration
-from ochrespan.raft.state import ReplicaCore
+from ochrespan.raft.membership_config import MembershipConfig
+from ochrespan.raft.state import ReplicaState
 
 from .core_sim.checks import Violation
 from .core_sim.search import Budget, State, search
@@ -61,7 +61,7 @@
 
 def test_the_search_finds_an_election_by_less_than_a_majority(monkeypatch):
     monkeypatch.setattr(
-        Configuration, "has_majority", lambda self, agreeing: any(agreeing(member.id) for member in self.voters)
+        MembershipConfig, "has_majority", lambda self, agreeing: any(agreeing(member.id) for member in self.voters)
     )
     with pytest.raises(Violation, match="two leaders of one term"):
         search(Budget(timeouts=2, orders=0, crashes=0), most_states=20_000)
@@ -69,7 +69,7 @@
 
 def test_the_search_finds_an_acknowledgement_before_the_write(monkeypatch):
     """A follower ends between its acknowledgement and its write, and then elects a leader without the order."""
-    monkeypatch.setattr(ReplicaCore, "send_when_durable", ReplicaCore.send)
-    monkeypatch.setattr(ReplicaCore, "needs_write", lambda self: False)
+    monkeypatch.setattr(ReplicaState, "send_when_durable", ReplicaState.send)
+    monkeypatch.setattr(ReplicaState, "needs_write", lambda self: False)
     with pytest.raises(Violation):
         search(Budget(timeouts=2, orders=0, crashes=1), most_states=20_000)
--- a/tests/test_core_simulation.py
+++ b/tests/test_core_simulation.py
@@ -9,10 +9,11 @@
 
 
 @pytest.mark.parametrize(
-    ("size", "tolerated", "seed"), [(size, tolerated, seed) for size, tolerated, seeds in SIZES for seed in seeds]
+    ("size", "fault_tolerance", "seed"),
+    [(size, fault_tolerance, seed) for size, fault_tolerance, seeds in SIZES for seed in seeds],
 )
-def test_the_core_bears_every_kind_of_trouble(size, tolerated, seed):
-    world = World(seed, size, tolerated)
+def test_the_core_bears_every_kind_of_trouble(size, fault_tolerance, seed):
+    world = World(seed, size, fault_tolerance)
     play(world, 20.0)
     assert sum(map(len, world.checks.acked.values())) > 20
     assert world.checks.reads > 5
@@ -22,11 +23,12 @@
 
 
 @pytest.mark.parametrize(
-    ("size", "tolerated", "seed"), [(size, tolerated, seed) for size, tolerated, seeds in HARSH_SIZES for seed in seeds]
+    ("size", "fault_tolerance", "seed"),
+    [(size, fault_tolerance, seed) for size, fault_tolerance, seeds in HARSH_SIZES for seed in seeds],
 )
-def test_the_core_bears_disks_lost_amid_cuts_and_kills(size, tolerated, seed):
+def test_the_core_bears_disks_lost_amid_cuts_and_kills(size, fault_tolerance, seed):
     """5146: two ids of lost disks stayed among seven voters, and the next two losses left no majority."""
-    world = World(seed, size, tolerated)
+    world = World(seed, size, fault_tolerance)
     gap_s = world.random.choice([0.4, 1.0, 2.5])
     play(world, 40.0, gap_s, hand=HarshTroubles)
     assert sum(map(len, world.checks.acked.values())) > 20
--- a/tests/test_core_transfer.py
+++ b/tests/test_core_transfer.py
@@ -4,12 +4,18 @@
 
 import pytest
 
-from ochrespan.raft.leader import MAX_BYTES_UNDER_WAY, MAX_CHUNKS_UNDER_WAY, SNAPSHOT_CHUNK_BYTES, Mode, Replication
+from ochrespan.raft.leader import (
+    MAX_BYTES_IN_FLIGHT,
+    MAX_CHUNKS_IN_FLIGHT,
+    SNAPSHOT_CHUNK_BYTES,
+    LeaderReplication,
+    ProgressMode,
+)
 from ochrespan.raft.log import ReplicaLog, Snapshot
-from ochrespan.raft.membership_config import Configuration, Member
-from ochrespan.raft.messages import Entry, EntryKind, Heartbeat, SnapshotChunk
+from ochrespan.raft.membership_config import Member, MembershipConfig
+from ochrespan.raft.messages import Entry, EntryKind, Heartbeat, InstallSnapshot
 from ochrespan.raft.replica import Replica
-from ochrespan.raft.state import DurableState, Role, Timing
+from ochrespan.raft.state import PersistentState, Role, Timing
 
 MEGABYTE = 1024 * 1024
 LEADER, LEARNER = 1, 2
@@ -23,12 +29,14 @@
     """A leader and a learner with one link between them, whose messages keep their order."""
 
     def __init__(self, image_bytes: int, mbit_per_s: float) -> None:
-        configuration = Configuration.of([Member(LEADER, ("10.0.0.1", 1))])
+        configuration = MembershipConfig.of([Member(LEADER, ("10.0.0.1", 1))])
         image = Snapshot(1000, 1, configuration, random.Random(1).randbytes(image_bytes))
         self.now, self.rate = 100.0, mbit_per_s * 1e6 / 8
         self.replicas = {
-            LEADER: Replica(0, LEADER, DurableState(1, 0, ReplicaLog(image)), random.Random(1), Timing(), 1, self.now),
-            LEARNER: Replica(0, LEARNER, DurableState(), random.Random(2), Timing(), 1, self.now),
+            LEADER: Replica(
+                0, LEADER, PersistentState(1, 0, ReplicaLog(image)), random.Random(1), Timing(), 1, self.now
+            ),
+            LEARNER: Replica(0, LEARNER, PersistentState(), random.Random(2), Timing(), 1, self.now),
         }
         self._waiting: list = []  # arrival, receiver, message
         self._free_at = dict.fromkeys(self.replicas, self.now)
@@ -67,8 +75,8 @@
 
     def _exchange(self) -> None:
         for number, replica in self.replicas.items():
-            if replica.take_change() is not None:
-                replica.written(replica.core.now)
+            if replica.take_update() is not None:
+                replica.persisted(replica.core.now)
             replica.take_committed()
             replica.take_restored()
             for receiver, message in replica.take_messages():
@@ -83,7 +91,7 @@
             self.longest_behind = max(self.longest_behind, self._free_at[sender] - now)
         self._free_at[sender] = max(self._free_at[sender], now) + size / self.rate
         self.carried += size
-        if self.lose_next and isinstance(message, SnapshotChunk):
+        if self.lose_next and isinstance(message, InstallSnapshot):
             self.lose_next -= 1
             return
         self._waiting.append((self._free_at[sender] + DELAY_S, receiver, message))
@@ -139,9 +147,9 @@
     most = 0
     for _ in range(200):
         link.step()
-        most = max(most, link.progress.bytes_under_way)
-    assert 0 < most <= MAX_CHUNKS_UNDER_WAY * SNAPSHOT_CHUNK_BYTES
-    assert link.progress.mode is Mode.SNAPSHOT
+        most = max(most, link.progress.bytes_in_flight)
+    assert 0 < most <= MAX_CHUNKS_IN_FLIGHT * SNAPSHOT_CHUNK_BYTES
+    assert link.progress.mode is ProgressMode.SNAPSHOT
 
 
 @pytest.mark.parametrize("lost", [1, 2, 3])
@@ -161,15 +169,15 @@
         for _ in range(3):
             link.order(20_000)
         link.step()
-        most = max(most, link.progress.bytes_under_way)
-    assert MAX_BYTES_UNDER_WAY <= most < 3 * MAX_BYTES_UNDER_WAY
+        most = max(most, link.progress.bytes_in_flight)
+    assert MAX_BYTES_IN_FLIGHT <= most < 3 * MAX_BYTES_IN_FLIGHT
 
 
 def test_a_follower_that_restarts_amid_a_transfer_gets_the_image_from_its_beginning():
     link = Link(MEGABYTE, 50)
     while link.progress.snapshot_offset < MEGABYTE // 2:
         link.step()
-    link.replicas[LEARNER] = Replica(0, LEARNER, DurableState(), random.Random(2), Timing(), 1, link.now)
+    link.replicas[LEARNER] = Replica(0, LEARNER, PersistentState(), random.Random(2), Timing(), 1, link.now)
     assert link.until_caught_up(10.0) < 3.0
 
 
@@ -185,21 +193,21 @@
 
 
 def test_a_transfer_that_begins_anew_with_each_image_is_caught_beyond_the_bound(monkeypatch):
-    original = Replication._send_chunk
+    original = LeaderReplication._send_chunk
 
     def newest(self, member_id, progress):
         if progress.snapshot is not None and progress.snapshot.index != self._core.log.snapshot.index:
             progress.begin_transfer(self._core.log.snapshot)
         original(self, member_id, progress)
 
-    monkeypatch.setattr(Replication, "_send_chunk", newest)
+    monkeypatch.setattr(LeaderReplication, "_send_chunk", newest)
     link = Link(4 * MEGABYTE, 50)
     assert link.until_caught_up(10.0, 0.6, 4 * MEGABYTE) > bound_s(4 * MEGABYTE, 50)
 
 
 def test_entries_that_are_dropped_behind_a_transfer_are_caught_beyond_the_bound(monkeypatch):
-    monkeypatch.setattr(Replication, "held_from", lambda self: None)
-    monkeypatch.setattr("ochrespan.raft.replica.KEPT_ENTRIES", 20)
+    monkeypatch.setattr(LeaderReplication, "retained_from", lambda self: None)
+    monkeypatch.setattr("ochrespan.raft.replica.RETAINED_ENTRIES", 20)
     link = Link(4 * MEGABYTE, 50)
     assert link.until_caught_up(10.0, 0.6, 4 * MEGABYTE) > bound_s(4 * MEGABYTE, 50)
 
@@ -208,5 +216,5 @@
     entries = [Entry(1, EntryKind.COMMAND, bytes(100)) for _ in range(50)]
     for held_bytes, first in [(10_000, 11), (1_000, 31)]:
         log = ReplicaLog(entries=list(entries))
-        log.compact(Snapshot(40, 1, Configuration(), b""), 2, 10_000, held_from=10, held_bytes=held_bytes)
+        log.compact(Snapshot(40, 1, MembershipConfig(), b""), 2, 10_000, retained_from=10, held_bytes=held_bytes)
         assert log.first_index == first
--- a/tests/test_decision_record.py
+++ b/tests/test_decision_record.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ochrespan.control_plane.config.views import QuotaUnit
-from ochrespan.control_plane.quota.client import UNLIMITED, Taken
+from ochrespan.control_plane.quota.client import UNLIMITED, TokenReservation
 from ochrespan.data_plane.decision_record import ANY, HOME, MOVED, DecisionLog, DecisionRecord
 from ochrespan.data_plane.scheduler import Outcome, Scheduler
 from tests.fleet_standins import StandInServer, answer, close, configuration, hold, route, router, stream, tenant
@@ -77,7 +77,7 @@
 
 def test_a_request_that_is_refused_by_its_quota_is_recorded():
     written = Written()
-    quotas = ScriptedQuotas([Taken(False, 0.01), Taken(False, 0.75)])
+    quotas = ScriptedQuotas([TokenReservation(False, 0.01), TokenReservation(False, 0.75)])
     with router(decision_log=written.log, quotas=quotas) as made:
         client = ask(made, configuration(route(), tenants=(LIMITED,)), StandInServer(answer()))
         assert client.read_answer().status == 429
@@ -102,7 +102,7 @@
 
 def test_a_client_that_leaves_while_its_request_waits_for_tokens_is_recorded():
     written = Written()
-    quotas = ScriptedQuotas([Taken(False, 1.0)])
+    quotas = ScriptedQuotas([TokenReservation(False, 1.0)])
     with router(decision_log=written.log, quotas=quotas) as made:
         view = configuration(route(target_latency_ms=50_000.0), tenants=(LIMITED,))
         client = ask(made, view, StandInServer(answer()))
--- a/tests/test_disk_writer.py
+++ b/tests/test_disk_writer.py
@@ -6,7 +6,7 @@
 
 from ochrespan.control_plane.replication import disk_writer
 from ochrespan.control_plane.replication.disk_writer import DiskWriter
-from ochrespan.storage.snapshot_store import Store
+from ochrespan.storage.snapshot_store import SnapshotStore
 
 from .core_hosts import until
 from .core_sim.disk import SimDirectory
@@ -21,7 +21,7 @@
         self.go_on.set()
         sync = self.directory.sync
         self.directory.sync = lambda name: (self.go_on.wait(), sync(name))[1]
-        store = Store(self.directory)
+        store = SnapshotStore(self.directory)
         store.open()
         self.store, self.waiting, self.batches, self.images = store, [], [], 0
         self.writer = DiskWriter(store, 1, self._take, lambda: self.batches.append(self.taken), self._image)
@@ -40,7 +40,7 @@
         return b"image"
 
     def recovered(self):
-        again = Store(self.directory)
+        again = SnapshotStore(self.directory)
         return again.open()
 
 
@@ -87,7 +87,7 @@
 
 
 def test_a_checkpoint_that_fails_is_made_later_and_loses_nothing(harness):
-    record = bytes(disk_writer.SMALLEST_LOG_BYTES)
+    record = bytes(disk_writer.MIN_LOG_BYTES)
     write_at = harness.directory.write_at
     refuse = {"slot-1"}
 
@@ -104,7 +104,7 @@
     found = harness.recovered()
     assert (found.image, found.records) == (None, [record, b"b"])
     refuse.clear()
-    until(lambda: harness.writer.wake() or not harness.store.checkpoint_under_way, "checkpoint")
+    until(lambda: harness.writer.wake() or not harness.store.checkpoint_in_progress, "checkpoint")
     found = harness.recovered()
     assert (found.image, found.records) == (b"image", [b"b"])
 
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -6,14 +6,14 @@
 import pytest
 from gevent.event import Event
 
-from ochrespan.control_plane.feed.client import FeedClient, LeaveController
+from ochrespan.control_plane.feed.client import FeedClient, LeaveControllerError
 from ochrespan.control_plane.feed.messages import Freshness, Presence, Subscribe
 from ochrespan.control_plane.feed.server import FeedServer
 from ochrespan.control_plane.feed.table import FleetChange, FleetTable
 from ochrespan.control_plane.quota.router_setup import configure_quotas, quota_client_for
 from ochrespan.control_plane.shards import shard_of
-from ochrespan.transport.peer_clients import Peers
-from ochrespan.transport.tcp import ConnectionClosed, dial
+from ochrespan.transport.peer_clients import PeerClients
+from ochrespan.transport.tcp import ConnectionClosedError, dial
 from tests.control_plane_world import World, configuration, instance, route, tenant
 
 PATIENCE_S = 5.0
@@ -186,7 +186,7 @@
 
 
 def test_a_router_reads_a_shard_anew_whose_log_began_again_but_keeps_its_configuration(world, routers, monkeypatch):
-    monkeypatch.setattr("ochrespan.control_plane.feed.client.ANOTHER_LOG_S", 0.0)
+    monkeypatch.setattr("ochrespan.control_plane.feed.client.LOG_RESET_CONFIRM_S", 0.0)
     leader = world.controllers[0]
     leader.put_config(configuration(5), 0)
     for sequence in (1, 2, 3):
@@ -238,7 +238,7 @@
         if served:
             assert connection.receive(timeout=PATIENCE_S)
         else:
-            with pytest.raises(ConnectionClosed):
+            with pytest.raises(ConnectionClosedError):
                 connection.receive(timeout=PATIENCE_S)
         connection.close()
 
@@ -246,7 +246,7 @@
 def test_a_router_leaves_a_controller_that_names_another_fleet(world):
     client = FeedClient("edge-1", "z", world.addresses())
     client._cluster = 1
-    with pytest.raises(LeaveController, match="another fleet"):
+    with pytest.raises(LeaveControllerError, match="another fleet"):
         client._take_freshness(Freshness({}, {}, {}, [], 0, 0, cluster=2), world.addresses()[0])
 
 
@@ -255,8 +255,8 @@
     first.groups.cluster_number, stranger.groups.cluster_number = 1, 2
     presence = Presence("127.0.0.1", 1, "z", ["edge-9"], {0: 10_000}, 2)
     first.node._presence._answer(presence)
-    assert "edge-9" not in first.node._census.routers()
-    assert not any(first.node._lag.lags({0: 5}, 1e9).values())
+    assert "edge-9" not in first.node._live_routers.routers()
+    assert not any(first.node._lag_detector.lags({0: 5}, 1e9).values())
 
 
 def test_a_router_that_waits_for_a_majority_serves_as_soon_as_there_is_one(world, routers):
@@ -273,7 +273,7 @@
 
 
 def test_without_any_majority_a_router_serves_by_what_there_is_after_some_patience(world, routers, monkeypatch):
-    monkeypatch.setattr("ochrespan.control_plane.feed.client.PATIENCE_S", 0.0)
+    monkeypatch.setattr("ochrespan.control_plane.feed.client.INCOMPLETE_TABLE_WAIT_S", 0.0)
     world.controllers[0].put_config(configuration(5), 0)
     for controller in world.controllers:
         controller.groups.quorum_ages = dict.fromkeys(controller.groups.quorum_ages, float("inf"))
@@ -288,7 +288,7 @@
     router = Router(world, controllers=3)
     routers.append(router)
     table = router.wait(lambda table: table.version == 5)
-    quotas = quota_client_for("edge-1", {"quota_window_s": 8, "quota_overshoot": 0.1}, router.client, Peers())
+    quotas = quota_client_for("edge-1", {"quota_window_s": 8, "quota_overshoot": 0.1}, router.client, PeerClients())
     configure_quotas(quotas, table)
     with gevent.Timeout(PATIENCE_S):
         while (taken := quotas.take("t", 1.0)).epoch is None:
--- a/tests/test_feed_parts.py
+++ b/tests/test_feed_parts.py
@@ -13,8 +13,8 @@
     unpack_configuration_change,
     unpack_instances_change,
 )
-from ochrespan.control_plane.feed.presence import SETTLING_S, RouterCensus
-from ochrespan.control_plane.feed.router_count import FALL_AFTER_S, RouterCount
+from ochrespan.control_plane.feed.presence import STARTUP_SETTLE_S, LiveRouters
+from ochrespan.control_plane.feed.router_count import DECREASE_DELAY_S, RouterCountFilter
 from ochrespan.control_plane.feed.server import ShardHistory
 from ochrespan.control_plane.feed.table import (
     NO_DIFFERENCE,
@@ -25,11 +25,11 @@
     with_whole_configuration,
     with_whole_shard,
 )
-from ochrespan.control_plane.registry.change_batch import ChangeGathering
+from ochrespan.control_plane.registry.change_batch import ChangeBatch
 from ochrespan.control_plane.registry.changes import InstancesChange
 from ochrespan.control_plane.registry.records import record_of
-from ochrespan.control_plane.registry.slow_start import ColdTimes
-from ochrespan.control_plane.replication.lag_detector import LagWatch
+from ochrespan.control_plane.registry.slow_start import SlowStartTimes
+from ochrespan.control_plane.replication.lag_detector import LagDetector
 from tests.control_plane_world import configuration, instance, route, service, tenant
 
 
@@ -108,7 +108,7 @@
 
 
 def test_a_later_snapshot_tells_what_is_left_of_a_cold_time():
-    cold = ColdTimes()
+    cold = SlowStartTimes()
     warm, fresh = record("i1"), record("i2", cold_remaining_ms=4000)
     cold.note(InstancesChange((warm, fresh)), 10.0)
     assert cold.aged(fresh, 11.0).cold_remaining_ms == 3000
@@ -118,7 +118,7 @@
 
 
 def test_a_controller_lags_from_when_it_hears_of_more_until_it_has_applied_that():
-    lag = LagWatch()
+    lag = LagDetector()
     lag.told({0: 7, 1: 3}, {0: 7, 1: 3}, 1.0)
     assert lag.lags({0: 7, 1: 3}, 2.0) == {0: 0.0, 1: 0.0}
     lag.told({0: 9, 1: 3}, {0: 7, 1: 3}, 2.0)
@@ -128,60 +128,60 @@
 
 
 def test_a_count_of_routers_rises_at_once_and_falls_after_a_while():
-    count = RouterCount()
+    count = RouterCountFilter()
     assert [count.told(told, at) for told, at in ((3, 0.0), (9, 1.0), (2, 1.5), (4, 2.0))] == [3, 9, 9, 9]
-    assert count.told(4, 1.0 + FALL_AFTER_S) == 9
-    assert count.told(4, 1.1 + FALL_AFTER_S) == 4
+    assert count.told(4, 1.0 + DECREASE_DELAY_S) == 9
+    assert count.told(4, 1.1 + DECREASE_DELAY_S) == 4
 
 
 def test_the_census_adds_up_the_routers_of_all_controllers_once_it_has_settled():
-    census = RouterCensus(started=0.0)
-    census.own({"b", "d"}, 1.0)
-    assert census.place_of("b", 1.0) == (0, 0)
-    census.told(Presence("10.0.0.2", 7500, "z", ["a", "b"]), 1.0)
-    census.own({"b", "d"}, SETTLING_S)
-    assert [census.place_of(each, SETTLING_S) for each in "abd"] == [(3, 0), (3, 1), (3, 2)]
-    assert census.controllers() == [(("10.0.0.2", 7500), "z")]
-    census.own({"b", "d"}, SETTLING_S + 5.0)
-    assert census.place_of("d", SETTLING_S + 5.0) == (2, 1) and census.controllers() == []
+    live_routers = LiveRouters(started=0.0)
+    live_routers.own({"b", "d"}, 1.0)
+    assert live_routers.place_of("b", 1.0) == (0, 0)
+    live_routers.told(Presence("10.0.0.2", 7500, "z", ["a", "b"]), 1.0)
+    live_routers.own({"b", "d"}, STARTUP_SETTLE_S)
+    assert [live_routers.place_of(each, STARTUP_SETTLE_S) for each in "abd"] == [(3, 0), (3, 1), (3, 2)]
+    assert live_routers.controllers() == [(("10.0.0.2", 7500), "z")]
+    live_routers.own({"b", "d"}, STARTUP_SETTLE_S + 5.0)
+    assert live_routers.place_of("d", STARTUP_SETTLE_S + 5.0) == (2, 1) and live_routers.controllers() == []
 
 
 @pytest.mark.parametrize("name", ["0", "c", "z"])
 def test_a_router_that_is_not_counted_yet_counts_itself(name):
-    census = RouterCensus(started=0.0)
-    census.own({"b", "d"}, SETTLING_S)
-    assert census.place_of(name, SETTLING_S)[0] == 3
+    live_routers = LiveRouters(started=0.0)
+    live_routers.own({"b", "d"}, STARTUP_SETTLE_S)
+    assert live_routers.place_of(name, STARTUP_SETTLE_S)[0] == 3
 
 
 def test_routers_that_membership_holds_for_living_are_counted_before_they_read_a_feed():
-    census = RouterCensus(started=0.0)
-    census.members(["c", "a"])
-    census.own({"b"}, SETTLING_S)
-    assert census.routers() == ["a", "b", "c"]
-    census.members([])
-    census.own({"b"}, SETTLING_S + 5.0)
-    assert census.routers() == ["b"]
+    live_routers = LiveRouters(started=0.0)
+    live_routers.members(["c", "a"])
+    live_routers.own({"b"}, STARTUP_SETTLE_S)
+    assert live_routers.routers() == ["a", "b", "c"]
+    live_routers.members([])
+    live_routers.own({"b"}, STARTUP_SETTLE_S + 5.0)
+    assert live_routers.routers() == ["b"]
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.sampled_from("abc"), st.sampled_from(["ready", "draining", None])), min_size=1))
 def test_gathered_changes_lead_to_the_same_table_as_one_after_the_other(steps):
-    gathering, one_by_one = ChangeGathering(), FleetTable()
+    batch, one_by_one = ChangeBatch(), FleetTable()
     for offset, (name, state) in enumerate(steps, start=1):
         change = InstancesChange(removed=(name,))
         if state is not None:
             change = InstancesChange((record_of(name, instance(offset, state, address=f"10.0.0.1:{offset}")),))
-        gathering.add(offset, change)
+        batch.add(offset, change)
         one_by_one, _ = with_instances_change(one_by_one, change, 0.0)
-    assert gathering.offset == len(steps)
-    together, _ = with_instances_change(FleetTable(), gathering.take(), 0.0)
-    assert together.instances == one_by_one.instances and not gathering
+    assert batch.offset == len(steps)
+    together, _ = with_instances_change(FleetTable(), batch.take(), 0.0)
+    assert together.instances == one_by_one.instances and not batch
 
 
 def test_a_gathering_takes_the_place_of_an_instance_that_was_known():
     known, _ = with_instances_change(FleetTable(), InstancesChange((record("a"), record("b"))), 0.0)
-    gathering = ChangeGathering()
-    gathering.add(5, InstancesChange((record("c"),), ("a",)))
-    gathering.add(6, InstancesChange((record_of("b", instance(2, "draining")),)))
-    after, _ = with_instances_change(known, gathering.take(), 0.0)
+    batch = ChangeBatch()
+    batch.add(5, InstancesChange((record("c"),), ("a",)))
+    batch.add(6, InstancesChange((record_of("b", instance(2, "draining")),)))
+    after, _ = with_instances_change(known, batch.take(), 0.0)
     assert {name: each.state for name, each in after.instances_of("judges").items()} == {"b": "draining", "c": "ready"}
--- a/tests/test_fleet_settings.py
+++ b/tests/test_fleet_settings.py
@@ -6,7 +6,7 @@
 import pytest
 import yaml
 
-from ochrespan.common.validation import CheckFailed
+from ochrespan.common.validation import ValidationError
 from ochrespan.membership.peer_addresses import peer_address, seed_peer_addresses
 from ochrespan.programs.controller import control_address, host_settings
 from ochrespan.programs.settings import SettingsFile, bound, parse_settings, read_settings, settings_path
@@ -37,7 +37,7 @@
     assert peer_address(settings) == ("10.1.0.6", 7500)
     assert seed_peer_addresses(settings) == [("10.1.0.6", 7500), ("10.2.0.20", 7500)]
     host = host_settings(settings)
-    assert (host.bootstrap, host.tolerated_machines, host.disk_mb, host.data_dir) == (True, 1, 128, "/data/core")
+    assert (host.bootstrap, host.fault_tolerance, host.disk_mb, host.data_dir) == (True, 1, 128, "/data/core")
     assert control_address(settings) == ("10.1.0.6", 8367)
     assert bound(settings, "drain_ms", 1) == 2000
     assert [bound(settings, name, 7) for name in ("odd", "strict_revoke", "missing")] == [7, 7, 7]
@@ -62,34 +62,34 @@
     ],
 )
 def test_a_bad_field_is_told_by_place_found_and_allowed(changes, where):
-    with pytest.raises(CheckFailed) as caught:
+    with pytest.raises(ValidationError) as caught:
         parsed(**changes)
     assert [finding.where for finding in caught.value.findings] == [f"node.yaml: {where}"]
 
 
 def test_all_findings_come_at_once():
-    with pytest.raises(CheckFailed) as caught:
+    with pytest.raises(ValidationError) as caught:
         parse_settings("zone: 3\nip: 10.1.0.6", "node.yaml")
     assert len(caught.value.findings) == 5
 
 
 @pytest.mark.parametrize("source", ["", "[1", "just text", "\x00"])
 def test_what_is_no_settings_document_is_refused(source):
-    with pytest.raises(CheckFailed):
+    with pytest.raises(ValidationError):
         parse_settings(source, "node.yaml")
 
 
 def test_a_missing_variable_or_file_is_refused(tmp_path):
-    with pytest.raises(CheckFailed):
+    with pytest.raises(ValidationError):
         settings_path({})
-    with pytest.raises(CheckFailed):
+    with pytest.raises(ValidationError):
         read_settings(tmp_path / "nothing.yaml")
 
 
 @pytest.mark.parametrize("changes", [{"data_dir": None}, {"listen": {}}])
 def test_a_controller_needs_a_folder_and_an_address(changes):
     settings = parsed(**changes)
-    with pytest.raises(CheckFailed):
+    with pytest.raises(ValidationError):
         host_settings(settings)
         control_address(settings)
 
@@ -134,7 +134,7 @@
         assert root.level == logging.WARNING
     finally:
         root.setLevel(before)
-    with pytest.raises(CheckFailed) as caught:
+    with pytest.raises(ValidationError) as caught:
         read_settings(path)
     (finding,) = caught.value.findings
     assert finding.where.endswith("log_level") and "LOUD" in finding.found and "DEBUG, INFO" in finding.allowed
--- a/tests/test_fleetctl.py
+++ b/tests/test_fleetctl.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ochrespan.common.validation import CheckFailed
+from ochrespan.common.validation import ValidationError
 from ochrespan.control_plane.api import handlers as api
 from ochrespan.control_plane.shards import ALL_SHARDS
 from ochrespan.programs import fleetctl
@@ -177,11 +177,11 @@
     other_format = whole.replace('"format_version": 1', '"format_version": 2')
     for spoilt in (whole.replace("40", "41", 1), other_format, whole[:-9]):
         file.write_text(spoilt)
-        with pytest.raises(CheckFailed):
+        with pytest.raises(ValidationError):
             read_backup(file)
     invalid = configuration(40, route("r1", timeout_ms=0))
     write_backup(file, Backup("2026-12-02T07:00:00+00:00", invalid, []))
-    with pytest.raises(CheckFailed, match="timeout_ms"):
+    with pytest.raises(ValidationError, match="timeout_ms"):
         read_backup(file)
     assert [path.name for path in tmp_path.iterdir()] == ["fleet.backup"]
 
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -4,19 +4,19 @@
 
 import pytest
 
-from ochrespan.control_plane.owner_calls import NotTheOwner
-from ochrespan.control_plane.prefix_placement.client import SILENT_OWNER_PAUSE_S, HomeClient
-from ochrespan.control_plane.prefix_placement.messages import Home, HomeRequest
-from ochrespan.control_plane.prefix_placement.owner import HomeOwner
+from ochrespan.control_plane.owner_calls import NotOwnerResponse
+from ochrespan.control_plane.prefix_placement.client import OWNER_BACKOFF_S, PrefixPlacementClient
+from ochrespan.control_plane.prefix_placement.messages import PrefixPlacement, PrefixPlacementRequest
+from ochrespan.control_plane.prefix_placement.owner import PrefixPlacementOwner
 from ochrespan.control_plane.registry.commands import RegisterInstance
-from ochrespan.control_plane.registry.prefix_placements import MOST_PREFIXES, AssignHomes, PrefixHomes
+from ochrespan.control_plane.registry.prefix_placements import MAX_PREFIXES, AssignPrefixes, PrefixPlacements
 from ochrespan.control_plane.registry.records import record_fields, record_of
-from ochrespan.control_plane.registry.state_machine import InstanceMachine
-from ochrespan.control_plane.replication.errors import NoVerdict
+from ochrespan.control_plane.registry.state_machine import InstanceStateMachine
+from ochrespan.control_plane.replication.errors import OutcomeUnknownError
 from ochrespan.control_plane.shards import shard_of
 from ochrespan.transport import compact
 from ochrespan.transport.codec import encode
-from ochrespan.transport.rpc import CallFailed
+from ochrespan.transport.rpc import RpcError
 
 OWNER, OTHER = ("10.0.0.1", 7500), ("10.0.0.2", 7500)
 SHARD = shard_of("llm")
@@ -25,7 +25,7 @@
 class Groups:
     """Commits at once, unless told otherwise."""
 
-    def __init__(self, machine: InstanceMachine) -> None:
+    def __init__(self, machine: InstanceStateMachine) -> None:
         self.machine, self.leads, self.commits, self.index = machine, True, True, 0
 
     def is_leader(self, shard: int) -> bool:
@@ -36,7 +36,7 @@
 
     def propose(self, shard: int, command: bytes, timeout: float):
         if not self.commits:
-            raise NoVerdict("not committed in time")
+            raise OutcomeUnknownError("not committed in time")
         self.index += 1
         return self.machine.apply(self.index, command)
 
@@ -44,11 +44,11 @@
 class Owner:
     """An owner whose batches are replicated when the test says so."""
 
-    def __init__(self, servers: int = 3, machine: InstanceMachine | None = None) -> None:
-        self.machine = machine or InstanceMachine()
+    def __init__(self, servers: int = 3, machine: InstanceStateMachine | None = None) -> None:
+        self.machine = machine or InstanceStateMachine()
         self.groups = Groups(self.machine)
         self.batches: list = []
-        self.owner = HomeOwner(
+        self.owner = PrefixPlacementOwner(
             self.groups, {SHARD: self.machine}, lambda call, *given: self.batches.append((call, given))
         )
         for number in range(servers):
@@ -62,7 +62,7 @@
         self.machine.apply(0, encode(RegisterInstance(record_fields(record_of(f"i{number}", document)))))
 
     def ask(self, prefix: str, tokens: float = 1000.0, unusable: str = "") -> str:
-        return self.owner.home(HomeRequest("llm", prefix, tokens, unusable)).instance
+        return self.owner.home(PrefixPlacementRequest("llm", prefix, tokens, unusable)).instance
 
     def replicate(self) -> None:
         while self.batches:
@@ -93,11 +93,11 @@
 
 def test_a_server_that_goes_or_drains_or_cannot_be_used_loses_its_prefixes_and_no_other_does():
     made = Owner()
-    homes = {f"p{number}": made.ask(f"p{number}") for number in range(9)}
+    placements = {f"p{number}": made.ask(f"p{number}") for number in range(9)}
     made.replicate()
     made.register(1, "draining", 2)
-    after = {prefix: made.ask(prefix) for prefix in homes}
-    assert all(after[prefix] == home for prefix, home in homes.items() if home != "i1")
+    after = {prefix: made.ask(prefix) for prefix in placements}
+    assert all(after[prefix] == home for prefix, home in placements.items() if home != "i1")
     assert "i1" not in after.values()
     assert made.ask("p0", unusable=after["p0"]) != after["p0"]
     assert Owner(servers=0).ask("p") == ""
@@ -105,18 +105,18 @@
 
 def test_replicated_placements_outlive_all_controllers():
     made = Owner()
-    homes = {f"p{number}": made.ask(f"p{number}") for number in range(9)}
+    placements = {f"p{number}": made.ask(f"p{number}") for number in range(9)}
     made.replicate()
-    restored = InstanceMachine()
+    restored = InstanceStateMachine()
     restored.restore(made.machine.snapshot())
     again = Owner(servers=0, machine=restored)
-    assert {prefix: again.ask(prefix) for prefix in homes} == homes
+    assert {prefix: again.ask(prefix) for prefix in placements} == placements
 
 
 def test_a_snapshot_of_an_earlier_version_is_taken_over():
     made = Owner()
     records, departed, _ = compact.unpack(made.machine.snapshot())
-    restored = InstanceMachine()
+    restored = InstanceStateMachine()
     restored.restore(compact.pack([records, departed]))
     assert Owner(servers=0, machine=restored).ask("p") in made.machine.records
 
@@ -124,21 +124,21 @@
 def test_placements_that_are_not_committed_hold_while_the_owner_leads():
     made = Owner()
     made.groups.commits = False
-    homes = {f"p{number}": made.ask(f"p{number}") for number in range(5)}
+    placements = {f"p{number}": made.ask(f"p{number}") for number in range(5)}
     made.replicate()
-    assert {prefix: made.ask(prefix) for prefix in homes} == homes
+    assert {prefix: made.ask(prefix) for prefix in placements} == placements
     made.owner.leadership_changed(SHARD, False)
     made.groups.leads = False
-    assert made.owner.home(HomeRequest("llm", "p0", 1.0)) == NotTheOwner(*OTHER)
+    assert made.owner.home(PrefixPlacementRequest("llm", "p0", 1.0)) == NotOwnerResponse(*OTHER)
 
 
 def test_what_is_kept_is_bounded():
-    homes = PrefixHomes()
-    for number in range(MOST_PREFIXES + 50):
-        homes.assign(AssignHomes("llm", [(f"p{number}", f"i{number % 3}", 10.0)]))
-    assert len(homes.fields()["llm"]) == MOST_PREFIXES and homes.of("llm", "p0") == ""
-    assert sum(homes.tokens(f"i{number}") for number in range(3)) == 10.0 * MOST_PREFIXES
-    assert PrefixHomes(homes.fields()).fields() == homes.fields()
+    placements = PrefixPlacements()
+    for number in range(MAX_PREFIXES + 50):
+        placements.assign(AssignPrefixes("llm", [(f"p{number}", f"i{number % 3}", 10.0)]))
+    assert len(placements.fields()["llm"]) == MAX_PREFIXES and placements.of("llm", "p0") == ""
+    assert sum(placements.tokens(f"i{number}") for number in range(3)) == 10.0 * MAX_PREFIXES
+    assert PrefixPlacements(placements.fields()).fields() == placements.fields()
 
 
 class Calls:
@@ -146,7 +146,7 @@
 
     def __init__(self, *replies) -> None:
         self.replies, self.asked, self.now, self.usable = list(replies), [], 100.0, {"i1", "i2"}
-        self.client = HomeClient(
+        self.client = PrefixPlacementClient(
             lambda service: [OWNER], self.call, lambda service, instance: instance in self.usable, lambda: self.now
         )
 
@@ -159,36 +159,36 @@
 
 
 def test_a_router_asks_once_for_a_prefix_and_anew_when_its_server_is_gone():
-    made = Calls(Home("i1"), Home("i2"))
-    assert [made.client.home("llm", "p", 1000) for _ in range(3)] == [Home("i1")] * 3
+    made = Calls(PrefixPlacement("i1"), PrefixPlacement("i2"))
+    assert [made.client.home("llm", "p", 1000) for _ in range(3)] == [PrefixPlacement("i1")] * 3
     made.usable.discard("i1")
-    assert made.client.home("llm", "p", 1000) == Home("i2")
+    assert made.client.home("llm", "p", 1000) == PrefixPlacement("i2")
     assert made.asked == [(OWNER, ""), (OWNER, "i1")]
 
 
 def test_a_router_follows_to_the_owner_and_does_without_one_for_a_while():
-    made = Calls(NotTheOwner(*OTHER), Home("i1"), CallFailed("no"), Home("i2"))
-    assert made.client.home("llm", "p", 1000) == Home("i1")
+    made = Calls(NotOwnerResponse(*OTHER), PrefixPlacement("i1"), RpcError("no"), PrefixPlacement("i2"))
+    assert made.client.home("llm", "p", 1000) == PrefixPlacement("i1")
     assert [address for address, _ in made.asked] == [OWNER, OTHER]
-    assert [made.client.home("llm", "q", 1000) for _ in range(2)] == [Home("")] * 2
+    assert [made.client.home("llm", "q", 1000) for _ in range(2)] == [PrefixPlacement("")] * 2
     assert len(made.asked) == 3
-    made.now += SILENT_OWNER_PAUSE_S
-    assert made.client.home("llm", "q", 1000) == Home("i2")
+    made.now += OWNER_BACKOFF_S
+    assert made.client.home("llm", "q", 1000) == PrefixPlacement("i2")
 
 
 def test_a_server_that_the_router_does_not_know_is_not_taken():
-    made = Calls(Home("i9"))
-    assert made.client.home("llm", "p", 1000) == Home("")
+    made = Calls(PrefixPlacement("i9"))
+    assert made.client.home("llm", "p", 1000) == PrefixPlacement("")
 
 
 def test_the_owner_tells_once_that_the_parts_have_still_to_be_read():
     made = Owner()
-    answers = [made.owner.home(HomeRequest("llm", "p", 1000.0)) for _ in range(2)]
+    answers = [made.owner.home(PrefixPlacementRequest("llm", "p", 1000.0)) for _ in range(2)]
     assert [answer.is_new for answer in answers] == [True, False]
-    moved = made.owner.home(HomeRequest("llm", "p", 1000.0, answers[0].instance))
+    moved = made.owner.home(PrefixPlacementRequest("llm", "p", 1000.0, answers[0].instance))
     assert moved.is_new and moved.instance != answers[0].instance
 
 
 def test_a_router_takes_a_prefix_for_new_at_its_first_request_only():
-    made = Calls(Home("i1", is_new=True))
+    made = Calls(PrefixPlacement("i1", is_new=True))
     assert [made.client.home("llm", "p", 1000).is_new for _ in range(2)] == [True, False]
