--- a/tests/test_instances.py
+++ b/tests/test_instances.py
@@ -7,9 +7,9 @@
 from ochrespan.control_plane.registry import state_machine as instances
 from ochrespan.control_plane.registry.changes import NO_CHANGE
 from ochrespan.control_plane.registry.commands import ExpireInstances, RegisterInstance, RemoveInstance
-from ochrespan.control_plane.registry.heartbeats import MASS_TIMEOUTS, HeartbeatWatch, timeout_s
+from ochrespan.control_plane.registry.heartbeats import MASS_EXPIRY_TIMEOUTS, HeartbeatMonitor, heartbeat_timeout_s
 from ochrespan.control_plane.registry.records import record_fields, record_of
-from ochrespan.control_plane.registry.state_machine import InstanceMachine
+from ochrespan.control_plane.registry.state_machine import InstanceStateMachine
 from ochrespan.transport.codec import encode
 from tests.control_plane_world import instance
 
@@ -28,7 +28,7 @@
 
 
 def test_an_instance_registers_changes_drains_and_ends():
-    machine = InstanceMachine()
+    machine = InstanceStateMachine()
     assert register(machine, "i1", 1).upserted[0].state == "ready"
     assert register(machine, "i1", 2, capacity=16).upserted[0].capacity == 16
     assert register(machine, "i1", 3, "draining").upserted[0].state == "draining"
@@ -37,7 +37,7 @@
 
 
 def test_a_draining_incarnation_does_not_become_ready_and_one_that_is_gone_does_not_come_back():
-    machine = InstanceMachine()
+    machine = InstanceStateMachine()
     register(machine, "i1", 1, "draining")
     assert register(machine, "i1", 2, "ready") == NO_CHANGE
     remove(machine, "i1")
@@ -46,14 +46,14 @@
 
 
 def test_a_report_whose_sequence_number_goes_back_changes_nothing():
-    machine = InstanceMachine()
+    machine = InstanceStateMachine()
     register(machine, "i1", 5, capacity=8)
     assert register(machine, "i1", 5, capacity=9) == register(machine, "i1", 4, capacity=9) == NO_CHANGE
     assert machine.records["i1"].capacity == 8
 
 
 def test_a_new_incarnation_at_an_old_address_takes_its_place():
-    machine = InstanceMachine()
+    machine = InstanceStateMachine()
     register(machine, "old", 5)
     change = register(machine, "new", 1)
     assert change.removed == ("old",) and change.upserted[0].id == "new"
@@ -61,7 +61,7 @@
 
 
 def test_an_instance_may_move_to_another_address_without_hurting_who_takes_the_old_one():
-    machine = InstanceMachine()
+    machine = InstanceStateMachine()
     register(machine, "a", 1, address="10.0.0.1:1")
     register(machine, "a", 2, address="10.0.0.2:1")
     assert register(machine, "b", 1, address="10.0.0.1:1").removed == ()
@@ -69,7 +69,7 @@
 
 
 def test_an_expired_instance_comes_back_by_a_newer_report_but_never_from_draining_to_ready():
-    machine = InstanceMachine()
+    machine = InstanceStateMachine()
     register(machine, "i1", 5)
     assert expire(machine, i1=4) == NO_CHANGE
     assert expire(machine, i1=5, unknown=1).removed == ("i1",)
@@ -82,7 +82,7 @@
 
 
 def test_an_expired_instance_that_is_removed_stays_gone():
-    machine = InstanceMachine()
+    machine = InstanceStateMachine()
     register(machine, "i1", 5)
     expire(machine, i1=5)
     remove(machine, "i1")
@@ -90,8 +90,8 @@
 
 
 def test_the_memory_of_departed_instances_is_bounded(monkeypatch):
-    monkeypatch.setattr(instances, "REMEMBERED_GONE", 2)
-    machine = InstanceMachine()
+    monkeypatch.setattr(instances, "MAX_REMEMBERED_REMOVALS", 2)
+    machine = InstanceStateMachine()
     for number in range(5):
         register(machine, f"i{number}", 1, address=f"10.0.0.{number}:1")
         remove(machine, f"i{number}")
@@ -100,7 +100,7 @@
 
 @pytest.mark.parametrize("command", [b"", b"\xc1", b"\x91\xa5other"])
 def test_a_command_that_is_none_changes_nothing(command):
-    assert InstanceMachine().apply(1, command) == NO_CHANGE
+    assert InstanceStateMachine().apply(1, command) == NO_CHANGE
 
 
 _steps = st.tuples(
@@ -123,11 +123,11 @@
 @given(st.lists(_steps, max_size=40), st.integers(0, 40))
 @settings(deadline=None)
 def test_every_history_keeps_one_instance_an_address_and_changes_that_lead_to_the_state(history, cut):
-    machine, replica, followed = InstanceMachine(), InstanceMachine(), {}
+    machine, replica, followed = InstanceStateMachine(), InstanceStateMachine(), {}
     drained, gone = set(), set()
     for index, (action, instance_id, *fields) in enumerate(history):
         if index == cut:
-            replica = InstanceMachine()
+            replica = InstanceStateMachine()
             replica.restore(machine.snapshot())
         change = step(machine, action, instance_id, *fields)
         assert step(replica, action, instance_id, *fields) == change
@@ -143,11 +143,11 @@
         assert len(addresses) == len(set(addresses))
 
 
-TIMEOUT = timeout_s(1.2)
+TIMEOUT = heartbeat_timeout_s(1.2)
 
 
 def watched(*heard, began=100.0):
-    watch = HeartbeatWatch(TIMEOUT)
+    watch = HeartbeatMonitor(TIMEOUT)
     watch.begin(began)
     for instance_id, sequence, at in heard:
         watch.heard(instance_id, sequence, at)
@@ -194,7 +194,7 @@
     everyone = [f"i{number}" for number in range(6)]
     watch = watched(*((each, 1, 101.0) for each in everyone))
     silent, at = tick(watch, everyone, 150.0)
-    assert silent == everyone and at - 101.0 > MASS_TIMEOUTS * TIMEOUT
+    assert silent == everyone and at - 101.0 > MASS_EXPIRY_TIMEOUTS * TIMEOUT
 
 
 def test_a_late_report_does_not_count_as_a_sign_of_life():
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -3,14 +3,14 @@
 import pytest
 
 from ochrespan.membership import messages as swim
-from ochrespan.membership.agent import MembershipDriver, MembershipSettings
-from ochrespan.membership.member_table import News
+from ochrespan.membership.agent import MembershipAgent, MembershipSettings
+from ochrespan.membership.member_table import MemberUpdate
 from ochrespan.membership.wire import SwimDatagram, pack, unpack
 from ochrespan.transport import codec
 
 from .core_hosts import free_port, until
 
-NEWS = News("10.0.0.1", 7500, "router", "hall-a", "edge-1", 0, 3, 4)
+NEWS = MemberUpdate("10.0.0.1", 7500, "router", "hall-a", "edge-1", 0, 3, 4)
 
 
 @pytest.mark.parametrize(
@@ -37,7 +37,7 @@
     port = free_port()
     seeds = (("127.0.0.1", port),)
     drivers = [
-        MembershipDriver(
+        MembershipAgent(
             MembershipSettings((f"127.0.0.{number}", port), seeds, role, "hall-a", f"node-{number}"), lambda: None
         )
         for number, role in [(1, "controller"), (2, "router"), (3, "router")]
--- a/tests/test_observability.py
+++ b/tests/test_observability.py
@@ -5,11 +5,11 @@
 import pytest
 
 from ochrespan.observability.logs import BURST, LINES_PER_S, RateLimit
-from ochrespan.observability.metrics import Registry
+from ochrespan.observability.metrics import MetricsRegistry
 
 
 def test_figures_are_rendered_in_the_exposition_format(snapshot):
-    registry = Registry()
+    registry = MetricsRegistry()
     registry.counter("starts_total", "Starts.").add()
     ends = registry.counter("ends_total", "Ends by how.", "outcome", "zone")
     ends.add("lost", 'a "quoted"\nzone\\')
@@ -22,13 +22,13 @@
 @pytest.mark.parametrize("name", ["", "1st", "with space", "dash-ed", "é"])
 def test_a_name_that_collectors_cannot_read_is_refused(name):
     with pytest.raises(ValueError, match="found .* allowed letters"):
-        Registry().counter(name, "Help.")
+        MetricsRegistry().counter(name, "Help.")
     with pytest.raises(ValueError, match="found .* allowed letters"):
-        Registry().counter("fine", "Help.", name)
+        MetricsRegistry().counter("fine", "Help.", name)
 
 
 def test_a_name_stands_for_one_figure():
-    registry = Registry()
+    registry = MetricsRegistry()
     registry.counter("once", "Help.")
     with pytest.raises(ValueError, match="already"):
         registry.gauge("once", "Help.", lambda: 0.0)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -7,18 +7,18 @@
 
 from ochrespan.control_plane.config import change_history
 from ochrespan.control_plane.config import state_machine as orders
-from ochrespan.control_plane.config.commands import OrderKind, encode_order, make_order
-from ochrespan.control_plane.config.state_machine import ConfigurationMachine, Judgement
+from ochrespan.control_plane.config.commands import ConfigCommandKind, encode_command, make_command
+from ochrespan.control_plane.config.state_machine import CommandOutcome, ConfigurationStateMachine
 from ochrespan.transport import compact
 from tests.control_plane_world import World, configuration, route
 
 
 def whole(generation, builds_on, *routes):
-    return encode_order(make_order(OrderKind.WHOLE, builds_on, configuration(generation, *routes)))
+    return encode_command(make_command(ConfigCommandKind.WHOLE, builds_on, configuration(generation, *routes)))
 
 
 def patch(generation, builds_on, **fields):
-    return encode_order(make_order(OrderKind.PATCH, builds_on, {"generation": generation, **fields}))
+    return encode_command(make_command(ConfigCommandKind.PATCH, builds_on, {"generation": generation, **fields}))
 
 
 def judgements(machine, *commands):
@@ -26,14 +26,14 @@
 
 
 def test_the_same_order_is_taken_once_and_acknowledged_again_also_after_later_versions():
-    machine = ConfigurationMachine()
+    machine = ConfigurationStateMachine()
     first, second = whole(3, 0), patch(5, 3, upsert={"routes": [route("r2")]})
     assert judgements(machine, first, first, second, second, first) == [
-        Judgement.TAKEN,
-        Judgement.TAKEN_BEFORE,
-        Judgement.TAKEN,
-        Judgement.TAKEN_BEFORE,
-        Judgement.TAKEN_BEFORE,
+        CommandOutcome.TAKEN,
+        CommandOutcome.TAKEN_BEFORE,
+        CommandOutcome.TAKEN,
+        CommandOutcome.TAKEN_BEFORE,
+        CommandOutcome.TAKEN_BEFORE,
     ]
     assert machine.current.version == 5
 
@@ -41,91 +41,104 @@
 def test_the_same_order_with_its_fields_in_another_sequence_is_the_same_order():
     document = configuration(3)
     turned = dict(reversed(document.items()))
-    assert make_order(OrderKind.WHOLE, 0, document).digest == make_order(OrderKind.WHOLE, 0, turned).digest
-    assert make_order(OrderKind.WHOLE, 0, document).digest != make_order(OrderKind.WHOLE, 1, document).digest
+    assert (
+        make_command(ConfigCommandKind.WHOLE, 0, document).digest
+        == make_command(ConfigCommandKind.WHOLE, 0, turned).digest
+    )
+    assert (
+        make_command(ConfigCommandKind.WHOLE, 0, document).digest
+        != make_command(ConfigCommandKind.WHOLE, 1, document).digest
+    )
 
 
 def test_the_same_order_with_its_numbers_written_in_another_way_is_the_same_order():
     plain, other = configuration(3, route("a", timeout_ms=8000)), configuration(3, route("a", timeout_ms=8000.0))
-    orders_of = [make_order(kind, 0, document) for kind in OrderKind for document in (plain, other)]
+    orders_of = [make_command(kind, 0, document) for kind in ConfigCommandKind for document in (plain, other)]
     assert orders_of[0].digest == orders_of[1].digest
     assert orders_of[2].digest == orders_of[3].digest
     assert orders_of[0].digest != orders_of[2].digest
     different = configuration(3, route("a", timeout_ms=8000.5))
-    assert make_order(OrderKind.WHOLE, 0, different).digest != orders_of[0].digest
+    assert make_command(ConfigCommandKind.WHOLE, 0, different).digest != orders_of[0].digest
 
 
 def test_of_two_changes_on_one_version_one_wins_whatever_their_numbers():
-    machine = ConfigurationMachine()
+    machine = ConfigurationStateMachine()
     changes = whole(7, 5, route("a")), whole(7, 5, route("b")), whole(9, 5, route("c"))
     assert judgements(machine, whole(5, 0), *changes) == [
-        Judgement.TAKEN,
-        Judgement.TAKEN,
-        Judgement.OTHER_VERSION,
-        Judgement.OTHER_VERSION,
+        CommandOutcome.TAKEN,
+        CommandOutcome.TAKEN,
+        CommandOutcome.OTHER_VERSION,
+        CommandOutcome.OTHER_VERSION,
     ]
     assert list(machine.current.routes) == ["a"]
 
 
 def test_an_invalid_order_changes_nothing_and_is_invalid_again():
-    machine = ConfigurationMachine()
+    machine = ConfigurationStateMachine()
     bad = whole(7, 5, route("a", service="nobody"))
     assert judgements(machine, whole(5, 0), bad, bad, whole(5, 5, route("z"))) == [
-        Judgement.TAKEN,
-        Judgement.INVALID,
-        Judgement.INVALID,
-        Judgement.INVALID,
+        CommandOutcome.TAKEN,
+        CommandOutcome.INVALID,
+        CommandOutcome.INVALID,
+        CommandOutcome.INVALID,
     ]
     assert machine.current.version == 5
 
 
 @pytest.mark.parametrize("command", [b"", b"\xc1", b"\x91\xa7nothing", b"\x91\xa8cp.order"])
 def test_a_command_that_is_no_order_is_judged_invalid_and_ends_nothing(command):
-    machine = ConfigurationMachine()
-    assert judgements(machine, command, whole(5, 0)) == [Judgement.INVALID, Judgement.TAKEN]
+    machine = ConfigurationStateMachine()
+    assert judgements(machine, command, whole(5, 0)) == [CommandOutcome.INVALID, CommandOutcome.TAKEN]
 
 
 def test_a_snapshot_keeps_the_configuration_and_the_orders_taken():
-    machine, restored = ConfigurationMachine(), ConfigurationMachine()
+    machine, restored = ConfigurationStateMachine(), ConfigurationStateMachine()
     judgements(machine, whole(3, 0, route("a"), route("b")), patch(4, 3, delete={"routes": ["a"]}))
     restored.restore(machine.snapshot())
     assert restored.current == machine.current
     assert judgements(restored, whole(3, 0, route("a"), route("b")), whole(9, 3)) == [
-        Judgement.TAKEN_BEFORE,
-        Judgement.OTHER_VERSION,
+        CommandOutcome.TAKEN_BEFORE,
+        CommandOutcome.OTHER_VERSION,
     ]
     assert [each["version"] for each in restored.history.fields()] == [3, 4]
-    empty = ConfigurationMachine()
-    empty.restore(ConfigurationMachine().snapshot())
+    empty = ConfigurationStateMachine()
+    empty.restore(ConfigurationStateMachine().snapshot())
     assert empty.current.version == 0
 
 
 def test_a_snapshot_of_a_version_without_history_is_read():
-    machine, restored = ConfigurationMachine(), ConfigurationMachine()
+    machine, restored = ConfigurationStateMachine(), ConfigurationStateMachine()
     judgements(machine, whole(3, 0))
     restored.restore(compact.pack(compact.unpack(machine.snapshot())[:2]))
     assert restored.current == machine.current and restored.history.fields() == []
 
 
 def test_the_history_is_bounded_and_the_same_order_at_another_time_is_the_same_order(monkeypatch):
-    monkeypatch.setattr(change_history, "REMEMBERED_CHANGES", 3)
-    machine = ConfigurationMachine()
+    monkeypatch.setattr(change_history, "MAX_REMEMBERED_CHANGES", 3)
+    machine = ConfigurationStateMachine()
     judgements(machine, *(whole(version, version - 1) for version in range(1, 6)))
     assert [each["version"] for each in machine.history.fields()] == [3, 4, 5]
     document = configuration(3)
-    assert make_order(OrderKind.WHOLE, 0, document, 7).digest == make_order(OrderKind.WHOLE, 0, document, 8).digest
+    assert (
+        make_command(ConfigCommandKind.WHOLE, 0, document, 7).digest
+        == make_command(ConfigCommandKind.WHOLE, 0, document, 8).digest
+    )
 
 
 def test_the_memory_of_orders_is_bounded_and_drops_the_oldest(monkeypatch):
-    monkeypatch.setattr(orders, "REMEMBERED_ORDERS", 3)
-    machine = ConfigurationMachine()
+    monkeypatch.setattr(orders, "MAX_REMEMBERED_COMMANDS", 3)
+    machine = ConfigurationStateMachine()
     changes = [whole(version, version - 1) for version in range(1, 6)]
     judgements(machine, *changes)
-    assert judgements(machine, *changes) == [Judgement.FORGOTTEN, Judgement.FORGOTTEN, *[Judgement.TAKEN_BEFORE] * 3]
-    restored = ConfigurationMachine()
+    assert judgements(machine, *changes) == [
+        CommandOutcome.FORGOTTEN,
+        CommandOutcome.FORGOTTEN,
+        *[CommandOutcome.TAKEN_BEFORE] * 3,
+    ]
+    restored = ConfigurationStateMachine()
     restored.restore(machine.snapshot())
-    assert judgements(restored, *changes[:2]) == [Judgement.FORGOTTEN] * 2
-    assert judgements(restored, whole(9, 4)) == [Judgement.OTHER_VERSION]
+    assert judgements(restored, *changes[:2]) == [CommandOutcome.FORGOTTEN] * 2
+    assert judgements(restored, whole(9, 4)) == [CommandOutcome.OTHER_VERSION]
 
 
 _orders = st.tuples(st.integers(0, 4), st.integers(1, 5), st.sampled_from("ab"))
@@ -134,23 +147,23 @@
 @given(st.lists(_orders, max_size=30), st.integers(0, 30))
 @settings(deadline=None)
 def test_every_history_of_orders_is_linear_and_the_same_after_a_snapshot(history, cut):
-    machine, replica = ConfigurationMachine(), ConfigurationMachine()
+    machine, replica = ConfigurationStateMachine(), ConfigurationStateMachine()
     winners: dict[int, bytes] = {}
     for index, (builds_on, step, name) in enumerate(history):
         if index == cut:
-            replica = ConfigurationMachine()
+            replica = ConfigurationStateMachine()
             replica.restore(machine.snapshot())
         command = whole(builds_on + step, builds_on, route(name))
         before = machine.current.version
         verdict = machine.apply(index, command)
         assert replica.apply(index, command) == verdict
-        if verdict.judgement is Judgement.TAKEN:
+        if verdict.judgement is CommandOutcome.TAKEN:
             assert before == builds_on < verdict.version
             assert builds_on not in winners
             winners[builds_on] = command
-        if verdict.judgement is Judgement.TAKEN_BEFORE:
+        if verdict.judgement is CommandOutcome.TAKEN_BEFORE:
             assert winners[builds_on] == command
-        if verdict.judgement in (Judgement.OTHER_VERSION, Judgement.INVALID):
+        if verdict.judgement in (CommandOutcome.OTHER_VERSION, CommandOutcome.INVALID):
             assert machine.current.version == before and winners.get(builds_on) != command
 
 
--- a/tests/test_orders_under_loss.py
+++ b/tests/test_orders_under_loss.py
@@ -3,7 +3,7 @@
 import pytest
 
 from ochrespan.control_plane.config import state_machine as orders
-from ochrespan.control_plane.config.state_machine import ConfigurationMachine
+from ochrespan.control_plane.config.state_machine import ConfigurationStateMachine
 
 from .core_sim.checks import Violation
 from .core_sim.operators import Operator, OrderBook, OrderMachine
@@ -55,29 +55,29 @@
 
 
 def test_a_memory_that_a_snapshot_lacks_is_caught_as_a_repeat_refused(monkeypatch):
-    original = ConfigurationMachine.restore
+    original = ConfigurationStateMachine.restore
 
     def forgetting(self, data):
         original(self, data)
         self._taken = {}
 
-    monkeypatch.setattr(ConfigurationMachine, "restore", forgetting)
+    monkeypatch.setattr(ConfigurationStateMachine, "restore", forgetting)
     caught({"a repeat refused", "a confirmed order is not in force"})
 
 
 def test_orders_that_do_not_say_what_they_build_on_are_caught_as_two_on_one_version(monkeypatch):
-    original = ConfigurationMachine._judge
+    original = ConfigurationStateMachine._judge
 
     def on_any_version(self, order):
         order.builds_on = self.current.version
         return original(self, order)
 
-    monkeypatch.setattr(ConfigurationMachine, "_judge", on_any_version)
+    monkeypatch.setattr(ConfigurationStateMachine, "_judge", on_any_version)
     caught({"two orders on one version"})
 
 
 def test_an_order_that_is_forgotten_gets_no_verdict_instead_of_a_refusal(monkeypatch):
-    monkeypatch.setattr(orders, "REMEMBERED_ORDERS", 2)
+    monkeypatch.setattr(orders, "MAX_REMEMBERED_COMMANDS", 2)
     for seed in range(4):
         world, book = World(seed), OrderBook()
         world.machine_type = OrderMachine
--- a/tests/test_peer_security.py
+++ b/tests/test_peer_security.py
@@ -10,7 +10,7 @@
 import trustme
 import yaml
 
-from ochrespan.common.validation import CheckFailed
+from ochrespan.common.validation import ValidationError
 from ochrespan.programs.settings import parse_settings, secure_peers
 from ochrespan.transport import codec, rpc, tcp
 from ochrespan.transport.tls import KeyFiles, PeerSecurity
@@ -46,8 +46,8 @@
 
 @pytest.fixture
 def server():
-    server = rpc.CallServer(("127.0.0.1", 0))
-    server.on_call(Secret, lambda request: Secret(request.text * 2))
+    server = rpc.RpcServer(("127.0.0.1", 0))
+    server.on_request(Secret, lambda request: Secret(request.text * 2))
     server.start()
     yield server
     server.stop()
@@ -55,7 +55,7 @@
 
 def test_calls_of_any_size_pass_between_processes_of_one_authority(tmp_path, authority, use, server):
     use(PeerSecurity(key_files(tmp_path, authority)))
-    caller = rpc.Caller(server.address)
+    caller = rpc.RpcClient(server.address)
     texts = ["a", "b" * 3_000_000, "c"]
     calls = [gevent.spawn(caller.call, Secret(text), 20.0) for text in texts]
     assert [call.get().text for call in calls] == [text * 2 for text in texts]
@@ -86,19 +86,19 @@
         wrap_client, wrap_server = stranger.wrap_client, security.wrap_server
 
     use(TwoSides())
-    with pytest.raises(rpc.CallFailed):
-        rpc.Caller(server.address).call(Secret("a"), 5.0)
+    with pytest.raises(rpc.RpcError):
+        rpc.RpcClient(server.address).call(Secret("a"), 5.0)
     TwoSides.wrap_client = security.wrap_client
-    assert rpc.Caller(server.address).call(Secret("a"), 5.0) == Secret("aa")
+    assert rpc.RpcClient(server.address).call(Secret("a"), 5.0) == Secret("aa")
 
 
 def test_keys_that_are_replaced_count_for_new_connections_and_old_ones_go_on(tmp_path, authority, use, server, caplog):
     caplog.set_level(logging.INFO)
     use(PeerSecurity(key_files(tmp_path, authority)))
-    old = rpc.Caller(server.address)
+    old = rpc.RpcClient(server.address)
     assert old.call(Secret("a"), 5.0) == Secret("aa")
     key_files(tmp_path, trustme.CA())
-    assert rpc.Caller(server.address).call(Secret("b"), 5.0) == Secret("bb")
+    assert rpc.RpcClient(server.address).call(Secret("b"), 5.0) == Secret("bb")
     assert "keys for peers changed" in caplog.text
     assert old.call(Secret("c"), 5.0) == Secret("cc")
 
@@ -119,17 +119,17 @@
         wrap_client, wrap_server = PeerSecurity(files).wrap_client, not_changed.wrap_server
 
     use(TwoSides())
-    assert rpc.Caller(server.address).call(Secret("a"), 5.0) == Secret("aa")
+    assert rpc.RpcClient(server.address).call(Secret("a"), 5.0) == Secret("aa")
 
 
 @pytest.mark.parametrize("spoil", ["certificate", "key", "authority"])
 def test_new_keys_that_cannot_be_read_change_nothing(tmp_path, authority, use, server, spoil, caplog):
     use(PeerSecurity(key_files(tmp_path, authority)))
     (tmp_path / f"{spoil}.pem").write_text("spoilt")
-    assert rpc.Caller(server.address).call(Secret("a"), 5.0) == Secret("aa")
+    assert rpc.RpcClient(server.address).call(Secret("a"), 5.0) == Secret("aa")
     assert "the old ones stay" in caplog.text
     (tmp_path / f"{spoil}.pem").unlink()
-    assert rpc.Caller(server.address).call(Secret("b"), 5.0) == Secret("bb")
+    assert rpc.RpcClient(server.address).call(Secret("b"), 5.0) == Secret("bb")
 
 
 def test_replica_groups_form_and_hand_over_over_tls(tmp_path, authority, use):
@@ -169,9 +169,9 @@
     files = key_files(tmp_path, authority)
     secure_peers(settings(certificate=files.certificate, key=files.key, authority=files.authority))
     assert tcp._security is not None
-    with pytest.raises(CheckFailed, match="peer_tls.key"):
+    with pytest.raises(ValidationError, match="peer_tls.key"):
         settings(certificate=files.certificate, authority=files.authority)
-    with pytest.raises(CheckFailed, match="PEM files"):
+    with pytest.raises(ValidationError, match="PEM files"):
         secure_peers(settings(certificate=files.certificate, key=files.key, authority=str(tmp_path / "nothing.pem")))
-    with pytest.raises(CheckFailed, match="PEM files"):
+    with pytest.raises(ValidationError, match="PEM files"):
         secure_peers(settings(certificate=files.certificate, key=files.certificate, authority=files.authority))
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -18,7 +18,7 @@
     return {"prefix": prefix, "tokens_in": shared + 1300}
 
 
-def homes(made, subjects: int) -> dict[int, str]:
+def placements(made, subjects: int) -> dict[int, str]:
     """Where each subject's request goes at rest."""
     found = {}
     for number in range(subjects):
@@ -29,16 +29,16 @@
 
 
 def test_requests_that_share_a_prefix_go_to_the_same_server_from_every_router():
-    first, *others = (homes(scheduler(servers=6, routers=9), 30) for _ in range(3))
+    first, *others = (placements(scheduler(servers=6, routers=9), 30) for _ in range(3))
     assert all(other == first for other in others)
     assert len(set(first.values())) == 6
 
 
 def test_when_a_server_goes_only_its_own_prefixes_move():
-    before = homes(scheduler(servers=6), 60)
+    before = placements(scheduler(servers=6), 60)
     made = scheduler(servers=6)
     made.set_servers(90.0, [server(n) for n in range(6) if n != 2], 1, 0)
-    after = homes(made, 60)
+    after = placements(made, 60)
     assert {number for number in before if before[number] != after[number]} == {
         number for number in before if before[number] == "i2"
     }
@@ -47,7 +47,7 @@
 def test_a_draining_server_gets_nothing_more():
     made = scheduler(servers=2)
     made.set_servers(90.0, [server(0), server(1, draining=True)], 1, 0)
-    assert set(homes(made, 20).values()) == {"i0"}
+    assert set(placements(made, 20).values()) == {"i0"}
 
 
 def test_a_small_hot_prefix_spreads_over_a_few_servers_and_a_large_one_stays():
@@ -139,7 +139,7 @@
 
 
 def test_a_known_home_goes_before_the_hash_and_the_hash_stands_in_where_it_cannot_be_used():
-    by_hash = homes(scheduler(servers=6), 1)[0]
+    by_hash = placements(scheduler(servers=6), 1)[0]
     other = next(f"i{number}" for number in range(6) if f"i{number}" != by_hash)
     made = scheduler(servers=6)
     assert made.is_usable("llm", other) and not made.is_usable("llm", "i9") and not made.is_usable("none", other)
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -7,23 +7,23 @@
 from hypothesis import strategies as st
 
 from ochrespan.control_plane.config.views import QuotaUnit, Tenant
-from ochrespan.control_plane.owner_calls import NotTheOwner
+from ochrespan.control_plane.owner_calls import NotOwnerResponse
 from ochrespan.control_plane.quota.allocation import (
-    EVEN_PART,
+    EQUAL_FRACTION,
     GRANT_LIFETIME_S,
     SEND_DELAY_S,
     GrantedTokens,
     QuotaBounds,
     TokenBucket,
-    bounds_from,
+    quota_bounds,
     terms_for,
 )
-from ochrespan.control_plane.quota.client import IDLE_TENANT_S, SHORTEST_RETRY_S, QuotaClient, cost_of
+from ochrespan.control_plane.quota.client import IDLE_TENANT_S, MIN_RETRY_S, QuotaClient, request_cost
 from ochrespan.control_plane.quota.messages import Grant, GrantRequest
 from ochrespan.control_plane.quota.owner import QuotaOwner
-from ochrespan.control_plane.replication.groups import SOLE_OWNER_S
+from ochrespan.control_plane.replication.groups import LEASE_DURATION_S
 from ochrespan.control_plane.shards import ALL_SHARDS, shard_of
-from ochrespan.transport.rpc import CallFailed
+from ochrespan.transport.rpc import RpcError
 
 BOUNDS = QuotaBounds(window_s=8.0, overshoot=0.1, slack=190_000.0)
 OWNER, OTHER = ("10.0.0.1", 7500), ("10.0.0.2", 7500)
@@ -48,7 +48,7 @@
 
 def test_the_terms_admit_rate_and_burst_where_the_bound_leaves_room():
     terms = terms_for(71_430, 112_296, BOUNDS)
-    assert terms.rate >= 71_430 and terms.depth >= 112_296 and terms.sure > 71_430
+    assert terms.rate >= 71_430 and terms.depth >= 112_296 and terms.reserved > 71_430
 
 
 @given(st.floats(0.1, 1e6), st.floats(0, 1e6), st.floats(1, 60), st.floats(0, 1), st.floats(0, 1e6))
@@ -57,8 +57,8 @@
     bounds = QuotaBounds(window, overshoot, slack)
     terms = terms_for(rate, burst, bounds)
     granted = terms.rate * (window + GRANT_LIFETIME_S + SEND_DELAY_S) + terms.depth
-    assert granted + terms.sure <= bounds.allowed(rate, burst) * (1 + 1e-9)
-    assert min(terms.rate, terms.depth, terms.sure) >= 0
+    assert granted + terms.reserved <= bounds.allowed(rate, burst) * (1 + 1e-9)
+    assert min(terms.rate, terms.depth, terms.reserved) >= 0
 
 
 class Clock:
@@ -87,7 +87,7 @@
     def leader(self, shard):
         return OWNER if self.leads else OTHER
 
-    def lease_age(self, shard):
+    def lease_age_s(self, shard):
         return self.age if self.leads else float("inf")
 
 
@@ -113,18 +113,18 @@
 
     def replace_owner(self):
         """The former owner hears no majority, and falls silent before the next one is elected."""
-        self.owners[-1]._groups.age = SOLE_OWNER_S
+        self.owners[-1]._groups.age = LEASE_DURATION_S
         self.owners.append(self.new_owner())
 
     def call_as(self, number):
         def call(address, request, timeout):
             if number in self.cut_off:
                 self.clock.now += 0.01
-                raise CallFailed("cut off")
+                raise RpcError("cut off")
             former = len(self.owners) > 1 and random.random() < 0.1
             reply = self.owners[-2 if former else -1].grant(request)
-            if isinstance(reply, NotTheOwner):
-                raise CallFailed("no owner")
+            if isinstance(reply, NotOwnerResponse):
+                raise RpcError("no owner")
             return reply
 
         return call
@@ -174,7 +174,7 @@
     clock.now += 2 * BOUNDS.window_s
     while (taken := fleet.clients[0].take("t", 5.0)).allowed:
         pass
-    assert SHORTEST_RETRY_S <= taken.retry_after_s < 1
+    assert MIN_RETRY_S <= taken.retry_after_s < 1
     clock.now += taken.retry_after_s
     assert fleet.clients[0].take("t", 5.0).allowed
 
@@ -220,7 +220,7 @@
     clock = Clock()
     client = QuotaClient("edge-1", BOUNDS, lambda tenant: [], lambda *call: None, clock, clock.pause)
     client.configure({"t": limited()}, 1)
-    part = EVEN_PART * terms_for(limited().rate_per_s, limited().burst, BOUNDS).sure
+    part = EQUAL_FRACTION * terms_for(limited().rate_per_s, limited().burst, BOUNDS).reserved
     assert client.take("t", 0.6 * part).allowed
     client.configure({"t": limited()}, 4)
     assert not client.take("t", 0.3 * part).allowed
@@ -238,7 +238,7 @@
         clock.now += 0.01
         if fleet.clients[0].take("t", 100.0).allowed:
             spends.append((clock.now, 100.0))
-    part = EVEN_PART / 4 * terms_for(tenant.rate_per_s, tenant.burst, BOUNDS).sure
+    part = EQUAL_FRACTION / 4 * terms_for(tenant.rate_per_s, tenant.burst, BOUNDS).reserved
     assert 0.9 * part < most_in_a_window(spends, BOUNDS.window_s) <= part
 
 
@@ -247,7 +247,7 @@
 
     def call(address, request, timeout):
         asked.append(address)
-        return NotTheOwner(*OTHER) if address == OWNER else Grant(request.needed, 0.0, 1)
+        return NotOwnerResponse(*OTHER) if address == OWNER else Grant(request.needed, 0.0, 1)
 
     client = QuotaClient("edge-1", BOUNDS, lambda tenant: [OWNER], call)
     client.configure({"t": limited()}, 1)
@@ -258,14 +258,14 @@
     groups, tenant = Groups(), limited()
     owner = QuotaOwner(groups, lambda name: tenant, BOUNDS)
     request = GrantRequest("t", "edge-1", 1.0, 0.0)
-    assert isinstance(owner.grant(request), NotTheOwner)
+    assert isinstance(owner.grant(request), NotOwnerResponse)
     owner.leadership_changed(shard_of("t"), True)
     assert isinstance(owner.grant(request), Grant)
-    groups.age = SOLE_OWNER_S
-    assert isinstance(owner.grant(request), NotTheOwner)
+    groups.age = LEASE_DURATION_S
+    assert isinstance(owner.grant(request), NotOwnerResponse)
     groups.age = 0.0
     owner.leadership_changed(shard_of("t"), False)
-    assert isinstance(owner.grant(request), NotTheOwner)
+    assert isinstance(owner.grant(request), NotOwnerResponse)
 
 
 def test_what_expired_unspent_goes_back_to_the_owner_that_granted_it_alone():
@@ -287,13 +287,13 @@
 
 @pytest.mark.parametrize("figures", [{}, {"quota_window_s": "8"}, {"quota_slack": None}, {"quota_overshoot": True}])
 def test_figures_that_are_missing_or_no_numbers_take_the_strictest_default(figures):
-    assert bounds_from(figures) == QuotaBounds(8.0, 0.0, 0.0)
+    assert quota_bounds(figures) == QuotaBounds(8.0, 0.0, 0.0)
 
 
 def test_a_request_counts_by_its_tokens_or_as_one():
-    assert cost_of(limited(), (1460, 80)) == 1540
-    assert cost_of(limited(), None) == 200
-    assert cost_of(limited(unit=QuotaUnit.REQUESTS), (1460, 80)) == 1
+    assert request_cost(limited(), (1460, 80)) == 1540
+    assert request_cost(limited(), None) == 200
+    assert request_cost(limited(unit=QuotaUnit.REQUESTS), (1460, 80)) == 1
 
 
 def test_a_router_whose_owner_falls_silent_goes_on_for_a_while_at_the_rate_it_had():
@@ -331,8 +331,8 @@
 def test_where_the_owner_is_gone_another_controller_names_the_next_one():
     def call(address, request, timeout):
         if address == OWNER:
-            raise CallFailed("gone")
-        return NotTheOwner(*OWNER) if address == OTHER else Grant(request.needed, 0.0, 1)
+            raise RpcError("gone")
+        return NotOwnerResponse(*OWNER) if address == OTHER else Grant(request.needed, 0.0, 1)
 
     third = ("10.0.0.3", 7500)
     client = QuotaClient("edge-1", BOUNDS, lambda tenant: [OWNER, OTHER, third], call)
--- a/tests/test_replica_host.py
+++ b/tests/test_replica_host.py
@@ -3,7 +3,7 @@
 import gevent
 import pytest
 
-from ochrespan.control_plane.replication.errors import NotLeader
+from ochrespan.control_plane.replication.errors import NotLeaderError
 
 from .core_hosts import Journal, free_port, kill, leader_of, make_host, propose, until
 
@@ -30,7 +30,7 @@
     until(lambda: all(commands(host, 0) == [b"one", b"two"] for host in hosts.values()), "command everywhere")
     leader.read_barrier(0, 5.0)
     other = next(host for host in hosts.values() if host is not leader)
-    with pytest.raises(NotLeader) as caught:
+    with pytest.raises(NotLeaderError) as caught:
         other.propose(0, b"three", 1.0)
     assert caught.value.leader == leader.settings.address
 
@@ -108,7 +108,7 @@
         host.decline_leadership(600.0)
     until(
         lambda: all(
-            replica.core.abstaining or host.declines_leadership_for() == 0.0
+            replica.core.withholding_votes or host.declines_leadership_for() == 0.0
             for host in hosts.values()
             for replica in host._table.replicas.values()
         ),
--- a/tests/test_router_quotas.py
+++ b/tests/test_router_quotas.py
@@ -6,29 +6,29 @@
 import pytest
 
 from ochrespan.control_plane.config.views import QuotaUnit
-from ochrespan.control_plane.quota.client import UNLIMITED, Taken
+from ochrespan.control_plane.quota.client import UNLIMITED, TokenReservation
 from tests.fleet_standins import StandInServer, answer, configuration, route, router, stream, tenant
 
 USAGE = "X-Credential: key\r\nX-Token-Usage: 1460,80\r\n"
-REFUSED = Taken(False, 0.75)
+REFUSED = TokenReservation(False, 0.75)
 
 
 class ScriptedQuotas:
     """Answers by script; the last entry is repeated."""
 
-    def __init__(self, takes: list[Taken], renewals: list[Taken] | None = None) -> None:
+    def __init__(self, takes: list[TokenReservation], renewals: list[TokenReservation] | None = None) -> None:
         self.takes, self.renewals = takes, renewals or [UNLIMITED]
         self.taken: list[tuple[str, float]] = []
-        self.released: list[tuple[str, Taken]] = []
+        self.released: list[tuple[str, TokenReservation]] = []
 
-    def take(self, name: str, tokens: float) -> Taken:
+    def take(self, name: str, tokens: float) -> TokenReservation:
         self.taken.append((name, tokens))
         return self.takes.pop(0) if len(self.takes) > 1 else self.takes[0]
 
-    def renew(self, name: str, taken: Taken) -> Taken:
+    def renew(self, name: str, taken: TokenReservation) -> TokenReservation:
         return self.renewals.pop(0) if len(self.renewals) > 1 else self.renewals[0]
 
-    def release(self, name: str, taken: Taken) -> None:
+    def release(self, name: str, taken: TokenReservation) -> None:
         self.released.append((name, taken))
 
 
@@ -68,7 +68,7 @@
 
 
 def test_a_request_waits_for_tokens_that_are_there_soon():
-    quotas = ScriptedQuotas([Taken(False, 0.01), Taken(False, 0.01), UNLIMITED])
+    quotas = ScriptedQuotas([TokenReservation(False, 0.01), TokenReservation(False, 0.01), UNLIMITED])
     with router(quotas=quotas) as made:
         made.use(configuration(route(target_latency_ms=5000.0), tenants=(limited(),)), StandInServer(answer()))
         client = made.client()
@@ -78,7 +78,7 @@
 
 
 def test_a_request_does_not_wait_long_for_tokens():
-    quotas = ScriptedQuotas([Taken(False, 0.01)])
+    quotas = ScriptedQuotas([TokenReservation(False, 0.01)])
     with router(quotas=quotas) as made:
         made.use(configuration(route(target_latency_ms=40.0), tenants=(limited(),)), StandInServer(answer()))
         client = made.client()
@@ -88,7 +88,7 @@
 
 
 def test_a_client_that_leaves_while_its_request_waits_for_tokens_is_noticed():
-    quotas = ScriptedQuotas([Taken(False, 1.0)])
+    quotas = ScriptedQuotas([TokenReservation(False, 1.0)])
     with router(quotas=quotas) as made:
         made.use(configuration(route(target_latency_ms=50_000.0), tenants=(limited(),)), StandInServer(answer()))
         client = made.client()
--- a/tests/test_router_tables.py
+++ b/tests/test_router_tables.py
@@ -29,7 +29,7 @@
 from ochrespan.data_plane.routing_table import RoutingTable
 from ochrespan.data_plane.scheduler import Scheduler
 from ochrespan.data_plane.server_pools import ServerPools
-from ochrespan.transport.tcp import ConnectionClosed
+from ochrespan.transport.tcp import ConnectionClosedError
 from tests.control_plane_world import configuration as document
 from tests.control_plane_world import instance
 from tests.fleet_standins import configuration, route, tenant
@@ -185,7 +185,7 @@
 
     def receive(self):
         if not self._messages:
-            raise ConnectionClosed("ended")
+            raise ConnectionClosedError("ended")
         return self._messages.pop(0)
 
     def send(self, message) -> None:
@@ -216,12 +216,12 @@
 @pytest.fixture
 def follow(monkeypatch):
     """Lets a feed client take the messages of some connections, one after the other, to its end."""
-    monkeypatch.setattr(feed_client, "PUBLISH_PAUSE", 0.0)
+    monkeypatch.setattr(feed_client, "PUBLISH_PAUSE_FACTOR", 0.0)
 
     def take(client: FeedClient, *connections: ArrivedTogether) -> None:
         for connection in connections:
             monkeypatch.setattr(feed_client, "dial", lambda address, timeout, given=connection: given)
-            with pytest.raises(ConnectionClosed):
+            with pytest.raises(ConnectionClosedError):
                 client._follow(ADDRESS)
             client._publish_changes()
 
@@ -254,7 +254,7 @@
 def test_where_tables_take_long_to_take_up_changes_of_a_busy_time_are_told_together(follow, monkeypatch):
     clock = [100.0]
     monkeypatch.setattr(feed_client, "monotonic", lambda: clock[0])
-    monkeypatch.setattr(feed_client, "PUBLISH_PAUSE", 20.0)
+    monkeypatch.setattr(feed_client, "PUBLISH_PAUSE_FACTOR", 20.0)
     told: list[tuple[float, FleetTable]] = []
 
     def take(table: FleetTable, change: FleetChange) -> None:
@@ -277,11 +277,11 @@
 def test_the_pause_between_tables_is_bounded(follow, monkeypatch):
     clock = [100.0]
     monkeypatch.setattr(feed_client, "monotonic", lambda: clock[0])
-    monkeypatch.setattr(feed_client, "PUBLISH_PAUSE", 20.0)
+    monkeypatch.setattr(feed_client, "PUBLISH_PAUSE_FACTOR", 20.0)
 
     def take(table: FleetTable, change: FleetChange) -> None:
         clock[0] += 3.0
 
     client = FeedClient("edge-1", "z", [ADDRESS], take)
     follow(client, ArrivedTogether(*whole_state()))
-    assert client._publish_from == clock[0] + feed_client.LONGEST_PUBLISH_PAUSE_S
+    assert client._publish_from == clock[0] + feed_client.MAX_PUBLISH_PAUSE_S
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -169,15 +169,15 @@
 def test_a_request_whose_server_is_full_does_not_hold_up_those_behind_it():
     made = scheduler(servers=3, capacity=1)
     prefixes = [(("system", 400), (f"subject{number}", 30_000), ("own", 300)) for number in range(40)]
-    homes = {}
+    placements = {}
     for number, prefix in enumerate(prefixes):
         (send,) = submit(made, number, prefix=prefix, tokens_in=30_700)
-        homes.setdefault(send.server_id, []).append(prefix)
+        placements.setdefault(send.server_id, []).append(prefix)
         made.ended(100.0, f"r{number}", Outcome.DONE)
-    full, other = sorted(homes, key=lambda name: -len(homes[name]))[:2]
-    assert sent_to(submit(made, "a", prefix=homes[full][0], tokens_in=30_700)) == [full]
-    assert submit(made, "b", prefix=homes[full][1], tokens_in=30_700) == []
-    assert sent_to(submit(made, "c", prefix=homes[other][0], tokens_in=30_700)) == [other]
+    full, other = sorted(placements, key=lambda name: -len(placements[name]))[:2]
+    assert sent_to(submit(made, "a", prefix=placements[full][0], tokens_in=30_700)) == [full]
+    assert submit(made, "b", prefix=placements[full][1], tokens_in=30_700) == []
+    assert sent_to(submit(made, "c", prefix=placements[other][0], tokens_in=30_700)) == [other]
 
 
 @settings(max_examples=60, deadline=None)
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -8,7 +8,7 @@
 
 from ochrespan.storage import records
 from ochrespan.storage.files import PosixDirectory
-from ochrespan.storage.snapshot_store import LOG_NAMES, SLOT_NAMES, Store
+from ochrespan.storage.snapshot_store import LOG_NAMES, SLOT_NAMES, SnapshotStore
 
 from .core_sim.disk import ProcessEnds, SimDirectory
 
@@ -20,7 +20,7 @@
     """Numbers 0, 1, 2... written through a store, as the replicas write theirs."""
 
     def __init__(self, directory) -> None:
-        self.store = Store(directory)
+        self.store = SnapshotStore(directory)
         self.values: list[int] = []
         self.durable = 0
 
--- a/tests/test_swim.py
+++ b/tests/test_swim.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from ochrespan.membership.member_table import FleetMember, MemberState, MemberTable, News
-from ochrespan.membership.protocol import Swim
+from ochrespan.membership.member_table import FleetMember, MemberState, MemberTable, MemberUpdate
+from ochrespan.membership.protocol import SwimProtocol
 
 DELAY_S = 0.002
 
@@ -24,7 +24,7 @@
 
     def __init__(self, size: int, seed: int, loss: float = 0.0) -> None:
         self.random, self.loss, self.now = random.Random(seed), loss, 0.0
-        self.processes: dict[tuple[str, int], Swim] = {}
+        self.processes: dict[tuple[str, int], SwimProtocol] = {}
         self.held_up: set[tuple[str, int]] = set()
         self._events: list = []
         self._count = 0
@@ -32,8 +32,8 @@
         for number in range(1, size + 1):
             self.start(number)
 
-    def start(self, number: int, seeds=(1, 2, 3)) -> Swim:
-        process = Swim(member(number), tuple(map(address, seeds)), self.random, self.now)
+    def start(self, number: int, seeds=(1, 2, 3)) -> SwimProtocol:
+        process = SwimProtocol(member(number), tuple(map(address, seeds)), self.random, self.now)
         self.processes[address(number)] = process
         return process
 
@@ -142,7 +142,7 @@
     assert fleet.processes[address(4)].health > 0
     fleet.run(20.0)
     assert fleet.agreed()
-    assert {accuser for _, accuser, _ in fleet.ended_falsely if accuser == address(4)} == set()
+    assert {suspected_by for _, suspected_by, _ in fleet.ended_falsely if suspected_by == address(4)} == set()
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -173,13 +173,13 @@
     assert fleet.agreed()
 
 
-def news(state: MemberState, incarnation: int, number: int = 2) -> News:
-    return News(*address(number), "router", "hall-a", f"edge-{number}", state, incarnation)
+def updates(state: MemberState, incarnation: int, number: int = 2) -> MemberUpdate:
+    return MemberUpdate(*address(number), "router", "hall-a", f"edge-{number}", state, incarnation)
 
 
 def test_news_is_ordered_by_incarnation_and_then_by_state():
     table = MemberTable(member(1))
-    for state, incarnation, counts in [
+    for state, incarnation, is_alive_or_suspect in [
         (MemberState.ALIVE, 1, True),
         (MemberState.DEAD, 1, False),
         (MemberState.ALIVE, 1, False),
@@ -189,12 +189,12 @@
         (MemberState.LEFT, 2, False),
         (MemberState.SUSPECT, 2, False),
     ]:
-        table.merge(0.0, news(state, incarnation))
-        assert table.records[address(2)].counts is counts
+        table.merge(0.0, updates(state, incarnation))
+        assert table.records[address(2)].is_alive_or_suspect is is_alive_or_suspect
 
 
 def test_a_process_refutes_what_is_said_of_it_by_a_higher_incarnation():
     table = MemberTable(member(1))
-    table.merge(0.0, news(MemberState.SUSPECT, 4, number=1))
+    table.merge(0.0, updates(MemberState.SUSPECT, 4, number=1))
     assert (table.incarnation, table.refuted) == (5, True)
-    assert table.own_news().state == MemberState.ALIVE
+    assert table.own_update().state == MemberState.ALIVE
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -53,7 +53,7 @@
 
 @pytest.fixture
 def server():
-    server = rpc.CallServer(("127.0.0.1", 0))
+    server = rpc.RpcServer(("127.0.0.1", 0))
     server.start()
     yield server
     server.stop()
@@ -66,8 +66,8 @@
         held[request.text].wait()
         return Echo(request.text, 1)
 
-    server.on_call(Echo, answer)
-    caller = rpc.Caller(server.address)
+    server.on_request(Echo, answer)
+    caller = rpc.RpcClient(server.address)
     first = gevent.spawn(caller.call, Echo("first"), 5.0)
     second = gevent.spawn(caller.call, Echo("second"), 5.0)
     held["second"].set()
@@ -77,9 +77,9 @@
 
 
 def test_a_call_that_raises_fails_and_the_connection_goes_on(server):
-    server.on_call(Echo, lambda request: Echo(str(1 // request.extra), 0))
-    caller = rpc.Caller(server.address)
-    with pytest.raises(rpc.CallFailed, match="ZeroDivisionError"):
+    server.on_request(Echo, lambda request: Echo(str(1 // request.extra), 0))
+    caller = rpc.RpcClient(server.address)
+    with pytest.raises(rpc.RpcError, match="ZeroDivisionError"):
         caller.call(Echo("a", 0), 5.0)
     assert caller.call(Echo("a", 1), 5.0) == Echo("1", 0)
 
@@ -87,24 +87,24 @@
 def test_a_call_without_an_answer_fails_when_its_time_is_up_or_its_connection_ends(server):
     connections = AsyncResult()
     server.on_push(Echo, lambda connection, _: connections.set(connection))
-    server.on_call(Echo, lambda _: Event().wait())
-    caller = rpc.Caller(server.address)
-    with pytest.raises(rpc.CallFailed):
+    server.on_request(Echo, lambda _: Event().wait())
+    caller = rpc.RpcClient(server.address)
+    with pytest.raises(rpc.RpcError):
         caller.call(Echo("a"), 0.05)
     waiting = gevent.spawn(caller.call, Echo("a"), 5.0)
     gevent.idle()
     caller._connected().send(Echo("push"))
     connections.get().close()
-    with pytest.raises(rpc.CallFailed):
+    with pytest.raises(rpc.RpcError):
         waiting.get()
 
 
 def test_a_frame_that_claims_to_be_huge_ends_its_connection_alone(server):
-    server.on_call(Echo, lambda request: request)
+    server.on_request(Echo, lambda request: request)
     raw = gevent.socket.create_connection(server.address)
     raw.sendall(b"\xff\xff\xff\xff")
     assert raw.recv(1) == b""
-    assert rpc.Caller(server.address).call(Echo("a"), 5.0) == Echo("a")
+    assert rpc.RpcClient(server.address).call(Echo("a"), 5.0) == Echo("a")
 
 
 def test_a_peer_that_does_not_read_is_cut_off_instead_of_filling_memory(monkeypatch):
@@ -120,7 +120,7 @@
     listener.start()
     raw = gevent.socket.create_connection(listener.address)
     connection = accepted.get()
-    with pytest.raises(tcp.ConnectionClosed):
+    with pytest.raises(tcp.ConnectionClosedError):
         for _ in range(3):
             connection.send(Echo("x" * 600))
     assert connection.closed
@@ -187,12 +187,12 @@
             call = connection.receive()
             numbers.append(call.number)
             if len(numbers) > 1:
-                connection.send(rpc.Reply(numbers[-2], codec.encode(Echo(f"for {numbers[-2]}"))))
-                connection.send(rpc.Reply(numbers[-1], codec.encode(Echo(f"for {numbers[-1]}"))))
+                connection.send(rpc.RpcResponse(numbers[-2], codec.encode(Echo(f"for {numbers[-2]}"))))
+                connection.send(rpc.RpcResponse(numbers[-1], codec.encode(Echo(f"for {numbers[-1]}"))))
 
     listener = raw_server(serve)
-    caller = rpc.Caller(listener.address)
-    with pytest.raises(rpc.CallFailed):
+    caller = rpc.RpcClient(listener.address)
+    with pytest.raises(rpc.RpcError):
         caller.call(Echo("first"), 0.05)
     assert caller.call(Echo("second"), 5.0) == Echo(f"for {numbers[1]}")
     listener.stop()
@@ -208,11 +208,11 @@
         if len(connections) == 1:
             Event().wait()
         answer.wait()
-        connection.send(rpc.Reply(call.number, codec.encode(Echo("answered"))))
+        connection.send(rpc.RpcResponse(call.number, codec.encode(Echo("answered"))))
         connection.receive()
 
     listener = raw_server(serve)
-    caller = rpc.Caller(listener.address)
+    caller = rpc.RpcClient(listener.address)
     lost = gevent.spawn(caller.call, Echo("lost"), 5.0)
     while not connections:
         gevent.sleep(0.001)
@@ -225,7 +225,7 @@
     gevent.sleep(0.01)
     answer.set()
     assert second.get() == Echo("answered")
-    with pytest.raises(rpc.CallFailed):
+    with pytest.raises(rpc.RpcError):
         lost.get()
     listener.stop()
 
@@ -239,8 +239,8 @@
         connection.close()
 
     listener = raw_server(serve)
-    caller = rpc.Caller(listener.address)
-    with pytest.raises(rpc.CallFailed):
+    caller = rpc.RpcClient(listener.address)
+    with pytest.raises(rpc.RpcError):
         caller.call(Echo("once"), 1.0)
     gevent.sleep(0.05)
     assert len(seen) == 1
@@ -249,10 +249,10 @@
 
 def test_a_reply_of_another_connection_is_not_taken():
     """Numbers go on over connections, but only the one that carried a call may answer it."""
-    caller = rpc.Caller(("127.0.0.1", 1))
+    caller = rpc.RpcClient(("127.0.0.1", 1))
     asked_on, other, result = object(), object(), AsyncResult()
     caller._waiting[7] = (asked_on, result)
-    caller._take(other, rpc.Reply(7, b""))
+    caller._take(other, rpc.RpcResponse(7, b""))
     assert not result.ready()
-    caller._take(asked_on, rpc.Reply(7, b""))
+    caller._take(asked_on, rpc.RpcResponse(7, b""))
     assert result.ready()
