--- a/benchmarks/core_times.py
+++ b/benchmarks/core_times.py
@@ -29,8 +29,8 @@
 from ochrespan.control_plane.replication.state_machine import HostSettings
 from ochrespan.raft.state import Role
 from ochrespan.transport import codec, rpc
-from tests.core_sim.node import Node
-from tests.core_sim.world import World
+from tests.support.raft_simulation.node import Node
+from tests.support.raft_simulation.world import World
 
 CALL_S = 1.0
 PAUSE_S = 0.005
--- a/benchmarks/soak_core.py
+++ b/benchmarks/soak_core.py
@@ -13,9 +13,9 @@
 
 import defopt
 
-from tests.core_sim.search import Budget, search
-from tests.core_sim.troubles import HarshTroubles, play
-from tests.core_sim.world import World
+from tests.support.raft_simulation.search import Budget, search
+from tests.support.raft_simulation.troubles import HarshTroubles, play
+from tests.support.raft_simulation.world import World
 
 HARSH_GAPS_S = (0.4, 1.0, 2.5)  # between troubles, in the mean
 
--- /dev/null
+++ b/tests/control_plane/__init__.py
@@ -0,0 +1,1 @@
+"""The control plane, a folder for each of its packages."""
--- /dev/null
+++ b/tests/control_plane/api/__init__.py
@@ -0,0 +1,1 @@
+"""The control interface."""
--- a/tests/test_control_api.py
+++ b/tests/control_plane/api/test_control_api.py
@@ -10,7 +10,7 @@
 from ochrespan.control_plane.replication.groups import CALL_TIMEOUT_S, cluster_name
 from ochrespan.control_plane.shards import ALL_SHARDS
 from ochrespan.raft.state import Timing
-from tests.control_plane_world import World, configuration, instance, route, service, tenant
+from tests.support.control_plane_world import World, configuration, instance, route, service, tenant
 
 
 @pytest.fixture
--- /dev/null
+++ b/tests/control_plane/config/__init__.py
@@ -0,0 +1,1 @@
+"""Configuration and its commands."""
--- a/tests/test_orders.py
+++ b/tests/control_plane/config/test_commands.py
@@ -10,7 +10,7 @@
 from ochrespan.control_plane.config.commands import ConfigCommandKind, encode_command, make_command
 from ochrespan.control_plane.config.state_machine import CommandOutcome, ConfigurationStateMachine
 from ochrespan.transport import compact
-from tests.control_plane_world import World, configuration, route
+from tests.support.control_plane_world import World, configuration, route
 
 
 def whole(generation, builds_on, *routes):
--- a/tests/test_orders_under_loss.py
+++ b/tests/control_plane/config/test_commands_under_loss.py
@@ -4,11 +4,10 @@
 
 from ochrespan.control_plane.config import state_machine as orders
 from ochrespan.control_plane.config.state_machine import ConfigurationStateMachine
-
-from .core_sim.checks import Violation
-from .core_sim.operators import Operator, OrderBook, OrderMachine
-from .core_sim.troubles import SETTLE_S, HarshTroubles
-from .core_sim.world import World
+from tests.support.raft_simulation.checks import Violation
+from tests.support.raft_simulation.operators import Operator, OrderBook, OrderMachine
+from tests.support.raft_simulation.troubles import SETTLE_S, HarshTroubles
+from tests.support.raft_simulation.world import World
 
 SECONDS = 25.0
 
--- a/tests/test_configuration.py
+++ b/tests/control_plane/config/test_configuration.py
@@ -11,7 +11,7 @@
 from ochrespan.common.validation import ValidationError
 from ochrespan.control_plane.config.configuration import Configuration, change_of_patch, change_to
 from ochrespan.control_plane.config.documents import CHECK_CONFIGURATION, CHECK_INSTANCE, CHECK_PATCH, read_json
-from tests.control_plane_world import configuration, instance, route, service, tenant
+from tests.support.control_plane_world import configuration, instance, route, service, tenant
 
 
 def read(document):
--- /dev/null
+++ b/tests/control_plane/feed/__init__.py
@@ -0,0 +1,1 @@
+"""The change feed."""
--- a/tests/test_feed.py
+++ b/tests/control_plane/feed/test_feed.py
@@ -14,7 +14,7 @@
 from ochrespan.control_plane.shards import shard_of
 from ochrespan.transport.peer_clients import PeerClients
 from ochrespan.transport.tcp import ConnectionClosedError, dial
-from tests.control_plane_world import World, configuration, instance, route, tenant
+from tests.support.control_plane_world import World, configuration, instance, route, tenant
 
 PATIENCE_S = 5.0
 
--- a/tests/test_feed_parts.py
+++ b/tests/control_plane/feed/test_feed_parts.py
@@ -30,7 +30,7 @@
 from ochrespan.control_plane.registry.records import record_of
 from ochrespan.control_plane.registry.slow_start import SlowStartTimes
 from ochrespan.control_plane.replication.lag_detector import LagDetector
-from tests.control_plane_world import configuration, instance, route, service, tenant
+from tests.support.control_plane_world import configuration, instance, route, service, tenant
 
 
 def whole(document):
--- /dev/null
+++ b/tests/control_plane/prefix_placement/__init__.py
@@ -0,0 +1,1 @@
+"""Placement of prompt prefixes."""
--- /dev/null
+++ b/tests/control_plane/quota/__init__.py
@@ -0,0 +1,1 @@
+"""Token quotas."""
--- /dev/null
+++ b/tests/control_plane/registry/__init__.py
@@ -0,0 +1,1 @@
+"""The registry of instances."""
--- a/tests/test_instances.py
+++ b/tests/control_plane/registry/test_instances.py
@@ -11,7 +11,7 @@
 from ochrespan.control_plane.registry.records import record_fields, record_of
 from ochrespan.control_plane.registry.state_machine import InstanceStateMachine
 from ochrespan.transport.codec import encode
-from tests.control_plane_world import instance
+from tests.support.control_plane_world import instance
 
 
 def register(machine, instance_id, sequence, state="ready", **fields):
--- /dev/null
+++ b/tests/control_plane/replication/__init__.py
@@ -0,0 +1,1 @@
+"""The replica host, its disk and its leadership."""
--- a/tests/test_disk_writer.py
+++ b/tests/control_plane/replication/test_disk_writer.py
@@ -7,9 +7,8 @@
 from ochrespan.control_plane.replication import disk_writer
 from ochrespan.control_plane.replication.disk_writer import DiskWriter
 from ochrespan.storage.snapshot_store import SnapshotStore
-
-from .core_hosts import until
-from .core_sim.disk import SimDirectory
+from tests.support.raft_simulation.disk import SimDirectory
+from tests.support.replica_hosts import until
 
 
 class Harness:
--- a/tests/test_replica_host.py
+++ b/tests/control_plane/replication/test_host.py
@@ -4,8 +4,7 @@
 import pytest
 
 from ochrespan.control_plane.replication.errors import NotLeaderError
-
-from .core_hosts import Journal, free_port, kill, leader_of, make_host, propose, until
+from tests.support.replica_hosts import Journal, free_port, kill, leader_of, make_host, propose, until
 
 
 @pytest.fixture
--- a/tests/golden/exchanges.py
+++ b/tests/golden/exchanges.py
@@ -9,7 +9,7 @@
 
 from gevent import socket
 
-from tests.control_plane_world import World
+from tests.support.control_plane_world import World
 
 TIMEOUT_S = 10.0
 HEADER_END = b"\r\n\r\n"
--- a/tests/golden/make_disks.py
+++ b/tests/golden/make_disks.py
@@ -34,8 +34,8 @@
 from ochrespan.storage.snapshot_store import LOG_NAMES, SnapshotStore
 from ochrespan.transport import compact
 from ochrespan.transport.codec import encode
-from tests.control_plane_world import configuration, instance, route, service, tenant
 from tests.golden.stored_state import DISKS, read_state, write_expected
+from tests.support.control_plane_world import configuration, instance, route, service, tenant
 
 OWN_ADDRESS = ("127.0.0.1", 17500)
 STEP_S = 0.05
--- a/tests/golden/test_control_interface.py
+++ b/tests/golden/test_control_interface.py
@@ -12,9 +12,9 @@
 from ochrespan.control_plane.shards import ALL_SHARDS
 from ochrespan.data_plane.router_node import DrainTimes, MachineLimits, RouterNode
 from ochrespan.data_plane.scheduler import Scheduler
-from tests.control_plane_world import World, configuration, instance, route, service, tenant
 from tests.fleet_standins import unused_address
 from tests.golden.exchanges import Transcript, WorldTranscript
+from tests.support.control_plane_world import World, configuration, instance, route, service, tenant
 
 CONFIG, HISTORY = "/api/config", "/api/config/history"
 INSTANCE, OTHER_INSTANCE = "/api/instances/i-1", "/api/instances/i-2"
--- a/tests/golden/test_metric_names.py
+++ b/tests/golden/test_metric_names.py
@@ -14,9 +14,9 @@
 from ochrespan.data_plane.scheduler import Scheduler
 from ochrespan.observability import logs
 from ochrespan.observability.metrics import MetricsRegistry
-from tests.control_plane_world import World
 from tests.fleet_standins import unused_address
 from tests.golden.exchanges import Transcript
+from tests.support.control_plane_world import World
 
 METRICS = "/api/metrics"
 SAMPLE = re.compile(r"(?P<name>\w+)(?P<labels>\{.*\})? (?P<value>\S+)")
--- a/tests/golden/test_settings_findings.py
+++ b/tests/golden/test_settings_findings.py
@@ -24,7 +24,7 @@
 from ochrespan.control_plane.quota.allocation import quota_bounds
 from ochrespan.programs import controller, router_process
 from ochrespan.programs.settings import Settings, parse_settings, read_settings, secure_peers, settings_path
-from tests.control_plane_world import configuration, instance, route, service, tenant
+from tests.support.control_plane_world import configuration, instance, route, service, tenant
 
 PLACE = "node.yaml"
 LEAST_SETTINGS = {
--- a/tests/golden/test_stored_state.py
+++ b/tests/golden/test_stored_state.py
@@ -18,9 +18,9 @@
 from returns.result import Success
 
 from ochrespan.programs.fleetctl_commands.control_client import ControlClient
-from tests.control_plane_world import configuration, instance
 from tests.golden.make_disks import MAKERS
 from tests.golden.stored_state import DISKS, read_expected, read_state
+from tests.support.control_plane_world import configuration, instance
 
 ROOT = Path(__file__).parent.parent.parent
 STORE_FILES = ("slot-0", "slot-1", "log-0", "log-1")
--- /dev/null
+++ b/tests/membership/__init__.py
@@ -0,0 +1,1 @@
+"""SWIM membership."""
--- a/tests/test_membership.py
+++ b/tests/membership/test_agent.py
@@ -7,8 +7,7 @@
 from ochrespan.membership.member_table import MemberUpdate
 from ochrespan.membership.wire import SwimDatagram, pack, unpack
 from ochrespan.transport import codec
-
-from .core_hosts import free_port, until
+from tests.support.replica_hosts import free_port, until
 
 NEWS = MemberUpdate("10.0.0.1", 7500, "router", "hall-a", "edge-1", 0, 3, 4)
 
--- /dev/null
+++ b/tests/observability/__init__.py
@@ -0,0 +1,1 @@
+"""Log lines and metrics."""
--- /dev/null
+++ b/tests/programs/__init__.py
@@ -0,0 +1,1 @@
+"""Controller, settings and command line."""
--- a/tests/test_controller_process.py
+++ b/tests/programs/test_controller.py
@@ -17,11 +17,11 @@
 
 from ochrespan.control_plane.shards import shard_of
 from ochrespan.programs.fleetctl_commands.control_client import CallError, ControlClient
-from tests.control_plane_world import configuration, instance, route
+from tests.support.control_plane_world import configuration, instance, route
 
 CONTROL_PORT, PEER_PORT = 18367, 17500
 PATIENCE_S = 30.0
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 _networks = itertools.count(os.getpid() % 200)
 
 
--- a/tests/test_fleetctl.py
+++ b/tests/programs/test_fleetctl.py
@@ -10,7 +10,7 @@
 from ochrespan.programs import fleetctl
 from ochrespan.programs.fleetctl_commands import control_client
 from ochrespan.programs.fleetctl_commands.backup_file import Backup, read_backup, write_backup
-from tests.control_plane_world import World, configuration, instance, route, service, tenant
+from tests.support.control_plane_world import World, configuration, instance, route, service, tenant
 
 
 @pytest.fixture
--- /dev/null
+++ b/tests/raft/__init__.py
@@ -0,0 +1,1 @@
+"""Raft groups: pure tests, simulations and a search over schedules."""
--- a/tests/test_core_formation.py
+++ b/tests/raft/test_bootstrap.py
@@ -16,10 +16,9 @@
 from ochrespan.raft.envelope import Envelope
 from ochrespan.raft.messages import Heartbeat
 from ochrespan.raft.multi_raft import MultiRaft
-
-from .core_sim.checks import Violation
-from .core_sim.node import Node
-from .core_sim.world import World, address
+from tests.support.raft_simulation.checks import Violation
+from tests.support.raft_simulation.node import Node
+from tests.support.raft_simulation.world import World, address
 
 FIRST_LEADER_S = 1.0
 
--- a/tests/test_embedding.py
+++ b/tests/raft/test_embedding.py
@@ -6,7 +6,7 @@
 
 from examples import embed_coordination
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 def test_the_example_loses_its_leader_and_not_its_state(capsys):
--- a/tests/test_core_checkers.py
+++ b/tests/raft/test_history_checkers.py
@@ -9,10 +9,9 @@
 from ochrespan.raft.membership_config import MembershipConfig
 from ochrespan.raft.replica import Replica
 from ochrespan.raft.state import ReplicaState
-
-from .core_sim.checks import Violation
-from .core_sim.troubles import play
-from .core_sim.world import World
+from tests.support.raft_simulation.checks import Violation
+from tests.support.raft_simulation.troubles import play
+from tests.support.raft_simulation.world import World
 
 SEEDS = 60
 
@@ -89,7 +88,7 @@
 
 
 def test_an_owner_that_counts_on_a_majority_for_too_long_is_caught_as_two_owners(monkeypatch):
-    monkeypatch.setattr("tests.core_sim.checks.LEASE_DURATION_S", 1.0)
+    monkeypatch.setattr("tests.support.raft_simulation.checks.LEASE_DURATION_S", 1.0)
     caught({"two owners"}, ("isolate", "freeze"))
 
 
--- a/tests/test_core_closings.py
+++ b/tests/raft/test_planned_shutdown.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from .core_sim.node import Node
-from .core_sim.troubles import CATCH_UP_S
-from .core_sim.world import World, address
+from tests.support.raft_simulation.node import Node
+from tests.support.raft_simulation.troubles import CATCH_UP_S
+from tests.support.raft_simulation.world import World, address
 
 DOWN_S = 0.5
 RECOVERY_S = 6.0
--- a/tests/test_core_behaviour.py
+++ b/tests/raft/test_raft_behaviour.py
@@ -12,10 +12,9 @@
 from ochrespan.raft.messages import Entry, EntryKind
 from ochrespan.raft.reconfiguration import GroupHealth, next_voters
 from ochrespan.raft.state import PersistentState, Timing
-
-from .core_sim.checks import Violation
-from .core_sim.troubles import play
-from .core_sim.world import World, address
+from tests.support.raft_simulation.checks import Violation
+from tests.support.raft_simulation.troubles import play
+from tests.support.raft_simulation.world import World, address
 
 MEMBERS = tuple(Member(number, address(number)) for number in range(1, 9))
 
--- a/tests/test_core_simulation.py
+++ b/tests/raft/test_simulation.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from .core_sim.troubles import HarshTroubles, play
-from .core_sim.world import World
+from tests.support.raft_simulation.troubles import HarshTroubles, play
+from tests.support.raft_simulation.world import World
 
 SIZES = [(3, 1, range(40)), (4, 1, range(20)), (5, 2, range(20)), (5, 1, range(10))]
 
--- a/tests/test_core_search.py
+++ b/tests/raft/test_state_search.py
@@ -4,9 +4,8 @@
 
 from ochrespan.raft.membership_config import MembershipConfig
 from ochrespan.raft.state import ReplicaState
-
-from .core_sim.checks import Violation
-from .core_sim.search import Budget, State, search
+from tests.support.raft_simulation.checks import Violation
+from tests.support.raft_simulation.search import Budget, State, search
 
 WIPED_FOUNDER_STATES = 2172
 
--- /dev/null
+++ b/tests/storage/__init__.py
@@ -0,0 +1,1 @@
+"""Slots and logs on faulty disks."""
--- a/tests/test_storage.py
+++ b/tests/storage/test_snapshot_store.py
@@ -9,8 +9,7 @@
 from ochrespan.storage import records
 from ochrespan.storage.files import PosixDirectory
 from ochrespan.storage.snapshot_store import LOG_NAMES, SLOT_NAMES, SnapshotStore
-
-from .core_sim.disk import ProcessEnds, SimDirectory
+from tests.support.raft_simulation.disk import ProcessEnds, SimDirectory
 
 ROUNDS = 4  # checkpoints of the run; records before, between and after their parts
 MOST_LEFT_DISKS = 3**6
--- /dev/null
+++ b/tests/support/__init__.py
@@ -0,0 +1,1 @@
+"""Fakes, simulated worlds and process helpers that several tests share."""
--- a/tests/control_plane_world.py
+++ b/tests/support/control_plane_world.py
@@ -12,7 +12,7 @@
 from ochrespan.control_plane.api.handlers import serve_api
 from ochrespan.control_plane.controller import ControllerNode, ControlState
 from ochrespan.control_plane.quota.allocation import QuotaBounds
-from tests.control_plane_fakes import InMemoryGroups, SharedLog
+from tests.support.control_plane_fakes import InMemoryGroups, SharedLog
 
 HEARTBEAT_S = 1.2
 QUOTA_BOUNDS = QuotaBounds(window_s=8.0, overshoot=0.1, slack=20.0)
--- a/tests/test_router_process.py
+++ b/tests/test_router_process.py
@@ -11,8 +11,8 @@
 from gevent.event import Event
 
 from ochrespan.programs import fleetctl
-from tests.control_plane_world import World, configuration, instance, route
 from tests.fleet_standins import Client, StandInServer, answer, close, event, stream, unused_address
+from tests.support.control_plane_world import World, configuration, instance, route
 
 HOST = "models.example"
 GRACE_S = 2.0
--- a/tests/test_router_tables.py
+++ b/tests/test_router_tables.py
@@ -30,9 +30,9 @@
 from ochrespan.data_plane.scheduler import Scheduler
 from ochrespan.data_plane.server_pools import ServerPools
 from ochrespan.transport.tcp import ConnectionClosedError
-from tests.control_plane_world import configuration as document
-from tests.control_plane_world import instance
 from tests.fleet_standins import configuration, route, tenant
+from tests.support.control_plane_world import configuration as document
+from tests.support.control_plane_world import instance
 
 NOW = 100.0
 SERVICES = ("a", "b", "c")
--- /dev/null
+++ b/tests/transport/__init__.py
@@ -0,0 +1,1 @@
+"""Messages over TCP, UDP and TLS."""
--- a/tests/test_peer_security.py
+++ b/tests/transport/test_tls.py
@@ -14,7 +14,7 @@
 from ochrespan.programs.settings import parse_settings, secure_peers
 from ochrespan.transport import codec, rpc, tcp
 from ochrespan.transport.tls import KeyFiles, PeerSecurity
-from tests.core_hosts import free_port, kill, leader_of, make_host, propose
+from tests.support.replica_hosts import free_port, kill, leader_of, make_host, propose
 
 
 @codec.message("test.secret")
