--- /dev/null
+++ b/ochrespan/control_plane/api/errors.py
@@ -0,0 +1,19 @@
+"""Errors of the control interface. None of them leaves this package: each becomes a response with findings."""
+
+from __future__ import annotations
+
+
+class ControlApiError(Exception):
+    """Base of the errors of the control interface."""
+
+
+class BodyTooLargeError(ControlApiError):
+    """A request body is larger than the control interface reads.
+
+    Attributes:
+        max_bytes: the limit that was exceeded.
+    """
+
+    def __init__(self, max_bytes: int) -> None:
+        super().__init__(f"request body larger than {max_bytes} bytes")
+        self.max_bytes = max_bytes
--- a/ochrespan/control_plane/api/forwarding.py
+++ b/ochrespan/control_plane/api/forwarding.py
@@ -1,13 +1,14 @@
-"""Carries a call of the control interface to the leader of its shard, here or at another controller.
+"""Forwards each request of the control interface to the leader of its shard, in this process or at another controller.
 
-Every call may be repeated: an order is known by its digest and a report by its sequence number. So a call whose way to
-the leader broke is sent again until its time is up, and only then answered without a verdict.
+Every request may be repeated: the state machines recognise a configuration command by its digest and an instance report
+by its sequence number. So a request whose connection to the leader failed is sent again until its timeout. Only then is
+the response that its outcome is unknown (503).
 """
 
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from math import inf
 from time import monotonic
 from typing import Any
@@ -29,19 +30,19 @@
 log = logging.getLogger(__name__)
 
 
-RETRY_PAUSE_S = 0.04
-NO_QUORUM_S = 1.5  # longer than a leader may be without one, and than most elections take
+RETRY_INTERVAL_S = 0.04
+NO_QUORUM_S = 1.5  # longer than a leader may be without a quorum, and than most elections take
 
 
 class ControlService:
-    """The calls of servers and of the operator, as typed requests."""
+    """The requests of servers and of operators, each handled by the leader of its shard."""
 
     def __init__(
         self,
         groups: ReplicaGroups,
         configuration_owner: ConfigurationOwner,
         instance_owner: InstanceOwner,
-        instance_machines: dict[int, InstanceStateMachine],
+        instance_machines: Mapping[int, InstanceStateMachine],
         peers: PeerClients,
     ) -> None:
         self._groups = groups
@@ -56,83 +57,109 @@
         }
 
     def register(self, call_server: RpcServer) -> None:
-        """Answers the calls that other controllers pass on."""
+        """Registers the handler of requests that other controllers forward to this one."""
         for request_type in self._handlers:
-            call_server.on_request(request_type, self._answer_passed_on)
+            call_server.on_request(request_type, self._handle_forwarded_request)
 
-    def order(self, order: ConfigCommand) -> Response:
-        """Takes an order of the operator."""
-        return self._at_leader(CONFIG_SHARD, order, command_timeout_s(order))
+    def submit(self, command: ConfigCommand) -> Response:
+        """Submits a configuration command; large ones have a longer timeout."""
+        return self._forward_to_leader(CONFIG_SHARD, command, command_timeout_s(command))
 
     def read_configuration(self) -> Response:
-        """The newest configuration."""
-        return self._at_leader(CONFIG_SHARD, ReadConfiguration(), CALL_TIMEOUT_S)
+        """The newest configuration, confirmed by a majority."""
+        return self._forward_to_leader(CONFIG_SHARD, ReadConfiguration(), CALL_TIMEOUT_S)
 
     def read_history(self) -> Response:
-        """The latest changes of the configuration."""
-        return self._at_leader(CONFIG_SHARD, ReadHistory(), CALL_TIMEOUT_S)
+        """The latest changes of the configuration, confirmed by a majority."""
+        return self._forward_to_leader(CONFIG_SHARD, ReadHistory(), CALL_TIMEOUT_S)
 
     def cluster_name(self) -> str:
-        """The fleet that this controller belongs to; empty while it belongs to none."""
+        """The cluster that this controller belongs to; empty before it has joined one."""
         return cluster_name(self._groups.cluster())
 
-    def decline_leadership(self, span_s: float) -> Response:
-        """This controller hands over what it leads, and leads nothing for so long; 0 ends that."""
-        self._groups.decline_leadership(span_s)
-        return json_response(OK, {"declines_leadership_for_s": span_s})
+    def decline_leadership(self, duration_s: float) -> Response:
+        """Transfers all leadership away from this controller, which leads no shard for `duration_s`; 0 ends that."""
+        self._groups.decline_leadership(duration_s)
+        return json_response(OK, {"declines_leadership_for_s": duration_s})
 
-    def report(self, record: InstanceRecord) -> Response:
-        """Takes a server's report of itself."""
+    def report_instance(self, record: InstanceRecord) -> Response:
+        """Registers an instance, or takes its heartbeat."""
         shard = shard_of(record.backend)
-        return self._at_leader(shard, InstanceReport(shard, record_fields(record)), CALL_TIMEOUT_S)
+        return self._forward_to_leader(shard, InstanceReport(shard, record_fields(record)), CALL_TIMEOUT_S)
 
-    def ended(self, instance_id: str) -> Response:
-        """Takes a server's word that it has ended; where no shard knows it here, every shard is asked."""
-        known = [shard for shard, machine in self._machines.items() if instance_id in machine.records]
+    def remove_instance(self, instance_id: str) -> Response:
+        """Removes an instance that has ended.
+
+        The request names no service, so its shard is looked up in this controller's replicas. These may lag behind, and
+        an instance that is known to none of them is removed from every shard.
+
+        Returns:
+            The first response that is not a success, or else a success.
+        """
+        known_shards = [shard for shard, machine in self._machines.items() if instance_id in machine.records]
         calls = [
-            gevent.spawn(self._at_leader, shard, InstanceEnded(shard, instance_id), CALL_TIMEOUT_S)
-            for shard in known or self._machines
+            gevent.spawn(self._forward_to_leader, shard, InstanceEnded(shard, instance_id), CALL_TIMEOUT_S)
+            for shard in known_shards or self._machines
         ]
-        answers = [call.get() for call in calls]
-        refused = [answer for answer in answers if answer.status != OK]
-        return refused[0] if refused else json_response(OK, {})
-
-    def _answer_passed_on(self, request: Any) -> Any:
+        for call in calls:
+            call.name = f"remove-instance-{instance_id}"
+        responses: list[Response] = [call.get() for call in calls]
+        failures = [response for response in responses if response.status != OK]
+        return failures[0] if failures else json_response(OK, {})
+
+    def _handle_forwarded_request(self, request: Any) -> Response | NotLeaderResponse:
+        """Handles a request here or not at all: forwarding it once more might go in circles during an election."""
         try:
             return self._handlers[type(request)](request)
         except NotLeaderError:
             return NotLeaderResponse()
 
-    def _at_leader(self, shard: int, request: Any, timeout: float) -> Response:
-        deadline, failure = monotonic() + timeout, "no leader"
-        while (remaining := deadline - monotonic()) > 0:
+    def _forward_to_leader(self, shard: int, request: Any, timeout_s: float) -> Response:
+        """The leader's response, retried until the timeout; a 503 where none came or this process has lost the quorum.
+
+        A request whose connection broke may have been handled, with only its response lost. Sending it again is safe.
+        """
+        deadline = monotonic() + timeout_s
+        reason = "no leader"
+        while (remaining_s := deadline - monotonic()) > 0:
             try:
-                answer = self._try_leader(shard, request, remaining)
+                response = self._try_leader(shard, request, remaining_s)
             except RpcError as error:
-                answer, failure = None, str(error)
-            if answer is not None:
-                return answer
-            if self._is_cut_off(shard):
-                failure = "no majority in reach"
+                response = None
+                reason = str(error)
+            if response is not None:
+                return response
+            if self._has_lost_quorum(shard):
+                reason = "no majority in reach"
                 break
-            gevent.sleep(RETRY_PAUSE_S)
-        log.info("no verdict shard=%d reason=%r", shard, failure)
-        return unavailable_response(f"shard {shard}", failure)
+            gevent.sleep(RETRY_INTERVAL_S)
+        log.info("command outcome unknown shard=%d reason=%r", shard, reason)
+        return unavailable_response(f"shard {shard}", reason)
+
+    def _has_lost_quorum(self, shard: int) -> bool:
+        """Whether this process knew a quorum and lost it long ago: the caller should try another controller at once.
+
+        After a start the age is infinite: the first election may end at any moment, so the request is retried.
+        """
+        age_s = self._groups.seconds_since_quorum(shard)
+        return NO_QUORUM_S < age_s < inf and self._groups.leader(shard) is None
+
+    def _try_leader(self, shard: int, request: Any, timeout_s: float) -> Response | None:
+        """The response of the leader as known now.
 
-    def _is_cut_off(self, shard: int) -> bool:
-        """Whether this process knew a majority and has lost it for long: the caller should go on to another at once."""
-        age = self._groups.seconds_since_quorum(shard)
-        return NO_QUORUM_S < age < inf and self._groups.leader(shard) is None
+        Returns:
+            None where no leader is known, or where the supposed one has lost its leadership meanwhile.
 
-    def _try_leader(self, shard: int, request: Any, timeout: float) -> Response | None:
-        """An answer, or None where there was no leader to give one; raises RpcError."""
+        Raises:
+            RpcError: the leader could not be reached, or did not respond in time.
+        """
         try:
             if self._groups.is_leader(shard):
                 return self._handlers[type(request)](request)
             leader = self._groups.leader(shard)
             if leader is None:
                 return None
-            reply = self._peers.call(leader, request, timeout)
+            reply = self._peers.call(leader, request, timeout_s)
         except NotLeaderError:
             return None
         return reply if isinstance(reply, Response) else None
--- a/ochrespan/control_plane/api/handlers.py
+++ b/ochrespan/control_plane/api/handlers.py
@@ -1,4 +1,7 @@
-"""The control interface over HTTP: for the operator, for servers, and for the command line."""
+"""The control interface over HTTP (WSGI): for operators, for servers, and for the command line.
+
+Requests are parsed and validated here; what they ask for is done by `forwarding.ControlService`.
+"""
 
 from __future__ import annotations
 
@@ -38,14 +41,15 @@
 )
 from ochrespan.observability.metrics import CONTENT_TYPE, MetricsRegistry
 
+from .errors import BodyTooLargeError
 from .forwarding import ControlService
 
 log = logging.getLogger(__name__)
 
 
 MAX_BODY_BYTES = 8 * 1024 * 1024
-CLUSTER_HEADER = "X-Fleet-Cluster"  # in an order: the fleet that it is meant for, as /api/status names it
-CLUSTER_VARIABLE = "HTTP_X_FLEET_CLUSTER"
+CLUSTER_HEADER = "X-Fleet-Cluster"  # of a configuration command: the cluster it is meant for, as in /api/status
+CLUSTER_VARIABLE = "HTTP_X_FLEET_CLUSTER"  # that header in a WSGI environment (PEP 3333)
 INSTANCES_PATH = "/api/instances/"
 METRICS_PATH = "/api/metrics"
 
@@ -53,23 +57,26 @@
 Handler = Callable[[Environment], Response]
 
 
-class BodyTooLargeError(Exception):
-    """A request's body exceeds MAX_BODY_BYTES."""
-
-
 class ControlApi:
-    """The WSGI application. `status` gives the document of `/api/status`, `ready` whether `/api/readyz` says yes."""
+    """The WSGI application.
+
+    Args:
+        service: handles the requests.
+        status: gives the document of `/api/status`.
+        is_ready: whether `/api/readyz` responds with 200.
+        registry: the metrics of `/api/metrics`.
+    """
 
     def __init__(
         self,
         service: ControlService,
         status: Callable[[], dict[str, Any]],
-        ready: Callable[[], bool],
+        is_ready: Callable[[], bool],
         registry: MetricsRegistry,
     ) -> None:
         self._service = service
         self._status = status
-        self._ready = ready
+        self._is_ready = is_ready
         self._registry = registry
         self._routes: dict[str, dict[str, Handler]] = {
             "/api/config": {"GET": self._get_config, "PUT": self._put_config, "PATCH": self._patch_config},
@@ -81,23 +88,25 @@
         self._instance_methods: dict[str, Handler] = {"PUT": self._put_instance, "DELETE": self._delete_instance}
 
     def __call__(self, environment: Environment, start_response: Callable[..., Any]) -> Iterable[bytes]:
+        """Responds to one request (PEP 3333)."""
         if (environment["REQUEST_METHOD"], environment["PATH_INFO"]) == ("GET", METRICS_PATH):
-            return self._figures(start_response)
-        answer = self._answer(environment)
-        body = answer.body
+            return self._respond_with_metrics(start_response)
+        response = self._handle(environment)
+        body = response.body
         headers = [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
-        if answer.status == UNAVAILABLE:
+        if response.status == UNAVAILABLE:
             headers.append(("Retry-After", f"{RETRY_AFTER_S:g}"))
-        start_response(f"{answer.status} {HTTPStatus(answer.status).phrase}", headers)
+        start_response(f"{response.status} {HTTPStatus(response.status).phrase}", headers)
         return [body]
 
-    def _figures(self, start_response: Callable[..., Any]) -> Iterable[bytes]:
+    def _respond_with_metrics(self, start_response: Callable[..., Any]) -> Iterable[bytes]:
         body = self._registry.render().encode()
         start_response("200 OK", [("Content-Type", CONTENT_TYPE), ("Content-Length", str(len(body)))])
         return [body]
 
-    def _answer(self, environment: Environment) -> Response:
-        path, method = environment["PATH_INFO"], environment["REQUEST_METHOD"]
+    def _handle(self, environment: Environment) -> Response:
+        path: str = environment["PATH_INFO"]
+        method: str = environment["REQUEST_METHOD"]
         methods = self._instance_methods if path.startswith(INSTANCES_PATH) else self._routes.get(path)
         if methods is None:
             allowed = ", ".join((*self._routes, METRICS_PATH, INSTANCES_PATH + "ID"))
@@ -109,49 +118,58 @@
             return handler(environment)
         except ValidationError as error:
             return findings_response(BAD_REQUEST, error.findings)
-        except BodyTooLargeError:
-            allowed = f"at most {MAX_BODY_BYTES} bytes"
+        except BodyTooLargeError as error:
+            allowed = f"at most {error.max_bytes} bytes"
             return findings_response(CONTENT_TOO_LARGE, [Finding("body", "a longer body", allowed)])
 
-    def _get_config(self, environment: Environment) -> Response:
+    def _get_config(self, _environment: Environment) -> Response:
         return self._service.read_configuration()
 
     def _put_config(self, environment: Environment) -> Response:
-        return self._order(ConfigCommandKind.WHOLE, CHECK_CONFIGURATION, environment)
+        return self._submit(ConfigCommandKind.WHOLE, CHECK_CONFIGURATION, environment)
 
     def _patch_config(self, environment: Environment) -> Response:
-        return self._order(ConfigCommandKind.PATCH, CHECK_PATCH, environment)
-
-    def _order(self, kind: ConfigCommandKind, check: Check, environment: Environment) -> Response:
-        wanted, own = environment.get(CLUSTER_VARIABLE, ""), self._service.cluster_name()
-        if wanted and own and wanted != own:
-            return findings_response(PRECONDITION_FAILED, [Finding(CLUSTER_HEADER, wanted, f"{own}, or none")])
-        version, body = _read_version(environment), _read_body(environment)
-        return self._service.order(make_command(kind, version, read_json(body, check), _now_ms()))
-
-    def _get_history(self, environment: Environment) -> Response:
+        return self._submit(ConfigCommandKind.PATCH, CHECK_PATCH, environment)
+
+    def _submit(self, kind: ConfigCommandKind, check: Check, environment: Environment) -> Response:
+        """Submits a configuration command, unless it names another cluster than this controller's."""
+        intended_cluster = environment.get(CLUSTER_VARIABLE, "")
+        own_cluster = self._service.cluster_name()
+        if intended_cluster and own_cluster and intended_cluster != own_cluster:
+            finding = Finding(CLUSTER_HEADER, intended_cluster, f"{own_cluster}, or none")
+            return findings_response(PRECONDITION_FAILED, [finding])
+        version = _read_version(environment)
+        document = read_json(_read_body(environment), check)
+        return self._service.submit(make_command(kind, version, document, _now_ms()))
+
+    def _get_history(self, _environment: Environment) -> Response:
         return self._service.read_history()
 
     def _put_leadership(self, environment: Environment) -> Response:
-        wanted = read_json(_read_body(environment), CHECK_LEADERSHIP)
-        return self._service.decline_leadership(wanted["decline_for_s"])
+        document = read_json(_read_body(environment), CHECK_LEADERSHIP)
+        return self._service.decline_leadership(document["decline_for_s"])
 
     def _put_instance(self, environment: Environment) -> Response:
         instance_id = _read_instance_id(environment)
-        return self._service.report(record_of(instance_id, read_json(_read_body(environment), CHECK_INSTANCE)))
+        document = read_json(_read_body(environment), CHECK_INSTANCE)
+        return self._service.report_instance(record_of(instance_id, document))
 
     def _delete_instance(self, environment: Environment) -> Response:
-        return self._service.ended(_read_instance_id(environment))
+        return self._service.remove_instance(_read_instance_id(environment))
 
-    def _get_ready(self, environment: Environment) -> Response:
-        return json_response(OK if self._ready() else UNAVAILABLE, {})
+    def _get_ready(self, _environment: Environment) -> Response:
+        return json_response(OK if self._is_ready() else UNAVAILABLE, {})
 
-    def _get_status(self, environment: Environment) -> Response:
+    def _get_status(self, _environment: Environment) -> Response:
         return json_response(OK, self._status())
 
 
 def serve_api(address: Address, application: ControlApi) -> WSGIServer:
-    """A server that is started and answers on `address`."""
+    """Starts an HTTP server for the application; the caller closes it.
+
+    Raises:
+        OSError: the address cannot be bound.
+    """
     server = WSGIServer(address, application, log=None, error_log=log)
     server.start()
     return server
@@ -162,30 +180,32 @@
 
 
 def _read_version(environment: Environment) -> int:
-    given = environment.get("HTTP_IF_MATCH", "")
-    bare = given.strip().removeprefix("W/").strip('"')
-    if not bare.isascii() or not bare.isdigit():
-        raise ValidationError([Finding("If-Match", json.dumps(given), "the version that the change builds on")])
-    return int(bare)
+    """The version in `If-Match`: a number, also with the quotes and `W/` of an entity tag (RFC 9110, section 8.8.3)."""
+    header = environment.get("HTTP_IF_MATCH", "")
+    digits = header.strip().removeprefix("W/").strip('"')
+    if not digits.isascii() or not digits.isdigit():
+        raise ValidationError([Finding("If-Match", json.dumps(header), "the version that the change builds on")])
+    return int(digits)
 
 
 def _read_body(environment: Environment) -> bytes:
+    """The complete request body; raises BodyTooLargeError, or ValidationError where the client broke off."""
     declared = environment.get("CONTENT_LENGTH") or ""
     if declared.isdigit() and int(declared) > MAX_BODY_BYTES:
-        raise BodyTooLargeError
+        raise BodyTooLargeError(MAX_BODY_BYTES)
     try:
-        body = environment["wsgi.input"].read(MAX_BODY_BYTES + 1)
+        body: bytes = environment["wsgi.input"].read(MAX_BODY_BYTES + 1)
     except OSError as error:
         raise ValidationError([Finding("body", str(error), "the whole body")]) from error
     if len(body) > MAX_BODY_BYTES:
-        raise BodyTooLargeError
+        raise BodyTooLargeError(MAX_BODY_BYTES)
     if declared.isdigit() and len(body) < int(declared):
         raise ValidationError([Finding("body", f"{len(body)} bytes", f"{declared} bytes, as announced")])
     return body
 
 
 def _read_instance_id(environment: Environment) -> str:
-    path = environment["PATH_INFO"].encode("latin-1").decode("utf-8", "replace")  # WSGI gives bytes as Latin-1
+    path: str = environment["PATH_INFO"].encode("latin-1").decode("utf-8", "replace")  # WSGI gives bytes as Latin-1
     instance_id = path.removeprefix(INSTANCES_PATH)
     if not 0 < len(instance_id) <= MAX_ID_CHARACTERS or "/" in instance_id or not instance_id.isprintable():
         allowed = f"1 to {MAX_ID_CHARACTERS} printable characters without a slash"
