--- a/ochrespan/programs/early_listener.py
+++ b/ochrespan/programs/early_listener.py
@@ -1,7 +1,7 @@
-"""Opens a router's address for clients with as little loaded as that needs.
+"""Opens a router's listener for clients, with few imports.
 
-The settings are read here without a check and only for this address. Whatever is wrong with them is found and reported
-when the router reads them in full, which then opens the address itself.
+The settings are read here without validation, and only for this address. Whatever is wrong with them is reported when
+the router reads and validates them; it then opens the listener itself.
 """
 
 from __future__ import annotations
@@ -12,11 +12,15 @@
 import yaml
 
 SETTINGS_VARIABLE = "OCHRESPAN_SETTINGS"
-BACKLOG = 1024  # connections; the kernel may allow fewer
+BACKLOG = 1024  # connections; the kernel caps it at net.core.somaxconn
 
 
 def open_front() -> socket.socket | None:
-    """A listening socket at `listen.front` of the settings file; None where that cannot be had."""
+    """Opens a listening socket at `listen.front` of the settings file; the caller owns it.
+
+    Returns:
+        None where the settings name no usable address, or where it cannot be bound.
+    """
     try:
         with open(os.environ[SETTINGS_VARIABLE], encoding="utf-8") as file:
             settings = yaml.load(file, Loader=getattr(yaml, "CSafeLoader", yaml.SafeLoader))
--- a/ochrespan/programs/router.py
+++ b/ochrespan/programs/router.py
@@ -1,7 +1,7 @@
-"""Starts a router: the clients' address is opened first, then the router's parts are loaded.
+"""Starts a router: opens the listener for clients first, and then imports the rest of the router.
 
-Loading takes a good part of a second on a small machine. Connections that come meanwhile wait to be accepted, where
-without a listening socket each would be refused and cost its client a try.
+The imports take a good part of a second on a small machine. Connections that arrive meanwhile wait in the listener's
+backlog, where without a listener each would be refused and its client would have to retry.
 """
 
 from __future__ import annotations
@@ -15,11 +15,12 @@
 def main() -> int:
     """Runs a router until SIGTERM; the exit status is that of `router_process.run`.
 
-    What is loaded lasts, so looking for garbage among it is in vain; that takes a tenth of the start.
+    Garbage collection is off during the imports, whose objects live as long as the process; that saves a tenth of the
+    start. They are frozen then, so that later collections skip them.
     """
     gc.disable()
     listener = open_front()
-    from .router_process import run  # after the socket is open: this is what takes its time
+    from .router_process import run  # after the listener is open: this import takes most of the start
 
     gc.freeze()
     gc.enable()
--- a/ochrespan/programs/settings.py
+++ b/ochrespan/programs/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process of the fleet: reading, checking, and reloading when it has changed."""
+"""The settings file of a process of the fleet: reading, validation, and reloading when it has changed."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 import os
 from collections.abc import Callable, Mapping
 from pathlib import Path
-from typing import Annotated, Any, NotRequired, TypedDict
+from typing import Annotated, Any, Literal, NotRequired, TypedDict
 
 import gevent
 import yaml
 
-from ochrespan.common.addresses import parse_address
+from ochrespan.common.addresses import Address, parse_address
 from ochrespan.common.validation import (
     Finding,
     Findings,
@@ -35,7 +35,11 @@
 log = logging.getLogger(__name__)
 
 RELOAD_INTERVAL_S = 1.0
-DEFAULT_DECISION_RECORDS = 0.0  # part of the requests whose decisions a router records
+DEFAULT_DECISION_RECORDS = 0.0  # fraction of the requests whose decisions a router records
+MAX_PORT = 65535
+PORT_RANGE_LENGTH = 2  # the first and the last port
+
+ListenName = Literal["front", "ready", "control"]
 
 
 def _address(value: Any, where: str, findings: Findings) -> None:
@@ -45,9 +49,13 @@
         add_finding(findings, where, show(value), "IP:PORT")
 
 
+def _is_port(value: Any) -> bool:
+    return type(value) is int and 0 < value <= MAX_PORT
+
+
 def _port_range(value: Any, where: str, findings: Findings) -> None:
     ports = value if isinstance(value, list) else []
-    if len(ports) != 2 or not all(type(port) is int and 0 < port < 65536 for port in ports) or ports[0] > ports[1]:
+    if len(ports) != PORT_RANGE_LENGTH or not all(map(_is_port, ports)) or ports[0] > ports[1]:
         add_finding(findings, where, show(value), "two rising port numbers")
 
 
@@ -57,7 +65,13 @@
 
 
 class Listen(TypedDict):
-    """Addresses for what a process serves; which of them are given depends on its role."""
+    """Listening addresses (IP:PORT); which of them are required depends on the role.
+
+    Attributes:
+        front: a router's, for clients.
+        ready: a router's, for the platform: readiness and metrics.
+        control: a controller's, for operators, servers and the platform.
+    """
 
     front: NotRequired[Annotated[str, _address]]
     ready: NotRequired[Annotated[str, _address]]
@@ -65,7 +79,16 @@
 
 
 class Limits(TypedDict, total=False):
-    """What the machine grants a process."""
+    """What the machine grants a process.
+
+    Attributes:
+        cpu_share: processor time; not read by the programs of the fleet.
+        cores: number of cores; not read by the programs of the fleet.
+        memory_mb: memory in megabytes (10^6 bytes).
+        max_fds: number of file descriptors.
+        link_mbps: network bandwidth in megabits per second; not read by the programs of the fleet.
+        disk_mb: space for a controller's replicas, in megabytes.
+    """
 
     cpu_share: NotRequired[Annotated[float, number(above=True)]]
     cores: NotRequired[Annotated[int, integer(1)]]
@@ -76,7 +99,13 @@
 
 
 class FaultTolerance(TypedDict, total=False):
-    """What may be lost at once."""
+    """How many failures at once the control state has to survive.
+
+    Attributes:
+        machines: number of controllers.
+        zones: number of zones; not read by the programs of the fleet.
+        regions: number of regions; not read by the programs of the fleet.
+    """
 
     machines: NotRequired[Annotated[int, integer()]]
     zones: NotRequired[Annotated[int, integer()]]
@@ -84,7 +113,13 @@
 
 
 class PeerTls(TypedDict):
-    """PEM files for connections between processes of the fleet."""
+    """Paths of the PEM files for mutual TLS between processes of the fleet.
+
+    Attributes:
+        certificate: this process's certificate.
+        key: its private key.
+        authority: the certificate authority that the others' certificates are verified against.
+    """
 
     certificate: Annotated[str, text()]
     key: Annotated[str, text()]
@@ -92,7 +127,32 @@
 
 
 class Settings(TypedDict):
-    """The settings file; fields that are not named here are ignored."""
+    """The settings file. Fields that are not named here are ignored; the order here is that of the findings.
+
+    Attributes:
+        node: name of the process, unique in the fleet.
+        ip: address at which the other processes reach this one.
+        zone: failure domain of the process.
+        port_range: first and last port that the process may use; peers talk on the first.
+        seeds: control addresses (IP:PORT) of controllers to contact first.
+        listen: listening addresses by their use.
+        role: not read by the programs of the fleet.
+        machine_class: not read by the programs of the fleet.
+        serves: not read by the programs of the fleet.
+        region: not read by the programs of the fleet.
+        zones: not read by the programs of the fleet.
+        bootstrap: whether this controller may take part in forming a new cluster.
+        counts_for_quorum: not read by the programs of the fleet.
+        limits: what the machine grants.
+        data_dir: folder of a controller's replicas.
+        heartbeat_ms: milliseconds between two reports of an instance.
+        contracts: not read by the programs of the fleet.
+        fault_tolerance: failures that the control state has to survive.
+        bounds: numbers of the fleet's rules; read one by one with `bound_value`, so unknown ones are ignored.
+        peer_tls: mutual TLS between processes; plain TCP where absent.
+        decision_records: fraction (0 to 1) of the requests whose decisions a router records.
+        log_level: least level of log lines.
+    """
 
     node: Annotated[str, text()]
     ip: Annotated[str, text()]
@@ -121,21 +181,29 @@
 _check_settings = typed(Settings)
 
 
-def parse_settings(source: str, place: str) -> Settings:
-    """The settings in YAML text; raises ValidationError with all findings."""
+def parse_settings(source: str, name: str) -> Settings:
+    """Parses and validates settings.
+
+    Args:
+        source: YAML text.
+        name: the file's name, which every finding begins with.
+
+    Raises:
+        ValidationError: with all findings at once.
+    """
     try:
-        document = yaml.load(source, Loader=getattr(yaml, "CSafeLoader", yaml.SafeLoader))
+        document: Settings = yaml.load(source, Loader=getattr(yaml, "CSafeLoader", yaml.SafeLoader))
     except yaml.YAMLError as error:
-        raise ValidationError([Finding(place, " ".join(str(error).split()), "a YAML document")]) from error
+        raise ValidationError([Finding(name, " ".join(str(error).split()), "a YAML document")]) from error
     findings: Findings = []
     _check_settings(document, "", findings)
     if findings:
-        raise ValidationError([Finding(f"{place}: {each.where}", each.found, each.allowed) for each in findings])
+        raise ValidationError([Finding(f"{name}: {each.where}", each.found, each.allowed) for each in findings])
     return document
 
 
 def settings_path(environment: Mapping[str, str] = os.environ) -> Path:
-    """Where the settings file lies; raises ValidationError where nothing says so."""
+    """The path of the settings file, from the environment; raises ValidationError where it is not set."""
     path = environment.get(SETTINGS_VARIABLE)
     if not path:
         raise ValidationError([Finding(SETTINGS_VARIABLE, "nothing", "the path of a settings file")])
@@ -143,19 +211,26 @@
 
 
 def read_settings(path: Path) -> Settings:
-    """The settings in the file at `path`; raises ValidationError."""
+    """Reads and validates a settings file; raises ValidationError."""
     try:
         return parse_settings(path.read_text(), str(path))
     except (OSError, UnicodeDecodeError) as error:
         raise ValidationError([Finding(str(path), str(error), "a readable text file")]) from error
 
 
+def listen_address(settings: Settings, name: ListenName) -> Address:
+    """A listening address that the role requires; raises ValidationError where it is missing."""
+    if name not in settings["listen"]:
+        raise ValidationError([Finding(f"listen.{name}", "nothing", "IP:PORT")])
+    return parse_address(settings["listen"][name])
+
+
 def secure_peers(settings: Settings) -> None:
-    """Turns TLS between the processes of the fleet on where the settings ask for it; raises ValidationError."""
+    """Turns on mutual TLS between the processes of the fleet if the settings ask for it; raises ValidationError."""
     files = settings.get("peer_tls")
     if not files:
         return
-    from ochrespan.transport.tls import KeyFiles, PeerSecurity
+    from ochrespan.transport.tls import KeyFiles, PeerSecurity  # only where it is used: a router's start counts
 
     try:
         secure_connections(PeerSecurity(KeyFiles(files["certificate"], files["key"], files["authority"])))
@@ -164,19 +239,25 @@
         raise ValidationError([Finding("peer_tls", str(error), allowed)]) from error
 
 
-def bound(settings: Settings, name: str, default: float) -> float:
-    """A figure of the rules, or `default` where the settings do not give it as a number."""
+def bound_value(settings: Settings, name: str, default: float) -> float:
+    """A number from the `bounds` section; `default` where it is missing or not a number (true and false are none)."""
     value = settings.get("bounds", {}).get(name)
-    return value if type(value) in (int, float) else default
+    if type(value) is int or type(value) is float:
+        return value
+    return default
 
 
 class SettingsFile:
-    """Keeps the settings of a running process current: on `reload()` (SIGHUP) and when the file's time has changed.
+    """The settings of a running process, reloaded on `reload()` (SIGHUP) and when the file has changed.
+
+    A file that cannot be read or has findings is reported in the log, and the previous settings stay.
 
-    A file that cannot be read is reported in the log, and the settings in force stay.
+    Attributes:
+        current: the settings in force.
+        on_change: called with the new settings after each change.
     """
 
-    def __init__(self, path: Path, on_change: Callable[[Settings], None] = lambda settings: None) -> None:
+    def __init__(self, path: Path, on_change: Callable[[Settings], None] | None = None) -> None:
         self.on_change = on_change
         self._path = path
         self.current = read_settings(path)
@@ -184,7 +265,7 @@
         set_level(self.current.get("log_level", DEFAULT_LEVEL))
 
     def watch(self) -> None:
-        """Looks for changes until the greenlet is killed."""
+        """Polls the file for changes until the greenlet is killed."""
         while True:
             gevent.sleep(RELOAD_INTERVAL_S)
             self.poll()
@@ -195,20 +276,26 @@
             self.reload()
 
     def reload(self) -> None:
-        """Reads the file again and tells of a difference."""
+        """Reads the file again, and calls `on_change` if the settings differ.
+
+        The stamp is taken before the file is read: a change in between is noticed by the next poll.
+        """
         self._stamp = self._read_stamp()
         try:
-            fresh = read_settings(self._path)
+            settings = read_settings(self._path)
         except ValidationError as error:
-            log.error("settings kept findings=%r", str(error))
+            log.error("settings not reloaded, the previous ones stay findings=%r", str(error))
+            return
+        if settings == self.current:
             return
-        if fresh != self.current:
-            self.current = fresh
-            set_level(fresh.get("log_level", DEFAULT_LEVEL))
-            log.info("settings changed path=%s", self._path)
-            self.on_change(fresh)
+        self.current = settings
+        set_level(settings.get("log_level", DEFAULT_LEVEL))
+        log.info("settings reloaded path=%s", self._path)
+        if self.on_change is not None:
+            self.on_change(settings)
 
     def _read_stamp(self) -> tuple[int, int, int] | None:
+        """Modification time in nanoseconds, size and inode; None while there is no file."""
         try:
             status = self._path.stat()
         except OSError:
--- a/tests/programs/test_early_listener.py
+++ b/tests/programs/test_early_listener.py
@@ -10,7 +10,7 @@
 from ochrespan.programs import router as router_program
 from ochrespan.programs import router_process
 from ochrespan.programs.early_listener import SETTINGS_VARIABLE, open_front
-from ochrespan.programs.router_process import _listener_at
+from ochrespan.programs.router_process import listener_or_address
 from tests.fleet_standins import StandInServer, answer, configuration, route, router, unused_address
 
 
@@ -27,7 +27,7 @@
     with listener, socket.create_connection(address, timeout=5) as client:
         client.sendall(b"GET / HTTP/1.1\r\n")
         assert not listener.getblocking()
-        assert _listener_at(address, listener) is listener
+        assert listener_or_address(address, listener) is listener
         assert open_front() is None  # the address is taken
 
 
@@ -59,9 +59,9 @@
 
 def test_a_socket_at_another_address_than_the_checked_settings_name_is_closed():
     listener = socket.create_server(("127.0.0.1", 0))
-    assert _listener_at(("127.0.0.1", 1), listener) == ("127.0.0.1", 1)
+    assert listener_or_address(("127.0.0.1", 1), listener) == ("127.0.0.1", 1)
     assert listener.fileno() == -1
-    assert _listener_at(("127.0.0.1", 1), None) == ("127.0.0.1", 1)
+    assert listener_or_address(("127.0.0.1", 1), None) == ("127.0.0.1", 1)
 
 
 def test_a_request_that_comes_just_before_the_first_table_is_served(monkeypatch):
--- a/tests/programs/test_settings.py
+++ b/tests/programs/test_settings.py
@@ -9,7 +9,7 @@
 from ochrespan.common.validation import ValidationError
 from ochrespan.membership.peer_addresses import peer_address, seed_peer_addresses
 from ochrespan.programs.controller import control_address, host_settings
-from ochrespan.programs.settings import SettingsFile, bound, parse_settings, read_settings, settings_path
+from ochrespan.programs.settings import SettingsFile, bound_value, parse_settings, read_settings, settings_path
 
 GOOD = {
     "node": "core-a-1",
@@ -39,8 +39,8 @@
     host = host_settings(settings)
     assert (host.bootstrap, host.fault_tolerance, host.disk_mb, host.data_dir) == (True, 1, 128, "/data/core")
     assert control_address(settings) == ("10.1.0.6", 8367)
-    assert bound(settings, "drain_ms", 1) == 2000
-    assert [bound(settings, name, 7) for name in ("odd", "strict_revoke", "missing")] == [7, 7, 7]
+    assert bound_value(settings, "drain_ms", 1) == 2000
+    assert [bound_value(settings, name, 7) for name in ("odd", "strict_revoke", "missing")] == [7, 7, 7]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -23,7 +23,7 @@
     (f"{CONTROL}.quota",),
     (f"{CONTROL}.api",),
     (f"{CONTROL}.controller", "ochrespan.data_plane"),
-    (f"{PROGRAMS}.early_listener",),
+    (f"{PROGRAMS}.early_listener", f"{PROGRAMS}.errors"),
     (f"{PROGRAMS}.settings",),
     (f"{PROGRAMS}.fleetctl_commands",),
     (PROGRAMS,),
--- a/tests/test_router_process.py
+++ b/tests/test_router_process.py
@@ -208,11 +208,11 @@
     router.write()
     if tell:
         router.signal(signal.SIGHUP)
-    router.wait_for("settings changed")
+    router.wait_for("settings reloaded")
     router.path.write_text("node: [")
     if tell:
         router.signal(signal.SIGHUP)
-    router.wait_for("settings kept")
+    router.wait_for("settings not reloaded")
     router.signal(signal.SIGTERM)
     assert router.exit_code() == 0
 
