--- a/ochrespan/programs/fleetctl.py
+++ b/ochrespan/programs/fleetctl.py
@@ -16,20 +16,19 @@
 from ochrespan.control_plane.api.handlers import CLUSTER_HEADER
 from ochrespan.programs.fleetctl_commands import reports as fleet_reports
 from ochrespan.programs.fleetctl_commands.common import (
-    EXIT_FAILED,
-    CommandFailedError,
-    client_for,
-    client_of,
+    client_for_fleet,
+    client_for_process,
     current_configuration,
     fleet_status,
     read_configuration,
-    value_of,
+    unwrap_document,
 )
 from ochrespan.programs.fleetctl_commands.state_commands import backup, drain_instance, restore
 
+from .errors import CommandFailedError, ExitStatus
 from .settings import read_settings
 
-HAND_OVER_S = 600.0
+DEFAULT_DECLINE_S = 600.0
 
 
 def status(*, controllers: list[str] | None = None) -> str:
@@ -62,7 +61,7 @@
 
     :param controllers: control addresses to ask, in turn
     """
-    return json.dumps(current_configuration(client_for(controllers)), indent=2)
+    return json.dumps(current_configuration(client_for_fleet(controllers)), indent=2)
 
 
 def history(*, last: int = 20, controllers: list[str] | None = None) -> str:
@@ -71,7 +70,7 @@
     :param last: how many
     :param controllers: control addresses to ask, in turn
     """
-    changes = value_of(client_for(controllers).get("/api/config/history"))["changes"]
+    changes = unwrap_document(client_for_fleet(controllers).get("/api/config/history"))["changes"]
     return fleet_reports.history_report(changes[-last:] if last > 0 else [])
 
 
@@ -90,7 +89,7 @@
     :param file: the configuration as JSON
     :param controllers: control addresses to ask, in turn
     """
-    current = current_configuration(client_for(controllers))
+    current = current_configuration(client_for_fleet(controllers))
     return fleet_reports.difference_report(current, read_configuration(file)) or "no difference"
 
 
@@ -102,16 +101,19 @@
     :param cluster: the fleet that it is meant for, as `status` shows it; controllers of another refuse it
     :param controllers: control addresses to ask, in turn
     """
-    client, document = client_for(controllers), read_configuration(file)
+    client = client_for_fleet(controllers)
+    document = read_configuration(file)
     version = builds_on
     if version is None:
         current = current_configuration(client)
         if current == document:
             return f"in force already: version {current['generation']}"
         version = current["generation"]
-    headers = {"If-Match": str(version), **({CLUSTER_HEADER: cluster} if cluster else {})}
-    taken = value_of(client.put("/api/config", document, headers))
-    return f"taken: version {taken['generation']} on top of {version}"
+    headers = {"If-Match": str(version)}
+    if cluster:
+        headers[CLUSTER_HEADER] = cluster
+    response = unwrap_document(client.put("/api/config", document, headers))
+    return f"taken: version {response['generation']} on top of {version}"
 
 
 def drain(instance: str, *, controllers: list[str] | None = None) -> str:
@@ -120,8 +122,8 @@
     :param instance: the id of the server's incarnation
     :param controllers: control addresses to ask, in turn
     """
-    client = client_for(controllers)
-    listed = value_of(client.get("/api/status"))["instances"]
+    client = client_for_fleet(controllers)
+    listed = unwrap_document(client.get("/api/status"))["instances"]
     record = next((each for each in listed if each["id"] == instance), None)
     if record is None:
         raise CommandFailedError(f"instance: found {instance!r}, allowed one of those that `instances` shows")
@@ -129,13 +131,13 @@
     return f"draining: {instance} of {record['backend']} at {record['address']}"
 
 
-def hand_over(controller: str, *, for_s: float = HAND_OVER_S) -> str:
+def hand_over(controller: str, *, for_s: float = DEFAULT_DECLINE_S) -> str:
     """Make a controller hand over the shards that it leads, and lead none for a time, as long as others do.
 
     :param controller: its control address
     :param for_s: seconds; 0 ends an earlier hand-over
     """
-    value_of(client_of("controller", controller).put("/api/leadership", {"decline_for_s": for_s}))
+    unwrap_document(client_for_process("controller", controller).put("/api/leadership", {"decline_for_s": for_s}))
     return f"{controller}: leads nothing for {for_s:g} s" if for_s else f"{controller}: may lead again"
 
 
@@ -144,7 +146,7 @@
 
     :param router: its `ready` address
     """
-    value_of(client_of("router", router).put("/api/readiness", {"drained": True}))
+    unwrap_document(client_for_process("router", router).put("/api/readiness", {"drained": True}))
     return f"{router}: drained; what it has goes on"
 
 
@@ -153,7 +155,7 @@
 
     :param router: its `ready` address
     """
-    value_of(client_of("router", router).put("/api/readiness", {"drained": False}))
+    unwrap_document(client_for_process("router", router).put("/api/readiness", {"drained": False}))
     return f"{router}: takes new connections"
 
 
@@ -181,19 +183,16 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Runs a command, prints its result, and returns the exit status."""
+    """Runs a command and prints its result, or on standard error why there is none; returns the exit status."""
     try:
         print(defopt.run(COMMANDS, argv=arguments, show_types=False))
     except ValidationError as error:
-        return _fail("\n".join(map(str, error.findings)), EXIT_FAILED)
+        print("\n".join(map(str, error.findings)), file=sys.stderr)
+        return ExitStatus.FAILED
     except CommandFailedError as error:
-        return _fail(str(error), error.code)
-    return 0
-
-
-def _fail(text: str, code: int) -> int:
-    print(text, file=sys.stderr)
-    return code
+        print(error, file=sys.stderr)
+        return error.exit_status
+    return ExitStatus.OK
 
 
 if __name__ == "__main__":
--- a/ochrespan/programs/fleetctl_commands/common.py
+++ b/ochrespan/programs/fleetctl_commands/common.py
@@ -1,4 +1,4 @@
-"""What the operator's commands share: the controllers to ask, answers, and failures with their exit status."""
+"""What the commands of `fleetctl` share: clients of the control interface, and reading documents."""
 
 from __future__ import annotations
 
@@ -11,63 +11,54 @@
 from ochrespan.common.validation import Finding, ValidationError
 from ochrespan.control_plane.config.configuration import Configuration, change_to
 from ochrespan.control_plane.config.documents import CHECK_CONFIGURATION, read_json
+from ochrespan.programs.errors import CommandFailedError, ExitStatus
 from ochrespan.programs.settings import read_settings, settings_path
 
-from .control_client import CallError, ControlClient, is_undecided
+from .control_client import CallFailure, ControlClient, is_outcome_unknown
+from .files import read_file
 
-EXIT_FAILED = 1
-EXIT_UNDECIDED = 3
 
+def client_for_fleet(controllers: list[str] | None) -> ControlClient:
+    """A client of the controllers at these addresses, or at the seeds of the settings file; raises ValidationError."""
+    return ControlClient(_parse_addresses("--controllers", controllers or read_settings(settings_path())["seeds"]))
 
-class CommandFailedError(Exception):
-    """A command has no result; `code` is the exit status."""
 
-    def __init__(self, text: str, code: int = EXIT_FAILED) -> None:
-        super().__init__(text)
-        self.code = code
-
-
-def client_for(controllers: list[str] | None) -> ControlClient:
-    """Asks these addresses, or without them the seeds of the settings file."""
-    return ControlClient(_addresses("--controllers", controllers or read_settings(settings_path())["seeds"]))
-
-
-def client_of(name: str, address: str) -> ControlClient:
-    """Asks one process, whose address was given as the argument `name`."""
-    return ControlClient(_addresses(name, [address]))
+def client_for_process(argument: str, address: str) -> ControlClient:
+    """A client of the one process whose address was given as `argument`; raises ValidationError."""
+    return ControlClient(_parse_addresses(argument, [address]))
 
 
 def fleet_status(controllers: list[str] | None) -> dict[str, Any]:
-    """The view of the controller that answers."""
-    return value_of(client_for(controllers).get("/api/status"))
+    """The status document of the first controller that responds; raises CommandFailedError."""
+    status: dict[str, Any] = unwrap_document(client_for_fleet(controllers).get("/api/status"))
+    return status
 
 
 def current_configuration(client: ControlClient) -> dict[str, Any]:
-    """The newest configuration, as confirmed with a majority."""
-    return value_of(client.get("/api/config"))
+    """The newest configuration, confirmed by a majority; raises CommandFailedError."""
+    configuration: dict[str, Any] = unwrap_document(client.get("/api/config"))
+    return configuration
 
 
 def read_configuration(file: Path) -> dict[str, Any]:
     """The configuration in a file; raises ValidationError with all findings."""
-    try:
-        document = read_json(file.read_bytes(), CHECK_CONFIGURATION)
-    except OSError as error:
-        raise ValidationError([Finding(str(file), str(error.strerror), "a readable file")]) from error
+    document: dict[str, Any] = read_json(read_file(file), CHECK_CONFIGURATION)
     Configuration().changed_by(change_to(Configuration(), document))
     return document
 
 
-def value_of(result: Result[Any, CallError]) -> Any:
-    """The document of an answer; raises CommandFailedError."""
+def unwrap_document(result: Result[Any, CallFailure]) -> Any:
+    """The document of a successful call; raises CommandFailedError with the exit status of any other."""
     if isinstance(result, Success):
         return result.unwrap()
-    error = result.failure()
-    undecided = is_undecided(error)
-    text = f"{error}\n  no verdict: the call may or may not have been carried out" if undecided else str(error)
-    raise CommandFailedError(text, EXIT_UNDECIDED if undecided else EXIT_FAILED)
+    failure = result.failure()
+    if is_outcome_unknown(failure):
+        text = f"{failure}\n  no verdict: the call may or may not have been carried out"
+        raise CommandFailedError(text, ExitStatus.OUTCOME_UNKNOWN)
+    raise CommandFailedError(str(failure))
 
 
-def _addresses(argument: str, texts: list[str]) -> list[Address]:
+def _parse_addresses(argument: str, texts: list[str]) -> list[Address]:
     try:
         return [parse_address(text) for text in texts]
     except ValueError as error:
--- a/ochrespan/programs/fleetctl_commands/control_client.py
+++ b/ochrespan/programs/fleetctl_commands/control_client.py
@@ -1,4 +1,4 @@
-"""Calls of the control interface for the command line: one controller after the other until one answers."""
+"""A client of the control interface for the command line, which tries one controller after the other."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 import time
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
+from http import HTTPStatus
 from typing import Any
 
 from geventhttpclient import HTTPClient
@@ -15,14 +16,20 @@
 from ochrespan.control_plane.responses import OK, UNAVAILABLE
 
 CONNECT_TIMEOUT_S = 1.0
-ANSWER_TIMEOUT_S = 5.0
-ROUNDS = 5
-FIRST_PAUSE_S = 0.2
+RESPONSE_TIMEOUT_S = 5.0
+MAX_ROUNDS = 5  # over all controllers
+FIRST_BACKOFF_S = 0.2  # after the first round; it doubles with each
 
 
 @dataclass(frozen=True, slots=True)
-class CallError:
-    """No answer of use: who was asked last, the status if there was an answer, and what was found."""
+class CallFailure:
+    """A call without a document.
+
+    Attributes:
+        controller: the last one that was tried.
+        status: of its response; None where none came.
+        findings: what the response, or the connection, named as the cause.
+    """
 
     controller: str
     status: int | None
@@ -34,48 +41,57 @@
 
 
 class ControlClient:
-    """Asks the given controllers in turn. A call that got no verdict is sent again unchanged, which is safe."""
+    """Calls the given controllers in turn, in rounds with an exponential backoff.
+
+    A call with an unknown outcome (no response, or a 5xx status) is sent again unchanged; the control interface makes
+    that safe.
+
+    Args:
+        controllers: their control addresses.
+        sleep: waits for so many seconds between two rounds.
+    """
 
-    def __init__(self, controllers: Sequence[Address], pause: Callable[[float], None] = time.sleep) -> None:
+    def __init__(self, controllers: Sequence[Address], sleep: Callable[[float], None] = time.sleep) -> None:
         self._controllers = controllers
-        self._pause = pause
+        self._sleep = sleep
 
-    def get(self, path: str) -> Result[Any, CallError]:
+    def get(self, path: str) -> Result[Any, CallFailure]:
         """The document at `path`."""
         return self._call("GET", path, None, {})
 
-    def put(self, path: str, document: Any, headers: dict[str, str] | None = None) -> Result[Any, CallError]:
-        """Sends a whole document."""
+    def put(self, path: str, document: Any, headers: dict[str, str] | None = None) -> Result[Any, CallFailure]:
+        """Replaces the document at `path`; the result holds that of the response."""
         return self._call("PUT", path, document, headers or {})
 
-    def _call(self, method: str, path: str, document: Any, headers: dict[str, str]) -> Result[Any, CallError]:
+    def _call(self, method: str, path: str, document: Any, headers: dict[str, str]) -> Result[Any, CallFailure]:
         body = b"" if document is None else json.dumps(document).encode()
-        last = CallError("no controller", None, ())
-        for round_number in range(ROUNDS):
+        failure = CallFailure("no controller", None, ())
+        for round_number in range(MAX_ROUNDS):
             for address in self._controllers:
                 result = self._call_one(address, method, path, body, headers)
                 if isinstance(result, Success):
                     return result
-                last = result.failure()
-                if last.status is not None and last.status < 500:
+                failure = result.failure()
+                if failure.status is not None and failure.status < HTTPStatus.INTERNAL_SERVER_ERROR:
                     return result
-            self._pause(FIRST_PAUSE_S * 2**round_number)
-        return Failure(last)
+            self._sleep(FIRST_BACKOFF_S * 2**round_number)
+        return Failure(failure)
 
     def _call_one(
         self, address: Address, method: str, path: str, body: bytes, headers: dict[str, str]
-    ) -> Result[Any, CallError]:
-        client = HTTPClient(*address, connection_timeout=CONNECT_TIMEOUT_S, network_timeout=ANSWER_TIMEOUT_S)
+    ) -> Result[Any, CallFailure]:
+        client = HTTPClient(*address, connection_timeout=CONNECT_TIMEOUT_S, network_timeout=RESPONSE_TIMEOUT_S)
         try:
             response = client.request(method, path, body=body, headers=headers)
-            status, document = response.status_code, json.loads(response.read() or b"null")
+            status = response.status_code
+            document = json.loads(response.read() or b"null")
         except (OSError, ValueError) as error:
-            return Failure(CallError(format_address(address), None, (str(error),)))
+            return Failure(CallFailure(format_address(address), None, (str(error),)))
         finally:
             client.close()
         if status == OK:
             return Success(document)
-        return Failure(CallError(format_address(address), status, _findings(document)))
+        return Failure(CallFailure(format_address(address), status, _findings(document)))
 
 
 def _findings(document: Any) -> tuple[str, ...]:
@@ -83,6 +99,6 @@
     return tuple(f"{each['where']}: found {each['found']}, allowed {each['allowed']}" for each in listed)
 
 
-def is_undecided(error: CallError) -> bool:
-    """Whether a change may or may not have been taken."""
-    return error.status is None or error.status >= UNAVAILABLE
+def is_outcome_unknown(failure: CallFailure) -> bool:
+    """Whether a change may or may not have been committed."""
+    return failure.status is None or failure.status >= UNAVAILABLE
--- /dev/null
+++ b/ochrespan/programs/fleetctl_commands/files.py
@@ -0,0 +1,36 @@
+"""Files of the command line: reads that name what is wrong, and writes that replace a file completely or not at all."""
+
+from __future__ import annotations
+
+import os
+from pathlib import Path
+
+from ochrespan.common.validation import Finding, ValidationError
+
+
+def read_file(path: Path) -> bytes:
+    """The contents of a file; raises ValidationError where it cannot be read."""
+    try:
+        return path.read_bytes()
+    except OSError as error:
+        raise ValidationError([Finding(str(path), str(error.strerror), "a readable file")]) from error
+
+
+def replace_file(path: Path, text: str) -> None:
+    """Writes a file atomically: the new contents are on disk before they take the name; raises OSError."""
+    temporary = path.with_name(path.name + ".new")
+    with open(temporary, "w") as file:
+        file.write(text)
+        file.flush()
+        os.fsync(file.fileno())
+    os.replace(temporary, path)
+    _sync_directory(path.parent)
+
+
+def _sync_directory(directory: Path) -> None:
+    """Makes a rename in the directory durable."""
+    descriptor = os.open(directory, os.O_RDONLY)
+    try:
+        os.fsync(descriptor)
+    finally:
+        os.close(descriptor)
--- a/ochrespan/programs/fleetctl_commands/reports.py
+++ b/ochrespan/programs/fleetctl_commands/reports.py
@@ -1,4 +1,4 @@
-"""What the command line prints: tables of the fleet's state, and differences of configurations."""
+"""Texts that `fleetctl` prints: tables of the fleet's state, and differences between configurations."""
 
 from __future__ import annotations
 
@@ -12,43 +12,49 @@
 
 
 def table(header: Sequence[str], rows: Iterable[Sequence[Any]]) -> str:
-    """Columns of text, each as wide as its widest entry."""
-    lines = [[str(cell) for cell in row] for row in (header, *rows)]
-    widths = [max(len(line[column]) for line in lines) for column in range(len(header))]
-    return "\n".join("  ".join(map(str.ljust, line, widths)).rstrip() for line in lines)
+    """Left-aligned columns, each as wide as its widest cell."""
+    cells = [[str(cell) for cell in row] for row in (header, *rows)]
+    widths = [max(len(row[column]) for row in cells) for column in range(len(header))]
+    return "\n".join("  ".join(map(str.ljust, row, widths)).rstrip() for row in cells)
 
 
 def status_report(status: dict[str, Any]) -> str:
-    """The version, the shards with their leaders, and the counts of routers and instances."""
-    shards = [
-        (shard["shard"], shard["leader"] or "none", f"{shard['quorum_age_s']:.1f} s", shard["offset"], _losses(shard))
+    """The configuration's version, the shards with their leaders, and the numbers of routers and instances."""
+    rows = [
+        (
+            shard["shard"],
+            shard["leader"] or "none",
+            f"{shard['quorum_age_s']:.1f} s",
+            shard["offset"],
+            _failures_tolerated(shard),
+        )
         for shard in status["shards"]
     ]
-    head = (
+    summary = (
         f"controller {status['node']} in {status['zone']} of fleet {status.get('cluster') or 'none'}: "
         f"configuration version {status['version']}, "
         f"{len(status['routers'])} routers, {len(status['instances'])} instances"
     )
     if status["declines_leadership_for_s"]:
-        head += f"; it leads nothing for {status['declines_leadership_for_s']:g} s more"
-    return head + "\n" + table(("shard", "leader", "majority known", "offset", "bears losses"), shards)
+        summary += f"; it leads nothing for {status['declines_leadership_for_s']:g} s more"
+    return summary + "\n" + table(("shard", "leader", "majority known", "offset", "bears losses"), rows)
 
 
-def _losses(shard: dict[str, Any]) -> str:
-    """How many more voters may be lost, as the shard's leader knows it."""
-    losses = shard.get("bearable_losses")
-    return "ask its leader" if losses is None else str(losses)
+def _failures_tolerated(shard: dict[str, Any]) -> str:
+    """How many more voters may fail; only the shard's leader knows."""
+    failures = shard.get("bearable_losses")
+    return "ask its leader" if failures is None else str(failures)
 
 
 def members_report(status: dict[str, Any]) -> str:
-    """The controllers and routers that are live."""
+    """The controllers and routers that are alive."""
     controllers = [("controller", each["address"], each["zone"]) for each in status["controllers"]]
     routers = [("router", name, "") for name in status["routers"]]
     return table(("role", "member", "zone"), sorted(controllers) + routers)
 
 
 def instances_report(status: dict[str, Any], service: str = "") -> str:
-    """The registered servers, of one service or of all."""
+    """The registered instances, of one service or of all."""
     listed = [each for each in status["instances"] if service in ("", each["backend"])]
     columns = ("backend", "id", "address", "zone", "state", "capacity", "generation")
     rows = sorted(tuple(each[column] for column in columns) for each in listed)
@@ -69,18 +75,18 @@
 
 
 def _counts_of(changed: dict[str, Sequence[int]]) -> str:
-    parts = [f"{name} +{upserted} -{deleted}" for name, (upserted, deleted) in changed.items()]
-    return ", ".join(parts) or "limits or nothing"
+    counts = [f"{name} +{upserted} -{deleted}" for name, (upserted, deleted) in changed.items()]
+    return ", ".join(counts) or "limits or nothing"
 
 
 def difference_report(current: dict[str, Any], wanted: dict[str, Any]) -> str:
-    """What a change from one configuration to another does, item by item; empty where they are the same."""
+    """The difference between two configurations, item by item; empty where they are equal."""
     change = change_to(_as_configuration(current), wanted)
-    parts = [_section_report(name, getattr(change, name), current) for name in SECTIONS]
+    sections = [_section_report(name, getattr(change, name), current) for name in SECTIONS]
     if change.others is not None:
         before = {name: value for name, value in current.items() if name not in (*SECTIONS, "generation")}
-        parts.append(_document_difference("others", before, dict(change.others)))
-    return "\n".join(part for part in parts if part)
+        sections.append(_document_difference("others", before, dict(change.others)))
+    return "\n".join(section for section in sections if section)
 
 
 def _section_report(name: str, change: SectionChange, current: dict[str, Any]) -> str:
@@ -95,8 +101,9 @@
 
 
 def _document_difference(title: str, before: dict[str, Any], after: dict[str, Any]) -> str:
-    texts = [json.dumps(each, indent=1, sort_keys=True).splitlines() for each in (before, after)]
-    changed = [line for line in list(unified_diff(*texts, n=0, lineterm=""))[2:] if not line.startswith("@@")]
+    before_lines, after_lines = (json.dumps(each, indent=1, sort_keys=True).splitlines() for each in (before, after))
+    lines = list(unified_diff(before_lines, after_lines, n=0, lineterm=""))[2:]  # without the two lines of file names
+    changed = [line for line in lines if not line.startswith("@@")]
     return "\n".join((f"~ {title}", *(f"    {line}" for line in changed)))
 
 
--- a/ochrespan/programs/fleetctl_commands/state_commands.py
+++ b/ochrespan/programs/fleetctl_commands/state_commands.py
@@ -1,4 +1,4 @@
-"""Commands that keep the control state in a file, and set a fleet up from it again."""
+"""The commands `backup` and `restore`, and the draining of an instance that `restore` shares with `drain`."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from ochrespan.control_plane.registry.records import InstanceState
 
 from .backup_file import Backup, read_backup, write_backup
-from .common import client_for, current_configuration, value_of
+from .common import client_for_fleet, current_configuration, unwrap_document
 from .control_client import ControlClient
 from .reports import difference_report
 
@@ -21,9 +21,9 @@
     :param file: where to write; an existing file is replaced whole
     :param controllers: control addresses to ask, in turn
     """
-    client = client_for(controllers)
+    client = client_for_fleet(controllers)
     configuration = current_configuration(client)
-    instances = value_of(client.get("/api/status"))["instances"]
+    instances = unwrap_document(client.get("/api/status"))["instances"]
     taken_at = datetime.now(UTC).isoformat(timespec="seconds")
     try:
         write_backup(file, Backup(taken_at, configuration, instances))
@@ -39,31 +39,37 @@
     :param dry_run: only show what would change
     :param controllers: control addresses to ask, in turn
     """
-    client = client_for(controllers)
-    saved, current = read_backup(file), current_configuration(client)
-    wanted = {**saved.configuration, "generation": _next_version(saved.configuration, current)}
-    present = value_of(client.get("/api/status"))["instances"]
-    drains = saved.drains(present)
-    difference = difference_report(current, wanted)
-    report = [difference or "no difference of the configuration", *(f"drain {each}" for each in drains)]
+    client = client_for_fleet(controllers)
+    saved = read_backup(file)
+    current = current_configuration(client)
+    restored = {**saved.configuration, "generation": _next_version(saved.configuration, current)}
+    registered = unwrap_document(client.get("/api/status"))["instances"]
+    to_drain = saved.instances_to_drain(registered)
+    difference = difference_report(current, restored)
+    report = [difference or "no difference of the configuration", *(f"drain {each}" for each in to_drain)]
     if dry_run:
         return "\n".join([*report, f"dry run: nothing was changed; the backup is of {saved.taken_at}"])
     if difference:
         version = current["generation"]
-        taken = value_of(client.put("/api/config", wanted, {"If-Match": str(version)}))
-        report.append(f"taken: version {taken['generation']} on top of {version}")
-    for each in drains:
-        drain_instance(client, next(record for record in present if record["id"] == each))
+        response = unwrap_document(client.put("/api/config", restored, {"If-Match": str(version)}))
+        report.append(f"taken: version {response['generation']} on top of {version}")
+    for each in to_drain:
+        drain_instance(client, next(record for record in registered if record["id"] == each))
     return "\n".join(report)
 
 
 def drain_instance(client: ControlClient, record: dict[str, Any]) -> None:
-    """Reports a server as draining in its place; raises CommandFailedError."""
+    """Reports an instance as draining, on its behalf; raises CommandFailedError.
+
+    The sequence number is one above that of the last committed change; heartbeats without a change are not committed.
+    Where the instance itself reports a change in between, that one takes the number, and this report is out of date.
+    """
     fields = {name: value for name, value in record.items() if name != "id"}
     report = {**fields, "state": InstanceState.DRAINING.value, "sequence": record["sequence"] + 1}
-    value_of(client.put(f"/api/instances/{record['id']}", report))
+    unwrap_document(client.put(f"/api/instances/{record['id']}", report))
 
 
 def _next_version(saved: dict[str, Any], current: dict[str, Any]) -> int:
-    """A version goes up with each change: that of the backup where it is still ahead."""
-    return max(saved["generation"], current["generation"] + 1)
+    """The backup's version, or the next one where the fleet has reached that: versions only go up."""
+    version: int = max(saved["generation"], current["generation"] + 1)
+    return version
--- a/tests/programs/test_controller.py
+++ b/tests/programs/test_controller.py
@@ -16,7 +16,7 @@
 from returns.result import Result, Success
 
 from ochrespan.control_plane.shards import shard_of
-from ochrespan.programs.fleetctl_commands.control_client import CallError, ControlClient
+from ochrespan.programs.fleetctl_commands.control_client import CallFailure, ControlClient
 from tests.support.control_plane_world import configuration, instance, route
 
 CONTROL_PORT, PEER_PORT = 18367, 17500
@@ -84,7 +84,7 @@
         return leader.split(":")[0]
 
 
-def _certain(call: Any) -> Result[Any, CallError]:
+def _certain(call: Any) -> Result[Any, CallFailure]:
     """Calls until there is a verdict."""
     with gevent.Timeout(PATIENCE_S):
         while True:
--- a/tests/programs/test_fleetctl.py
+++ b/tests/programs/test_fleetctl.py
@@ -97,8 +97,8 @@
 
 
 def test_a_fleet_without_an_answer_leaves_the_verdict_open(write, capsys, monkeypatch):
-    monkeypatch.setattr(control_client, "ROUNDS", 1)
-    monkeypatch.setattr(control_client, "FIRST_PAUSE_S", 0)
+    monkeypatch.setattr(control_client, "MAX_ROUNDS", 1)
+    monkeypatch.setattr(control_client, "FIRST_BACKOFF_S", 0)
     arguments = ["config", "apply", str(write(configuration(1))), "--builds-on", "0", "--controllers", "127.0.0.1:1"]
     assert fleetctl.main(arguments) == 3
     assert "no verdict" in capsys.readouterr().err
