--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -1,12 +1,12 @@
-"""A fleet whose processes are replaced one after the other by another checkout's program, and then back again.
+"""A rolling upgrade of a fleet to another checkout's programs and back, under configuration changes.
 
     python -m benchmarks.mixed_versions OTHER_CHECKOUT
 
-Three controllers and two routers run on loopback from this checkout's program. An operator changes the configuration
-all along. Each process in turn is ended and started again from the other checkout, controllers with their data
-folders: on the way there by SIGTERM, on the way back by SIGKILL. After each way, every acknowledged change has to be in
-the configuration's history, in one line of versions, and both routers have to serve the newest version. No log may tell
-of an exception or of a message that could not be read. The exit status is 0 where all of this holds.
+Three controllers and two routers run on loopback from this checkout's programs, while an operator keeps changing the
+configuration. Each process in turn is stopped and started again from the other checkout, controllers with their data
+folders: the upgrade stops them by SIGTERM, the way back by SIGKILL. After each, every acknowledged change has to be in
+the configuration's history, as one sequence of versions, and both routers have to serve the newest version. No log may
+contain an exception or a malformed message. The exit status is 0 if all of this holds.
 """
 
 from __future__ import annotations
@@ -20,6 +20,7 @@
 from collections.abc import Callable
 from contextlib import ExitStack
 from dataclasses import dataclass
+from http import HTTPStatus
 from pathlib import Path
 from typing import Any
 
@@ -35,14 +36,15 @@
 
 HERE = Path(__file__).parent.parent
 CONTROLLER_MODULE, ROUTER_MODULE = "ochrespan.programs.controller", "ochrespan.programs.router"
-CHANGE_PAUSE_S = 0.1
-PATIENCE_S = 30.0
-POLL_S = 0.05
+CHANGE_INTERVAL_S = 0.1
+TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.05
 REQUEST_DEADLINE_MS = 300
-NO_ROUTE, NO_SERVER = 404, 503  # no servers run here, so a request never gets further
-MIXED_S = 1.0  # how long the fleet runs on after each replacement
-VERSION_FIGURE = re.compile(r"^ochrespan_configuration_version (\S+)$", re.MULTILINE)
-LOGGED_FAULTS = ("Traceback", "bad raft message", "callback failed", "command failed")
+NO_ROUTE = HTTPStatus.NOT_FOUND
+NO_INSTANCE = HTTPStatus.SERVICE_UNAVAILABLE  # as no instances run here, every request that has a route ends so
+MIXED_S = 1.0  # how long the fleet runs in mixed versions after each replacement
+VERSION_METRIC = re.compile(r"^ochrespan_configuration_version (\S+)$", re.MULTILINE)
+LOGGED_FAULTS = ("Traceback", "bad raft message", "malformed raft message", "callback failed", "command failed")
 
 
 @dataclass(frozen=True)
@@ -59,7 +61,7 @@
 
 
 class Fleet:
-    """The processes, each with a settings file, a log and maybe a data folder that outlive it."""
+    """The processes. Their settings files, logs and data folders outlive a process, which the next one takes over."""
 
     def __init__(self, folder: Path) -> None:
         self.ports = Ports()
@@ -81,18 +83,18 @@
             self._processes[ip] = Popen(command, cwd=program.checkout, env=environment, stderr=log)
 
     def end(self, ip: str, number: signal.Signals) -> None:
-        """Ends the process of an address, and waits for its end."""
+        """Sends a signal to the process of an address, and waits for its end."""
         process = self._processes.pop(ip)
         process.send_signal(number)
-        process.wait(PATIENCE_S)
+        process.wait(TIMEOUT_S)
 
     def close(self) -> None:
-        """Ends everything at once."""
+        """Kills the processes that still run."""
         for ip in list(self._processes):
             self.end(ip, signal.SIGKILL)
 
     def logged_faults(self) -> list[str]:
-        """The lines of all logs that tell of a fault."""
+        """The lines of all logs that contain one of LOGGED_FAULTS."""
         return [
             f"{ip}: {line}"
             for ip in (*CONTROLLERS, *ROUTERS)
@@ -105,21 +107,21 @@
         return ControlClient([(ip, self.ports.control) for ip in ips or CONTROLLERS], gevent.sleep)
 
     def version_at(self, ip: str) -> int:
-        """The version that a process holds itself; -1 while it gives no answer."""
+        """The configuration version that a process has; -1 while it does not respond."""
         if ip in CONTROLLERS:
             result = self.client(ip).get("/api/status")
             return result.unwrap()["version"] if isinstance(result, Success) else -1
-        _, text = get(ip, self.ports.ready, "/api/metrics")
-        found = VERSION_FIGURE.search(text)
-        return int(float(found[1])) if found else -1
+        _, metrics = get(ip, self.ports.ready, "/api/metrics")
+        match = VERSION_METRIC.search(metrics)
+        return int(float(match[1])) if match else -1
 
     def is_ready(self, ip: str) -> bool:
-        """Whether a process answers the platform that it is ready."""
+        """Whether the readiness check of a process succeeds."""
         port = self.ports.control if ip in CONTROLLERS else self.ports.ready
-        return get(ip, port, "/api/readyz")[0] == 200
+        return get(ip, port, "/api/readyz")[0] == HTTPStatus.OK
 
     def route_status(self, ip: str, path: str) -> int:
-        """What a router answers to a request: NO_ROUTE, or NO_SERVER where it has a route for the path."""
+        """The status of a router's response: NO_ROUTE, or NO_INSTANCE where it has a route for the path."""
         headers = {"Host": HOST, "X-Credential": KEY, "X-Request-Id": path, "X-Deadline-Ms": str(REQUEST_DEADLINE_MS)}
         return get(ip, self.ports.front, path, headers)[0]
 
@@ -131,12 +133,12 @@
 
 
 class Operator:
-    """Submits one change after the other, each on top of the last, and keeps what was acknowledged."""
+    """Submits one change after the other, each on top of the last acknowledged one, and records those acknowledged."""
 
     def __init__(self, client: ControlClient) -> None:
         self.acknowledged: list[int] = []
         self.faults: list[str] = []
-        self.longest_s = 0.0  # that a change took until its acknowledgement
+        self.max_latency_s = 0.0  # from the first submission of a change until its acknowledgement
         self._client = client
 
     @property
@@ -148,23 +150,24 @@
         """Submits changes until the greenlet is killed."""
         while True:
             self.submit()
-            gevent.sleep(CHANGE_PAUSE_S)
+            gevent.sleep(CHANGE_INTERVAL_S)
 
     def submit(self) -> None:
-        """Submits the next change until there is a verdict; the same change may be sent again."""
-        document, began = document_of(self.version + 1), time.monotonic()
+        """Submits the next change, repeatedly while its outcome is unknown."""
+        document = document_of(self.version + 1)
+        started_at = time.monotonic()
         headers = {"If-Match": str(self.version)}
         while not isinstance(result := self._client.put("/api/config", document, headers), Success):
-            error = result.failure()
-            if error.status is not None and error.status < 500:
-                self.faults.append(f"version {document['generation']} refused: {error}")
+            failure = result.failure()
+            if failure.status is not None and failure.status < HTTPStatus.INTERNAL_SERVER_ERROR:
+                self.faults.append(f"version {document['generation']} rejected: {failure}")
                 return
-        self.longest_s = max(self.longest_s, time.monotonic() - began)
+        self.max_latency_s = max(self.max_latency_s, time.monotonic() - started_at)
         self.acknowledged.append(document["generation"])
 
 
 class History:
-    """What the configuration's history has told so far; a controller keeps the latest changes only."""
+    """The configuration's history, collected by repeated reads: a controller keeps the latest changes only."""
 
     def __init__(self, client: ControlClient) -> None:
         self.builds_on: dict[int, int] = {}
@@ -172,12 +175,12 @@
 
     def read(self) -> None:
         """Reads the latest changes, and adds them to those known."""
-        changes = until(lambda: self._client.get("/api/config/history").value_or(None), "history")["changes"]
+        changes = wait_until(lambda: self._client.get("/api/config/history").value_or(None), "history")["changes"]
         self.builds_on.update({change["version"]: change["builds_on"] for change in changes})
 
 
 def document_of(version: int) -> dict[str, Any]:
-    """A whole configuration whose only route lies at a path of this version."""
+    """A complete configuration whose only route has a path of this version."""
     document = configuration()
     route = {**document["routes"][0], "path_prefix": path_of(version), "backend": SERVICE}
     return {**document, "generation": version, "routes": [route]}
@@ -189,7 +192,7 @@
 
 
 def get(ip: str, port: int, path: str, headers: dict[str, str] | None = None) -> tuple[int, str]:
-    """Status and text of an answer; status 0 where there was none."""
+    """Status and text of a response; status 0 where there was none."""
     client = HTTPClient(ip, port, connection_timeout=1.0, network_timeout=3.0)
     try:
         response = client.request("GET", path, headers=headers or {})
@@ -200,31 +203,31 @@
         client.close()
 
 
-def until(condition: Callable[[], Any], what: str) -> Any:
-    """Asks until the answer is truthy; ends the run where it does not come in time."""
-    deadline = time.monotonic() + PATIENCE_S
+def wait_until(condition: Callable[[], Any], what: str) -> Any:
+    """Polls until the condition is truthy, and returns its value; ends the run after TIMEOUT_S."""
+    deadline = time.monotonic() + TIMEOUT_S
     while not (value := condition()):
         if time.monotonic() > deadline:
-            raise SystemExit(f"not in {PATIENCE_S:g} s: {what}")
-        gevent.sleep(POLL_S)
+            raise SystemExit(f"not in {TIMEOUT_S:g} s: {what}")
+        gevent.sleep(POLL_INTERVAL_S)
     return value
 
 
 def replace_all(fleet: Fleet, program: Program, number: signal.Signals, operator: Operator, history: History) -> None:
-    """Replaces one process after the other, and lets each catch up before the next one."""
+    """Replaces one process after the other; each has to catch up before the next one is replaced."""
     for ip in (*CONTROLLERS, *ROUTERS):
         before = operator.version
         fleet.end(ip, number)
         fleet.start(ip, program)
-        until(lambda ip=ip: fleet.is_ready(ip), f"{ip} ready")
-        until(lambda ip=ip, before=before: fleet.version_at(ip) > before, f"{ip} at a version above {before}")
+        wait_until(lambda ip=ip: fleet.is_ready(ip), f"{ip} ready")
+        wait_until(lambda ip=ip, before=before: fleet.version_at(ip) > before, f"{ip} at a version above {before}")
         gevent.sleep(MIXED_S)
         history.read()
         print(f"{ip} replaced by {number.name}, version {operator.version} acknowledged", flush=True)
 
 
 def check(fleet: Fleet, operator: Operator, history: History) -> list[str]:
-    """What is wrong once the operator is at rest."""
+    """The faults found while the operator submits nothing."""
     history.read()
     newest = operator.version
     faults = list(operator.faults)
@@ -233,22 +236,25 @@
         faults.append(f"acknowledged and not in the history: {lost}")
     faults += [f"{version} builds on {base}" for version, base in history.builds_on.items() if base != version - 1]
     for ip in (*CONTROLLERS, *ROUTERS):
-        until(lambda ip=ip: fleet.version_at(ip) == newest, f"{ip} at version {newest}")
+        wait_until(lambda ip=ip: fleet.version_at(ip) == newest, f"{ip} at version {newest}")
     for ip in ROUTERS:
-        found = fleet.route_status(ip, path_of(newest)), fleet.route_status(ip, path_of(newest - 1))
-        if found != (NO_SERVER, NO_ROUTE):
-            faults.append(f"{ip} answers {found} at the paths of versions {newest} and {newest - 1}")
+        newest_status = fleet.route_status(ip, path_of(newest))
+        previous_status = fleet.route_status(ip, path_of(newest - 1))
+        if (newest_status, previous_status) != (NO_INSTANCE, NO_ROUTE):
+            statuses = f"{newest_status} and {previous_status}"
+            faults.append(f"{ip} responds with {statuses} at the paths of versions {newest} and {newest - 1}")
     return faults + fleet.logged_faults()
 
 
-def play(fleet: Fleet, own: Program, other: Program) -> list[str]:
-    """Goes over to the other program and back; returns what was wrong."""
+def run_upgrades(fleet: Fleet, own: Program, other: Program) -> list[str]:
+    """Upgrades the fleet to the other program and back; returns the faults found."""
     for ip in (*CONTROLLERS, *ROUTERS):
         fleet.start(ip, own)
-    operator, history = Operator(fleet.client()), History(fleet.client())
+    operator = Operator(fleet.client())
+    history = History(fleet.client())
     operator.submit()
     for ip in ROUTERS:
-        until(lambda ip=ip: fleet.is_ready(ip), f"{ip} ready")
+        wait_until(lambda ip=ip: fleet.is_ready(ip), f"{ip} ready")
     faults: list[str] = []
     for program, number in ((other, signal.SIGTERM), (own, signal.SIGKILL)):
         operating = gevent.spawn(operator.run)
@@ -256,7 +262,9 @@
         operating.kill()
         operator.submit()  # may repeat the change that was under way
         faults += check(fleet, operator, history)
-    print(f"{len(operator.acknowledged)} changes acknowledged, the slowest in {operator.longest_s:.2f} s", flush=True)
+    print(
+        f"{len(operator.acknowledged)} changes acknowledged, the slowest in {operator.max_latency_s:.2f} s", flush=True
+    )
     return faults
 
 
@@ -271,7 +279,7 @@
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="ochrespan-mixed-")))
         fleet = Fleet(folder)
         stack.callback(fleet.close)
-        faults = play(fleet, Program(HERE), Program(other.resolve(), other_controller, other_router))
+        faults = run_upgrades(fleet, Program(HERE), Program(other.resolve(), other_controller, other_router))
     print(
         "\n".join(faults) if faults else "every acknowledged change is in the history, and the routers serve the newest"
     )
--- a/examples/fleet.py
+++ b/examples/fleet.py
@@ -1,10 +1,10 @@
-"""A whole router fleet on loopback: three controllers, two routers and two stand-in engines, each a process.
+"""A complete router fleet on loopback: three controllers, two routers and two stand-in engines, each a process.
 
     python -m examples.fleet
 
 Engines register, an operator puts a configuration, and a client reads a stream through one router, which is killed in
-the middle. The client goes on at the other router with `Last-Event-Id`, as a resumable route allows; then an engine is
-killed as well, and the router takes the stream up at the other engine inside the same answer.
+the middle. The client resumes at the other router with `Last-Event-Id`, as a resumable route allows; then an engine is
+killed as well, and the router resumes the stream at the other engine within the same response.
 """
 
 from __future__ import annotations
@@ -18,7 +18,8 @@
 import tempfile
 import time
 from collections.abc import Iterator
-from contextlib import ExitStack
+from contextlib import ExitStack, closing
+from http import HTTPStatus
 from pathlib import Path
 from typing import Any
 
@@ -30,24 +31,28 @@
 ROUTERS = ("127.0.0.21", "127.0.0.22")
 ENGINES = ("127.0.0.31", "127.0.0.32")
 HOST, KEY, SERVICE = "models.example", "example-key", "engines"
-EVENTS = 12  # of the stream
-EVENT_PAUSE_S = 0.15
+EVENTS = 12  # in the stream
+EVENT_INTERVAL_S = 0.15
 HEARTBEAT_S = 1.0
-START_PATIENCE_S = 20.0
-RETRY_PAUSE_S = 0.1
-MOST_TRIES = 50
+START_TIMEOUT_S = 20.0
+RETRY_INTERVAL_S = 0.1
+MAX_ATTEMPTS = 50
 
 
 class Ports:
-    """Ports that are free on all addresses, the same on each, as on the machines of a deployment."""
+    """Free ports, the same at every address, as on the machines of a deployment."""
 
     def __init__(self) -> None:
-        sockets = [socket.socket() for _ in range(5)]
-        for each in sockets:
-            each.bind(("127.0.0.1", 0))
-        self.peer, self.control, self.front, self.ready, self.engine = (each.getsockname()[1] for each in sockets)
-        for each in sockets:
-            each.close()
+        with ExitStack() as stack:
+            sockets = [stack.enter_context(closing(socket.socket())) for _ in range(5)]
+            for each in sockets:
+                each.bind(("127.0.0.1", 0))
+            numbers = [each.getsockname()[1] for each in sockets]
+        self.peer: int = numbers[0]
+        self.control: int = numbers[1]
+        self.front: int = numbers[2]
+        self.ready: int = numbers[3]
+        self.engine: int = numbers[4]
 
 
 def settings_for(name: str, ip: str, ports: Ports, directory: Path) -> dict[str, Any]:
@@ -73,7 +78,7 @@
 
 
 def configuration() -> dict[str, Any]:
-    """What the operator puts: one resumable route and one tenant."""
+    """The operator's configuration: one resumable route and one tenant."""
     return {
         "generation": 1,
         "routes": [
@@ -86,7 +91,7 @@
 
 
 class Fleet:
-    """The processes of the example."""
+    """The processes of the example; `stop` ends those that still run."""
 
     def __init__(self, directory: Path) -> None:
         self.ports = Ports()
@@ -94,6 +99,7 @@
         self._processes: dict[str, subprocess.Popen] = {}
 
     def start(self) -> None:
+        """Starts every process, without waiting for any."""
         for number, ip in enumerate(CONTROLLERS, 1):
             self._run_program("controller", f"controller-{number}", ip)
         for number, ip in enumerate(ROUTERS, 1):
@@ -101,15 +107,17 @@
         controls = ",".join(f"{ip}:{self.ports.control}" for ip in CONTROLLERS)
         for number, ip in enumerate(ENGINES, 1):
             name = f"engine-{number}"
-            words = ["-m", "examples.fleet", "engine", name, f"{ip}:{self.ports.engine}", controls]
-            self._processes[name] = subprocess.Popen([sys.executable, *words])
+            arguments = ["-m", "examples.fleet", "engine", name, f"{ip}:{self.ports.engine}", controls]
+            self._processes[name] = subprocess.Popen([sys.executable, *arguments])
 
     def kill(self, name: str) -> None:
+        """Kills a process with SIGKILL, and waits for its end."""
         process = self._processes[name]
         process.kill()
         process.wait()
 
     def stop(self) -> None:
+        """Stops the processes that still run with SIGTERM, and waits for their end."""
         for process in self._processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGTERM)
@@ -119,8 +127,7 @@
     def _run_program(self, program: str, name: str, ip: str) -> None:
         path = self._directory / f"{name}.yaml"
         path.write_text(yaml.safe_dump(settings_for(name, ip, self.ports, self._directory)))
-        log = (self._directory / f"{name}.log").open("w")
-        with log:
+        with (self._directory / f"{name}.log").open("w") as log:
             self._processes[name] = subprocess.Popen(
                 [sys.executable, "-m", f"ochrespan.programs.{program}"],
                 env={**os.environ, "OCHRESPAN_SETTINGS": str(path)},
@@ -128,11 +135,11 @@
             )
 
 
-def until_status(expected: int, ip: str, port: int, method: str, path: str, **options: Any) -> None:
-    """Asks until the status comes; ends the example where it does not in time."""
-    until = time.monotonic() + START_PATIENCE_S
+def wait_for_status(expected: int, ip: str, port: int, method: str, path: str, **options: Any) -> None:
+    """Repeats a request until its response has the expected status; ends the example after START_TIMEOUT_S."""
+    deadline = time.monotonic() + START_TIMEOUT_S
     status: object = None
-    while time.monotonic() < until:
+    while time.monotonic() < deadline:
         client = HTTPClient(ip, port, connection_timeout=1.0, network_timeout=2.0)
         try:
             response = client.request(method, path, **options)
@@ -144,38 +151,49 @@
             client.close()
         if status == expected:
             return
-        time.sleep(RETRY_PAUSE_S)
+        time.sleep(RETRY_INTERVAL_S)
     raise SystemExit(f"{method} {path} at {ip}: found {status}, expected {expected}")
 
 
 def read_events(ip: str, port: int, last_id: int | None) -> Iterator[tuple[int, str]]:
-    """The ids of a stream's events, with the stamp of the answer; comes back where the fleet says when."""
+    """Reads a stream through a router; a response other than 200 is retried after its `Retry-After`.
+
+    Args:
+        ip: the router's address.
+        port: its port for clients.
+        last_id: id of the last event that was read before, to resume after it.
+
+    Yields:
+        The id of each event, and the engine that the response names in `X-Server-Stamp`.
+    """
     headers = {"Host": HOST, "X-Credential": KEY, "X-Deadline-Ms": "15000"}
     if last_id is not None:
         headers["Last-Event-Id"] = str(last_id)
     client = HTTPClient(ip, port, connection_timeout=2.0, network_timeout=10.0)
     try:
-        for attempt in range(MOST_TRIES):
+        for attempt in range(MAX_ATTEMPTS):
             headers["X-Request-Id"] = f"{os.getpid()}-{last_id}-{attempt}"
             response = client.request("POST", "/chat/completions", body=b"hello", headers=headers)
-            if response.status_code == 200:
+            if response.status_code == HTTPStatus.OK:
                 break
             response.read()
             print(f"status {response.status_code}, retry after {response.get('Retry-After')} s", flush=True)
-            time.sleep(float(response.get("Retry-After") or RETRY_PAUSE_S))
+            time.sleep(float(response.get("Retry-After") or RETRY_INTERVAL_S))
         while event := response.readline(b"\n\n"):
             yield int(event.split(b"\n")[0].removeprefix(b"id: ")), response["X-Server-Stamp"]
     finally:
         client.close()
 
 
-def play(fleet: Fleet) -> list[int]:
-    """The ids of the events that the client has read."""
+def run_scenario(fleet: Fleet) -> list[int]:
+    """Plays the example against a started fleet; returns the ids of the events that the client has read."""
     ports = fleet.ports
     body = json.dumps(configuration()).encode()
-    until_status(200, CONTROLLERS[0], ports.control, "PUT", "/api/config", body=body, headers={"If-Match": "0"})
+    wait_for_status(
+        HTTPStatus.OK, CONTROLLERS[0], ports.control, "PUT", "/api/config", body=body, headers={"If-Match": "0"}
+    )
     for ip in ROUTERS:
-        until_status(200, ip, ports.ready, "GET", "/api/readyz")
+        wait_for_status(HTTPStatus.OK, ip, ports.ready, "GET", "/api/readyz")
     print("the fleet is ready", flush=True)
     seen: list[int] = []
     try:
@@ -199,7 +217,7 @@
 
 
 def run_engine(name: str, address: str, controls: list[str]) -> None:
-    """A stand-in engine: registers itself, and streams numbered events."""
+    """Runs a stand-in engine until it is killed: registers it, and streams numbered events."""
     import gevent
     from gevent import monkey
     from gevent.pywsgi import WSGIServer
@@ -212,7 +230,7 @@
         headers = [("X-Request-Id", environ["HTTP_X_REQUEST_ID"]), ("X-Server-Stamp", name)]
         start_response("200 OK", [*headers, ("Content-Type", "text/event-stream")])
         for number in range(int(environ.get("HTTP_LAST_EVENT_ID", 0)) + 1, EVENTS + 1):
-            gevent.sleep(EVENT_PAUSE_S)
+            gevent.sleep(EVENT_INTERVAL_S)
             yield f"id: {number}\ndata: word {number}\n\n".encode()
 
     WSGIServer((host, int(port)), respond, log=None, environ={"SERVER_NAME": name}).start()
@@ -224,7 +242,7 @@
 
 
 def register(name: str, address: str, sequence: int, controls: list[str]) -> None:
-    """A heartbeat to the first controller that acknowledges it."""
+    """Sends an instance report to one controller after the other until one acknowledges it."""
     report = {"backend": SERVICE, "address": address, "zone": "hall-a", "generation": "v1", "capacity": 8,
               "state": "ready", "cold_remaining_ms": 0, "sequence": sequence}  # fmt: skip
     for control in controls:
@@ -233,7 +251,7 @@
         try:
             response = client.request("PUT", f"/api/instances/{name}", body=json.dumps(report).encode())
             response.read()
-            if response.status_code == 200:
+            if response.status_code == HTTPStatus.OK:
                 return
         except OSError:
             continue
@@ -242,6 +260,7 @@
 
 
 def main() -> int:
+    """Runs the example, or with the argument `engine` one of its engines; returns the exit status."""
     if sys.argv[1:2] == ["engine"]:
         run_engine(sys.argv[2], sys.argv[3], sys.argv[4].split(","))
     with ExitStack() as stack:
@@ -249,10 +268,10 @@
         fleet = Fleet(directory)
         stack.callback(fleet.stop)
         fleet.start()
-        seen = play(fleet)
-    whole = seen == list(range(1, EVENTS + 1))
-    print("every event came once and in order" if whole else f"events went wrong: {seen}")
-    return 0 if whole else 1
+        seen = run_scenario(fleet)
+    is_complete = seen == list(range(1, EVENTS + 1))
+    print("every event came once and in order" if is_complete else f"events went wrong: {seen}")
+    return 0 if is_complete else 1
 
 
 if __name__ == "__main__":
--- a/ochrespan/programs/settings.py
+++ b/ochrespan/programs/settings.py
@@ -42,7 +42,7 @@
 ListenName = Literal["front", "ready", "control"]
 
 
-def _address(value: Any, where: str, findings: Findings) -> None:
+def _check_address(value: Any, where: str, findings: Findings) -> None:
     try:
         parse_address(value if isinstance(value, str) else "")
     except ValueError:
@@ -53,13 +53,13 @@
     return type(value) is int and 0 < value <= MAX_PORT
 
 
-def _port_range(value: Any, where: str, findings: Findings) -> None:
+def _check_port_range(value: Any, where: str, findings: Findings) -> None:
     ports = value if isinstance(value, list) else []
     if len(ports) != PORT_RANGE_LENGTH or not all(map(_is_port, ports)) or ports[0] > ports[1]:
         add_finding(findings, where, show(value), "two rising port numbers")
 
 
-def _log_level(value: Any, where: str, findings: Findings) -> None:
+def _check_log_level(value: Any, where: str, findings: Findings) -> None:
     if value not in LEVELS:
         add_finding(findings, where, show(value), ", ".join(LEVELS))
 
@@ -73,9 +73,9 @@
         control: a controller's, for operators, servers and the platform.
     """
 
-    front: NotRequired[Annotated[str, _address]]
-    ready: NotRequired[Annotated[str, _address]]
-    control: NotRequired[Annotated[str, _address]]
+    front: NotRequired[Annotated[str, _check_address]]
+    ready: NotRequired[Annotated[str, _check_address]]
+    control: NotRequired[Annotated[str, _check_address]]
 
 
 class Limits(TypedDict, total=False):
@@ -157,8 +157,8 @@
     node: Annotated[str, text()]
     ip: Annotated[str, text()]
     zone: Annotated[str, text()]
-    port_range: Annotated[list[int], _port_range]
-    seeds: Annotated[list[str], list_of(_address)]
+    port_range: Annotated[list[int], _check_port_range]
+    seeds: Annotated[list[str], list_of(_check_address)]
     listen: Annotated[Listen, typed(Listen)]
     role: NotRequired[Annotated[str, text()]]
     machine_class: NotRequired[Annotated[str, text()]]
@@ -175,7 +175,7 @@
     bounds: NotRequired[dict[str, Any]]
     peer_tls: NotRequired[Annotated[PeerTls | None, optional(typed(PeerTls))]]
     decision_records: NotRequired[Annotated[float, number(largest=1.0)]]
-    log_level: NotRequired[Annotated[str, _log_level]]
+    log_level: NotRequired[Annotated[str, _check_log_level]]
 
 
 _check_settings = typed(Settings)
--- a/tests/control_plane/api/test_control_api.py
+++ b/tests/control_plane/api/test_control_api.py
@@ -20,7 +20,7 @@
     world.close()
 
 
-def test_a_configuration_is_taken_and_read_back_at_any_controller(world):
+def test_a_configuration_is_committed_and_read_back_at_any_controller(world):
     first, second, third = world.controllers
     document = configuration(7, tenants=[tenant("t", "k1", rate_per_s=3)], extra={"kept": True})
     assert second.put_config(document, 0) == (200, {"generation": 7})
@@ -42,13 +42,14 @@
     }
     assert controller.patch_config(patch, 5)[0] == 200
     status, document = controller.call("GET", "/api/config")
-    assert status == 200 and document["generation"] == 9
+    assert status == 200
+    assert document["generation"] == 9
     assert [(each["name"], each["timeout_ms"]) for each in document["routes"]] == [("r1", 1), ("r3", 8000)]
     assert [each["name"] for each in document["services"]] == ["judges", "ledger"]
     assert document["limits"] == {"max_body_bytes": 4194304, "idle_timeout_ms": 5}
 
 
-def test_an_order_on_another_version_gets_412_and_an_older_generation_400(world):
+def test_a_command_on_another_version_gets_412_and_an_older_generation_400(world):
     controller = world.controllers[2]
     controller.put_config(configuration(5), 0)
     assert controller.put_config(configuration(6), 4)[0] == 412
@@ -57,7 +58,7 @@
     assert controller.call("GET", "/api/config")[1]["generation"] == 5
 
 
-def test_a_controller_without_a_leader_gives_no_verdict(world, monkeypatch):
+def test_without_a_leader_the_outcome_is_unknown(world, monkeypatch):
     for module in ("api.forwarding", "config.owner", "registry.owner"):
         monkeypatch.setattr(f"ochrespan.control_plane.{module}.CALL_TIMEOUT_S", 0.01)
     world.log.leaders = dict.fromkeys(world.log.leaders)
@@ -78,7 +79,7 @@
     assert first.node.status()["instances"] == []
 
 
-def test_a_heartbeat_that_changes_nothing_is_not_logged(world):
+def test_a_heartbeat_that_changes_nothing_is_not_committed(world):
     world.controllers[0].put_instance("i-1", instance(1))
     before = sum(map(len, world.log.commands.values()))
     for sequence in range(2, 6):
@@ -104,26 +105,33 @@
         ("PUT", "/api/instances/" + "x" * 300, b"{}", {}, 400),
     ],
 )
-def test_bad_input_is_told_by_place_found_and_allowed(world, method, path, body, headers, status):
-    answered, document = world.controllers[1].call(method, path, body, **headers)
-    assert answered == status
+def test_invalid_input_is_reported_with_where_found_and_allowed(  # noqa: PLR0913, PLR0917 - one for each column
+    world, method, path, body, headers, status
+):
+    found_status, document = world.controllers[1].call(method, path, body, **headers)
+    assert found_status == status
     for finding in document["findings"]:
-        assert finding["where"] and finding["found"] and finding["allowed"]
-    assert document["findings"] and not any(world.log.commands.values())
+        assert finding["where"]
+        assert finding["found"]
+        assert finding["allowed"]
+    assert document["findings"]
+    assert not any(world.log.commands.values())
 
 
-def test_a_controller_tells_collectors_of_its_shards(world):
+def test_metrics_of_a_controller_name_its_shards(world):
     connection = HTTPClient("127.0.0.1", world.controllers[0].http.server_port, connection_timeout=5, network_timeout=5)
     try:
-        answer = connection.request("GET", "/api/metrics")
-        figures = answer.read().decode()
+        response = connection.request("GET", "/api/metrics")
+        metrics = response.read().decode()
     finally:
         connection.close()
-    assert answer.status_code == 200 and answer["content-type"].startswith("text/plain; version=0.0.4")
-    assert 'ochrespan_shard_leads{shard="0"} ' in figures and "ochrespan_instances 0" in figures
+    assert response.status_code == 200
+    assert response["content-type"].startswith("text/plain; version=0.0.4")
+    assert 'ochrespan_shard_leads{shard="0"} ' in metrics
+    assert "ochrespan_instances 0" in metrics
 
 
-# Cut off
+# Without a quorum
 
 
 @pytest.mark.parametrize(
@@ -138,20 +146,20 @@
         ("DELETE", "/api/instances/i-1", None, {}),
     ],
 )
-def test_a_controller_that_has_lost_the_majority_says_so_at_once(world, method, path, body, headers):
-    """The caller goes on to another; nothing is refused by a state that may be old."""
+def test_a_controller_that_has_lost_its_quorum_responds_at_once(world, method, path, body, headers):
+    """The caller tries another controller; nothing is rejected by a state that may be out of date."""
     world.controllers[0].put_config(configuration(5), 0)
     for shard in ALL_SHARDS:
         world.log.leaders[shard] = None
         world.controllers[1].groups.quorum_ages[shard] = NO_QUORUM_S + 0.1
-    began = monotonic()
+    started_at = monotonic()
     status, _ = world.controllers[1].call(method, path, body, **headers)
     assert status == 503
-    assert monotonic() - began < CALL_TIMEOUT_S / 2
+    assert monotonic() - started_at < CALL_TIMEOUT_S / 2
 
 
-def test_a_controller_that_has_just_started_waits_for_the_election(world, monkeypatch):
-    """It never knew a majority: there may be one in a moment."""
+def test_a_controller_that_has_just_started_waits_for_the_election(world):
+    """It never knew a quorum: there may be one in a moment."""
     for shard in ALL_SHARDS:
         world.log.leaders[shard] = None
         world.controllers[1].groups.quorum_ages[shard] = float("inf")
@@ -159,7 +167,7 @@
     assert world.controllers[1].put_config(configuration(5), 0)[0] == 200
 
 
-def test_an_owner_that_may_have_a_successor_acknowledges_nothing_by_itself(world):
+def test_an_owner_without_a_lease_acknowledges_no_heartbeat(world):
     world.controllers[0].put_instance("i-1", instance(1))
     assert world.controllers[0].put_instance("i-1", instance(2))[0] == 200
     for shard in ALL_SHARDS:
@@ -167,15 +175,15 @@
     assert world.controllers[0].put_instance("i-1", instance(3))[0] == 503
 
 
-def test_the_end_of_an_instance_that_nobody_knows_outlasts_its_late_report(world):
-    """Its first report is still under way, or was lost with the answer: it must not be sent to any more."""
+def test_the_removal_of_an_unknown_instance_outlasts_its_late_report(world):
+    """Its first report is still in flight, or its response was lost: routers must not use the instance any more."""
     assert world.controllers[0].call("DELETE", "/api/instances/i-1")[0] == 200
     assert world.controllers[1].put_instance("i-1", instance(1))[0] == 200
     assert not world.controllers[0].state.records()
 
 
-def test_the_end_of_an_instance_follows_its_report_that_is_not_applied_yet(world):
-    """The owner's state lacks the report, which is committed in a moment: the acknowledged end comes behind it."""
+def test_the_removal_of_an_instance_is_ordered_after_its_uncommitted_report(world):
+    """The owner has not applied the report, which is committed in a moment: the acknowledged removal comes after it."""
     owner = world.controllers[0]
     report = gevent.spawn(owner.put_instance, "i-1", instance(1))
     end = gevent.spawn(owner.call, "DELETE", "/api/instances/i-1")
@@ -184,18 +192,18 @@
     assert not owner.state.records()
 
 
-# Another fleet
+# Another cluster
 
 
-def test_an_order_that_names_its_fleet_is_refused_by_another(world):
+def test_a_command_for_another_cluster_is_rejected(world):
     for controller in world.controllers:
         controller.groups.cluster_number = 0x1F
     own, other = cluster_name(0x1F), cluster_name(0x2F)
     assert world.controllers[0].call("GET", "/api/status")[1]["cluster"] == own
-    status, answer = world.controllers[0].call(
+    status, document = world.controllers[0].call(
         "PUT", "/api/config", configuration(5), If_Match="0", X_Fleet_Cluster=other
     )
-    assert (status, answer["findings"][0]["where"]) == (412, "X-Fleet-Cluster")
+    assert (status, document["findings"][0]["where"]) == (412, "X-Fleet-Cluster")
     assert (
         world.controllers[0].call("PUT", "/api/config", configuration(5), If_Match="0", X_Fleet_Cluster=own)[0] == 200
     )
--- a/tests/programs/test_controller.py
+++ b/tests/programs/test_controller.py
@@ -1,4 +1,4 @@
-"""Three controller processes on loopback: orders and instances through kills, with the history checked afterwards."""
+"""Three controller processes on loopback: commands and instances through crashes; the history is checked afterwards."""
 
 from __future__ import annotations
 
@@ -19,14 +19,15 @@
 from ochrespan.programs.fleetctl_commands.control_client import CallFailure, ControlClient
 from tests.support.control_plane_world import configuration, instance, route
 
-CONTROL_PORT, PEER_PORT = 18367, 17500
-PATIENCE_S = 30.0
+CONTROL_PORT = 18367
+PEER_PORT = 17500
+TIMEOUT_S = 30.0
 ROOT = Path(__file__).parents[2]
 _networks = itertools.count(os.getpid() % 200)
 
 
-class Core:
-    """The processes of a core; each has its own address and folder."""
+class Controllers:
+    """The controllers of a cluster; each process has its own address and data directory."""
 
     def __init__(self, folder: Path) -> None:
         network = f"127.77.{next(_networks) % 250}"
@@ -38,6 +39,7 @@
             self.start(host, bootstrap=True)
 
     def start(self, host: str, bootstrap: bool = False) -> None:
+        """Starts the controller of a host, with the data that an earlier one has left."""
         settings = {
             "node": host,
             "ip": host,
@@ -62,31 +64,35 @@
             )
 
     def end(self, host: str, number: signal.Signals) -> int:
+        """Sends a signal to a controller, and returns its exit status."""
         self._processes[host].send_signal(number)
-        return self._processes[host].wait(PATIENCE_S)
+        return self._processes[host].wait(TIMEOUT_S)
 
     def close(self) -> None:
+        """Kills every controller."""
         for process in self._processes.values():
             process.kill()
-            process.wait(PATIENCE_S)
+            process.wait(TIMEOUT_S)
 
     def client(self, *hosts: str) -> ControlClient:
+        """A client of these controllers, or of all."""
         return ControlClient([(host, CONTROL_PORT) for host in hosts or self.hosts], gevent.sleep)
 
     def get(self, path: str) -> Any:
-        """From whichever controller answers first; a status is that controller's own view."""
-        return _certain(lambda: self.client().get(path)).unwrap()
+        """The document of the first controller that responds; a status is that controller's own view."""
+        return _call_until_outcome(lambda: self.client().get(path)).unwrap()
 
     def leader(self, shard: int) -> str:
-        with gevent.Timeout(PATIENCE_S):
+        """The host of the leader of a shard, once there is one."""
+        with gevent.Timeout(TIMEOUT_S):
             while (leader := self.get("/api/status")["shards"][shard]["leader"]) is None:
                 gevent.sleep(0)
         return leader.split(":")[0]
 
 
-def _certain(call: Any) -> Result[Any, CallFailure]:
-    """Calls until there is a verdict."""
-    with gevent.Timeout(PATIENCE_S):
+def _call_until_outcome(call: Any) -> Result[Any, CallFailure]:
+    """Repeats a call while its outcome is unknown."""
+    with gevent.Timeout(TIMEOUT_S):
         while True:
             result = call()
             if isinstance(result, Success) or (result.failure().status or 503) < 500:
@@ -94,20 +100,22 @@
 
 
 def put(client: ControlClient, document: dict[str, Any], version: int) -> int:
-    result = _certain(lambda: client.put("/api/config", document, {"If-Match": str(version)}))
+    """The status of a configuration command on a version."""
+    result = _call_until_outcome(lambda: client.put("/api/config", document, {"If-Match": str(version)}))
     return 200 if isinstance(result, Success) else result.failure().status
 
 
 @pytest.fixture
 def core(tmp_path):
-    core = Core(tmp_path)
+    """Three controllers."""
+    core = Controllers(tmp_path)
     yield core
     core.close()
 
 
-def test_orders_through_kills_of_leaders_and_of_all_leave_one_line_of_versions(core):
+def test_commands_through_crashes_of_leaders_and_of_all_controllers_form_one_sequence_of_versions(core):
     assert put(core.client(), configuration(1), 0) == 200
-    taken: dict[int, tuple[int, str]] = {1: (1, "r1")}
+    acknowledged: dict[int, tuple[int, str]] = {1: (1, "r1")}
     builds_on: dict[int, int] = {}
 
     def operate(operator: int) -> None:
@@ -119,8 +127,9 @@
             status = put(core.client(first, *core.hosts), document, version)
             assert status in (200, 412)
             if status == 200:
-                assert version not in builds_on and document["generation"] not in taken
-                builds_on[version], taken[document["generation"]] = document["generation"], (version, name)
+                assert version not in builds_on
+                assert document["generation"] not in acknowledged
+                builds_on[version], acknowledged[document["generation"]] = document["generation"], (version, name)
                 assert put(core.client(), document, version) == 200
 
     operators = [gevent.spawn(operate, number) for number in range(8)]
@@ -132,40 +141,42 @@
         core.end(host, signal.SIGKILL)
     for host in core.hosts:
         core.start(host)
-    newest = max(taken)
+    newest = max(acknowledged)
     document = core.get("/api/config")
-    assert (document["generation"], document["routes"][0]["name"]) == (newest, taken[newest][1])
-    line, version = [1], 1
+    assert (document["generation"], document["routes"][0]["name"]) == (newest, acknowledged[newest][1])
+    versions = [1]
+    version = 1
     while version in builds_on:
         version = builds_on[version]
-        line.append(version)
-    assert sorted(taken) == line
-    for generation, (version, name) in list(taken.items())[1:]:
+        versions.append(version)
+    assert sorted(acknowledged) == versions
+    for generation, (version, name) in list(acknowledged.items())[1:]:
         assert put(core.client(), configuration(generation, route(name)), version) == 200
 
 
-def test_a_draining_that_was_acknowledged_outlives_its_leader_and_sigterm_ends_well(core):
+def test_an_acknowledged_drain_survives_its_leader_and_sigterm_exits_with_0(core):
     report = core.client(core.hosts[0])
-    assert isinstance(_certain(lambda: report.put("/api/instances/i-1", instance(1))), Success)
-    assert isinstance(_certain(lambda: report.put("/api/instances/i-1", instance(2, "draining"))), Success)
+    assert isinstance(_call_until_outcome(lambda: report.put("/api/instances/i-1", instance(1))), Success)
+    assert isinstance(_call_until_outcome(lambda: report.put("/api/instances/i-1", instance(2, "draining"))), Success)
     shard = shard_of("judges")
     former = core.leader(shard)
     assert core.end(former, signal.SIGTERM) == 0
     survivors = core.client(*(host for host in core.hosts if host != former))
-    assert isinstance(_certain(lambda: survivors.put("/api/instances/i-1", instance(3))), Success)
+    assert isinstance(_call_until_outcome(lambda: survivors.put("/api/instances/i-1", instance(3))), Success)
     status = core.client(core.leader(shard)).get("/api/status").unwrap()
     assert [each["state"] for each in status["instances"]] == ["draining"]
 
 
-def test_bad_settings_end_a_controller_with_every_fault_named(tmp_path):
+def test_a_controller_exits_on_invalid_settings_with_every_finding(tmp_path):
     path = tmp_path / "node.yaml"
     path.write_text("node: core-1\nzone: 7\n")
     ended = subprocess.run(
         [sys.executable, "-m", "ochrespan.programs.controller"],
         capture_output=True,
         cwd=ROOT,
-        timeout=PATIENCE_S,
+        timeout=TIMEOUT_S,
         env={**os.environ, "OCHRESPAN_SETTINGS": str(path)},
         check=False,
     )
-    assert ended.returncode == 78 and ended.stderr.decode().count("settings refused where=") == 5
+    assert ended.returncode == 78
+    assert ended.stderr.decode().count("settings refused where=") == 5
--- a/tests/programs/test_early_listener.py
+++ b/tests/programs/test_early_listener.py
@@ -1,4 +1,4 @@
-"""A router's address takes connections before the router is loaded, and requests before its first table."""
+"""A router's listener takes connections during its imports, and requests before its first table."""
 
 import gc
 import socket
@@ -15,12 +15,13 @@
 
 
 def settings_file(tmp_path, monkeypatch, text: str) -> None:
+    """Writes a settings file, and names it in the environment."""
     path = tmp_path / "node.yaml"
     path.write_text(text)
     monkeypatch.setenv(SETTINGS_VARIABLE, str(path))
 
 
-def test_connections_wait_at_the_address_of_the_settings(tmp_path, monkeypatch):
+def test_connections_wait_in_the_backlog_at_the_address_of_the_settings(tmp_path, monkeypatch):
     address = unused_address()
     settings_file(tmp_path, monkeypatch, yaml.safe_dump({"listen": {"front": "{}:{}".format(*address)}}))
     listener = open_front()
@@ -45,26 +46,26 @@
         "listen: {front: '127.0.0.1:99999'}",
     ],
 )
-def test_settings_that_name_no_address_are_left_to_the_check_of_the_router(tmp_path, monkeypatch, text):
+def test_settings_without_a_usable_address_are_left_to_the_routers_validation(tmp_path, monkeypatch, text):
     settings_file(tmp_path, monkeypatch, text)
     assert open_front() is None
 
 
-def test_without_a_settings_file_nothing_is_opened(tmp_path, monkeypatch):
+def test_without_a_settings_file_no_listener_is_opened(tmp_path, monkeypatch):
     monkeypatch.setenv(SETTINGS_VARIABLE, str(tmp_path / "nothing.yaml"))
     assert open_front() is None
     monkeypatch.delenv(SETTINGS_VARIABLE)
     assert open_front() is None
 
 
-def test_a_socket_at_another_address_than_the_checked_settings_name_is_closed():
+def test_a_listener_at_another_address_than_the_validated_settings_name_is_closed():
     listener = socket.create_server(("127.0.0.1", 0))
     assert listener_or_address(("127.0.0.1", 1), listener) == ("127.0.0.1", 1)
     assert listener.fileno() == -1
     assert listener_or_address(("127.0.0.1", 1), None) == ("127.0.0.1", 1)
 
 
-def test_a_request_that_comes_just_before_the_first_table_is_served(monkeypatch):
+def test_a_request_just_before_the_first_table_is_served(monkeypatch):
     monkeypatch.setattr(front_module, "FIRST_TABLE_WAIT_S", 30.0)
     with router() as made:
         client = made.client()
@@ -73,23 +74,24 @@
         assert client.read_answer().body == b"hi"
 
 
-def test_a_request_without_a_table_in_time_is_refused_and_told_when_to_come_back(monkeypatch):
+def test_a_request_without_a_table_in_time_is_rejected_with_retry_after(monkeypatch):
     monkeypatch.setattr(front_module, "FIRST_TABLE_WAIT_S", 0.01)
     with router() as made:
         client = made.client()
         client.ask("/a")
-        refused = client.read_answer()
-        assert refused.status == 503 and "Retry-After" in dict(refused.headers)
+        rejected = client.read_answer()
+        assert rejected.status == 503
+        assert "Retry-After" in dict(rejected.headers)
 
 
-def test_a_router_looks_for_no_garbage_while_it_loads_and_does_so_once_it_runs(monkeypatch):
+def test_garbage_collection_is_off_during_the_imports_of_a_router_and_on_while_it_runs(monkeypatch):
     seen = []
     monkeypatch.setattr(router_program, "open_front", lambda: seen.append(gc.isenabled()))
 
-    def running(listener):
+    def run(_listener):
         seen.append((gc.isenabled(), gc.get_freeze_count() > 0))
 
-    monkeypatch.setattr(router_process, "run", running)
+    monkeypatch.setattr(router_process, "run", run)
     try:
         router_program.main()
     finally:
--- a/tests/programs/test_fleetctl.py
+++ b/tests/programs/test_fleetctl.py
@@ -15,6 +15,7 @@
 
 @pytest.fixture
 def world():
+    """Two controllers."""
     world = World(members=2)
     yield world
     world.close()
@@ -22,6 +23,7 @@
 
 @pytest.fixture
 def run(world, capsys):
+    """Runs a command against them; gives its exit status and what it printed."""
     addresses = [f"127.0.0.1:{each.http.server_port}" for each in world.controllers]
 
     def run_command(*arguments):
@@ -34,6 +36,8 @@
 
 @pytest.fixture
 def write(tmp_path):
+    """Writes a document to a file."""
+
     def write_file(document, name="config.json"):
         path = tmp_path / name
         path.write_text(document if isinstance(document, str) else json.dumps(document))
@@ -61,7 +65,7 @@
     assert run("config", "apply", write(second), "--builds-on", 5)[0] == 0
 
 
-def test_a_configuration_is_checked_with_all_findings_at_once(write, capsys, snapshot):
+def test_a_configuration_is_validated_with_all_findings_at_once(write, capsys, snapshot):
     bad = configuration(1, route("r1", timeout_ms=0), route("r2", path_prefix="x"))
     assert fleetctl.main(["config", "check", str(write(bad))]) == 1
     assert capsys.readouterr().err == snapshot
@@ -74,6 +78,7 @@
 
 
 def states(world):
+    """The state of each instance, as the second controller has it."""
     return {record.id: record.state for record in world.controllers[1].state.records()}
 
 
@@ -91,12 +96,13 @@
 
 def test_status_and_members_are_tables(run, snapshot):
     code, text = run("status")
-    assert code == 0 and text.splitlines()[0] == snapshot
+    assert code == 0
+    assert text.splitlines()[0] == snapshot
     assert len(text.splitlines()) == 7
     assert run("members")[0] == 0
 
 
-def test_a_fleet_without_an_answer_leaves_the_verdict_open(write, capsys, monkeypatch):
+def test_without_a_response_the_outcome_is_unknown(write, capsys, monkeypatch):
     monkeypatch.setattr(control_client, "MAX_ROUNDS", 1)
     monkeypatch.setattr(control_client, "FIRST_BACKOFF_S", 0)
     arguments = ["config", "apply", str(write(configuration(1))), "--builds-on", "0", "--controllers", "127.0.0.1:1"]
@@ -104,7 +110,7 @@
     assert "no verdict" in capsys.readouterr().err
 
 
-def test_a_malformed_address_is_refused(capsys):
+def test_a_malformed_address_is_rejected(capsys):
     assert fleetctl.main(["status", "--controllers", "nowhere"]) == 1
     assert "IP:PORT" in capsys.readouterr().err
 
@@ -115,13 +121,15 @@
     assert world.controllers[1].patch_config({"generation": 7, "delete": {"routes": ["r2"]}}, 5)[0] == 200
     limits = {"generation": 9, "upsert": {"limits": {"max_body_bytes": 7}}}
     assert world.controllers[0].patch_config(limits, 7)[0] == 200
-    assert world.controllers[0].put_config(configuration(6), 5)[0] == 412  # refused: it has no place there
+    assert (
+        world.controllers[0].put_config(configuration(6), 5)[0] == 412
+    )  # rejected: it builds on a version that is not the newest
     assert run("config", "history") == (0, snapshot)
     assert run("config", "history", "--last", 1)[1].count("\n") == 1
     assert run("config", "history", "--last", 0)[1].count("\n") == 0
 
 
-def test_a_controller_hands_over_and_may_lead_again(run, world, capsys):
+def test_a_controller_declines_leadership_and_may_lead_again(run, world, capsys):
     first, second = world.controllers
     address = f"127.0.0.1:{first.http.server_port}"
     assert fleetctl.main(["hand-over", address, "--for-s", "60"]) == 0
@@ -144,39 +152,46 @@
     assert run("backup", file) == (0, f"{file}: version 5, 2 servers")
     run("config", "apply", write(configuration(8, route("r1", timeout_ms=5))))
     code, text = run("restore", file, "--dry-run")
-    assert code == 0 and text.splitlines()[:-1] == snapshot
-    assert "nothing was changed" in text and world.controllers[0].call("GET", "/api/config")[1]["generation"] == 8
+    assert code == 0
+    assert text.splitlines()[:-1] == snapshot
+    assert "nothing was changed" in text
+    assert world.controllers[0].call("GET", "/api/config")[1]["generation"] == 8
     code, text = run("restore", file)
-    assert code == 0 and text.endswith("taken: version 9 on top of 8")
+    assert code == 0
+    assert text.endswith("taken: version 9 on top of 8")
     assert world.controllers[0].call("GET", "/api/config")[1] == first | {"generation": 9}
     assert "no difference of the configuration" in run("restore", file)[1]
 
 
-def test_a_new_fleet_takes_version_and_drains_of_a_backup(run, world, tmp_path):
+def test_a_new_fleet_restores_version_and_drains_of_a_backup(run, world, tmp_path):
     file = tmp_path / "fleet.backup"
     drained = {"id": "i-1", **instance(4, state="draining")}
     write_backup(file, Backup("2026-12-02T07:00:00+00:00", configuration(40), [drained]))
     world.controllers[0].put_instance("i-1", instance(5))
     code, text = run("restore", file)
-    assert code == 0 and "taken: version 40 on top of 0" in text and "drain i-1" in text
+    assert code == 0
+    assert "taken: version 40 on top of 0" in text
+    assert "drain i-1" in text
     assert states(world) == {"i-1": "draining"}
 
 
 @pytest.mark.parametrize("text", ["{cut", "[]", "{}", '{"format": "another"}'])
-def test_a_file_that_is_no_backup_is_refused_with_its_place(run, write, text):
-    path = write(text, "spoilt.backup")
+def test_a_file_that_is_no_backup_is_rejected_with_its_path(run, write, text):
+    path = write(text, "damaged.backup")
     code, printed = run("restore", path)
-    assert code == 1 and str(path) in printed and "allowed" in printed
+    assert code == 1
+    assert str(path) in printed
+    assert "allowed" in printed
 
 
-def test_a_backup_that_was_changed_or_cut_is_refused(tmp_path):
+def test_a_backup_that_was_changed_or_truncated_is_rejected(tmp_path):
     file = tmp_path / "fleet.backup"
     write_backup(file, Backup("2026-12-02T07:00:00+00:00", configuration(40), []))
     assert read_backup(file).configuration == configuration(40)
-    whole = file.read_text()
-    other_format = whole.replace('"format_version": 1', '"format_version": 2')
-    for spoilt in (whole.replace("40", "41", 1), other_format, whole[:-9]):
-        file.write_text(spoilt)
+    complete = file.read_text()
+    other_format = complete.replace('"format_version": 1', '"format_version": 2')
+    for damaged in (complete.replace("40", "41", 1), other_format, complete[:-9]):
+        file.write_text(damaged)
         with pytest.raises(ValidationError):
             read_backup(file)
     invalid = configuration(40, route("r1", timeout_ms=0))
@@ -186,12 +201,13 @@
     assert [path.name for path in tmp_path.iterdir()] == ["fleet.backup"]
 
 
-def test_settings_are_checked_with_all_findings_at_once(tmp_path, capsys):
+def test_settings_are_validated_with_all_findings_at_once(tmp_path, capsys):
     file = tmp_path / "node.yaml"
     file.write_text("node: core-1\nip: 10.0.0.1\nzone: a\nport_range: [9, 3]\nseeds: [nowhere]\nlisten: {}\n")
     assert fleetctl.main(["settings", "check", str(file)]) == 1
     found = capsys.readouterr().err
-    assert "port_range" in found and "seeds[0]" in found
+    assert "port_range" in found
+    assert "seeds[0]" in found
     file.write_text("node: core-1\nip: 10.0.0.1\nzone: a\nport_range: [3, 9]\nseeds: ['10.0.0.1:5']\nlisten: {}\n")
     assert fleetctl.main(["settings", "check", str(file)]) == 0
     assert "valid, core-1 in a" in capsys.readouterr().out
--- a/tests/programs/test_settings.py
+++ b/tests/programs/test_settings.py
@@ -29,6 +29,7 @@
 
 
 def parsed(**changes):
+    """GOOD with changed fields, as a program reads it."""
     return parse_settings(yaml.safe_dump({**GOOD, **changes}), "node.yaml")
 
 
@@ -61,64 +62,66 @@
         ({"decision_records": True}, "decision_records"),
     ],
 )
-def test_a_bad_field_is_told_by_place_found_and_allowed(changes, where):
+def test_an_invalid_field_is_reported_with_its_path(changes, where):
     with pytest.raises(ValidationError) as caught:
         parsed(**changes)
     assert [finding.where for finding in caught.value.findings] == [f"node.yaml: {where}"]
 
 
-def test_all_findings_come_at_once():
+def test_all_findings_are_reported_at_once():
     with pytest.raises(ValidationError) as caught:
         parse_settings("zone: 3\nip: 10.1.0.6", "node.yaml")
     assert len(caught.value.findings) == 5
 
 
 @pytest.mark.parametrize("source", ["", "[1", "just text", "\x00"])
-def test_what_is_no_settings_document_is_refused(source):
+def test_a_malformed_settings_document_is_rejected(source):
     with pytest.raises(ValidationError):
         parse_settings(source, "node.yaml")
 
 
-def test_a_missing_variable_or_file_is_refused(tmp_path):
+def test_a_missing_variable_or_file_is_rejected(tmp_path):
     with pytest.raises(ValidationError):
         settings_path({})
     with pytest.raises(ValidationError):
         read_settings(tmp_path / "nothing.yaml")
 
 
-@pytest.mark.parametrize("changes", [{"data_dir": None}, {"listen": {}}])
-def test_a_controller_needs_a_folder_and_an_address(changes):
+@pytest.mark.parametrize(("changes", "read"), [({"data_dir": None}, host_settings), ({"listen": {}}, control_address)])
+def test_a_controller_requires_a_data_directory_and_a_control_address(changes, read):
     settings = parsed(**changes)
     with pytest.raises(ValidationError):
-        host_settings(settings)
-        control_address(settings)
+        read(settings)
 
 
-def test_a_changed_file_is_read_again_and_a_broken_one_changes_nothing(tmp_path):
-    path, told = tmp_path / "node.yaml", []
+def test_a_changed_file_is_reloaded_and_an_invalid_one_ignored(tmp_path):
+    path = tmp_path / "node.yaml"
+    reloaded = []
     path.write_text(yaml.safe_dump(GOOD))
-    file = SettingsFile(path, told.append)
+    file = SettingsFile(path, reloaded.append)
 
     def write(text):
         path.write_text(text)
-        os.utime(path, ns=(0, len(told) + len(text)))
+        os.utime(path, ns=(0, len(reloaded) + len(text)))
 
     write(yaml.safe_dump({**GOOD, "seeds": ["10.9.0.1:8367"]}))
     file.poll()
-    assert told[-1]["seeds"] == ["10.9.0.1:8367"] == file.current["seeds"]
+    assert reloaded[-1]["seeds"] == ["10.9.0.1:8367"] == file.current["seeds"]
     write("[broken")
     file.poll()
-    assert len(told) == 1 and file.current["seeds"] == ["10.9.0.1:8367"]
+    assert len(reloaded) == 1
+    assert file.current["seeds"] == ["10.9.0.1:8367"]
     path.unlink()
     file.poll()
     write(yaml.safe_dump(GOOD))
     file.reload()
-    assert told[-1] == GOOD and len(told) == 2
+    assert reloaded[-1] == GOOD
+    assert len(reloaded) == 2
     file.poll()
-    assert len(told) == 2
+    assert len(reloaded) == 2
 
 
-def test_the_level_of_the_logs_changes_in_service_and_a_level_that_does_not_exist_is_told(tmp_path):
+def test_the_log_level_changes_on_reload_and_an_unknown_one_is_reported(tmp_path):
     path = tmp_path / "node.yaml"
     path.write_text(yaml.safe_dump(GOOD))
     root = logging.getLogger()
@@ -137,4 +140,6 @@
     with pytest.raises(ValidationError) as caught:
         read_settings(path)
     (finding,) = caught.value.findings
-    assert finding.where.endswith("log_level") and "LOUD" in finding.found and "DEBUG, INFO" in finding.allowed
+    assert finding.where.endswith("log_level")
+    assert "LOUD" in finding.found
+    assert "DEBUG, INFO" in finding.allowed
--- a/tests/test_fleet_example.py
+++ b/tests/test_fleet_example.py
@@ -7,7 +7,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_a_stream_outlives_its_router_and_its_engine():
+def test_a_stream_survives_its_router_and_its_engine():
     done = subprocess.run(
         [sys.executable, "-m", "examples.fleet"], cwd=ROOT, capture_output=True, text=True, timeout=60
     )
--- a/tests/test_router_process.py
+++ b/tests/test_router_process.py
@@ -1,4 +1,4 @@
-"""The router as a process of its own: start, table, readiness, drain on SIGTERM, settings, and a core that is down."""
+"""The router as a process: start, table, readiness, drain on SIGTERM, settings, and controllers without a quorum."""
 
 import os
 import signal
@@ -40,18 +40,20 @@
         gevent.spawn(self._read)
 
     def write(self) -> None:
-        """Puts the settings in place, as the platform does."""
+        """Replaces the settings file atomically, as the platform does."""
         fresh = self.path.with_suffix(".new")
         fresh.write_text(yaml.safe_dump(self.settings))
         fresh.rename(self.path)
 
     def wait_for(self, text: str) -> None:
+        """Waits until a log line contains the text."""
         seen = Event()
         self._waiting.append((text, seen))
         if not any(text in line for line in self.lines):
             assert seen.wait(10), "".join(self.lines)
 
     def is_ready(self) -> bool:
+        """Whether its readiness check succeeds."""
         client = Client(self.ready)
         client.send(b"GET /api/readyz HTTP/1.1\r\nHost: h\r\n\r\n")
         status = client.read_answer().status
@@ -59,13 +61,15 @@
         return status == 200
 
     def put_readiness(self, body: bytes) -> int:
+        """The status of a request to drain it or to end that."""
         client = Client(self.ready)
         client.send(b"PUT /api/readiness HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
         status = client.read_answer().status
         client.close()
         return status
 
-    def figures(self) -> str:
+    def metrics(self) -> str:
+        """The text of its metrics."""
         client = Client(self.ready)
         client.send(b"GET /api/metrics HTTP/1.1\r\nHost: h\r\n\r\n")
         body = client.read_answer().body
@@ -73,15 +77,19 @@
         return body.decode()
 
     def client(self) -> Client:
+        """A connection to its address for clients."""
         return Client(self.front)
 
     def signal(self, number: int) -> None:
+        """Sends a signal to the process."""
         self._process.send_signal(number)
 
     def exit_code(self) -> int:
+        """Its exit status, once it has exited."""
         return self._process.wait(timeout=10)
 
     def end(self) -> None:
+        """Kills the process if it still runs."""
         if self._process.poll() is None:
             self._process.kill()
             self._process.wait()
@@ -96,6 +104,7 @@
 
 @pytest.fixture
 def world():
+    """One controller with its feed."""
     world = World()
     world.controllers[0].node.start()
     yield world
@@ -104,6 +113,7 @@
 
 @pytest.fixture
 def start(tmp_path, world):
+    """Starts routers on that feed, with changed settings."""
     started = []
 
     def start_router(**other) -> RouterProcess:
@@ -117,6 +127,7 @@
 
 
 def register(world: World, *servers: StandInServer) -> None:
+    """Registers each server as an instance."""
     for number, server in enumerate(servers):
         address = f"127.0.0.1:{server.address[1]}"
         status, _ = world.controllers[0].put_instance(f"i-{number}", instance(1, address=address))
@@ -124,16 +135,18 @@
 
 
 def configure(world: World) -> None:
+    """Puts a configuration with a streaming route and a plain one."""
     routes = [route("r1", hostname=HOST), route("plain", hostname=HOST, route_type="unsafe")]
     assert world.controllers[0].put_config(configuration(1, *routes), 0)[0] == 200
 
 
 def status_of_unknown_route(client: Client) -> int:
+    """The status of a request that no route matches."""
     client.ask("/unknown/x", id="q4")
     return client.read_answer().status
 
 
-def test_a_router_is_ready_once_it_has_a_table_and_serves_on_with_the_core_down(world, start):
+def test_a_router_is_ready_with_its_first_table_and_keeps_serving_without_controllers(world, start):
     server = StandInServer(answer(b"hi"))
     router = start()
     router.wait_for("listening")
@@ -150,14 +163,14 @@
     groups = world.controllers[0].groups
     groups.quorum_ages = dict.fromkeys(groups.quorum_ages, 60.0)
     with gevent.Timeout(10):
-        while status_of_unknown_route(client) != 503:  # the router hears of it within a beat of the feed
+        while status_of_unknown_route(client) != 503:  # the router notices within one heartbeat of the feed
             pass
     assert router.is_ready()
     client.ask("/plain/x", id="q3")
     assert client.read_answer().body == b"hi"
 
 
-def test_sigterm_ends_readiness_first_then_connections_and_finishes_what_runs(world, start):
+def test_sigterm_ends_readiness_first_then_connections_and_completes_requests_in_flight(world, start):
     go_on = Event()
     server = StandInServer(stream(1, 2, gate=lambda number: go_on.wait() if number > 1 else None), answer(b"late"))
     register(world, server)
@@ -179,11 +192,11 @@
     assert running.read_chunk() == b""
     assert running.is_closed()
     assert router.exit_code() == 0
-    with pytest.raises(OSError):
+    with pytest.raises(ConnectionRefusedError):
         socket.create_connection(router.front)
 
 
-def test_what_runs_longer_than_the_grace_is_broken_off_and_its_server_told(world, start):
+def test_a_request_longer_than_the_grace_period_is_aborted_also_at_its_instance(world, start):
     server = StandInServer(stream(1, end=lambda received: received.connection.recv(1) or close(received)))
     register(world, server)
     configure(world)
@@ -200,17 +213,17 @@
     assert server.peer_gone.wait(5)
 
 
-@pytest.mark.parametrize("tell", [True, False])
-def test_changed_settings_are_taken_over_with_and_without_a_signal(world, start, tell):
+@pytest.mark.parametrize("sends_signal", [True, False])
+def test_changed_settings_are_reloaded_with_and_without_a_signal(start, sends_signal):
     router = start()
     router.wait_for("listening")
     router.settings["seeds"] = ["127.0.0.1:2"]
     router.write()
-    if tell:
+    if sends_signal:
         router.signal(signal.SIGHUP)
     router.wait_for("settings reloaded")
     router.path.write_text("node: [")
-    if tell:
+    if sends_signal:
         router.signal(signal.SIGHUP)
     router.wait_for("settings not reloaded")
     router.signal(signal.SIGTERM)
@@ -221,14 +234,14 @@
     ("other", "place"),
     [({"zone": 7}, "zone"), ({"listen": {"front": "nowhere"}}, "listen.front"), ({"listen": {}}, "listen.front")],
 )
-def test_settings_that_cannot_be_used_are_told_with_place_found_and_allowed(start, other, place):
+def test_invalid_settings_are_reported_with_where_found_and_allowed(start, other, place):
     router = start(**other)
     assert router.exit_code() == 78
     router.wait_for(place)
     assert any(place in line and "found" in line and "allowed" in line for line in router.lines)
 
 
-def test_a_router_tells_collectors_what_it_decided(world, start):
+def test_metrics_of_a_router_count_its_decisions(world, start):
     server = StandInServer(answer(b"hi"))
     router = start()
     configure(world)
@@ -237,13 +250,14 @@
     client = router.client()
     client.ask("/plain/x", id="q1")
     assert client.read_answer().status == 200
-    figures = router.figures()
-    assert 'ochrespan_router_decisions_total{decision="send"} 1' in figures
-    assert 'ochrespan_router_attempts_total{outcome="done"} 1' in figures
-    assert "ochrespan_configuration_version 1" in figures and "ochrespan_router_ready 1" in figures
+    metrics = router.metrics()
+    assert 'ochrespan_router_decisions_total{decision="send"} 1' in metrics
+    assert 'ochrespan_router_attempts_total{outcome="done"} 1' in metrics
+    assert "ochrespan_configuration_version 1" in metrics
+    assert "ochrespan_router_ready 1" in metrics
 
 
-def test_an_operators_drain_ends_readiness_alone_and_can_be_ended(world, start, capsys):
+def test_an_operators_drain_ends_readiness_only_and_can_be_reverted(world, start, capsys):
     server = StandInServer(answer(b"hi"), answer(b"hi"))
     router = start()
     register(world, server)
@@ -253,7 +267,7 @@
     assert fleetctl.main(["router", "drain", address]) == 0
     assert not router.is_ready()
     client.ask("/plain/x", id="q1")
-    assert client.read_answer().body == b"hi"  # what is connected is served on
+    assert client.read_answer().body == b"hi"  # open connections are still served
     for bad in (b"{cut", b"[]", b'{"drained": 1}', b"{}", b"x" * 2000):
         assert router.put_readiness(bad) == 400
     assert not router.is_ready()
