--- a/ochrespan/programs/__init__.py
+++ b/ochrespan/programs/__init__.py
@@ -1,4 +1,7 @@
-"""The programs of the fleet: controller, router and the operators' command line.
+"""The programs of the fleet: controller, router and the operators' command line `fleetctl`.
 
-State: settings. Imports: every package of the fleet; no package imports this one.
+`process` runs a controller or a router; `settings` reads, validates and reloads the settings file of either. `router`
+opens the clients' listener with `early_listener` before it imports the rest.
+
+State: the settings in force. Imports: every package of the fleet; no package imports this one.
 """
--- a/ochrespan/programs/fleetctl_commands/__init__.py
+++ b/ochrespan/programs/fleetctl_commands/__init__.py
@@ -1,4 +1,4 @@
-"""The commands of `fleetctl`, their reports and the client of the control interface.
+"""Parts of `fleetctl`: the client of the control interface, reports, and the commands `backup` and `restore`.
 
-State: none. Imports: `ochrespan.control_plane`, `ochrespan.transport` and `ochrespan.common`.
+State: none. Imports: `ochrespan.control_plane`, `ochrespan.common`, and the settings and errors of the programs.
 """
--- a/ochrespan/programs/fleetctl_commands/control_client.py
+++ b/ochrespan/programs/fleetctl_commands/control_client.py
@@ -43,8 +43,8 @@
 class ControlClient:
     """Calls the given controllers in turn, in rounds with an exponential backoff.
 
-    A call with an unknown outcome (no response, or a 5xx status) is sent again unchanged; the control interface makes
-    that safe.
+    A call without a response, or with a 5xx status, is sent again unchanged. That is safe, as the controllers recognise
+    a command that they have committed already.
 
     Args:
         controllers: their control addresses.
