--- a/ochrespan/control_plane/feed/presence.py
+++ b/ochrespan/control_plane/feed/presence.py
@@ -132,7 +132,7 @@
             return
         now = monotonic()
         self._live_routers.told(presence, now)
-        self._lag_detector.told(presence.offsets, applied_offsets(self._groups), now)
+        self._lag_detector.record_offsets(presence.offsets, applied_offsets(self._groups), now)
 
     def _own_presence(self) -> Presence:
         return Presence(
--- a/ochrespan/control_plane/replication/disk_writer.py
+++ b/ochrespan/control_plane/replication/disk_writer.py
@@ -1,6 +1,6 @@
-"""Writes what the replicas of a process want to be durable: one write and one sync at a time, for all groups.
+"""Writes the updates of all replicas of a process to its disk: group commit, one write and one sync at a time.
 
-The disk is used in a thread, so a slow or hung disk holds up neither heartbeats nor anything else.
+The disk is used in a thread of the pool, so a slow or hanging disk delays neither heartbeats nor anything else.
 """
 
 from __future__ import annotations
@@ -19,103 +19,122 @@
 
 
 RETRY_S = 0.25
-MIN_LOG_BYTES = 1024 * 1024  # a checkpoint isn't worth its cost below
-LOG_DISK_DIVISOR = 16  # a log may fill one part in this many of the disk
+MIN_LOG_BYTES = 1024 * 1024  # below, a checkpoint costs more than it saves
+LOG_DISK_DIVISOR = 16  # the log may grow to the disk's size divided by this
 
 
 class DiskWriter:
-    """Calls `take()` for records whenever it is woken, and `durable()` when they are on the disk."""
+    """Appends records to the store whenever it is woken, and replaces the log by a checkpoint once it is long.
+
+    It owns the greenlet that writes; `stop()` ends that. A write in the thread pool is not interrupted.
+    """
 
     def __init__(
         self,
         store: SnapshotStore,
         disk_bytes: int,
-        take: Callable[[], list[bytes]],
-        durable: Callable[[], None],
-        image: Callable[[], bytes],
+        take_records: Callable[[], list[bytes]],
+        on_persisted: Callable[[], None],
+        make_checkpoint: Callable[[], bytes],
     ) -> None:
-        self._store, self._take, self._durable, self._image = store, take, durable, image
-        self._log_limit = max(MIN_LOG_BYTES // 4, min(4 * MIN_LOG_BYTES, disk_bytes // LOG_DISK_DIVISOR))
-        self._image_bytes = 0
+        """Takes the store and what connects it to the replicas.
+
+        Args:
+            store: An opened store.
+            disk_bytes: Size of the disk, which bounds the log.
+            take_records: Returns the records that are not written yet.
+            on_persisted: Called when the records taken last are synced to the disk.
+            make_checkpoint: Returns the complete state, which replaces all records taken so far.
+        """
+        self._store = store
+        self._take_records = take_records
+        self._on_persisted = on_persisted
+        self._make_checkpoint = make_checkpoint
+        self._max_log_bytes = max(MIN_LOG_BYTES // 4, min(4 * MIN_LOG_BYTES, disk_bytes // LOG_DISK_DIVISOR))
+        self._checkpoint_bytes = 0
         self._wake = Event()
-        self._began: float | None = None
-        self._failed = False
-        self._checkpoint_at = 0.0
+        self._write_started_at: float | None = None
+        self._has_failed = False
+        self._retry_checkpoint_at = 0.0
         self._greenlet: gevent.Greenlet | None = None
 
     @property
     def pending_for(self) -> float:
-        """Seconds since the write that is under way began; 0 where there is none."""
-        return 0.0 if self._began is None else time.monotonic() - self._began
+        """Seconds since the current write started; 0 where there is none."""
+        return 0.0 if self._write_started_at is None else time.monotonic() - self._write_started_at
 
     @property
-    def failed(self) -> bool:
-        """The disk refuses writes, for lack of room or else."""
-        return self._failed
+    def has_failed(self) -> bool:
+        """Whether the last write failed: the disk is full or broken."""
+        return self._has_failed
 
     def start(self) -> None:
-        self._greenlet = gevent.spawn(self._run)
+        """Starts the greenlet that writes."""
+        self._greenlet = gevent.spawn(self._run_forever)
 
     def stop(self) -> None:
+        """Ends the greenlet that writes."""
         if self._greenlet is not None:
             self._greenlet.kill(block=False)
 
     def wake(self) -> None:
+        """Says that there may be records to write."""
         self._wake.set()
 
-    def _run(self) -> None:
-        """Only the disk's own errors are expected; another one must not leave the process without its writer."""
+    def _run_forever(self) -> None:
+        """Restarts the loop after an error other than the disk's own: replicas cannot commit without a writer."""
         while True:
             try:
-                self._serve()
-            except Exception:
-                log.exception("disk writer failed and goes on")
+                self._run()
+            except Exception:  # noqa: BLE001 - a callback's failure must not end the only writer of this process
+                log.exception("disk writer step failed, continuing")
                 gevent.sleep(RETRY_S)
                 self._wake.set()
 
-    def _serve(self) -> None:
+    def _run(self) -> None:
         while True:
             self._wake.wait()
             self._wake.clear()
-            payloads = self._take()
-            if payloads:
-                self._store.append(payloads)
-                self._until_done(self._store.flush)
-                self._durable()
-            if self._checkpoint_wanted():
-                self._checkpoint()
-
-    def _until_done(self, operation: Callable[[], None]) -> None:
-        while not self._done(operation):
+            records = self._take_records()
+            if records:
+                self._store.append(records)
+                self._retry_until_done(self._store.flush)
+                self._on_persisted()
+            if self._is_checkpoint_due():
+                self._write_checkpoint()
+
+    def _retry_until_done(self, operation: Callable[[], None]) -> None:
+        while not self._try(operation):
             gevent.sleep(RETRY_S)
 
-    def _done(self, operation: Callable[[], None]) -> bool:
-        self._began = time.monotonic()
+    def _try(self, operation: Callable[[], None]) -> bool:
+        """Runs an operation of the disk in a thread; whether it succeeded. Only the first failure is logged."""
+        self._write_started_at = time.monotonic()
         try:
             gevent.get_hub().threadpool.apply(operation)
         except OSError as error:
-            if not self._failed:
-                reason = "full" if error.errno in (errno.ENOSPC, errno.EDQUOT) else "failed"
-                log.error("disk %s error=%s", reason, error)
-            self._failed = True
+            if not self._has_failed:
+                is_full = error.errno in (errno.ENOSPC, errno.EDQUOT)
+                log.error("disk full error=%s" if is_full else "disk write failed error=%s", error)
+            self._has_failed = True
             return False
         finally:
-            self._began = None
-        if self._failed:
-            log.info("disk works again")
-        self._failed = False
+            self._write_started_at = None
+        if self._has_failed:
+            log.info("disk recovered")
+        self._has_failed = False
         return True
 
-    def _checkpoint_wanted(self) -> bool:
+    def _is_checkpoint_due(self) -> bool:
         if self._store.checkpoint_in_progress:
-            return time.monotonic() >= self._checkpoint_at
-        return self._store.log_bytes > max(self._log_limit, 2 * self._image_bytes)
+            return time.monotonic() >= self._retry_checkpoint_at
+        return self._store.log_bytes > max(self._max_log_bytes, 2 * self._checkpoint_bytes)
 
-    def _checkpoint(self) -> None:
-        """One attempt. If it fails, the log goes on growing and the next attempt comes after a pause."""
-        self._checkpoint_at = time.monotonic() + RETRY_S
+    def _write_checkpoint(self) -> None:
+        """Makes one attempt. If it fails, the log keeps growing and the next attempt follows after RETRY_S."""
+        self._retry_checkpoint_at = time.monotonic() + RETRY_S
         self._store.begin_checkpoint()
-        image = self._image()
-        if self._done(lambda: self._store.write_checkpoint(image)):
-            self._image_bytes = len(image)
-            log.info("checkpoint written bytes=%d", len(image))
+        checkpoint = self._make_checkpoint()
+        if self._try(lambda: self._store.write_checkpoint(checkpoint)):
+            self._checkpoint_bytes = len(checkpoint)
+            log.info("checkpoint written bytes=%d", len(checkpoint))
--- a/ochrespan/control_plane/replication/errors.py
+++ b/ochrespan/control_plane/replication/errors.py
@@ -1,16 +1,21 @@
-"""Errors of the replica host."""
+"""Errors of proposals and of confirmed reads."""
 
 from __future__ import annotations
 
 from ochrespan.common.addresses import Address, format_address
+from ochrespan.control_plane.errors import ControlPlaneError
 
 
-class OutcomeUnknownError(Exception):
-    """The command may or may not be applied: the leader was lost, time ran out, or there is no quorum."""
+class OutcomeUnknownError(ControlPlaneError):
+    """The command may or may not be applied: leadership was lost, the time-out passed, or there is no quorum."""
 
 
-class NotLeaderError(Exception):
-    """The command was surely not appended here. `leader`: who may lead, if known."""
+class NotLeaderError(ControlPlaneError):
+    """This process does not lead the shard; the command was not appended here, so it can be sent to the leader.
+
+    Attributes:
+        leader: Address of the leader as far as this process knows it.
+    """
 
     def __init__(self, leader: Address | None) -> None:
         super().__init__(f"the leader is {format_address(leader) if leader else 'unknown'}")
--- a/ochrespan/control_plane/replication/host.py
+++ b/ochrespan/control_plane/replication/host.py
@@ -108,7 +108,7 @@
         placed = self._table and self._table.replicas[shard].propose(time.monotonic(), command)
         if not placed:
             raise NotLeaderError(self.leader(shard))
-        with self._applier.waiting(shard, *placed) as result:
+        with self._applier.pending_result(shard, *placed) as result:
             self._wake.set()
             try:
                 return result.get(timeout=timeout)
@@ -271,7 +271,7 @@
             self._disk.wake()
 
     def _judge_willingness(self, now: float) -> None:
-        disk_in_trouble = self._disk.pending_for > SLOW_DISK_S or self._disk.failed
+        disk_in_trouble = self._disk.pending_for > SLOW_DISK_S or self._disk.has_failed
         has_leaders = all(replica.leader is not None for replica in self._table.replicas.values())
         withholds_votes = self._eligibility.withholds_votes(now, disk_in_trouble, has_leaders)
         replica = next(iter(self._table.replicas.values()))
--- a/ochrespan/control_plane/replication/lag_detector.py
+++ b/ochrespan/control_plane/replication/lag_detector.py
@@ -1,28 +1,44 @@
-"""Notices that this controller's state stays behind that of another. Pure: time is an argument.
+"""Detects that this controller's state lags behind that of another. Pure: the time is an argument.
 
-A replica whose disk hangs may still hear of its group's majority, while it applies nothing that is new.
+A replica whose disk hangs may still be in contact with its group's majority while it applies nothing new, so the age of
+the quorum alone does not show that its state is stale.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
+from dataclasses import dataclass
+
+
+@dataclass(frozen=True, slots=True)
+class _MissingOffset:
+    """An offset that another controller has applied and this one has not."""
+
+    offset: int
+    since: float
 
 
 class LagDetector:
-    """What other controllers have applied that this one has not, and since when that is known."""
+    """Compares the applied offsets of other controllers with this one's. Times are seconds of the monotonic clock."""
 
     def __init__(self) -> None:
-        self._behind: dict[int, tuple[int, float]] = {}  # by shard: an offset, and since when it is missing here
+        self._missing: dict[int, _MissingOffset] = {}  # by shard: the first offset that was found missing here
+
+    def record_offsets(self, offsets: Mapping[int, int], applied: Mapping[int, int], now: float) -> None:
+        """Takes in a report of another controller.
 
-    def told(self, offsets: Mapping[int, int], applied: Mapping[int, int], now: float) -> None:
-        """Another controller has applied up to `offsets`, this one up to `applied`."""
+        Args:
+            offsets: By shard, the index up to which the other controller has applied the log.
+            applied: The same of this controller.
+            now: Seconds of the monotonic clock.
+        """
         for shard, offset in offsets.items():
-            if offset > applied.get(shard, 0) and shard not in self._behind:
-                self._behind[shard] = (offset, now)
+            if offset > applied.get(shard, 0) and shard not in self._missing:
+                self._missing[shard] = _MissingOffset(offset, now)
 
     def lags(self, applied: Mapping[int, int], now: float) -> dict[int, float]:
-        """By shard, for how long this controller has been behind; 0 where it is not."""
-        for shard, (offset, _) in list(self._behind.items()):
-            if applied.get(shard, 0) >= offset:
-                del self._behind[shard]
-        return {shard: now - self._behind[shard][1] if shard in self._behind else 0.0 for shard in applied}
+        """Seconds for which this controller has been behind, by shard; 0 where it is not."""
+        for shard, missing in list(self._missing.items()):
+            if applied.get(shard, 0) >= missing.offset:
+                del self._missing[shard]
+        return {shard: now - self._missing[shard].since if shard in self._missing else 0.0 for shard in applied}
--- a/ochrespan/control_plane/replication/leader_eligibility.py
+++ b/ochrespan/control_plane/replication/leader_eligibility.py
@@ -1,4 +1,7 @@
-"""Whether a controller may lead: not while its disk is in trouble, nor for a time that an operator asked for. Pure."""
+"""Whether a controller may lead: not while its disk is too slow, nor while an operator has declined leadership.
+
+Pure: the time is an argument, in seconds of the monotonic clock.
+"""
 
 from __future__ import annotations
 
@@ -7,42 +10,49 @@
 
 log = logging.getLogger(__name__)
 
-
-MAX_LEADERLESS_S = 3.0  # of any shard, after which an operator's request gives way: somebody has to lead
+# An operator's request ends once any shard has had no leader for so long: a shard without a leader is worse.
+MAX_LEADERLESS_S = 3.0
 
 
 @dataclass(slots=True)
 class LeaderEligibility:
-    """Times are seconds of the steady clock."""
+    """The reasons for which this process may not lead now."""
 
     _declines_until: float = 0.0
     _leaderless_since: float | None = None
-    _disk_in_trouble: bool = False
+    _is_disk_slow: bool = False
 
-    def decline(self, now: float, span_s: float) -> None:
-        """An operator wants this process to lead nothing for so long; 0 ends an earlier wish."""
-        self._declines_until = now + span_s
+    def decline(self, now: float, duration_s: float) -> None:
+        """Records an operator's request that this process lead nothing for `duration_s`; 0 ends an earlier one."""
+        self._declines_until = now + duration_s
         self._leaderless_since = None
-        log.info("leadership declined by an operator for_s=%g", span_s)
+        log.info("leadership declined by an operator duration_s=%g", duration_s)
 
     def declines_for(self, now: float) -> float:
-        """Seconds for which an operator's wish still holds."""
+        """Seconds for which an operator's request still holds."""
         return max(0.0, self._declines_until - now)
 
-    def withholds_votes(self, now: float, disk_in_trouble: bool, has_leaders: bool) -> bool:
-        """Whether to lead nothing now; `has_leaders`: every shard's leader is known."""
-        if disk_in_trouble != self._disk_in_trouble:
-            self._disk_in_trouble = disk_in_trouble
-            log.warning("disk in trouble, handing over" if disk_in_trouble else "disk keeps up again")
+    def withholds_votes(self, now: float, is_disk_slow: bool, has_leaders: bool) -> bool:
+        """Whether this process has to give up leadership and to stay out of elections.
+
+        Args:
+            now: Seconds of the monotonic clock.
+            is_disk_slow: The disk rejects writes, or one takes too long.
+            has_leaders: The leader of every shard is known here.
+        """
+        if is_disk_slow != self._is_disk_slow:
+            self._is_disk_slow = is_disk_slow
+            log.warning("disk too slow, leadership withheld" if is_disk_slow else "disk healthy, leadership allowed")
         if self.declines_for(now):
-            self._watch_leaders(now, has_leaders)
-        return disk_in_trouble or self.declines_for(now) > 0
+            self._end_request_if_leaderless(now, has_leaders)
+        return is_disk_slow or self.declines_for(now) > 0
 
-    def _watch_leaders(self, now: float, has_leaders: bool) -> None:
+    def _end_request_if_leaderless(self, now: float, has_leaders: bool) -> None:
+        """Tolerates the gap of an election; a longer one means that no other process can lead."""
         if has_leaders:
             self._leaderless_since = None
         elif self._leaderless_since is None:
             self._leaderless_since = now
         elif now - self._leaderless_since > MAX_LEADERLESS_S:
             self._declines_until = now
-            log.warning("leadership accepted again: a shard has had no leader for_s=%g", MAX_LEADERLESS_S)
+            log.warning("leadership allowed again, a shard has no leader leaderless_s=%g", MAX_LEADERLESS_S)
--- a/tests/control_plane/feed/test_feed_parts.py
+++ b/tests/control_plane/feed/test_feed_parts.py
@@ -119,10 +119,10 @@
 
 def test_a_controller_lags_from_when_it_hears_of_more_until_it_has_applied_that():
     lag = LagDetector()
-    lag.told({0: 7, 1: 3}, {0: 7, 1: 3}, 1.0)
+    lag.record_offsets({0: 7, 1: 3}, {0: 7, 1: 3}, 1.0)
     assert lag.lags({0: 7, 1: 3}, 2.0) == {0: 0.0, 1: 0.0}
-    lag.told({0: 9, 1: 3}, {0: 7, 1: 3}, 2.0)
-    lag.told({0: 12, 1: 3}, {0: 8, 1: 3}, 3.0)
+    lag.record_offsets({0: 9, 1: 3}, {0: 7, 1: 3}, 2.0)
+    lag.record_offsets({0: 12, 1: 3}, {0: 8, 1: 3}, 3.0)
     assert lag.lags({0: 8, 1: 3}, 5.0) == {0: 3.0, 1: 0.0}
     assert lag.lags({0: 9, 1: 3}, 6.0) == {0: 0.0, 1: 0.0}
 
--- a/tests/control_plane/replication/test_disk_writer.py
+++ b/tests/control_plane/replication/test_disk_writer.py
@@ -77,10 +77,10 @@
 def test_a_full_disk_is_tried_again_until_it_has_room(harness, caplog):
     harness.directory.full = True
     harness.add(b"a")
-    until(lambda: harness.writer.failed, "refusal")
+    until(lambda: harness.writer.has_failed, "refusal")
     harness.directory.full = False
     until(lambda: harness.batches, "write")
-    assert not harness.writer.failed
+    assert not harness.writer.has_failed
     assert harness.recovered().records == [b"a"]
     assert sum("disk full" in record.getMessage() for record in caplog.records) == 1
 
@@ -97,7 +97,7 @@
 
     harness.directory.write_at = refusing
     harness.add(record)
-    until(lambda: harness.images and harness.writer.failed, "checkpoint that fails")
+    until(lambda: harness.images and harness.writer.has_failed, "checkpoint that fails")
     harness.add(b"b")
     until(lambda: len(harness.batches) == 2, "write after it")
     found = harness.recovered()
--- a/tests/support/replica_hosts.py
+++ b/tests/support/replica_hosts.py
@@ -91,7 +91,7 @@
         f"last={core.log.last_index} stable={core.log.stable_index} commit={core.commit_index} "
         f"abstaining={core.withholding_votes} heard={core.now - core.last_leader_contact_at:.2f} "
         f"deadline={core.election_deadline - core.now:.2f} writing={host._disk.pending_for:.2f} "
-        f"failed={host._disk.failed} voters={[member.id for member in core.configuration.voters]} id={core.id}"
+        f"failed={host._disk.has_failed} voters={[member.id for member in core.configuration.voters]} id={core.id}"
     )
 
 
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -15,7 +15,13 @@
 LAYERS = (
     ("ochrespan.common", "ochrespan.policy", "ochrespan.storage", "ochrespan.observability"),
     ("ochrespan.raft", "ochrespan.transport"),
-    ("ochrespan.membership", f"{CONTROL}.shards", f"{CONTROL}.responses", f"{CONTROL}.owner_calls"),
+    (
+        "ochrespan.membership",
+        f"{CONTROL}.errors",
+        f"{CONTROL}.shards",
+        f"{CONTROL}.responses",
+        f"{CONTROL}.owner_calls",
+    ),
     (f"{CONTROL}.replication",),
     (f"{CONTROL}.config",),
     (f"{CONTROL}.registry",),
