--- a/ochrespan/control_plane/replication/groups.py
+++ b/ochrespan/control_plane/replication/groups.py
@@ -1,4 +1,4 @@
-"""The view of the replica host that the rest of the control plane depends on."""
+"""The part of the replica host that the rest of the control plane depends on."""
 
 from __future__ import annotations
 
@@ -8,44 +8,57 @@
 from ochrespan.control_plane.shards import ALL_SHARDS
 
 CALL_TIMEOUT_S = 0.9  # callers wait for a second
-MAX_QUORUM_AGE_S = 1.0  # a feed whose controller has not heard of a majority for longer is not current
-# a majority that answered so lately elects no other: shorter than the shortest election time-out
+MAX_QUORUM_AGE_S = 1.0  # a controller without contact to a majority for longer serves no current feed
+# A leader whose majority responded within this time is still the only one: shorter than the shortest election time-out
+# (leases, Raft dissertation, section 6.4.1)
 LEASE_DURATION_S = 0.4
 
 
 class ReplicaGroups(Protocol):
-    """The part of ReplicaHost that this package uses."""
+    """The replicated shards as their owners see them; `ReplicaHost` implements it."""
 
-    def propose(self, shard: int, command: bytes, timeout: float) -> Any: ...
+    def propose(self, shard: int, command: bytes, timeout: float) -> Any:
+        """The result of the command after its commitment; raises NotLeaderError or OutcomeUnknownError."""
 
-    def read_barrier(self, shard: int, timeout: float) -> None: ...
+    def read_barrier(self, shard: int, timeout: float) -> None:
+        """Returns when the state here holds every acknowledged command; raises like `propose`."""
 
-    def leader(self, shard: int) -> Address | None: ...
+    def leader(self, shard: int) -> Address | None:
+        """Address of the shard's leader, if it is known here."""
 
-    def is_leader(self, shard: int) -> bool: ...
+    def is_leader(self, shard: int) -> bool:
+        """Whether this process leads the shard."""
 
-    def cluster(self) -> int: ...
+    def cluster(self) -> int:
+        """Number of the cluster that this process belongs to; 0 while it belongs to none."""
 
-    def failures_tolerated(self, shard: int) -> int | None: ...
+    def failures_tolerated(self, shard: int) -> int | None:
+        """How many more voters may fail now, of a shard that is led here; None of another."""
 
-    def seconds_since_quorum(self, shard: int) -> float: ...
+    def seconds_since_quorum(self, shard: int) -> float:
+        """Seconds since this process knew that the shard's group had a majority."""
 
-    def lease_age_s(self, shard: int) -> float: ...
+    def lease_age_s(self, shard: int) -> float:
+        """Seconds since a majority responded to this process as the leader; infinite where it does not lead."""
 
-    def applied_index(self, shard: int) -> int: ...
+    def applied_index(self, shard: int) -> int:
+        """Index of the last log entry that is applied here."""
 
-    def voters(self, shard: int) -> set[Address]: ...
+    def voters(self, shard: int) -> set[Address]:
+        """Addresses of the shard's voters, as far as they are known here."""
 
-    def decline_leadership(self, span_s: float) -> None: ...
+    def decline_leadership(self, span_s: float) -> None:
+        """Transfers what this process leads, and leads nothing for `span_s` while others can; 0 ends that."""
 
-    def declines_leadership_for(self) -> float: ...
+    def declines_leadership_for(self) -> float:
+        """Seconds for which `decline_leadership` still holds."""
 
 
 def applied_offsets(groups: ReplicaGroups) -> dict[int, int]:
-    """Up to where this process has applied the log of each shard."""
+    """Index of the last applied log entry, by shard."""
     return {shard: groups.applied_index(shard) for shard in ALL_SHARDS}
 
 
 def cluster_name(cluster: int) -> str:
-    """A cluster's number as people see it; empty for none."""
+    """A cluster's number in hexadecimal digits, as people see it; empty for none."""
     return f"{cluster:016x}" if cluster else ""
--- /dev/null
+++ b/ochrespan/control_plane/replication/recovery.py
@@ -0,0 +1,42 @@
+"""Reads at the start what a process has stored: its identity, its groups' logs and their last snapshots."""
+
+from __future__ import annotations
+
+import logging
+from dataclasses import dataclass
+
+import gevent
+
+from ochrespan.raft.bootstrap import Identity
+from ochrespan.raft.state import PersistentState
+from ochrespan.storage.files import PosixDirectory
+from ochrespan.storage.snapshot_store import SnapshotStore
+
+from .disk_writer import RETRY_S
+from .persistent_records import replay, unpack_checkpoint
+
+log = logging.getLogger(__name__)
+
+
+@dataclass(frozen=True, slots=True)
+class RecoveredReplicas:
+    """An opened store and the state that it holds; `identity` is None where the disk was empty."""
+
+    store: SnapshotStore
+    identity: Identity | None
+    states: dict[int, PersistentState]
+
+
+def recover(data_dir: str) -> RecoveredReplicas:
+    """Opens the store of a folder in a thread of the pool; tries again for as long as the disk is not readable."""
+    store = SnapshotStore(PosixDirectory(data_dir))
+    stored = None
+    while stored is None:
+        try:
+            stored = gevent.get_hub().threadpool.apply(store.open)
+        except OSError as error:
+            log.error("disk not readable error=%s", error)
+            gevent.sleep(RETRY_S)
+    checkpoint = unpack_checkpoint(stored.image) if stored.image is not None else []
+    identity, states = replay([*checkpoint, *stored.records])
+    return RecoveredReplicas(store, identity, states)
--- /dev/null
+++ b/ochrespan/control_plane/replication/running_replicas.py
@@ -0,0 +1,183 @@
+"""The replicas of a process after recovery: the loops that drive them, their peer connections and their disk."""
+
+from __future__ import annotations
+
+import logging
+import random
+import time
+from collections.abc import Callable
+from dataclasses import dataclass
+
+import gevent
+from gevent.event import Event
+
+from ochrespan.common.addresses import Address
+from ochrespan.raft.bootstrap import BootstrapSettings
+from ochrespan.raft.multi_raft import MultiRaft
+from ochrespan.raft.state import Role
+from ochrespan.transport.peer_connections import PeerConnections
+from ochrespan.transport.tcp import Connection
+
+from .applier import Applier
+from .disk_writer import DiskWriter
+from .leader_eligibility import LeaderEligibility
+from .leadership_reporter import LeadershipReporter
+from .persistent_records import pack_checkpoint, pack_record
+from .raft_wire import RaftBatch, pack_envelope, unpack_envelope
+from .recovery import RecoveredReplicas
+from .state_machine import HostSettings
+
+log = logging.getLogger(__name__)
+
+
+TICK_INTERVAL_S = 0.06
+MAINTENANCE_INTERVAL_S = 0.5
+SLOW_DISK_S = 1.5  # a write that takes longer makes this process transfer what it leads
+STOP_TIMEOUT_S = 1.0
+REPLACEMENT_WAIT_S = 0.3  # after the transfer, for a standby to take this process's place as a voter
+BYTES_PER_MB = 1024 * 1024
+
+
+@dataclass(frozen=True, slots=True)
+class ReplicaCollaborators:
+    """What the replicas work with, and what exists before they do."""
+
+    applier: Applier
+    eligibility: LeaderEligibility
+    reporter: LeadershipReporter
+
+
+class RunningReplicas:
+    """Drives the replicas by a clock, by messages and by the disk.
+
+    Two greenlets do it: one ticks, the other applies what is committed and sends what is due after every event. The
+    disk writer has one of its own. `stop()` ends them and closes the connections to the peers.
+
+    Attributes:
+        multi_raft: The replicas, without input or output of their own.
+        disk: Writes their updates.
+    """
+
+    def __init__(self, settings: HostSettings, collaborators: ReplicaCollaborators, found: RecoveredReplicas) -> None:
+        self._applier = collaborators.applier
+        self._eligibility = collaborators.eligibility
+        self._reporter = collaborators.reporter
+        bootstrap = BootstrapSettings(settings.address, settings.seeds, settings.bootstrap, settings.fault_tolerance)
+        shards = tuple(self._applier.machines)
+        self.multi_raft = MultiRaft(
+            bootstrap, shards, found.identity, found.states, random.SystemRandom(), time.monotonic()
+        )
+        disk_bytes = settings.disk_mb * BYTES_PER_MB
+        self.disk = DiskWriter(found.store, disk_bytes, self._take_records, self._on_persisted, self._make_checkpoint)
+        self._peer_connections = PeerConnections()
+        self._peers: dict[Connection, Address] = {}  # who sends on a connection, once it has sent
+        self._wake = Event()
+        self._greenlets: list[gevent.Greenlet] = []
+        self._is_leaving = False
+
+    def start(self) -> None:
+        """Starts the writer and the loops."""
+        self.disk.start()
+        self._greenlets = [gevent.spawn(_run_forever, self._run_ticks), gevent.spawn(_run_forever, self._run_steps)]
+
+    def leave(self) -> None:
+        """Transfers what this process leads, and waits up to STOP_TIMEOUT_S for successors and for a standby."""
+        self._is_leaving = True
+        self.multi_raft.leave(time.monotonic())
+        self.wake()
+        deadline = time.monotonic() + STOP_TIMEOUT_S
+        while self._leads_any_shard() and time.monotonic() < deadline:
+            gevent.sleep(TICK_INTERVAL_S / 3)
+        gevent.sleep(min(REPLACEMENT_WAIT_S, max(0.0, deadline - time.monotonic())))
+
+    def stop(self) -> None:
+        """Ends the loops and the writer, and closes the connections to the peers."""
+        gevent.killall(self._greenlets, block=False)
+        self.disk.stop()
+        self._peer_connections.close()
+
+    def wake(self) -> None:
+        """Says that the replicas may have something to apply, to send or to write."""
+        self._wake.set()
+
+    def receive(self, connection: Connection, batch: RaftBatch) -> None:
+        """Takes in a peer's messages."""
+        try:
+            envelope = unpack_envelope(batch)
+        except (ValueError, TypeError, IndexError) as error:
+            log.warning("malformed raft message peer=%s:%s error=%r", batch.host, batch.port, error)
+            return
+        self._peer_connections.heard(envelope.address)
+        self._peers[connection] = envelope.address
+        self.multi_raft.receive(time.monotonic(), envelope)
+        self.wake()
+
+    def connection_closed(self, connection: Connection) -> None:
+        """Tells the replicas that a peer's connection has ended, so that they need not wait for a time-out."""
+        peer = self._peers.pop(connection, None)
+        if peer is not None and not self._is_leaving:
+            self.multi_raft.peer_disconnected(time.monotonic(), peer)
+
+    def _run_ticks(self) -> None:
+        maintain_at = 0.0
+        while True:
+            now = time.monotonic()
+            self._update_leader_eligibility(now)
+            self.multi_raft.tick(now)
+            for shard, replica in self.multi_raft.replicas.items():
+                self._reporter.report_failures_tolerated(shard, replica)
+            self.wake()
+            if now >= maintain_at:
+                self._peer_connections.maintain()
+                maintain_at = now + MAINTENANCE_INTERVAL_S
+            gevent.sleep(TICK_INTERVAL_S)
+
+    def _run_steps(self) -> None:
+        while True:
+            self._wake.wait()
+            self._wake.clear()
+            for shard, replica in self.multi_raft.replicas.items():
+                self._applier.step(shard, replica)
+                self._reporter.report_leadership(shard, replica)
+            for address, envelope in self.multi_raft.take_envelopes():
+                self._peer_connections.send(address, pack_envelope(envelope))
+            self.disk.wake()
+
+    def _update_leader_eligibility(self, now: float) -> None:
+        is_disk_slow = self.disk.pending_for > SLOW_DISK_S or self.disk.has_failed
+        replicas = self.multi_raft.replicas.values()
+        has_leaders = all(replica.leader is not None for replica in replicas)
+        withholds_votes = self._eligibility.withholds_votes(now, is_disk_slow, has_leaders)
+        # All replicas of a process withhold their votes, or none does
+        if withholds_votes != next(iter(replicas)).core.withholding_votes:
+            self.multi_raft.withhold_votes(now, withholds_votes)
+
+    def _leads_any_shard(self) -> bool:
+        return any(replica.core.role is Role.LEADER for replica in self.multi_raft.replicas.values())
+
+    # For the disk writer
+
+    def _take_records(self) -> list[bytes]:
+        return [pack_record(update) for update in self.multi_raft.take_updates()]
+
+    def _on_persisted(self) -> None:
+        self.multi_raft.persisted(time.monotonic())
+        self.wake()
+
+    def _make_checkpoint(self) -> bytes:
+        """Compacts each log up to what is applied, and packs the identity and the groups' states."""
+        for shard, replica in self.multi_raft.replicas.items():
+            if replica.core.applied_index > replica.core.log.snapshot.index:
+                replica.compact(self._applier.machines[shard].snapshot())
+        states = [replica.image() for replica in self.multi_raft.replicas.values()]
+        return pack_checkpoint(self.multi_raft.bootstrap.identity, states)
+
+
+def _run_forever(loop: Callable[[], None]) -> None:
+    """Restarts a loop that fails: one step, or a callback in it, must not stop the replicas of this process."""
+    while True:
+        try:
+            loop()
+        except Exception:  # noqa: BLE001 - see above
+            log.exception("replica host step failed, continuing")
+            gevent.sleep(TICK_INTERVAL_S)
--- a/tests/control_plane/replication/test_host.py
+++ b/tests/control_plane/replication/test_host.py
@@ -47,7 +47,7 @@
     until(lambda: all(commands(host, 1)[:2] == [b"one", b"two"] for host in hosts.values()), "commands at both")
 
 
-def test_a_planned_end_hands_leadership_over(core):
+def test_a_planned_stop_transfers_leadership(core):
     _, _, hosts = core
     leader = leader_of(hosts.values(), 2)
     others = [host for host in hosts.values() if host is not leader]
@@ -84,14 +84,14 @@
     until(lambda: all(commands(host, 0)[-1:] == [b"good"] for host in hosts.values()), "last command everywhere")
 
 
-def test_a_host_that_declines_leadership_hands_over_and_stays_a_voter(core):
+def test_a_host_that_declines_leadership_transfers_it_and_stays_a_voter(core):
     _, _, hosts = core
     for shard in (0, 1, 2):
         leader_of(hosts.values(), shard)
     declining = leader_of(hosts.values(), 0)
     others = [host for host in hosts.values() if host is not declining]
     declining.decline_leadership(600.0)
-    until(lambda: not any(declining.is_leader(shard) for shard in (0, 1, 2)), "hand-over")
+    until(lambda: not any(declining.is_leader(shard) for shard in (0, 1, 2)), "transfer")
     for shard in (0, 1, 2):
         leader_of(others, shard)
     propose(hosts.values(), 0, b"one")
@@ -100,7 +100,7 @@
     assert declining.declines_leadership_for() == 0.0
 
 
-def test_hosts_that_all_decline_leadership_lead_all_the_same(core):
+def test_hosts_that_all_decline_leadership_lead_nevertheless(core):
     _, _, hosts = core
     leader_of(hosts.values(), 0)
     for host in hosts.values():
@@ -109,7 +109,7 @@
         lambda: all(
             replica.core.withholding_votes or host.declines_leadership_for() == 0.0
             for host in hosts.values()
-            for replica in host._table.replicas.values()
+            for replica in host._running.multi_raft.replicas.values()
         ),
         "hosts that decline",
     )
--- a/tests/support/raft_simulation/node.py
+++ b/tests/support/raft_simulation/node.py
@@ -10,13 +10,13 @@
 import ormsgpack
 
 from ochrespan.common.addresses import Address
-from ochrespan.control_plane.replication.host import SLOW_DISK_S, TICK_INTERVAL_S
 from ochrespan.control_plane.replication.persistent_records import (
     pack_checkpoint,
     pack_record,
     replay,
     unpack_checkpoint,
 )
+from ochrespan.control_plane.replication.running_replicas import SLOW_DISK_S, TICK_INTERVAL_S
 from ochrespan.raft.bootstrap import BootstrapSettings
 from ochrespan.raft.messages import EntryKind
 from ochrespan.raft.multi_raft import MultiRaft
--- a/tests/support/replica_hosts.py
+++ b/tests/support/replica_hosts.py
@@ -1,4 +1,4 @@
-"""Replica hosts on loopback for tests: a machine that keeps its commands, and events in place of sleeps."""
+"""Replica hosts on loopback for tests: a state machine that records its commands, and waits for conditions."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Journal:
-    """A state machine that keeps its commands in order and answers with their count."""
+    """A state machine that records its commands in order; the result of each is their count."""
 
     def __init__(self) -> None:
         self.commands: list[bytes] = []
@@ -42,13 +42,13 @@
     path = folder / str(number)
     path.mkdir(exist_ok=True)
     settings = HostSettings(
-        (f"127.0.0.{number}", port),
-        tuple((f"127.0.0.{seed}", port) for seed in seeds),
-        str(path),
-        64,
-        bootstrap,
-        1,
-        f"core-{number}",
+        address=(f"127.0.0.{number}", port),
+        seeds=tuple((f"127.0.0.{seed}", port) for seed in seeds),
+        data_dir=str(path),
+        disk_mb=64,
+        bootstrap=bootstrap,
+        fault_tolerance=1,
+        node=f"core-{number}",
     )
     host = ReplicaHost(settings, {shard: Journal() for shard in shards})
     host.start()
@@ -69,7 +69,7 @@
 
 
 def propose(hosts, shard: int, command: bytes):
-    """Proposes wherever the leader is until there is a verdict."""
+    """Proposes at every host in turn until the leader returns a result."""
     deadline = time.monotonic() + WAIT_S
     while time.monotonic() < deadline:
         for host in hosts:
@@ -82,24 +82,26 @@
 
 
 def describe(host: ReplicaHost, shard: int) -> str:
-    """What a failed wait needs to be understood."""
-    if host._table is None:
+    """The state of a host's replica, for the message of a wait that failed."""
+    running = host._running
+    if running is None:
         return f"{host.settings.node} hasn't read its disk"
-    core = host._table.replicas[shard].core
+    core = running.multi_raft.replicas[shard].core
     return (
         f"{host.settings.node} {core.role.value} term={core.term} vote={core.vote} leader={core.leader_id} "
         f"last={core.log.last_index} stable={core.log.stable_index} commit={core.commit_index} "
-        f"abstaining={core.withholding_votes} heard={core.now - core.last_leader_contact_at:.2f} "
-        f"deadline={core.election_deadline - core.now:.2f} writing={host._disk.pending_for:.2f} "
-        f"failed={host._disk.has_failed} voters={[member.id for member in core.configuration.voters]} id={core.id}"
+        f"withholding_votes={core.withholding_votes} leader_contact={core.now - core.last_leader_contact_at:.2f} "
+        f"deadline={core.election_deadline - core.now:.2f} writing={running.disk.pending_for:.2f} "
+        f"failed={running.disk.has_failed} voters={[member.id for member in core.configuration.voters]} id={core.id}"
     )
 
 
 def kill(host: ReplicaHost) -> None:
-    """Ends a host without hand-over, as a kill of its process would; a write under way ends first."""
-    gevent.killall(host._greenlets, block=True)
-    if host._disk is not None:
-        until(lambda: host._disk.pending_for == 0.0, "end of the write")
-        host._disk.stop()
-    host._links.close()
+    """Ends a host without a transfer of leadership, as a kill of its process would; a write under way ends first."""
+    host._recovery.kill()
+    running = host._running
+    if running is not None:
+        gevent.killall(running._greenlets, block=True)
+        until(lambda: running.disk.pending_for == 0.0, "end of the write")
+        running.stop()
     host.call_server.stop()
