--- a/ochrespan/control_plane/replication/raft_wire.py
+++ b/ochrespan/control_plane/replication/raft_wire.py
@@ -24,7 +24,7 @@
 )
 from ochrespan.transport.codec import message
 
-# The place of a type in this list is its number on the wire: types are added at the end only.
+# The index of a type in this tuple is its number on the wire: new types go to the end.
 _MESSAGE_TYPES: tuple[type, ...] = (
     RequestVote,
     RequestVoteResponse,
@@ -40,69 +40,81 @@
     BootstrapProposal,
     LeaveNotice,
 )
-_numbers = {message_type: number for number, message_type in enumerate(_MESSAGE_TYPES)}
-_fields = {
+_TYPE_NUMBERS = {message_type: number for number, message_type in enumerate(_MESSAGE_TYPES)}
+_FIELD_NAMES = {
     message_type: tuple(field.name for field in dataclasses.fields(message_type)) for message_type in _MESSAGE_TYPES
 }
-_APPEND = _numbers[AppendEntries]
-_ENTRIES_FIELD = _fields[AppendEntries].index("entries")
+_APPEND_ENTRIES = _TYPE_NUMBERS[AppendEntries]
+_ENTRIES_INDEX = _FIELD_NAMES[AppendEntries].index("entries")
 
 
 @message("raft")
 @dataclass(slots=True)
 class RaftBatch:
-    """An envelope; each frame is group, number of the message's type, and its fields."""
+    """An envelope on the wire; a frame is the group, the number of the message's type, and the message's fields."""
 
     cluster: int
     sender: int
     host: str
     port: int
     to: int
-    frames: list[list]
+    frames: list[list[Any]]
 
 
 def pack_envelope(envelope: Envelope) -> RaftBatch:
+    """The wire form of an envelope."""
     frames = [[group, *_pack_message(value)] for group, value in envelope.frames]
     return RaftBatch(envelope.cluster, envelope.sender, *envelope.address, envelope.to, frames)
 
 
 def unpack_envelope(batch: RaftBatch) -> Envelope:
-    """Raises ValueError, TypeError or IndexError where a frame is malformed."""
+    """The envelope of a wire form.
+
+    Raises:
+        ValueError: A frame lacks its group or its number.
+        TypeError: A frame is not a list, or its message or one of its entries lacks a field.
+        IndexError: The number belongs to no message type, or the entries are missing.
+    """
     frames = [(group, _unpack_message(number, fields)) for group, number, *fields in batch.frames]
     return Envelope(batch.cluster, batch.sender, (batch.host, batch.port), batch.to, frames)
 
 
-def _pack_message(value: Any) -> list:
+def _pack_message(value: Any) -> list[Any]:
     message_type = type(value)
-    fields = [getattr(value, name) for name in _fields[message_type]]
+    fields = [getattr(value, name) for name in _FIELD_NAMES[message_type]]
     if message_type is AppendEntries:
-        fields[_ENTRIES_FIELD] = pack_entries(value.entries)
-    return [_numbers[message_type], *fields]
+        fields[_ENTRIES_INDEX] = pack_entries(value.entries)
+    return [_TYPE_NUMBERS[message_type], *fields]
 
 
-def _unpack_message(number: int, fields: list) -> Any:
+def _unpack_message(number: int, fields: list[Any]) -> Any:
+    """Fields that a later version added are ignored."""
     message_type = _MESSAGE_TYPES[number]
-    fields = fields[: len(_fields[message_type])]
-    if number == _APPEND:
-        fields[_ENTRIES_FIELD] = unpack_entries(fields[_ENTRIES_FIELD])
+    fields = fields[: len(_FIELD_NAMES[message_type])]
+    if number == _APPEND_ENTRIES:
+        fields[_ENTRIES_INDEX] = unpack_entries(fields[_ENTRIES_INDEX])
     return message_type(*fields)
 
 
-def pack_entries(entries: list[Entry]) -> list[list]:
+def pack_entries(entries: list[Entry]) -> list[list[Any]]:
+    """The wire form of log entries: term, kind and data of each."""
     return [[entry.term, int(entry.kind), entry.data] for entry in entries]
 
 
-def unpack_entries(packed: list[list]) -> list[Entry]:
+def unpack_entries(packed: list[list[Any]]) -> list[Entry]:
+    """The log entries of their wire form."""
     return [Entry(*fields) for fields in packed]
 
 
-def pack_snapshot(snapshot: Snapshot | None) -> list | None:
+def pack_snapshot(snapshot: Snapshot | None) -> list[Any] | None:
+    """The wire form of a snapshot: index, term, members and data."""
     if snapshot is None:
         return None
     return [snapshot.index, snapshot.term, snapshot.configuration.to_bytes(), snapshot.data]
 
 
-def unpack_snapshot(packed: list | None) -> Snapshot | None:
+def unpack_snapshot(packed: list[Any] | None) -> Snapshot | None:
+    """The snapshot of its wire form."""
     if packed is None:
         return None
     index, term, configuration, data = packed
