--- a/ochrespan/control_plane/controller.py
+++ b/ochrespan/control_plane/controller.py
@@ -1,8 +1,9 @@
-"""Everything that a controller runs on top of its replicas: the control interface, the feed and the census."""
+"""What a controller runs on top of its replicas: the control interface, the feed, the registry and the quotas."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
+from dataclasses import dataclass
 from time import monotonic
 from typing import Any
 
@@ -12,7 +13,6 @@
 from ochrespan.control_plane.api.forwarding import ControlService
 from ochrespan.control_plane.api.handlers import ControlApi
 from ochrespan.control_plane.config.owner import ConfigurationOwner
-from ochrespan.control_plane.config.state_machine import ConfigurationStateMachine
 from ochrespan.control_plane.feed.messages import max_duration_s
 from ochrespan.control_plane.feed.presence import LiveRouters, PresenceReporter
 from ochrespan.control_plane.feed.server import FeedServer
@@ -20,82 +20,104 @@
 from ochrespan.control_plane.quota.allocation import QuotaBounds
 from ochrespan.control_plane.quota.owner import QuotaOwner
 from ochrespan.control_plane.registry.owner import InstanceOwner
-from ochrespan.control_plane.registry.records import InstanceRecord, record_fields
-from ochrespan.control_plane.registry.state_machine import InstanceStateMachine
+from ochrespan.control_plane.registry.records import record_fields
 from ochrespan.control_plane.replication.groups import ReplicaGroups, cluster_name
 from ochrespan.control_plane.replication.lag_detector import LagDetector
-from ochrespan.control_plane.replication.state_machine import StateMachine
 from ochrespan.observability.metrics import MetricsRegistry
 from ochrespan.transport.peer_clients import PeerClients
 from ochrespan.transport.rpc import RpcServer
 
+from .control_state import ControlState
+from .controller_metrics import register_controller_metrics
 from .shards import ALL_SHARDS, CONFIG_SHARD
 
-READY_QUORUM_AGE_S = 1.0
+READY_QUORUM_AGE_S = 1.0  # a controller without contact to a majority for longer is not ready
+MAX_STATUS_AGE_S = 1e9  # stands for infinity, which JSON lacks
 
 
-class ControlState:
-    """The state machines of all shards."""
+@dataclass(frozen=True, slots=True)
+class ControllerSettings:
+    """Settings of a controller.
 
-    def __init__(self) -> None:
-        self.configuration = ConfigurationStateMachine()
-        self.instances = {shard: InstanceStateMachine() for shard in ALL_SHARDS if shard != CONFIG_SHARD}
+    Attributes:
+        node: Its name.
+        zone: Zone of its machine.
+        address: Where the other processes of the fleet reach it.
+        heartbeat_s: Interval of the instances' heartbeats.
+        quota_bounds: Bounds of the quotas' precision.
+    """
 
-    def records(self) -> list[InstanceRecord]:
-        """The registered instances of all shards."""
-        return [record for machine in self.instances.values() for record in machine.records.values()]
+    node: str
+    zone: str
+    address: Address
+    heartbeat_s: float
+    quota_bounds: QuotaBounds
 
-    @property
-    def machines(self) -> dict[int, StateMachine]:
-        """The machine of each shard, for the replica host."""
-        return {CONFIG_SHARD: self.configuration, **self.instances}
+
+@dataclass(frozen=True, slots=True)
+class ControllerCollaborators:
+    """What a controller works with.
+
+    Attributes:
+        groups: The replicated shards.
+        state: The state machines that the groups' replica here applies commands to.
+        call_server: Takes the calls of routers and of other controllers.
+        seeds: Returns the controllers that the settings name now.
+    """
+
+    groups: ReplicaGroups
+    state: ControlState
+    call_server: RpcServer
+    seeds: Callable[[], Iterable[Address]]
 
 
 class ControllerNode:
-    """Wires the parts of a controller; the replica host calls `applied`, `restored` and `leadership_changed`."""
-
-    def __init__(
-        self,
-        node: str,
-        zone: str,
-        address: Address,
-        heartbeat_s: float,
-        quota_bounds: QuotaBounds,
-        groups: ReplicaGroups,
-        state: ControlState,
-        call_server: RpcServer,
-        seeds: Callable[[], Iterable[Address]],
-    ) -> None:
-        self._node = node
-        self._zone = zone
-        self._address = address
+    """Connects the parts of a controller; the replica host calls `applied`, `restored` and `leadership_changed`.
+
+    It owns the greenlets of the periodic work, which `stop()` ends.
+
+    Attributes:
+        service: Evaluates the calls of the control interface, here or at the leader of their shard.
+        api: The control interface over HTTP.
+    """
+
+    def __init__(self, settings: ControllerSettings, collaborators: ControllerCollaborators) -> None:
+        groups = collaborators.groups
+        state = collaborators.state
+        self._settings = settings
         self._groups = groups
         self._state = state
+        self._seeds = collaborators.seeds
+        self._members: frozenset[Address] = frozenset()
+        self._tasks: list[gevent.Greenlet] = []
         self._peers = PeerClients()
         self._live_routers = LiveRouters(monotonic())
         self._lag_detector = LagDetector()
-        self._instance_owner = InstanceOwner(groups, state.instances, heartbeat_s)
+        self._instance_owner = InstanceOwner(groups, state.instances, settings.heartbeat_s)
         configuration_owner = ConfigurationOwner(groups, state.configuration)
         self.service = ControlService(groups, configuration_owner, self._instance_owner, state.instances, self._peers)
         registry = MetricsRegistry()
-        self._add_gauges(registry)
+        register_controller_metrics(registry, groups, state, self._live_routers)
         self.api = ControlApi(self.service, self.status, self.is_ready, registry)
         self._feed = FeedServer(
             groups, state.configuration, state.instances, self._live_routers, self._lag_detector, self._controllers
         )
         self._presence = PresenceReporter(
-            address, zone, groups, self._live_routers, self._lag_detector, self._peers, self._known_addresses
+            settings.address,
+            settings.zone,
+            groups,
+            self._live_routers,
+            self._lag_detector,
+            self._peers,
+            self._known_addresses,
         )
-        self._seeds = seeds
-        self._members: frozenset[Address] = frozenset()
-        self._quota = QuotaOwner(groups, state.configuration.tenant, quota_bounds)
-        self._homes = PrefixPlacementOwner(groups, state.instances)
-        self._tasks: list[gevent.Greenlet] = []
-        for part in (self.service, self._feed, self._presence, self._quota, self._homes):
-            part.register(call_server)
+        self._quota_owner = QuotaOwner(groups, state.configuration.tenant, settings.quota_bounds)
+        self._placement_owner = PrefixPlacementOwner(groups, state.instances)
+        for part in (self.service, self._feed, self._presence, self._quota_owner, self._placement_owner):
+            part.register(collaborators.call_server)
 
     def start(self) -> None:
-        """Begins the periodic work."""
+        """Starts the periodic work."""
         tasks = (self._instance_owner.watch, self._feed.run, self._presence.run)
         self._tasks = [gevent.spawn(task) for task in tasks]
 
@@ -103,37 +125,37 @@
         """Ends the periodic work."""
         gevent.killall(self._tasks, block=False)
 
-    def applied(self, shard: int, index: int, command: bytes, result: Any) -> None:
+    def applied(self, shard: int, index: int, command: bytes, result: Any) -> None:  # noqa: ARG002 - the host's callback
         """A command was applied."""
         self._feed.applied(shard, index, result)
 
     def restored(self, shard: int) -> None:
-        """A shard jumped ahead by a snapshot."""
+        """A snapshot has replaced a shard's state."""
         self._feed.restored(shard)
 
     def leadership_changed(self, shard: int, is_leader: bool) -> None:
-        """This process began or ceased to lead a shard."""
+        """This process has begun or ceased to lead a shard."""
         self._instance_owner.leadership_changed(shard, is_leader)
-        self._quota.leadership_changed(shard, is_leader)
-        self._homes.leadership_changed(shard, is_leader)
+        self._quota_owner.leadership_changed(shard, is_leader)
+        self._placement_owner.leadership_changed(shard, is_leader)
 
     def members_changed(self, routers: Iterable[str], controllers: Iterable[Address]) -> None:
-        """Membership holds these processes for living."""
+        """Takes in the routers and controllers that are alive, as membership sees it."""
         self._live_routers.members(routers)
         self._members = frozenset(controllers)
 
     def is_ready(self) -> bool:
-        """Whether every shard's group has a majority."""
+        """Whether every shard's group had a majority at most READY_QUORUM_AGE_S ago."""
         return (
             max_duration_s({shard: self._groups.seconds_since_quorum(shard) for shard in ALL_SHARDS})
             <= READY_QUORUM_AGE_S
         )
 
     def status(self) -> dict[str, Any]:
-        """What the command line shows."""
+        """The status document of the control interface."""
         return {
-            "node": self._node,
-            "zone": self._zone,
+            "node": self._settings.node,
+            "zone": self._settings.zone,
             "cluster": cluster_name(self._groups.cluster()),
             "version": self._state.configuration.current.version,
             "declines_leadership_for_s": round(self._groups.declines_leadership_for(), 1),
@@ -145,30 +167,6 @@
             "instances": [record_fields(record) for record in self._state.records()],
         }
 
-    def _add_gauges(self, registry: MetricsRegistry) -> None:
-        groups, by_shard = self._groups, ("shard",)
-        configuration = self._state.configuration
-        registry.gauge(
-            "ochrespan_configuration_version", "The newest known one.", lambda: configuration.current.version
-        )
-        registry.gauge("ochrespan_instances", "Registered servers.", lambda: len(self._state.records()))
-        registry.gauge("ochrespan_routers", "Living routers.", lambda: len(self._live_routers.routers()))
-        registry.gauge("ochrespan_feed_readers", "Routers that read here.", lambda: len(self._live_routers.readers()))
-        registry.gauges(
-            "ochrespan_shard_leads", "Whether this controller leads it.", by_shard, lambda: _each(groups.is_leader)
-        )
-        registry.gauges(
-            "ochrespan_shard_offset", "Log index that is applied.", by_shard, lambda: _each(groups.applied_index)
-        )
-        registry.gauges(
-            "ochrespan_shard_quorum_age_seconds", "Since a majority was heard of.", by_shard,
-            lambda: _each(groups.seconds_since_quorum),
-        )  # fmt: skip
-        registry.gauges(
-            "ochrespan_shard_bearable_losses", "Voters that may be lost now, of shards led here.", by_shard,
-            lambda: _led(groups.failures_tolerated),
-        )  # fmt: skip
-
     def _shard_status(self, shard: int) -> dict[str, Any]:
         leader = self._groups.leader(shard)
         return {
@@ -176,7 +174,7 @@
             "leader": None if leader is None else format_address(leader),
             "leads": self._groups.is_leader(shard),
             "bearable_losses": self._groups.failures_tolerated(shard),
-            "quorum_age_s": round(min(self._groups.seconds_since_quorum(shard), 1e9), 3),
+            "quorum_age_s": round(min(self._groups.seconds_since_quorum(shard), MAX_STATUS_AGE_S), 3),
             "offset": self._groups.applied_index(shard),
         }
 
@@ -184,14 +182,4 @@
         return self._groups.voters(CONFIG_SHARD).union(self._seeds(), self._members)
 
     def _controllers(self) -> list[tuple[Address, str]]:
-        return [(self._address, self._zone), *self._live_routers.controllers()]
-
-
-def _each(read: Callable[[int], float]) -> dict[tuple[str, ...], float]:
-    """A figure of every shard, by the shard's number."""
-    return {(str(shard),): read(shard) for shard in ALL_SHARDS}
-
-
-def _led(read: Callable[[int], int | None]) -> dict[tuple[str, ...], float]:
-    """A figure of the shards that are led here."""
-    return {(str(shard),): value for shard in ALL_SHARDS if (value := read(shard)) is not None}
+        return [(self._settings.address, self._settings.zone), *self._live_routers.controllers()]
--- a/ochrespan/programs/controller.py
+++ b/ochrespan/programs/controller.py
@@ -12,7 +12,8 @@
 from ochrespan.common.addresses import Address, parse_address
 from ochrespan.common.validation import Finding, ValidationError
 from ochrespan.control_plane.api.handlers import serve_api
-from ochrespan.control_plane.controller import ControllerNode, ControlState
+from ochrespan.control_plane.control_state import ControlState
+from ochrespan.control_plane.controller import ControllerCollaborators, ControllerNode, ControllerSettings
 from ochrespan.control_plane.quota.allocation import quota_bounds
 from ochrespan.control_plane.replication.host import ReplicaHost
 from ochrespan.control_plane.replication.state_machine import HostSettings
@@ -62,15 +63,19 @@
         self._settings = settings
         self._host = ReplicaHost(host_settings(settings), state.machines)
         self._node = ControllerNode(
-            node=settings["node"],
-            zone=settings["zone"],
-            address=address,
-            heartbeat_s=settings.get("heartbeat_ms", DEFAULT_HEARTBEAT_MS) / 1000,
-            quota_bounds=quota_bounds(settings.get("bounds", {})),
-            groups=self._host,
-            state=state,
-            call_server=self._host.call_server,
-            seeds=lambda: seed_peer_addresses(self._settings),
+            ControllerSettings(
+                node=settings["node"],
+                zone=settings["zone"],
+                address=address,
+                heartbeat_s=settings.get("heartbeat_ms", DEFAULT_HEARTBEAT_MS) / 1000,
+                quota_bounds=quota_bounds(settings.get("bounds", {})),
+            ),
+            ControllerCollaborators(
+                groups=self._host,
+                state=state,
+                call_server=self._host.call_server,
+                seeds=lambda: seed_peer_addresses(self._settings),
+            ),
         )
         self._membership = MembershipAgent(membership_settings(settings, CONTROLLER_ROLE), self._members_changed)
         self._host.on_applied = self._node.applied
--- a/tests/golden/make_disks.py
+++ b/tests/golden/make_disks.py
@@ -18,7 +18,7 @@
 import ormsgpack
 
 from ochrespan.control_plane.config.commands import ConfigCommandKind, encode_command, make_command
-from ochrespan.control_plane.controller import ControlState
+from ochrespan.control_plane.control_state import ControlState
 from ochrespan.control_plane.registry.commands import ExpireInstances, RegisterInstance, RemoveInstance
 from ochrespan.control_plane.registry.prefix_placements import AssignPrefixes
 from ochrespan.control_plane.registry.records import record_fields, record_of
--- a/tests/golden/stored_state.py
+++ b/tests/golden/stored_state.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from ochrespan.control_plane.controller import ControlState
+from ochrespan.control_plane.control_state import ControlState
 from ochrespan.control_plane.replication.persistent_records import replay, unpack_checkpoint
 from ochrespan.control_plane.shards import CONFIG_SHARD
 from ochrespan.raft.bootstrap import Identity
--- a/tests/golden/test_settings_findings.py
+++ b/tests/golden/test_settings_findings.py
@@ -232,19 +232,19 @@
     parts = ("ReplicaHost", "ControllerNode", "MembershipAgent")
     with patch.multiple(controller, **{part: MagicMock() for part in parts}):
         controller.Controller(settings)
-        node = controller.ControllerNode.call_args.kwargs
+        node, _ = controller.ControllerNode.call_args.args
     host = controller.host_settings(settings)
     return {
         "ip and port_range": host.address,
         "seeds": host.seeds,
-        "node": [host.node, node["node"]],
-        "zone": node["zone"],
+        "node": [host.node, node.node],
+        "zone": node.zone,
         "data_dir": host.data_dir,
         "limits.disk_mb": host.disk_mb,
         "bootstrap": host.bootstrap,
         "fault_tolerance.machines": host.fault_tolerance,
-        "heartbeat_ms in seconds": node["heartbeat_s"],
-        "bounds of quotas": astuple(node["quota_bounds"]),
+        "heartbeat_ms in seconds": node.heartbeat_s,
+        "bounds of quotas": astuple(node.quota_bounds),
     }
 
 
--- a/tests/support/control_plane_world.py
+++ b/tests/support/control_plane_world.py
@@ -1,4 +1,4 @@
-"""Documents and little worlds of controllers for the tests of the control plane."""
+"""Documents, and a few controllers over a shared log, for the tests of the control plane."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 
 from ochrespan.common.addresses import Address
 from ochrespan.control_plane.api.handlers import serve_api
-from ochrespan.control_plane.controller import ControllerNode, ControlState
+from ochrespan.control_plane.control_state import ControlState
+from ochrespan.control_plane.controller import ControllerCollaborators, ControllerNode, ControllerSettings
 from ochrespan.control_plane.quota.allocation import QuotaBounds
 from tests.support.control_plane_fakes import InMemoryGroups, SharedLog
 
@@ -86,17 +87,9 @@
     def __init__(self, log: SharedLog, name: str) -> None:
         self.state = ControlState()
         self.groups = InMemoryGroups(self.state.machines, log)
-        self.node = ControllerNode(
-            node=name,
-            zone=f"zone-of-{name}",
-            address=self.groups.address,
-            heartbeat_s=HEARTBEAT_S,
-            quota_bounds=QUOTA_BOUNDS,
-            groups=self.groups,
-            state=self.state,
-            call_server=self.groups.call_server,
-            seeds=list,
-        )
+        settings = ControllerSettings(name, f"zone-of-{name}", self.groups.address, HEARTBEAT_S, QUOTA_BOUNDS)
+        collaborators = ControllerCollaborators(self.groups, self.state, self.groups.call_server, seeds=list)
+        self.node = ControllerNode(settings, collaborators)
         self.groups.on_applied.append(self.node.applied)
         self.groups.on_restored.append(self.node.restored)
         self.groups.on_leadership.append(self.node.leadership_changed)
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -28,6 +28,8 @@
     (f"{CONTROL}.feed", f"{CONTROL}.prefix_placement"),
     (f"{CONTROL}.quota",),
     (f"{CONTROL}.api",),
+    (f"{CONTROL}.control_state",),
+    (f"{CONTROL}.controller_metrics",),
     (f"{CONTROL}.controller", "ochrespan.data_plane"),
     (f"{PROGRAMS}.early_listener",),
     (f"{PROGRAMS}.settings",),
