--- a/ochrespan/control_plane/replication/applier.py
+++ b/ochrespan/control_plane/replication/applier.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Proposal:
-    """A proposer that waits; an entry of another term at its index is not its own."""
+    """A proposer that waits; an entry of another term at the same index is not its own."""
 
     term: int
     result: AsyncResult
@@ -69,7 +69,7 @@
     def restore(self, shard: int, last_index: int, data: bytes) -> None:
         """Replaces a machine's state by a snapshot that covers the log up to `last_index`.
 
-        Proposals up to there fail: the snapshot does not say whether their commands are part of it.
+        Proposals up to there fail: the snapshot does not say whether it contains their commands.
         """
         self.machines[shard].restore(data)
         for key in [key for key in self._proposals if key[0] == shard and key[1] <= last_index]:
--- a/ochrespan/control_plane/replication/groups.py
+++ b/ochrespan/control_plane/replication/groups.py
@@ -47,8 +47,8 @@
     def voters(self, shard: int) -> set[Address]:
         """Addresses of the shard's voters, as far as they are known here."""
 
-    def decline_leadership(self, span_s: float) -> None:
-        """Transfers what this process leads, and leads nothing for `span_s` while others can; 0 ends that."""
+    def decline_leadership(self, duration_s: float) -> None:
+        """Transfers what this process leads, and leads nothing for `duration_s` while others can; 0 ends that."""
 
     def declines_leadership_for(self) -> float:
         """Seconds for which `decline_leadership` still holds."""
--- a/ochrespan/control_plane/replication/host.py
+++ b/ochrespan/control_plane/replication/host.py
@@ -36,7 +36,7 @@
 
     Attributes:
         settings: The settings it was made with.
-        call_server: Takes the messages of peers; other parts of the process register their calls there too.
+        call_server: Takes the messages of peers; the rest of the process registers its calls there too.
     """
 
     def __init__(self, settings: HostSettings, machines: Mapping[int, StateMachine]) -> None:
@@ -95,7 +95,7 @@
         self.call_server.stop()
 
     def add_seeds(self, seeds: Iterable[Address]) -> None:
-        """Adds the seeds of changed settings to the processes that are asked for the groups."""
+        """Adds the seeds of changed settings to the processes that are queried for the groups."""
         if self._running is not None:
             self._running.multi_raft.add_contacts(seeds)
 
@@ -187,9 +187,9 @@
         replica = self._replica(shard)
         return replica is not None and replica.is_leader
 
-    def decline_leadership(self, span_s: float) -> None:
-        """Transfers what this process leads, and leads nothing for `span_s` while others can; 0 ends that."""
-        self._eligibility.decline(time.monotonic(), span_s)
+    def decline_leadership(self, duration_s: float) -> None:
+        """Transfers what this process leads, and leads nothing for `duration_s` while others can; 0 ends that."""
+        self._eligibility.decline(time.monotonic(), duration_s)
 
     def declines_leadership_for(self) -> float:
         """Seconds for which `decline_leadership` still holds."""
@@ -229,5 +229,5 @@
         return replica.core.applied_index if replica is not None else 0
 
     def _replica(self, shard: int) -> Replica | None:
-        """The shard's replica; None before recovery. Not kept: an abandoned bootstrap replaces the replicas."""
+        """The shard's replica now, None before recovery; an abandoned bootstrap replaces the replicas by others."""
         return self._running.multi_raft.replicas[shard] if self._running is not None else None
--- a/ochrespan/control_plane/replication/recovery.py
+++ b/ochrespan/control_plane/replication/recovery.py
@@ -28,7 +28,7 @@
 
 
 def recover(data_dir: str) -> RecoveredReplicas:
-    """Opens the store of a folder in a thread of the pool; tries again for as long as the disk is not readable."""
+    """Opens the store of a folder in a thread of the pool; retries for as long as the disk is not readable."""
     store = SnapshotStore(PosixDirectory(data_dir))
     stored = None
     while stored is None:
--- a/ochrespan/control_plane/replication/running_replicas.py
+++ b/ochrespan/control_plane/replication/running_replicas.py
@@ -34,7 +34,7 @@
 MAINTENANCE_INTERVAL_S = 0.5
 SLOW_DISK_S = 1.5  # a write that takes longer makes this process transfer what it leads
 STOP_TIMEOUT_S = 1.0
-REPLACEMENT_WAIT_S = 0.3  # after the transfer, for a standby to take this process's place as a voter
+REPLACEMENT_WAIT_S = 0.3  # after the transfer, for a standby to replace this process as a voter
 BYTES_PER_MB = 1024 * 1024
 
 
@@ -113,7 +113,7 @@
         self.wake()
 
     def connection_closed(self, connection: Connection) -> None:
-        """Tells the replicas that a peer's connection has ended, so that they need not wait for a time-out."""
+        """Notifies the replicas that a peer's connection has ended, so that they need not wait for a time-out."""
         peer = self._peers.pop(connection, None)
         if peer is not None and not self._is_leaving:
             self.multi_raft.peer_disconnected(time.monotonic(), peer)
--- a/ochrespan/control_plane/replication/state_machine.py
+++ b/ochrespan/control_plane/replication/state_machine.py
@@ -27,7 +27,7 @@
 
     Attributes:
         address: Where the other processes of the fleet reach this one.
-        seeds: Processes that are asked for the groups at the start.
+        seeds: Processes that are queried for the groups.
         data_dir: Folder of the store.
         disk_mb: Size of the disk in MiB.
         bootstrap: Whether this process may be an initial member of a new cluster.
--- a/tests/control_plane/config/test_commands.py
+++ b/tests/control_plane/config/test_commands.py
@@ -193,7 +193,7 @@
 
 def test_a_change_whose_acknowledgement_was_lost_is_acknowledged_when_sent_again(world):
     first, second, _ = world.controllers
-    first.groups.lose_verdicts_after_commit = 1
+    first.groups.lose_results_after_commit = 1
     assert second.put_config(configuration(5), 0)[0] == 503
     assert second.put_config(configuration(5), 0)[0] == 200
     first.groups.lose_commands = 1
@@ -243,7 +243,7 @@
     def disturb() -> None:
         for turn in range(9):
             world.controllers[turn % 3].groups.lead()
-            world.controllers[turn % 3].groups.lose_verdicts_after_commit += 1
+            world.controllers[turn % 3].groups.lose_results_after_commit += 1
             gevent.idle()
 
     world.controllers[0].put_config(configuration(5), 0)
--- a/tests/control_plane/replication/test_host.py
+++ b/tests/control_plane/replication/test_host.py
@@ -1,10 +1,11 @@
-"""Replica hosts over loopback: real sockets and disks, three processes' worth of replicas in one."""
+"""Replica hosts over loopback: real sockets and disks, the replicas of three processes in one."""
 
 import gevent
 import pytest
 
 from ochrespan.control_plane.replication.errors import NotLeaderError
-from tests.support.replica_hosts import Journal, free_port, kill, leader_of, make_host, propose, until
+from ochrespan.control_plane.replication.host import ReplicaHost
+from tests.support.replica_hosts import Journal, free_port, host_settings, kill, leader_of, make_host, propose, until
 
 
 @pytest.fixture
@@ -21,6 +22,17 @@
     return machine.commands
 
 
+def test_a_host_that_has_not_read_its_disk_leads_nothing_and_knows_nobody(tmp_path):
+    host = ReplicaHost(host_settings(tmp_path, 1, free_port()), {0: Journal()})
+    for call in (lambda: host.propose(0, b"one", 1.0), lambda: host.read_barrier(0, 1.0)):
+        with pytest.raises(NotLeaderError) as caught:
+            call()
+        assert caught.value.leader is None
+    assert (host.is_leader(0), host.leader(0), host.voters(0)) == (False, None, set())
+    assert (host.cluster(), host.applied_index(0), host.failures_tolerated(0)) == (0, 0, None)
+    assert (host.seconds_since_quorum(0), host.lease_age_s(0)) == (float("inf"), float("inf"))
+
+
 def test_a_command_reaches_every_replica_and_its_result_the_proposer(core):
     _, _, hosts = core
     leader = leader_of(hosts.values(), 0)
--- a/tests/support/control_plane_fakes.py
+++ b/tests/support/control_plane_fakes.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the replica groups: one process whose replica is the whole group, and which may refuse to decide."""
+"""Fakes of the replica groups: commands are committed at once in memory, and may be lost on demand."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class SharedLog:
-    """The commands of every shard, as all members of a group see them."""
+    """The log of every shard, which all members share."""
 
     def __init__(self) -> None:
         self.commands: dict[int, list[bytes]] = {shard: [] for shard in ALL_SHARDS}
@@ -24,7 +24,7 @@
 
 
 class InMemoryGroups:
-    """A member of every group; commands are committed at once, in the order in which they come."""
+    """A member of every group; a command is committed as soon as it is proposed at the leader."""
 
     def __init__(self, machines: dict[int, StateMachine], log: SharedLog | None = None) -> None:
         self.machines = machines
@@ -34,10 +34,10 @@
         self.on_applied: list[Callable[[int, int, bytes, Any], None]] = []
         self.on_restored: list[Callable[[int], None]] = []
         self.on_leadership: list[Callable[[int, bool], None]] = []
-        self.lose_verdicts_after_commit = 0
-        self.declined_for = 0.0
+        self.lose_results_after_commit = 0
+        self.declined_for_s = 0.0
         self.cluster_number = 0
-        self.losses: int | None = 1
+        self.tolerated: int | None = 1
         self.lose_commands = 0
         self.call_server = RpcServer(("127.0.0.1", 0))
         self.call_server.start()
@@ -47,7 +47,7 @@
         return self.cluster_number
 
     def failures_tolerated(self, shard: int) -> int | None:
-        return self.losses if self.is_leader(shard) else None
+        return self.tolerated if self.is_leader(shard) else None
 
     @property
     def address(self) -> Address:
@@ -59,10 +59,10 @@
             before = self.log.leaders[shard]
             self.log.leaders[shard] = self.address
             if before is not None:
-                self.log.members[before].tell_leadership(shard, False)
-            self.tell_leadership(shard, True)
+                self.log.members[before].notify_leadership(shard, False)
+            self.notify_leadership(shard, True)
 
-    def tell_leadership(self, shard: int, is_leader: bool) -> None:
+    def notify_leadership(self, shard: int, is_leader: bool) -> None:
         for callback in self.on_leadership:
             callback(shard, is_leader)
 
@@ -78,13 +78,13 @@
             if member is not self:
                 member.catch_up(shard)
         result = self.catch_up(shard)
-        if self.lose_verdicts_after_commit:
-            self.lose_verdicts_after_commit -= 1
-            raise OutcomeUnknownError("committed, but nobody heard")
+        if self.lose_results_after_commit:
+            self.lose_results_after_commit -= 1
+            raise OutcomeUnknownError("committed, but the response was lost")
         return result
 
     def catch_up(self, shard: int) -> Any:
-        """Applies the commands that this member has not applied; the result of the last."""
+        """Applies the commands that this member has not applied yet, and returns the result of the last."""
         result = None
         for command in self.log.commands[shard][self.applied[shard] :]:
             self.applied[shard] += 1
@@ -115,16 +115,16 @@
     def voters(self, shard: int) -> set[Address]:
         return set(self.log.members)
 
-    def decline_leadership(self, span_s: float) -> None:
-        self.declined_for = span_s
+    def decline_leadership(self, duration_s: float) -> None:
+        self.declined_for_s = duration_s
         others = [address for address in self.log.members if address != self.address]
-        if span_s and others:
+        if duration_s and others:
             led = [shard for shard in ALL_SHARDS if self.is_leader(shard)]
             if led:
                 self.log.members[others[0]].lead(*led)
 
     def declines_leadership_for(self) -> float:
-        return self.declined_for
+        return self.declined_for_s
 
     def stop(self) -> None:
         self.call_server.stop()
--- a/tests/support/replica_hosts.py
+++ b/tests/support/replica_hosts.py
@@ -13,6 +13,8 @@
 from ochrespan.control_plane.replication.state_machine import HostSettings
 
 WAIT_S = 15.0
+SHARDS = (0, 1, 2)
+SEED_NUMBERS = (1, 2, 3)
 
 
 class Journal:
@@ -38,19 +40,24 @@
         return sock.getsockname()[1]
 
 
-def make_host(folder, number: int, port: int, seeds=(1, 2, 3), bootstrap=True, shards=(0, 1, 2)) -> ReplicaHost:
+def host_settings(folder, number: int, port: int, bootstrap: bool = True) -> HostSettings:
+    """Settings of a host of its own folder and address; the seeds are those of hosts 1 to 3."""
     path = folder / str(number)
     path.mkdir(exist_ok=True)
-    settings = HostSettings(
+    return HostSettings(
         address=(f"127.0.0.{number}", port),
-        seeds=tuple((f"127.0.0.{seed}", port) for seed in seeds),
+        seeds=tuple((f"127.0.0.{seed}", port) for seed in SEED_NUMBERS),
         data_dir=str(path),
         disk_mb=64,
         bootstrap=bootstrap,
         fault_tolerance=1,
         node=f"core-{number}",
     )
-    host = ReplicaHost(settings, {shard: Journal() for shard in shards})
+
+
+def make_host(folder, number: int, port: int, bootstrap: bool = True) -> ReplicaHost:
+    """Starts a host that replicates a journal for each of SHARDS."""
+    host = ReplicaHost(host_settings(folder, number, port, bootstrap), {shard: Journal() for shard in SHARDS})
     host.start()
     return host
 
