--- a/ochrespan/control_plane/controller.py
+++ b/ochrespan/control_plane/controller.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import logging
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 from time import monotonic
@@ -31,6 +32,8 @@
 from .controller_metrics import register_controller_metrics
 from .shards import ALL_SHARDS, CONFIG_SHARD
 
+log = logging.getLogger(__name__)
+
 READY_QUORUM_AGE_S = 1.0  # a controller without contact to a majority for longer is not ready
 MAX_STATUS_AGE_S = 1e9  # stands for infinity, which JSON lacks
 
@@ -118,8 +121,11 @@
 
     def start(self) -> None:
         """Starts the periodic work."""
-        tasks = (self._instance_owner.watch, self._feed.run, self._presence.run)
-        self._tasks = [gevent.spawn(task) for task in tasks]
+        for loop in (self._instance_owner.watch, self._feed.run, self._presence.run):
+            task = gevent.spawn(loop)
+            task.name = loop.__qualname__
+            task.link_exception(_log_failed_task)
+            self._tasks.append(task)
 
     def stop(self) -> None:
         """Ends the periodic work."""
@@ -183,3 +189,8 @@
 
     def _controllers(self) -> list[tuple[Address, str]]:
         return [(self._settings.address, self._settings.zone), *self._live_routers.controllers()]
+
+
+def _log_failed_task(task: gevent.Greenlet) -> None:
+    """The task is not restarted; gevent prints the traceback."""
+    log.error("controller task failed task=%s error=%r", task.name, task.exception)
--- a/ochrespan/control_plane/replication/host.py
+++ b/ochrespan/control_plane/replication/host.py
@@ -83,6 +83,7 @@
         self.call_server.on_closed = self._connection_closed
         self.call_server.start()
         self._recovery = gevent.spawn(self._recover_and_run)
+        self._recovery.link_exception(_log_failed_start)
 
     def stop(self) -> None:
         """Transfers what this process leads, within about a second, and ends."""
@@ -231,3 +232,8 @@
     def _replica(self, shard: int) -> Replica | None:
         """The shard's replica now, None before recovery; an abandoned bootstrap replaces the replicas by others."""
         return self._running.multi_raft.replicas[shard] if self._running is not None else None
+
+
+def _log_failed_start(recovery: gevent.Greenlet) -> None:
+    """Without replicas this process keeps running and serves nothing; gevent prints the traceback."""
+    log.error("replica host not started error=%r", recovery.exception)
--- a/tests/control_plane/replication/test_host.py
+++ b/tests/control_plane/replication/test_host.py
@@ -3,6 +3,7 @@
 import gevent
 import pytest
 
+from ochrespan.control_plane.replication import host as host_module
 from ochrespan.control_plane.replication.errors import NotLeaderError
 from ochrespan.control_plane.replication.host import ReplicaHost
 from tests.support.replica_hosts import Journal, free_port, host_settings, kill, leader_of, make_host, propose, until
@@ -127,3 +128,11 @@
     )
     for shard in (0, 1, 2):
         assert propose(hosts.values(), shard, b"one")
+
+
+def test_a_recovery_that_fails_is_logged(tmp_path, monkeypatch, caplog):
+    monkeypatch.setattr(host_module, "recover", lambda data_dir: 1 // 0)
+    host = make_host(tmp_path, 1, free_port())
+    until(lambda: "replica host not started" in caplog.text, "log line")
+    kill(host)
+    assert not host.is_leader(0)
