--- a/tests/control_plane/replication/test_host.py
+++ b/tests/control_plane/replication/test_host.py
@@ -1,10 +1,12 @@
-"""Replica hosts over loopback: real sockets and disks, three processes' worth of replicas in one."""
+"""Replica hosts over loopback: real sockets and disks, the replicas of three processes in one."""
 
 import gevent
 import pytest
 
+from ochrespan.control_plane.replication import host as host_module
 from ochrespan.control_plane.replication.errors import NotLeaderError
-from tests.support.replica_hosts import Journal, free_port, kill, leader_of, make_host, propose, until
+from ochrespan.control_plane.replication.host import ReplicaHost
+from tests.support.replica_hosts import Journal, free_port, host_settings, kill, leader_of, make_host, propose, until
 
 
 @pytest.fixture
@@ -21,6 +23,17 @@
     return machine.commands
 
 
+def test_a_host_that_has_not_read_its_disk_leads_nothing_and_knows_nobody(tmp_path):
+    host = ReplicaHost(host_settings(tmp_path, 1, free_port()), {0: Journal()})
+    for call in (lambda: host.propose(0, b"one", 1.0), lambda: host.read_barrier(0, 1.0)):
+        with pytest.raises(NotLeaderError) as caught:
+            call()
+        assert caught.value.leader is None
+    assert (host.is_leader(0), host.leader(0), host.voters(0)) == (False, None, set())
+    assert (host.cluster(), host.applied_index(0), host.failures_tolerated(0)) == (0, 0, None)
+    assert (host.seconds_since_quorum(0), host.lease_age_s(0)) == (float("inf"), float("inf"))
+
+
 def test_a_command_reaches_every_replica_and_its_result_the_proposer(core):
     _, _, hosts = core
     leader = leader_of(hosts.values(), 0)
@@ -47,7 +60,7 @@
     until(lambda: all(commands(host, 1)[:2] == [b"one", b"two"] for host in hosts.values()), "commands at both")
 
 
-def test_a_planned_end_hands_leadership_over(core):
+def test_a_planned_stop_transfers_leadership(core):
     _, _, hosts = core
     leader = leader_of(hosts.values(), 2)
     others = [host for host in hosts.values() if host is not leader]
@@ -84,14 +97,14 @@
     until(lambda: all(commands(host, 0)[-1:] == [b"good"] for host in hosts.values()), "last command everywhere")
 
 
-def test_a_host_that_declines_leadership_hands_over_and_stays_a_voter(core):
+def test_a_host_that_declines_leadership_transfers_it_and_stays_a_voter(core):
     _, _, hosts = core
     for shard in (0, 1, 2):
         leader_of(hosts.values(), shard)
     declining = leader_of(hosts.values(), 0)
     others = [host for host in hosts.values() if host is not declining]
     declining.decline_leadership(600.0)
-    until(lambda: not any(declining.is_leader(shard) for shard in (0, 1, 2)), "hand-over")
+    until(lambda: not any(declining.is_leader(shard) for shard in (0, 1, 2)), "transfer")
     for shard in (0, 1, 2):
         leader_of(others, shard)
     propose(hosts.values(), 0, b"one")
@@ -100,7 +113,7 @@
     assert declining.declines_leadership_for() == 0.0
 
 
-def test_hosts_that_all_decline_leadership_lead_all_the_same(core):
+def test_hosts_that_all_decline_leadership_lead_nevertheless(core):
     _, _, hosts = core
     leader_of(hosts.values(), 0)
     for host in hosts.values():
@@ -109,9 +122,17 @@
         lambda: all(
             replica.core.withholding_votes or host.declines_leadership_for() == 0.0
             for host in hosts.values()
-            for replica in host._table.replicas.values()
+            for replica in host._running.multi_raft.replicas.values()
         ),
         "hosts that decline",
     )
     for shard in (0, 1, 2):
         assert propose(hosts.values(), shard, b"one")
+
+
+def test_a_recovery_that_fails_is_logged(tmp_path, monkeypatch, caplog):
+    monkeypatch.setattr(host_module, "recover", lambda data_dir: 1 // 0)
+    host = make_host(tmp_path, 1, free_port())
+    until(lambda: "replica host not started" in caplog.text, "log line")
+    kill(host)
+    assert not host.is_leader(0)
