--- a/ochrespan/control_plane/api/forwarding.py
+++ b/ochrespan/control_plane/api/forwarding.py
@@ -48,7 +48,7 @@
         self._machines = instance_machines
         self._peers = peers
         self._handlers: dict[type, Callable[[Any], Response]] = {
-            ConfigCommand: configuration_owner.order,
+            ConfigCommand: configuration_owner.submit,
             ReadConfiguration: configuration_owner.read,
             ReadHistory: configuration_owner.history,
             InstanceReport: instance_owner.report,
--- a/ochrespan/control_plane/api/handlers.py
+++ b/ochrespan/control_plane/api/handlers.py
@@ -117,7 +117,7 @@
         return self._service.read_configuration()
 
     def _put_config(self, environment: Environment) -> Response:
-        return self._order(ConfigCommandKind.WHOLE, CHECK_CONFIGURATION, environment)
+        return self._order(ConfigCommandKind.REPLACE, CHECK_CONFIGURATION, environment)
 
     def _patch_config(self, environment: Environment) -> Response:
         return self._order(ConfigCommandKind.PATCH, CHECK_PATCH, environment)
--- a/ochrespan/control_plane/config/change_history.py
+++ b/ochrespan/control_plane/config/change_history.py
@@ -1,4 +1,4 @@
-"""The latest changes of the configuration: which version, when, on top of which, and how much it changed."""
+"""The latest changes of the configuration: which version, when, on top of which, and how many items it changed."""
 
 from __future__ import annotations
 
@@ -14,32 +14,40 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeRecord:
-    """One change that was taken."""
+    """One accepted change. The field names reach snapshots and JSON.
+
+    Attributes:
+        version: The version that the change made.
+        builds_on: The version before it.
+        kind: A value of `ConfigCommandKind`.
+        received_ms: Unix time in milliseconds at the controller that received it, 0 if unknown; for display alone.
+        changed: By section, the number of items added or replaced and of items deleted.
+    """
 
     version: int
     builds_on: int
-    kind: str  # of the order: a whole configuration or a patch
-    received_ms: int  # Unix time at the controller that received it, 0 where that is not known; for display alone
-    changed: Mapping[str, tuple[int, int]]  # by section: items added or replaced, items deleted
+    kind: str
+    received_ms: int
+    changed: Mapping[str, tuple[int, int]]
 
 
-def record_of_change(change: ConfigurationChange, builds_on: int, kind: str, received_ms: int) -> ChangeRecord:
-    """The record of a change that was taken."""
+def make_change_record(change: ConfigurationChange, builds_on: int, kind: str, received_ms: int) -> ChangeRecord:
+    """Builds the record of an accepted change; `received_ms` is Unix time in milliseconds."""
     sections = {name: getattr(change, name) for name in SECTIONS}
-    changed = {name: (len(part.upserted), len(part.deleted)) for name, part in sections.items() if part}
+    changed = {name: (len(section.upserted), len(section.deleted)) for name, section in sections.items() if section}
     return ChangeRecord(change.version, builds_on, kind, received_ms, changed)
 
 
 class ChangeHistory:
-    """The records of the latest changes, oldest first; the same at every replica."""
+    """The records of the latest `MAX_REMEMBERED_CHANGES` changes, oldest first; the same at every replica."""
 
     def __init__(self, fields: Iterable[Mapping[str, Any]] = ()) -> None:
         self._records = deque((ChangeRecord(**each) for each in fields), maxlen=MAX_REMEMBERED_CHANGES)
 
     def add(self, record: ChangeRecord) -> None:
-        """Appends a change and forgets the oldest beyond the bound."""
+        """Appends a record and drops the oldest one beyond the bound."""
         self._records.append(record)
 
     def fields(self) -> list[dict[str, Any]]:
-        """The records as maps, for snapshots and answers."""
+        """Returns the records as maps, for snapshots and responses."""
         return [asdict(record) for record in self._records]
--- a/ochrespan/control_plane/config/commands.py
+++ b/ochrespan/control_plane/config/commands.py
@@ -12,22 +12,28 @@
 from ochrespan.transport.codec import encode, message
 
 DIGEST_BYTES = 16
-MAX_EXACT_INTEGER = 2**53  # of a float
+MAX_EXACT_INTEGER = 2**53  # a float holds every integer below it exactly
 
 
 class ConfigCommandKind(enum.StrEnum):
-    """How an order changes the configuration."""
+    """How a command changes the configuration. The values are on the wire and in the replicated log."""
 
-    WHOLE = "whole"  # PUT
-    PATCH = "patch"
+    REPLACE = "whole"  # PUT: the document becomes the configuration
+    PATCH = "patch"  # PATCH: items are added, replaced or deleted by name
 
 
 @message("cp.order")
 @dataclass(slots=True)
 class ConfigCommand:
-    """A change of the configuration on top of version `builds_on`. The body is packed by `compact`.
-
-    `received_ms` is shown in the history and is no part of the digest: the same change may come at another time.
+    """A change of the configuration, valid on top of one version alone (optimistic concurrency).
+
+    Attributes:
+        kind: A value of `ConfigCommandKind`.
+        builds_on: The version that the change builds on.
+        digest: Identifies the command, so that one that is sent again is recognised. It covers kind, `builds_on` and
+            document, but not `received_ms`: the same change may arrive a second time.
+        body: The document, packed by `compact`.
+        received_ms: Unix time in milliseconds at the controller that received it; shown in the history.
     """
 
     kind: str
@@ -40,12 +46,16 @@
 def make_command(
     kind: ConfigCommandKind, builds_on: int, document: dict[str, Any], received_ms: int = 0
 ) -> ConfigCommand:
-    """The order for a checked document.
+    """Builds the command for a checked document.
+
+    Equal documents give equal digests, in whatever sequence their fields are and however their numbers are written.
 
-    The same document makes the same order, however its fields are ordered and its numbers are written.
+    Raises:
+        ValidationError: The document holds a string or number that cannot be packed.
     """
     try:
-        body, identity = compact.pack_sorted(document), compact.pack_sorted(_with_plain_numbers(document))
+        body = compact.pack_sorted(document)
+        identity = compact.pack_sorted(_normalise_numbers(document))
     except compact.PackingError as error:
         raise ValidationError([Finding("body", str(error), "strings of Unicode, numbers of 64 bits")]) from error
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
@@ -54,17 +64,17 @@
     return ConfigCommand(kind.value, builds_on, digest.digest(), compact.compress(body), received_ms)
 
 
-def _with_plain_numbers(value: Any) -> Any:
-    """The value with 1 in place of 1.0: in JSON they are the same number."""
+def _normalise_numbers(value: Any) -> Any:
+    """Replaces 1.0 by 1 throughout the value: in JSON they are the same number."""
     if isinstance(value, float) and value.is_integer() and abs(value) < MAX_EXACT_INTEGER:
         return int(value)
     if isinstance(value, dict):
-        return {name: _with_plain_numbers(each) for name, each in value.items()}
+        return {name: _normalise_numbers(each) for name, each in value.items()}
     if isinstance(value, list):
-        return [_with_plain_numbers(each) for each in value]
+        return [_normalise_numbers(each) for each in value]
     return value
 
 
-def encode_command(order: ConfigCommand) -> bytes:
-    """The command for the configuration's shard."""
-    return encode(order)
+def encode_command(command: ConfigCommand) -> bytes:
+    """Encodes the command for the log of the configuration shard."""
+    return encode(command)
--- a/ochrespan/control_plane/config/owner.py
+++ b/ochrespan/control_plane/config/owner.py
@@ -1,4 +1,8 @@
-"""The leader's side of the configuration shard: evaluates commands and serves confirmed reads."""
+"""The owner of the configuration: the leader of its shard, which commits commands and serves linearizable reads.
+
+Reads go through a read barrier (ReadIndex, section 6.4 of the Raft dissertation), so a deposed leader serves no stale
+data.
+"""
 
 from __future__ import annotations
 
@@ -33,59 +37,68 @@
 @message("cp.read")
 @dataclass(slots=True)
 class ReadConfiguration:
-    """Asks for the newest configuration."""
+    """A request for the newest configuration."""
 
 
 @message("cp.history")
 @dataclass(slots=True)
 class ReadHistory:
-    """Asks for the latest changes of the configuration."""
+    """A request for the latest changes of the configuration."""
 
 
-def command_timeout_s(order: ConfigCommand) -> float:
-    """How long an order may take; large ones get longer, as their callers wait longer."""
-    return CALL_TIMEOUT_S + len(order.body) * COMMAND_TIMEOUT_PER_BYTE_S
+def command_timeout_s(command: ConfigCommand) -> float:
+    """Returns the seconds that a command may take; large ones get more time, as their callers wait longer."""
+    return CALL_TIMEOUT_S + len(command.body) * COMMAND_TIMEOUT_PER_BYTE_S
 
 
 class ConfigurationOwner:
-    """Answers orders and reads where this process leads the configuration's shard; raises NotLeaderError elsewhere."""
+    """Handles commands and reads in the process that leads the configuration shard.
+
+    Each method raises NotLeaderError where another process leads it: the caller then forwards the request.
+    """
 
     def __init__(self, groups: ReplicaGroups, machine: ConfigurationStateMachine) -> None:
         self._groups = groups
         self._machine = machine
 
-    def order(self, order: ConfigCommand) -> Response:
-        """The verdict on an order, given after its commitment."""
+    def submit(self, command: ConfigCommand) -> Response:
+        """Proposes a command and responds with its result once it is committed and applied.
+
+        A time-out or lost leadership leaves the outcome unknown; the caller may repeat the command as it is.
+        """
         try:
-            verdict = self._groups.propose(CONFIG_SHARD, encode(order), command_timeout_s(order))
+            result = self._groups.propose(CONFIG_SHARD, encode(command), command_timeout_s(command))
         except OutcomeUnknownError as error:
             return unavailable_response("order", str(error) or "no commitment in time")
         log.info(
-            "order judged verdict=%s version=%d builds_on=%d", verdict.judgement.name, verdict.version, order.builds_on
+            "command evaluated outcome=%s version=%d builds_on=%d",
+            result.outcome.name,
+            result.version,
+            command.builds_on,
         )
-        return _response_for(verdict)
+        return _response_to(result)
 
-    def read(self, request: ReadConfiguration) -> Response:
-        """The newest configuration, as confirmed with a majority."""
+    def read(self, request: ReadConfiguration) -> Response:  # noqa: ARG002 - every request handler takes its request
+        """Responds with the newest configuration, confirmed by a majority."""
         return self._confirmed(lambda: self._machine.current.document())
 
-    def history(self, request: ReadHistory) -> Response:
-        """The latest changes, oldest first, as confirmed with a majority."""
+    def history(self, request: ReadHistory) -> Response:  # noqa: ARG002 - every request handler takes its request
+        """Responds with the latest changes, oldest first, confirmed by a majority."""
         return self._confirmed(lambda: {"changes": self._machine.history.fields()})
 
-    def _confirmed(self, document: Callable[[], dict[str, Any]]) -> Response:
+    def _confirmed(self, read_document: Callable[[], dict[str, Any]]) -> Response:
         try:
             self._groups.read_barrier(CONFIG_SHARD, CALL_TIMEOUT_S)
         except OutcomeUnknownError as error:
             return unavailable_response("configuration", str(error) or "no majority in time")
-        return json_response(OK, document())
+        return json_response(OK, read_document())
 
 
-def _response_for(verdict: CommandResult) -> Response:
-    if verdict.judgement in (CommandOutcome.TAKEN, CommandOutcome.TAKEN_BEFORE):
-        return json_response(OK, {"generation": verdict.version})
-    if verdict.judgement is CommandOutcome.FORGOTTEN:
-        return unavailable_response("order", verdict.judgement.value)
-    if verdict.judgement is CommandOutcome.OTHER_VERSION:
-        return findings_response(PRECONDITION_FAILED, [Finding("If-Match", "another version", str(verdict.version))])
-    return findings_response(BAD_REQUEST, verdict.findings)
+def _response_to(result: CommandResult) -> Response:
+    if result.outcome in (CommandOutcome.ACCEPTED, CommandOutcome.ALREADY_ACCEPTED):
+        return json_response(OK, {"generation": result.version})
+    if result.outcome is CommandOutcome.TOO_OLD:
+        return unavailable_response("order", result.outcome.value)
+    if result.outcome is CommandOutcome.VERSION_CONFLICT:
+        return findings_response(PRECONDITION_FAILED, [Finding("If-Match", "another version", str(result.version))])
+    return findings_response(BAD_REQUEST, result.findings)
--- a/ochrespan/control_plane/config/state_machine.py
+++ b/ochrespan/control_plane/config/state_machine.py
@@ -1,4 +1,8 @@
-"""The state machine of the configuration's shard: judges the operator's orders from the applied state alone."""
+"""The state machine of the configuration shard: evaluates the operator's commands from the applied state alone.
+
+A command is accepted if it builds on the current version. Operators repeat a command whose response was lost, so the
+digests of accepted commands are remembered: a repeat is acknowledged again and never rejected.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +13,7 @@
 from ochrespan.transport import compact
 from ochrespan.transport.codec import MessageError, decode
 
-from .change_history import ChangeHistory, record_of_change
+from .change_history import ChangeHistory, make_change_record
 from .commands import ConfigCommand, ConfigCommandKind
 from .configuration import Configuration, ConfigurationChange, change_of_patch, change_to
 from .views import Tenant, tenant_view
@@ -18,84 +22,92 @@
 
 
 class CommandOutcome(enum.Enum):
-    """What became of an order."""
+    """What became of a command. The values reach operators in JSON."""
 
-    TAKEN = "taken"
-    TAKEN_BEFORE = "taken before"
-    OTHER_VERSION = "another version is current"
-    FORGOTTEN = "too old to tell whether it was taken"
+    ACCEPTED = "taken"
+    ALREADY_ACCEPTED = "taken before"  # a repeat of a remembered command
+    VERSION_CONFLICT = "another version is current"
+    TOO_OLD = "too old to tell whether it was taken"  # it may be a repeat of a command that is remembered no more
     INVALID = "invalid"
 
 
 @dataclass(frozen=True, slots=True)
 class CommandResult:
-    """The judgement of an order; `version` is the one it made, or else the current one."""
+    """The result of a command.
+
+    Attributes:
+        outcome: What became of the command.
+        version: The version that the command made if it was accepted, now or before; the current one otherwise.
+        findings: Why the command is invalid.
+        change: What the command changed, if it was accepted now.
+    """
 
-    judgement: CommandOutcome
+    outcome: CommandOutcome
     version: int
     findings: tuple[Finding, ...] = ()
     change: ConfigurationChange | None = None
 
 
 class ConfigurationStateMachine:
-    """Applies orders one after the other and remembers those that were taken, so that none is refused later."""
+    """Applies commands one after the other and remembers those that were accepted."""
 
     def __init__(self) -> None:
         self.current = Configuration()
         self.history = ChangeHistory()
-        self._taken: dict[bytes, int] = {}  # version by digest, oldest first
-        self._forgotten_version = 0  # the newest one whose order is no longer remembered
+        self._accepted_versions: dict[bytes, int] = {}  # version by digest, oldest first
+        self._last_evicted_version = 0  # the newest one whose command is no longer remembered
 
-    def apply(self, index: int, command: bytes) -> CommandResult:
-        """The verdict on an order, the same at every replica."""
+    def apply(self, index: int, command: bytes) -> CommandResult:  # noqa: ARG002 - the StateMachine protocol has it
+        """Evaluates a committed command, with the same result at every replica."""
         try:
-            order = decode(command)
+            decoded = decode(command)
         except MessageError as error:
-            return self._refuse(Finding(error.where, error.found, error.allowed))
-        if not isinstance(order, ConfigCommand):
-            return self._refuse(Finding("command", type(order).__name__, "an order"))
-        return self._judge(order)
+            return self._invalid(Finding(error.where, error.found, error.allowed))
+        if not isinstance(decoded, ConfigCommand):
+            return self._invalid(Finding("command", type(decoded).__name__, "an order"))
+        return self._evaluate(decoded)
 
     def tenant(self, name: str) -> Tenant | None:
-        """A tenant of the current configuration."""
+        """Returns a tenant of the current configuration."""
         document = self.current.tenants.get(name)
         return None if document is None else tenant_view(document)
 
     def snapshot(self) -> bytes:
-        """The whole state, compressed."""
-        taken = list(self._taken.items())
-        return compact.pack([self.current.document(), taken, self.history.fields(), self._forgotten_version])
+        """Packs the complete state."""
+        accepted = list(self._accepted_versions.items())
+        return compact.pack([self.current.document(), accepted, self.history.fields(), self._last_evicted_version])
 
     def restore(self, data: bytes) -> None:
-        """Takes over the state of a snapshot."""
-        document, taken, *rest = compact.unpack(data)  # snapshots of earlier versions lack the others
+        """Replaces the state by that of a snapshot, which may be of an earlier version of the program."""
+        document, accepted, *later_fields = compact.unpack(data)  # earlier versions lack history and evicted version
         empty = Configuration()
         self.current = empty.changed_by(change_to(empty, document)) if document["generation"] else empty
-        self._taken = dict(taken)
-        self.history = ChangeHistory(rest[0] if rest else ())
-        self._forgotten_version = rest[1] if len(rest) > 1 else 0
-
-    def _judge(self, order: ConfigCommand) -> CommandResult:
-        if (version := self._taken.get(order.digest)) is not None:
-            return CommandResult(CommandOutcome.TAKEN_BEFORE, version)
-        if order.builds_on < self._forgotten_version:
-            return CommandResult(CommandOutcome.FORGOTTEN, self.current.version)
-        if order.builds_on != self.current.version:
-            return CommandResult(CommandOutcome.OTHER_VERSION, self.current.version)
-        make_change = change_to if order.kind == ConfigCommandKind.WHOLE else change_of_patch
-        change = make_change(self.current, compact.unpack(order.body))
+        self._accepted_versions = dict(accepted)
+        self.history = ChangeHistory(later_fields[0] if later_fields else ())
+        self._last_evicted_version = later_fields[1] if len(later_fields) > 1 else 0
+
+    def _evaluate(self, command: ConfigCommand) -> CommandResult:
+        if (version := self._accepted_versions.get(command.digest)) is not None:
+            return CommandResult(CommandOutcome.ALREADY_ACCEPTED, version)
+        if command.builds_on < self._last_evicted_version:
+            return CommandResult(CommandOutcome.TOO_OLD, self.current.version)
+        if command.builds_on != self.current.version:
+            return CommandResult(CommandOutcome.VERSION_CONFLICT, self.current.version)
+        make_change = change_to if command.kind == ConfigCommandKind.REPLACE else change_of_patch
+        change = make_change(self.current, compact.unpack(command.body))
         try:
             self.current = self.current.changed_by(change)
         except ValidationError as error:
-            return self._refuse(*error.findings)
-        self._remember(order.digest, change.version)
-        self.history.add(record_of_change(change, order.builds_on, order.kind, order.received_ms))
-        return CommandResult(CommandOutcome.TAKEN, change.version, change=change)
+            return self._invalid(*error.findings)
+        self._remember(command.digest, change.version)
+        self.history.add(make_change_record(change, command.builds_on, command.kind, command.received_ms))
+        return CommandResult(CommandOutcome.ACCEPTED, change.version, change=change)
 
-    def _refuse(self, *findings: Finding) -> CommandResult:
+    def _invalid(self, *findings: Finding) -> CommandResult:
         return CommandResult(CommandOutcome.INVALID, self.current.version, findings)
 
     def _remember(self, digest: bytes, version: int) -> None:
-        self._taken[digest] = version
-        if len(self._taken) > MAX_REMEMBERED_COMMANDS:
-            self._forgotten_version = self._taken.pop(next(iter(self._taken)))
+        self._accepted_versions[digest] = version
+        if len(self._accepted_versions) > MAX_REMEMBERED_COMMANDS:
+            oldest = next(iter(self._accepted_versions))
+            self._last_evicted_version = self._accepted_versions.pop(oldest)
--- a/tests/control_plane/config/test_commands.py
+++ b/tests/control_plane/config/test_commands.py
@@ -14,7 +14,7 @@
 
 
 def whole(generation, builds_on, *routes):
-    return encode_command(make_command(ConfigCommandKind.WHOLE, builds_on, configuration(generation, *routes)))
+    return encode_command(make_command(ConfigCommandKind.REPLACE, builds_on, configuration(generation, *routes)))
 
 
 def patch(generation, builds_on, **fields):
@@ -22,18 +22,18 @@
 
 
 def judgements(machine, *commands):
-    return [machine.apply(index, command).judgement for index, command in enumerate(commands, start=1)]
+    return [machine.apply(index, command).outcome for index, command in enumerate(commands, start=1)]
 
 
 def test_the_same_order_is_taken_once_and_acknowledged_again_also_after_later_versions():
     machine = ConfigurationStateMachine()
     first, second = whole(3, 0), patch(5, 3, upsert={"routes": [route("r2")]})
     assert judgements(machine, first, first, second, second, first) == [
-        CommandOutcome.TAKEN,
-        CommandOutcome.TAKEN_BEFORE,
-        CommandOutcome.TAKEN,
-        CommandOutcome.TAKEN_BEFORE,
-        CommandOutcome.TAKEN_BEFORE,
+        CommandOutcome.ACCEPTED,
+        CommandOutcome.ALREADY_ACCEPTED,
+        CommandOutcome.ACCEPTED,
+        CommandOutcome.ALREADY_ACCEPTED,
+        CommandOutcome.ALREADY_ACCEPTED,
     ]
     assert machine.current.version == 5
 
@@ -42,12 +42,12 @@
     document = configuration(3)
     turned = dict(reversed(document.items()))
     assert (
-        make_command(ConfigCommandKind.WHOLE, 0, document).digest
-        == make_command(ConfigCommandKind.WHOLE, 0, turned).digest
+        make_command(ConfigCommandKind.REPLACE, 0, document).digest
+        == make_command(ConfigCommandKind.REPLACE, 0, turned).digest
     )
     assert (
-        make_command(ConfigCommandKind.WHOLE, 0, document).digest
-        != make_command(ConfigCommandKind.WHOLE, 1, document).digest
+        make_command(ConfigCommandKind.REPLACE, 0, document).digest
+        != make_command(ConfigCommandKind.REPLACE, 1, document).digest
     )
 
 
@@ -58,17 +58,17 @@
     assert orders_of[2].digest == orders_of[3].digest
     assert orders_of[0].digest != orders_of[2].digest
     different = configuration(3, route("a", timeout_ms=8000.5))
-    assert make_command(ConfigCommandKind.WHOLE, 0, different).digest != orders_of[0].digest
+    assert make_command(ConfigCommandKind.REPLACE, 0, different).digest != orders_of[0].digest
 
 
 def test_of_two_changes_on_one_version_one_wins_whatever_their_numbers():
     machine = ConfigurationStateMachine()
     changes = whole(7, 5, route("a")), whole(7, 5, route("b")), whole(9, 5, route("c"))
     assert judgements(machine, whole(5, 0), *changes) == [
-        CommandOutcome.TAKEN,
-        CommandOutcome.TAKEN,
-        CommandOutcome.OTHER_VERSION,
-        CommandOutcome.OTHER_VERSION,
+        CommandOutcome.ACCEPTED,
+        CommandOutcome.ACCEPTED,
+        CommandOutcome.VERSION_CONFLICT,
+        CommandOutcome.VERSION_CONFLICT,
     ]
     assert list(machine.current.routes) == ["a"]
 
@@ -77,7 +77,7 @@
     machine = ConfigurationStateMachine()
     bad = whole(7, 5, route("a", service="nobody"))
     assert judgements(machine, whole(5, 0), bad, bad, whole(5, 5, route("z"))) == [
-        CommandOutcome.TAKEN,
+        CommandOutcome.ACCEPTED,
         CommandOutcome.INVALID,
         CommandOutcome.INVALID,
         CommandOutcome.INVALID,
@@ -88,7 +88,7 @@
 @pytest.mark.parametrize("command", [b"", b"\xc1", b"\x91\xa7nothing", b"\x91\xa8cp.order"])
 def test_a_command_that_is_no_order_is_judged_invalid_and_ends_nothing(command):
     machine = ConfigurationStateMachine()
-    assert judgements(machine, command, whole(5, 0)) == [CommandOutcome.INVALID, CommandOutcome.TAKEN]
+    assert judgements(machine, command, whole(5, 0)) == [CommandOutcome.INVALID, CommandOutcome.ACCEPTED]
 
 
 def test_a_snapshot_keeps_the_configuration_and_the_orders_taken():
@@ -97,8 +97,8 @@
     restored.restore(machine.snapshot())
     assert restored.current == machine.current
     assert judgements(restored, whole(3, 0, route("a"), route("b")), whole(9, 3)) == [
-        CommandOutcome.TAKEN_BEFORE,
-        CommandOutcome.OTHER_VERSION,
+        CommandOutcome.ALREADY_ACCEPTED,
+        CommandOutcome.VERSION_CONFLICT,
     ]
     assert [each["version"] for each in restored.history.fields()] == [3, 4]
     empty = ConfigurationStateMachine()
@@ -120,8 +120,8 @@
     assert [each["version"] for each in machine.history.fields()] == [3, 4, 5]
     document = configuration(3)
     assert (
-        make_command(ConfigCommandKind.WHOLE, 0, document, 7).digest
-        == make_command(ConfigCommandKind.WHOLE, 0, document, 8).digest
+        make_command(ConfigCommandKind.REPLACE, 0, document, 7).digest
+        == make_command(ConfigCommandKind.REPLACE, 0, document, 8).digest
     )
 
 
@@ -131,14 +131,14 @@
     changes = [whole(version, version - 1) for version in range(1, 6)]
     judgements(machine, *changes)
     assert judgements(machine, *changes) == [
-        CommandOutcome.FORGOTTEN,
-        CommandOutcome.FORGOTTEN,
-        *[CommandOutcome.TAKEN_BEFORE] * 3,
+        CommandOutcome.TOO_OLD,
+        CommandOutcome.TOO_OLD,
+        *[CommandOutcome.ALREADY_ACCEPTED] * 3,
     ]
     restored = ConfigurationStateMachine()
     restored.restore(machine.snapshot())
-    assert judgements(restored, *changes[:2]) == [CommandOutcome.FORGOTTEN] * 2
-    assert judgements(restored, whole(9, 4)) == [CommandOutcome.OTHER_VERSION]
+    assert judgements(restored, *changes[:2]) == [CommandOutcome.TOO_OLD] * 2
+    assert judgements(restored, whole(9, 4)) == [CommandOutcome.VERSION_CONFLICT]
 
 
 _orders = st.tuples(st.integers(0, 4), st.integers(1, 5), st.sampled_from("ab"))
@@ -157,13 +157,13 @@
         before = machine.current.version
         verdict = machine.apply(index, command)
         assert replica.apply(index, command) == verdict
-        if verdict.judgement is CommandOutcome.TAKEN:
+        if verdict.outcome is CommandOutcome.ACCEPTED:
             assert before == builds_on < verdict.version
             assert builds_on not in winners
             winners[builds_on] = command
-        if verdict.judgement is CommandOutcome.TAKEN_BEFORE:
+        if verdict.outcome is CommandOutcome.ALREADY_ACCEPTED:
             assert winners[builds_on] == command
-        if verdict.judgement in (CommandOutcome.OTHER_VERSION, CommandOutcome.INVALID):
+        if verdict.outcome in (CommandOutcome.VERSION_CONFLICT, CommandOutcome.INVALID):
             assert machine.current.version == before and winners.get(builds_on) != command
 
 
--- a/tests/control_plane/config/test_commands_under_loss.py
+++ b/tests/control_plane/config/test_commands_under_loss.py
@@ -58,20 +58,20 @@
 
     def forgetting(self, data):
         original(self, data)
-        self._taken = {}
+        self._accepted_versions = {}
 
     monkeypatch.setattr(ConfigurationStateMachine, "restore", forgetting)
     caught({"a repeat refused", "a confirmed order is not in force"})
 
 
 def test_orders_that_do_not_say_what_they_build_on_are_caught_as_two_on_one_version(monkeypatch):
-    original = ConfigurationStateMachine._judge
+    original = ConfigurationStateMachine._evaluate
 
     def on_any_version(self, order):
         order.builds_on = self.current.version
         return original(self, order)
 
-    monkeypatch.setattr(ConfigurationStateMachine, "_judge", on_any_version)
+    monkeypatch.setattr(ConfigurationStateMachine, "_evaluate", on_any_version)
     caught({"two orders on one version"})
 
 
--- a/tests/golden/make_disks.py
+++ b/tests/golden/make_disks.py
@@ -116,8 +116,8 @@
         "delete": {"routes": ["r1"], "tenants": ["beta"]},
     }
     return [
-        _order(ConfigCommandKind.WHOLE, 0, configuration(1)),
-        _order(ConfigCommandKind.WHOLE, 1, third),
+        _order(ConfigCommandKind.REPLACE, 0, configuration(1)),
+        _order(ConfigCommandKind.REPLACE, 1, third),
         _order(ConfigCommandKind.PATCH, 3, patch),
     ]
 
@@ -125,9 +125,9 @@
 def refused_orders() -> list[bytes]:
     """Orders in the log that change nothing: a repeated one, one on an old version and an invalid one."""
     return [
-        _order(ConfigCommandKind.WHOLE, 0, configuration(1)),
-        _order(ConfigCommandKind.WHOLE, 1, configuration(9)),
-        _order(ConfigCommandKind.WHOLE, 4, configuration(9, route("r9", "unknown"))),
+        _order(ConfigCommandKind.REPLACE, 0, configuration(1)),
+        _order(ConfigCommandKind.REPLACE, 1, configuration(9)),
+        _order(ConfigCommandKind.REPLACE, 4, configuration(9, route("r9", "unknown"))),
     ]
 
 
@@ -232,7 +232,7 @@
     configuration_state = [configuration(5), [[bytes(range(16)), 4], [bytes(range(16, 32)), 5]]]
     records_state = [record_fields(record_of("judge-1", instance(2))), {**_plain_record(), "left_out_later": 1}]
     instances_state = [records_state, {"judge-0": [4, True, False]}]
-    order = make_command(ConfigCommandKind.WHOLE, 5, configuration(8, route("r8")))
+    order = make_command(ConfigCommandKind.REPLACE, 5, configuration(8, route("r8")))
     earlier_order = ormsgpack.packb(["cp.order", order.kind, order.builds_on, order.digest, order.body])
     judges = shard_of(SERVICES[0])
     identity = Identity(own.id, 4243, (OWN_ADDRESS,))
--- a/tests/golden/test_wire_bytes.py
+++ b/tests/golden/test_wire_bytes.py
@@ -239,7 +239,7 @@
         machine.apply(index, codec.encode(order))
         for index, order in enumerate((wire_samples.whole_order(), wire_samples.patch_order()))
     ]
-    assert [(verdict.judgement.value, verdict.version) for verdict in verdicts] == [
+    assert [(verdict.outcome.value, verdict.version) for verdict in verdicts] == [
         ("taken before", 7),
         ("taken before", 8),
     ]
--- a/tests/golden/wire_samples.py
+++ b/tests/golden/wire_samples.py
@@ -164,7 +164,7 @@
 
 def whole_order() -> ConfigCommand:
     """An order that replaces the whole configuration."""
-    return make_command(ConfigCommandKind.WHOLE, 0, FIRST_DOCUMENT, RECEIVED_MS)
+    return make_command(ConfigCommandKind.REPLACE, 0, FIRST_DOCUMENT, RECEIVED_MS)
 
 
 def patch_order() -> ConfigCommand:
--- a/tests/support/raft_simulation/operators.py
+++ b/tests/support/raft_simulation/operators.py
@@ -52,19 +52,19 @@
         self.repeats = 0
 
     def answered(self, digest: bytes, builds_on: int, verdict: CommandResult) -> None:
-        if verdict.judgement in (CommandOutcome.TAKEN, CommandOutcome.TAKEN_BEFORE):
+        if verdict.outcome in (CommandOutcome.ACCEPTED, CommandOutcome.ALREADY_ACCEPTED):
             if digest in self.refused:
                 raise Violation("confirmed after a refusal", f"the order on {builds_on}")
             if self.confirmed.setdefault(builds_on, digest) != digest:
                 raise Violation("two orders on one version", f"on {builds_on}")
-            self.repeats += verdict.judgement is CommandOutcome.TAKEN_BEFORE
-        elif verdict.judgement is not CommandOutcome.FORGOTTEN:
+            self.repeats += verdict.outcome is CommandOutcome.ALREADY_ACCEPTED
+        elif verdict.outcome is not CommandOutcome.TOO_OLD:
             if self.confirmed.get(builds_on) == digest:
-                raise Violation("a repeat refused", f"the order on {builds_on}: {verdict.judgement.value}")
+                raise Violation("a repeat refused", f"the order on {builds_on}: {verdict.outcome.value}")
             self.refused.add(digest)
 
     def at_the_end(self, machine: ConfigurationStateMachine) -> None:
-        taken = set(machine._taken)
+        taken = set(machine._accepted_versions)
         if taken & self.refused:
             raise Violation("a refused order is in force", "at the end")
         if lost := set(self.confirmed.values()) - taken:
@@ -91,7 +91,7 @@
             ],
             "services": [{"name": "s"}],
         }
-        order = make_command(ConfigCommandKind.WHOLE, self.version, document)
+        order = make_command(ConfigCommandKind.REPLACE, self.version, document)
         self._send(encode_command(order).hex(), order.digest, self.version)
 
     def _send(self, command: str, digest: bytes, builds_on: int) -> None:
