--- a/ochrespan/control_plane/config/documents.py
+++ b/ochrespan/control_plane/config/documents.py
@@ -1,6 +1,7 @@
-"""What the operator and the servers send, as typed dictionaries, and their reading from JSON.
+"""Request bodies of the control interface as typed dictionaries, with their validation and parsing from JSON.
 
-The checks here need the document alone. What depends on the configuration in force is judged in `configuration`.
+The checks here need the document alone; `configuration` checks what depends on the configuration in force. Times ending
+in `_ms` are milliseconds. Unknown fields pass, so that a document of a later version is kept unchanged.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
         add_finding(findings, where, show(value), "a path that begins and ends with a slash")
 
 
-def _key(value: Any, where: str, findings: Findings) -> None:
+def _api_key(value: Any, where: str, findings: Findings) -> None:
     if not isinstance(value, str) or not _PRINTABLE.fullmatch(value):
         add_finding(findings, where, show(value), "a key of printable ASCII characters")
 
@@ -52,7 +53,7 @@
 
 
 class TrafficSplit(TypedDict):
-    """A part of a route's traffic."""
+    """A service that takes a share of a route's requests, in proportion to its weight."""
 
     backend: Annotated[str, _NAME]
     weight: Annotated[float, number()]
@@ -92,7 +93,7 @@
     """A tenant, its keys and its quota."""
 
     name: Annotated[str, _NAME]
-    api_keys: Annotated[list[str], list_of(_key)]
+    api_keys: Annotated[list[str], list_of(_api_key)]
     priority: NotRequired[Annotated[int | None, optional(_COUNT)]]
     unit: NotRequired[Annotated[str | None, optional(text(0))]]
     plain_tokens: NotRequired[Annotated[float | None, optional(number())]]
@@ -113,7 +114,13 @@
 
 
 def check_route(value: Any, where: str, findings: Findings) -> None:
-    """A whole route, with at least one service and some weight."""
+    """Checks a route: its fields, and that it has at least one service and a total weight above 0.
+
+    Args:
+        value: The decoded JSON.
+        where: The position of the value in the document, for findings.
+        findings: Receives what is wrong.
+    """
     before = len(findings)
     _check_route_fields(value, where, findings)
     if len(findings) > before:
@@ -121,14 +128,14 @@
     split = value.get("traffic_split")
     if not split and value.get("backend") is None:
         add_finding(findings, f"{where}.backend", "nothing", "a service, or a traffic_split")
-    elif split and sum(part["weight"] for part in split) <= 0:
+    elif split and sum(target["weight"] for target in split) <= 0:
         add_finding(findings, f"{where}.traffic_split", "weights that add up to 0", "a sum above 0")
     elif split is not None and not split:
         add_finding(findings, f"{where}.traffic_split", "an empty list", "at least one part")
 
 
 def _uniquely_named(item: Check) -> Check:
-    """A list of items of which no two have the same name."""
+    """Returns the check of a list of items that are valid each and have distinct names."""
     check_items = list_of(item)
 
     def check(value: Any, where: str, findings: Findings) -> None:
@@ -168,7 +175,7 @@
 
 
 class Upserts(TypedDict, total=False):
-    """Items to add, or to replace by name; limits are replaced field by field."""
+    """Items to add, or to replace by name; limits are merged field by field."""
 
     routes: NotRequired[Annotated[list[RouteDocument], _ROUTES]]
     services: NotRequired[Annotated[list[ServiceDocument], _SERVICES]]
@@ -177,7 +184,7 @@
 
 
 class Deletions(TypedDict, total=False):
-    """Names of items to remove, and of limits to drop."""
+    """Names of items and of limits to remove."""
 
     routes: NotRequired[Annotated[list[str], _NAMES]]
     services: NotRequired[Annotated[list[str], _NAMES]]
@@ -194,7 +201,7 @@
 
 
 class ModelDocument(TypedDict):
-    """A model that a server holds."""
+    """A model that a server has loaded."""
 
     name: Annotated[str, text(0)]
     generation: NotRequired[Annotated[int | None, optional(_COUNT)]]
@@ -216,7 +223,7 @@
 
 
 class LeadershipDocument(TypedDict):
-    """An operator's wish that a controller leads nothing for a time; 0 ends it."""
+    """The body of `PUT /api/leadership`: for how many seconds the controller declines leadership; 0 ends that."""
 
     decline_for_s: Annotated[float, number()]
 
@@ -227,14 +234,23 @@
 CHECK_LEADERSHIP = typed(LeadershipDocument)
 
 
-def _refuse_constant(constant: str) -> Any:
+def _reject_constant(constant: str) -> Any:
+    """Rejects NaN and the infinities, which `json` reads but RFC 8259 forbids."""
     raise ValueError(f"{constant} is no JSON number")
 
 
 def read_json(body: bytes, check: Check) -> dict[str, Any]:
-    """The checked document in a request's body; raises ValidationError with all findings."""
+    """Parses and checks the JSON document in a request body.
+
+    Args:
+        body: The complete body.
+        check: One of the `CHECK_` values of this module.
+
+    Raises:
+        ValidationError: The body is no JSON, or the document fails the check; with all findings, up to a bound.
+    """
     try:
-        document = json.loads(body, parse_constant=_refuse_constant)
+        document: dict[str, Any] = json.loads(body, parse_constant=_reject_constant)
     except (ValueError, RecursionError) as error:
         raise ValidationError([Finding("body", str(error) or "too deep a nesting", "a whole JSON document")]) from error
     findings: Findings = []
--- a/ochrespan/control_plane/config/views.py
+++ b/ochrespan/control_plane/config/views.py
@@ -1,4 +1,7 @@
-"""The routers' typed views of routes, services, tenants and client limits."""
+"""The routers' typed views of the documents of routes, services, tenants and client limits.
+
+Values that a document lacks are replaced by the defaults here. Times ending in `_ms` are milliseconds.
+"""
 
 from __future__ import annotations
 
@@ -12,11 +15,11 @@
 DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024
 DEFAULT_HEADER_TIMEOUT_MS = 3_000.0
 DEFAULT_IDLE_TIMEOUT_MS = 15_000.0
-LOWEST_PRIORITY = 9
+LOWEST_PRIORITY = 9  # 0 is the highest
 
 
 class RouteType(enum.StrEnum):
-    """What may be repeated on a route; a type that is not known counts as unsafe."""
+    """Whether requests of a route may be retried; an unknown type counts as unsafe."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -24,7 +27,7 @@
 
 
 class QuotaUnit(enum.StrEnum):
-    """What a tenant's quota is measured in."""
+    """The unit of a tenant's quota."""
 
     REQUESTS = "requests"
     TOKENS = "token_metering"
@@ -32,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Split:
-    """A service behind a route, and its weight among the services of the route."""
+    """A service behind a route, and its weight relative to the other services of the route."""
 
     service: str
     weight: float
@@ -40,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """A host and path prefix, and what holds for requests to it."""
+    """A host and path prefix, and how requests to it are routed."""
 
     name: str
     hostname: str
@@ -59,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A service and what is known of its servers in advance."""
+    """A service, and the settings that hold for each of its instances."""
 
     name: str
     health_check: str | None
@@ -69,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant, its keys and its quota; a rate of 0 means no limit."""
+    """A tenant, its API keys and its quota; `rate_per_s` and `burst` count in `unit`, a rate of 0 means no limit."""
 
     name: str
     api_keys: tuple[str, ...]
@@ -82,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """What a client may send, and how long it may take or remain idle."""
+    """Limits on the size of a client's requests, the time to receive a header and the idle time of a connection."""
 
     max_header_bytes: int = DEFAULT_MAX_HEADER_BYTES
     max_body_bytes: int = DEFAULT_MAX_BODY_BYTES
@@ -102,15 +105,14 @@
 
 
 def route_view(document: Mapping[str, Any]) -> Route:
-    """The route of a checked document."""
-    split = document.get("traffic_split")
-    splits = tuple(Split(part["backend"], part["weight"]) for part in split or ()) or (Split(document["backend"], 1),)
+    """Returns the view of a checked route document."""
+    weighted = tuple(Split(target["backend"], target["weight"]) for target in document.get("traffic_split") or ())
     return Route(
         name=document["name"],
         hostname=document["hostname"].lower(),
         path_prefix=document["path_prefix"],
         route_type=_route_type(document.get("route_type")),
-        splits=splits,
+        splits=weighted or (Split(document["backend"], 1),),
         timeout_ms=document.get("timeout_ms") or DEFAULT_TIMEOUT_MS,
         target_latency_ms=document.get("target_latency_ms"),
         priority=_priority(document),
@@ -123,13 +125,13 @@
 
 
 def service_view(document: Mapping[str, Any]) -> Service:
-    """The service of a checked document."""
+    """Returns the view of a checked service document."""
     runtime = document.get("runtime") or {}
     return Service(document["name"], document.get("health_check"), document.get("max_connections"), runtime)
 
 
 def tenant_view(document: Mapping[str, Any]) -> Tenant:
-    """The tenant of a checked document."""
+    """Returns the view of a checked tenant document."""
     return Tenant(
         name=document["name"],
         api_keys=tuple(document["api_keys"]),
@@ -142,7 +144,7 @@
 
 
 def limits_view(document: Mapping[str, Any] | None) -> ClientLimits:
-    """The limits of a checked document; those that are missing take their defaults."""
+    """Returns the view of a checked limits document; limits that are missing or null have their defaults."""
     given = document or {}
     return ClientLimits(**{name: given[name] for name in ClientLimits.__dataclass_fields__ if given.get(name)})
 
--- a/ochrespan/control_plane/responses.py
+++ b/ochrespan/control_plane/responses.py
@@ -1,4 +1,7 @@
-"""Answers of the control interface: a status and a JSON body, made where the decision falls and passed on unchanged."""
+"""Responses of the control interface: an HTTP status and a JSON body.
+
+They are made by the owner of a shard and forwarded unchanged by the controller that received the request.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 from ochrespan.transport import compact
 from ochrespan.transport.codec import message
 
-RETRY_AFTER_S = 0.2
+RETRY_AFTER_S = 0.2  # in the Retry-After header of a response 503
 
 OK = 200
 BAD_REQUEST = 400
@@ -25,33 +28,38 @@
 @message("cp.answer")
 @dataclass(slots=True)
 class Response:
-    """A final answer to a call of the control interface; the body is packed by `compact`."""
+    """A final response to a request of the control interface; the body is compressed by `compact`."""
 
     status: int
     packed_body: bytes
 
     @property
     def body(self) -> bytes:
-        """The JSON text."""
+        """The JSON text, decompressed."""
         return compact.decompress(self.packed_body)
 
 
 @message("cp.elsewhere")
 @dataclass(slots=True)
 class NotLeaderResponse:
-    """This process does not lead the shard, and the call has left no trace."""
+    """This process does not lead the shard, and the request had no effect: another controller may be tried."""
 
 
 def json_response(status: int, document: Any) -> Response:
-    """An answer with a JSON body."""
+    """Returns a response with a JSON body."""
     return Response(status, compact.compress(json.dumps(document, ensure_ascii=False).encode()))
 
 
 def findings_response(status: int, findings: Iterable[Finding]) -> Response:
-    """An answer that names the findings."""
-    return json_response(status, {"findings": [each.fields() for each in findings]})
+    """Returns a response whose body lists the findings."""
+    return json_response(status, {"findings": [finding.fields() for finding in findings]})
 
 
 def unavailable_response(where: str, found: str) -> Response:
-    """No verdict: the caller asks again, here or elsewhere."""
+    """Returns a 503: the outcome is unknown, and the caller may repeat the request here or at another controller.
+
+    Args:
+        where: What the request concerned.
+        found: Why there is no outcome.
+    """
     return findings_response(UNAVAILABLE, [Finding(where, found, "a replica group that can decide")])
--- a/tests/control_plane/config/test_configuration.py
+++ b/tests/control_plane/config/test_configuration.py
@@ -163,7 +163,7 @@
         by_steps = by_steps.changed_by(step)
         at_once = Configuration().changed_by(change_to(Configuration(), document))
         assert by_steps.routes == at_once.routes
-        assert by_steps.route_names_by_place == at_once.route_names_by_place
+        assert by_steps.route_names_by_location == at_once.route_names_by_location
 
 
 def test_a_patch_of_one_route_among_thousands_costs_little():
