--- a/ochrespan/control_plane/api/forwarding.py
+++ b/ochrespan/control_plane/api/forwarding.py
@@ -52,7 +52,7 @@
             ReadConfiguration: configuration_owner.read,
             ReadHistory: configuration_owner.history,
             InstanceReport: instance_owner.report,
-            InstanceEnded: instance_owner.ended,
+            InstanceEnded: instance_owner.remove,
         }
 
     def register(self, call_server: RpcServer) -> None:
--- a/ochrespan/control_plane/controller.py
+++ b/ochrespan/control_plane/controller.py
@@ -96,7 +96,7 @@
 
     def start(self) -> None:
         """Begins the periodic work."""
-        tasks = (self._instance_owner.watch, self._feed.run, self._presence.run)
+        tasks = (self._instance_owner.run, self._feed.run, self._presence.run)
         self._tasks = [gevent.spawn(task) for task in tasks]
 
     def stop(self) -> None:
--- a/ochrespan/control_plane/registry/change_batch.py
+++ b/ochrespan/control_plane/registry/change_batch.py
@@ -1,4 +1,4 @@
-"""Changes of one shard of instances that wait to be sent to the routers together. Pure."""
+"""Changes of one instance shard that are merged, to be sent to the routers together. Pure."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 @dataclass(slots=True)
 class ChangeBatch:
-    """The latest word on each instance that changed; None where it was removed."""
+    """The latest record of each instance that changed, None where it was removed."""
 
-    offset: int = 0  # of the latest change
+    offset: int = 0  # log index of the latest change
     _latest: dict[str, InstanceRecord | None] = field(default_factory=dict)
 
     def __bool__(self) -> bool:
         return bool(self._latest)
 
     def add(self, offset: int, change: InstancesChange) -> None:
-        """Another change, at the next offset of the shard's log."""
+        """Merges another change, at a later offset of the shard's log."""
         self.offset = offset
         for instance_id in change.removed:
             self._latest[instance_id] = None
@@ -27,7 +27,7 @@
             self._latest[record.id] = record
 
     def take(self) -> InstancesChange:
-        """The change from before the first to after the latest one, and nothing waits any more."""
+        """Returns the merged change and empties the batch."""
         upserted = tuple(record for record in self._latest.values() if record is not None)
         removed = tuple(instance_id for instance_id, record in self._latest.items() if record is None)
         self._latest.clear()
--- a/ochrespan/control_plane/registry/changes.py
+++ b/ochrespan/control_plane/registry/changes.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstancesChange:
-    """What a command changed."""
+    """What a command changed: records added or replaced, and ids of instances removed."""
 
     upserted: tuple[InstanceRecord, ...] = ()
     removed: tuple[str, ...] = ()
--- a/ochrespan/control_plane/registry/commands.py
+++ b/ochrespan/control_plane/registry/commands.py
@@ -11,7 +11,7 @@
 @message("cp.register")
 @dataclass(slots=True)
 class RegisterInstance:
-    """A new incarnation, or a change of one: the fields of its record."""
+    """Registers an incarnation or updates it; `record` holds the fields of an `InstanceRecord`."""
 
     record: dict[str, Any]
 
@@ -19,7 +19,7 @@
 @message("cp.remove")
 @dataclass(slots=True)
 class RemoveInstance:
-    """An incarnation has ended."""
+    """Removes an incarnation that has ended, for good."""
 
     id: str
 
@@ -27,6 +27,9 @@
 @message("cp.expire")
 @dataclass(slots=True)
 class ExpireInstances:
-    """Incarnations that were silent, each with the sequence number of its record when that was found."""
+    """Expires incarnations that sent no heartbeat.
+
+    `sequences` holds the sequence number that each one's record had when it was found expired: a newer record wins.
+    """
 
     sequences: dict[str, int]
--- a/ochrespan/control_plane/registry/heartbeats.py
+++ b/ochrespan/control_plane/registry/heartbeats.py
@@ -1,5 +1,6 @@
-"""When the owner of a shard last heard of each instance, and which of them it may take for dead. Pure: time is an
-argument, in seconds of the steady clock.
+"""Detection of instances whose heartbeats fail to arrive, at the leader of their shard.
+
+Pure: the time is an argument, in seconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -8,57 +9,63 @@
 
 TIMEOUT_HEARTBEATS = 3.5
 TIMEOUT_SLACK_S = 1.0
-MAX_CHECK_GAP_S = 1.0  # a watcher that was itself away for longer begins anew
-MASS_EXPIRY_FRACTION = 0.5  # more than this share silent at once points to the watcher, or to its links
+MAX_CHECK_GAP_S = 1.0  # a monitor that was itself paused for longer may have missed heartbeats and starts again
+MASS_EXPIRY_FRACTION = 0.5  # more than this fraction expired at once points to a fault of the leader or of its links
 MASS_EXPIRY_MIN_INSTANCES = 3
-MASS_EXPIRY_TIMEOUTS = 2.0
+MASS_EXPIRY_TIMEOUTS = 2.0  # how many time-outs have to pass in that case
 
 
 def heartbeat_timeout_s(heartbeat_s: float) -> float:
-    """How long an instance may be silent."""
+    """Returns how many seconds an instance may go without a heartbeat, for an interval of heartbeats in seconds."""
     return TIMEOUT_HEARTBEATS * heartbeat_s + TIMEOUT_SLACK_S
 
 
 class HeartbeatMonitor:
-    """The last report of each instance of one shard, kept while this process owns the shard."""
+    """The last heartbeat of each instance of one shard, recorded while this process leads the shard."""
 
-    def __init__(self, timeout: float) -> None:
-        self._timeout = timeout
-        self._listening_since: float | None = None
+    def __init__(self, timeout_s: float) -> None:
+        self._timeout_s = timeout_s
+        self._started_at: float | None = None  # None while this process does not lead the shard
         self._checked_at = 0.0
-        self._heard_at: dict[str, float] = {}
+        self._last_heartbeat_at: dict[str, float] = {}
         self._sequences: dict[str, int] = {}
 
-    def begin(self, now: float) -> None:
-        """This process has become the owner: everyone gets the whole time-out."""
-        self._listening_since = self._checked_at = now
-        self._heard_at.clear()
+    def start(self, now: float) -> None:
+        """Starts on becoming leader: every instance gets the full time-out, as its heartbeats went elsewhere before."""
+        self._started_at = now
+        self._checked_at = now
+        self._last_heartbeat_at.clear()
         self._sequences.clear()
 
-    def end(self) -> None:
-        """This process is the owner no more."""
-        self._listening_since = None
+    def stop(self) -> None:
+        """Stops on losing leadership: nothing expires any more."""
+        self._started_at = None
 
-    def heard(self, instance_id: str, sequence: int, now: float) -> None:
-        """Notes a report, unless it is older than the last."""
+    def record(self, instance_id: str, sequence: int, now: float) -> None:
+        """Records a heartbeat, unless its sequence number is lower than that of an earlier one."""
         if sequence >= self._sequences.get(instance_id, 0):
             self._sequences[instance_id] = sequence
-            self._heard_at[instance_id] = now
+            self._last_heartbeat_at[instance_id] = now
 
     def forget(self, instance_id: str) -> None:
-        """The instance is no longer registered."""
-        self._heard_at.pop(instance_id, None)
+        """Drops what is known of an instance that is no longer registered."""
+        self._last_heartbeat_at.pop(instance_id, None)
         self._sequences.pop(instance_id, None)
 
     def expired(self, registered: Iterable[str], now: float) -> list[str]:
-        """Instances that were silent for the whole time-out while this process listened."""
-        gap, self._checked_at = now - self._checked_at, now
-        if self._listening_since is None:
+        """Returns the registered instances without a heartbeat for the full time-out.
+
+        Has to be called more often than every `MAX_CHECK_GAP_S`. Where most instances seem expired at once, the fault
+        is more likely here than there, so they get `MASS_EXPIRY_TIMEOUTS` time-outs.
+        """
+        gap = now - self._checked_at
+        self._checked_at = now
+        if self._started_at is None:
             return []
         if gap > MAX_CHECK_GAP_S:
-            self._listening_since = now
-        ages = {each: now - max(self._heard_at.get(each, 0.0), self._listening_since) for each in registered}
-        silent = [each for each, age in ages.items() if age > self._timeout]
-        if len(silent) >= MASS_EXPIRY_MIN_INSTANCES and len(silent) > MASS_EXPIRY_FRACTION * len(ages):
-            return [each for each in silent if ages[each] > MASS_EXPIRY_TIMEOUTS * self._timeout]
-        return silent
+            self._started_at = now
+        ages = {each: now - max(self._last_heartbeat_at.get(each, 0.0), self._started_at) for each in registered}
+        expired = [each for each, age in ages.items() if age > self._timeout_s]
+        if len(expired) >= MASS_EXPIRY_MIN_INSTANCES and len(expired) > MASS_EXPIRY_FRACTION * len(ages):
+            return [each for each in expired if ages[each] > MASS_EXPIRY_TIMEOUTS * self._timeout_s]
+        return expired
--- a/ochrespan/control_plane/registry/owner.py
+++ b/ochrespan/control_plane/registry/owner.py
@@ -1,4 +1,8 @@
-"""The leader's side of an instance shard: acknowledges heartbeats and expires silent instances."""
+"""The owner of an instance shard: its leader, which acknowledges heartbeats and expires instances that send none.
+
+A heartbeat that changes nothing is not replicated: it is recorded at the leader alone, and a new leader gives every
+instance the full time-out before it expires any.
+"""
 
 from __future__ import annotations
 
@@ -22,13 +26,13 @@
 
 log = logging.getLogger(__name__)
 
-EXPIRY_INTERVAL_S = 0.5
+EXPIRY_INTERVAL_S = 0.5  # shorter than MAX_CHECK_GAP_S of the monitors
 
 
 @message("cp.report")
 @dataclass(slots=True)
 class InstanceReport:
-    """A server's report of itself."""
+    """A server's report of itself, which is also its heartbeat: the fields of its record."""
 
     shard: int
     record: dict[str, Any]
@@ -37,85 +41,98 @@
 @message("cp.ended")
 @dataclass(slots=True)
 class InstanceEnded:
-    """A server's word that it has ended."""
+    """A server's notification that its incarnation `id` has ended."""
 
     shard: int
     id: str
 
 
 class InstanceOwner:
-    """Answers servers where this process leads the shard of their service; raises NotLeaderError elsewhere."""
+    """Handles the reports of servers in the process that leads the shard of their service.
+
+    `report` and `remove` raise NotLeaderError where another process leads it: the caller then forwards the request.
+    """
 
     def __init__(self, groups: ReplicaGroups, machines: Mapping[int, InstanceStateMachine], heartbeat_s: float) -> None:
         self._groups = groups
         self._machines = machines
-        self._watches = {shard: HeartbeatMonitor(heartbeat_timeout_s(heartbeat_s)) for shard in machines}
+        self._monitors = {shard: HeartbeatMonitor(heartbeat_timeout_s(heartbeat_s)) for shard in machines}
 
     def leadership_changed(self, shard: int, is_leader: bool) -> None:
-        """To be called when this process begins or ceases to lead a shard."""
-        if shard not in self._watches:
+        """Starts or stops the monitor of a shard whose leadership this process gained or lost."""
+        if shard not in self._monitors:
             return
         if is_leader:
-            self._watches[shard].begin(monotonic())
+            self._monitors[shard].start(monotonic())
         else:
-            self._watches[shard].end()
+            self._monitors[shard].stop()
 
     def report(self, report: InstanceReport) -> Response:
         """Acknowledges a report: a mere heartbeat at once, a change after its commitment."""
-        shard, record = report.shard, record_from_fields(report.record)
+        shard = report.shard
+        record = record_from_fields(report.record)
         self._require_leadership(shard)
-        machine, watch = self._machines[shard], self._watches[shard]
-        watch.heard(record.id, record.sequence, monotonic())
-        if not _is_change(machine, record):
-            return self._soft_acknowledgement(shard)
+        self._monitors[shard].record(record.id, record.sequence, monotonic())
+        if not _is_change(self._machines[shard], record):
+            return self._acknowledge_uncommitted(shard)
         try:
             self._groups.propose(shard, encode(RegisterInstance(record_fields(record))), CALL_TIMEOUT_S)
         except OutcomeUnknownError as error:
             return unavailable_response("instance", str(error) or "no commitment in time")
         return json_response(OK, {})
 
-    def ended(self, request: InstanceEnded) -> Response:
-        """Acknowledges the end of an instance after its commitment."""
-        self._require_leadership(request.shard)
-        if self._machines[request.shard].is_gone(request.id):
-            return self._soft_acknowledgement(request.shard)
+    def remove(self, request: InstanceEnded) -> Response:
+        """Acknowledges the end of an instance after its removal is committed."""
+        shard = request.shard
+        self._require_leadership(shard)
+        if self._machines[shard].is_removed(request.id):
+            return self._acknowledge_uncommitted(shard)
         try:
-            self._groups.propose(request.shard, encode(RemoveInstance(request.id)), CALL_TIMEOUT_S)
+            self._groups.propose(shard, encode(RemoveInstance(request.id)), CALL_TIMEOUT_S)
         except OutcomeUnknownError as error:
             return unavailable_response("instance", str(error) or "no commitment in time")
-        self._watches[request.shard].forget(request.id)
+        self._monitors[shard].forget(request.id)
         return json_response(OK, {})
 
-    def watch(self) -> None:
-        """Expires silent instances until the greenlet is killed."""
+    def run(self) -> None:
+        """Expires instances until the greenlet is killed.
+
+        Each shard's command runs in a greenlet of its own: a shard without a majority must not delay the checks of the
+        others, whose monitors would start again.
+        """
         while True:
             gevent.sleep(EXPIRY_INTERVAL_S)
-            for shard in self._watches:
-                if silent := self.find_expired(shard, monotonic()):
-                    gevent.spawn(self._expire, shard, silent)
+            for shard in self._monitors:
+                if expired := self.find_expired(shard, monotonic()):
+                    gevent.spawn(self._expire, shard, expired)
 
     def find_expired(self, shard: int, now: float) -> list[str]:
-        """Instances of a shard that this process leads and that were silent for too long."""
-        silent = self._watches[shard].expired(self._machines[shard].records, now)
-        return silent if silent and self._groups.is_leader(shard) else []
+        """Returns the instances to expire in a shard; none if this process does not lead it."""
+        expired = self._monitors[shard].expired(self._machines[shard].records, now)
+        return expired if expired and self._groups.is_leader(shard) else []
 
-    def _expire(self, shard: int, silent: list[str]) -> None:
+    def _expire(self, shard: int, expired: list[str]) -> None:
+        """Proposes an expiry; the sequence numbers keep it from an instance that reports before the commitment."""
         records = self._machines[shard].records
-        sequences = {each: records[each].sequence for each in silent if each in records}
+        sequences = {each: records[each].sequence for each in expired if each in records}
         try:
             change = self._groups.propose(shard, encode(ExpireInstances(sequences)), CALL_TIMEOUT_S)
         except (OutcomeUnknownError, NotLeaderError) as error:
-            log.info("expiry undecided shard=%d error=%r", shard, str(error))
-            return
+            log.info("instance expiry undecided shard=%d error=%r", shard, str(error))
+            return  # the next check finds them again
         for instance_id in change.removed:
-            self._watches[shard].forget(instance_id)
-        log.info("instances expired shard=%d ids=%s", shard, ",".join(change.removed))
+            self._monitors[shard].forget(instance_id)
+        log.info("instances expired shard=%d instances=%s", shard, ",".join(change.removed))
 
     def _require_leadership(self, shard: int) -> None:
         if not self._groups.is_leader(shard):
             raise NotLeaderError(self._groups.leader(shard))
 
-    def _soft_acknowledgement(self, shard: int) -> Response:
+    def _acknowledge_uncommitted(self, shard: int) -> Response:
+        """Acknowledges a request that changes nothing, provided that a majority still follows this leader.
+
+        A leader that was replaced without noticing would acknowledge heartbeats that the new leader never sees.
+        """
         if self._groups.lease_age_s(shard) > LEASE_DURATION_S:
             return unavailable_response("instance", "no majority")
         return json_response(OK, {})
@@ -123,6 +140,6 @@
 
 def _is_change(machine: InstanceStateMachine, record: InstanceRecord) -> bool:
     known = machine.records.get(record.id)
-    if known is not None and known.same_apart_from_time(record):
+    if known is not None and known.equals_ignoring_time(record):
         return False
     return machine.accepts(record)
--- a/ochrespan/control_plane/registry/records.py
+++ b/ochrespan/control_plane/registry/records.py
@@ -17,7 +17,21 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceRecord:
-    """One incarnation of a server, as it last reported a change of itself."""
+    """One incarnation of a server, as it last reported a change of itself. The field names are on the wire.
+
+    Attributes:
+        id: Distinguishes incarnations: a server that restarts has another one.
+        backend: The service that the server belongs to.
+        address: IP:PORT.
+        state: A value of `InstanceState`.
+        sequence: Rises from change to change; a report with one that is not above the last changes nothing.
+        zone: The zone that the server runs in, empty if unknown.
+        generation: The generation of the server, empty if unknown.
+        capacity: Requests at once, 0 if unknown.
+        cold_remaining_ms: How long the slow start goes on, in milliseconds from the report.
+        phase: A phase that the server names, empty if it names none.
+        models: The models that the server has loaded.
+    """
 
     id: str
     backend: str
@@ -27,12 +41,12 @@
     zone: str = ""
     generation: str = ""
     capacity: int = 0
-    cold_remaining_ms: float = 0.0  # at the time of the report
+    cold_remaining_ms: float = 0.0
     phase: str = ""
     models: tuple[Mapping[str, Any], ...] = ()
 
-    def same_apart_from_time(self, other: InstanceRecord) -> bool:
-        """Whether a report tells nothing new, so that it is a mere heartbeat."""
+    def equals_ignoring_time(self, other: InstanceRecord) -> bool:
+        """Returns whether the records differ in `sequence` and `cold_remaining_ms` at most: a mere heartbeat."""
         return (
             self.state == other.state
             and self.address == other.address
@@ -46,7 +60,7 @@
 
 
 def record_of(instance_id: str, document: Mapping[str, Any]) -> InstanceRecord:
-    """The record for a checked report of a server."""
+    """Returns the record of a checked `InstanceDocument`."""
     return InstanceRecord(
         id=instance_id,
         backend=document["backend"],
@@ -63,11 +77,11 @@
 
 
 def record_fields(record: InstanceRecord) -> dict[str, Any]:
-    """The record as a map, for messages and answers."""
+    """Returns the record as a map, for messages and responses."""
     return asdict(record)
 
 
 def record_from_fields(fields: Mapping[str, Any]) -> InstanceRecord:
-    """The record that `record_fields` has written, by this version of the program or another."""
+    """Returns the record that `record_fields` made; fields that only later versions of the program know are dropped."""
     known = {name: value for name, value in fields.items() if name in InstanceRecord.__dataclass_fields__}
     return InstanceRecord(**{**known, "models": tuple(known.get("models") or ())})
--- a/ochrespan/control_plane/registry/slow_start.py
+++ b/ochrespan/control_plane/registry/slow_start.py
@@ -1,4 +1,7 @@
-"""Until when instances that have just started are slow, for snapshots that are sent later. Pure."""
+"""When the slow start of each instance ends, so that a snapshot of the feed that is sent later has the remaining time.
+
+Pure: the time is an argument, in seconds of the monotonic clock.
+"""
 
 from __future__ import annotations
 
@@ -11,13 +14,16 @@
 
 
 class SlowStartTimes:
-    """The end of each instance's cold time, counted from when its record was applied here."""
+    """The end of each instance's slow start, counted from when its record was applied here."""
 
     def __init__(self) -> None:
         self._cold_until: dict[str, float] = {}
 
     def note(self, change: InstancesChange, now: float) -> None:
-        """Takes over what a command changed. An instance is cold from its start only, so the first word holds."""
+        """Updates the times from an applied change.
+
+        An instance has one slow start, at its start: the first record decides, later ones don't prolong it.
+        """
         for instance_id in change.removed:
             self._cold_until.pop(instance_id, None)
         for record in change.upserted:
@@ -25,6 +31,6 @@
                 self._cold_until.setdefault(record.id, now + record.cold_remaining_ms / MILLISECONDS)
 
     def aged(self, record: InstanceRecord, now: float) -> InstanceRecord:
-        """The record with what is left of its cold time."""
-        left = max(0.0, self._cold_until.get(record.id, now) - now) * MILLISECONDS
-        return record if left == record.cold_remaining_ms else replace(record, cold_remaining_ms=left)
+        """Returns the record with the remaining time of its slow start."""
+        remaining_ms = max(0.0, self._cold_until.get(record.id, now) - now) * MILLISECONDS
+        return record if remaining_ms == record.cold_remaining_ms else replace(record, cold_remaining_ms=remaining_ms)
--- a/ochrespan/control_plane/registry/state_machine.py
+++ b/ochrespan/control_plane/registry/state_machine.py
@@ -1,13 +1,13 @@
-"""The state machine of a shard of instances: which incarnations of servers are registered, draining or gone.
+"""The state machine of an instance shard: which incarnations of servers are registered, draining or removed.
 
-An incarnation that is draining does not become ready again, and one that is gone does not come back. An incarnation
-that was expired, since it was not heard of, may come back by a report with a higher sequence number.
+An incarnation that drains does not become ready again, and one that was removed does not return. An expired one, whose
+heartbeats failed to arrive, may return by a report with a higher sequence number.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from typing import Any
 
 from ochrespan.transport import compact
@@ -21,17 +21,48 @@
 MAX_REMEMBERED_REMOVALS = 8192
 
 
-@dataclass(slots=True)
-class _Departed:
-    """Incarnations that are no longer registered, oldest first, bounded."""
+@dataclass(frozen=True, slots=True)
+class _Removal:
+    """How an incarnation left the registry; a list of the fields, in this sequence, in snapshots.
 
-    entries: dict[str, list[Any]] = field(default_factory=dict)
+    Attributes:
+        sequence: The sequence number of its last record, 0 if it had none.
+        is_final: Whether no report brings it back: it ended or was replaced, rather than expired.
+        was_draining: Whether it drained, so that it may only return draining.
+    """
 
-    def add(self, instance_id: str, sequence: int, final: bool, draining: bool = False) -> None:
-        self.entries.pop(instance_id, None)
-        self.entries[instance_id] = [sequence, final, draining]
-        if len(self.entries) > MAX_REMEMBERED_REMOVALS:
-            del self.entries[next(iter(self.entries))]
+    sequence: int
+    is_final: bool
+    was_draining: bool = False
+
+
+class _RemovalMemory:
+    """Removals by instance, at most `MAX_REMEMBERED_REMOVALS`; the one that was added first is evicted first."""
+
+    def __init__(self, entries: Mapping[str, list[Any]] | None = None) -> None:
+        self._removals = {instance_id: _Removal(*fields) for instance_id, fields in (entries or {}).items()}
+
+    def add(self, instance_id: str, removal: _Removal) -> None:
+        """Remembers the latest removal of an instance."""
+        self._removals.pop(instance_id, None)
+        self._removals[instance_id] = removal
+        if len(self._removals) > MAX_REMEMBERED_REMOVALS:
+            del self._removals[next(iter(self._removals))]
+
+    def get(self, instance_id: str) -> _Removal | None:
+        """Returns the removal of an instance, if it is remembered."""
+        return self._removals.get(instance_id)
+
+    def discard(self, instance_id: str) -> None:
+        """Forgets the removal of an instance that is registered again."""
+        self._removals.pop(instance_id, None)
+
+    def fields(self) -> dict[str, list[Any]]:
+        """Returns the form for snapshots."""
+        return {
+            instance_id: [removal.sequence, removal.is_final, removal.was_draining]
+            for instance_id, removal in self._removals.items()
+        }
 
 
 class InstanceStateMachine:
@@ -39,12 +70,12 @@
 
     def __init__(self) -> None:
         self.records: dict[str, InstanceRecord] = {}
-        self._ids_by_address: dict[str, str] = {}
-        self._departed = _Departed()
         self.placements = PrefixPlacements()
+        self._ids_by_address: dict[str, str] = {}
+        self._removals = _RemovalMemory()
 
-    def apply(self, index: int, command: bytes) -> InstancesChange:
-        """What the command changed; nothing for one that comes too late."""
+    def apply(self, index: int, command: bytes) -> InstancesChange:  # noqa: ARG002 - the StateMachine protocol has it
+        """Applies a committed command and returns what it changed; a late or malformed command changes nothing."""
         try:
             decoded = decode(command)
         except MessageError:
@@ -60,45 +91,48 @@
         return NO_CHANGE
 
     def accepts(self, record: InstanceRecord) -> bool:
-        """Whether a report is newer than what is known and does not lead back."""
+        """Returns whether a report is newer than what is known, and no return from draining or from removal."""
         known = self.records.get(record.id)
         if known is not None:
-            return record.sequence > known.sequence and not _leads_back(known.state, record.state)
-        if (departed := self._departed.entries.get(record.id)) is None:
+            returns_to_ready = known.state == InstanceState.DRAINING and record.state == InstanceState.READY
+            return record.sequence > known.sequence and not returns_to_ready
+        removal = self._removals.get(record.id)
+        if removal is None:
             return True
-        sequence, final, draining = departed
-        return not final and record.sequence > sequence and not (draining and record.state == InstanceState.READY)
+        returns_to_ready = removal.was_draining and record.state == InstanceState.READY
+        return not removal.is_final and record.sequence > removal.sequence and not returns_to_ready
 
-    def is_gone(self, instance_id: str) -> bool:
-        """Whether an incarnation has ended for good, so that no report brings it back."""
-        departed = self._departed.entries.get(instance_id)
-        return departed is not None and departed[1]
+    def is_removed(self, instance_id: str) -> bool:
+        """Returns whether an incarnation was removed for good, so that no report brings it back."""
+        removal = self._removals.get(instance_id)
+        return removal is not None and removal.is_final
 
     def snapshot(self) -> bytes:
-        """The whole state, compressed."""
+        """Packs the complete state."""
         records = [record_fields(record) for record in self.records.values()]
-        return compact.pack([records, self._departed.entries, self.placements.fields()])
+        return compact.pack([records, self._removals.fields(), self.placements.fields()])
 
     def restore(self, data: bytes) -> None:
-        """Takes over the state of a snapshot."""
-        records, departed, *placements = compact.unpack(data)  # snapshots of earlier versions lack the homes
+        """Replaces the state by that of a snapshot, which may be of an earlier version of the program."""
+        records, removals, *placements = compact.unpack(data)  # earlier versions lack the placements
         self.records = {fields["id"]: record_from_fields(fields) for fields in records}
         self._ids_by_address = {record.address: record.id for record in self.records.values()}
-        self._departed = _Departed(departed)
+        self._removals = _RemovalMemory(removals)
         self.placements = PrefixPlacements(placements[0] if placements else None)
 
     def _register(self, record: InstanceRecord) -> InstancesChange:
+        """Registers or updates an incarnation; a new one at an address replaces the old one there."""
         if not self.accepts(record):
             return NO_CHANGE
         removed: tuple[str, ...] = ()
-        holder = self._ids_by_address.get(record.address)
-        if holder is not None and holder != record.id:
-            self._depart(self.records[holder], final=True)
-            removed = (holder,)
+        replaced_id = self._ids_by_address.get(record.address)
+        if replaced_id is not None and replaced_id != record.id:
+            self._unregister(self.records[replaced_id], is_final=True)
+            removed = (replaced_id,)
         known = self.records.get(record.id)
         if known is not None and known.address != record.address:
             self._ids_by_address.pop(known.address, None)
-        self._departed.entries.pop(record.id, None)
+        self._removals.discard(record.id)
         self.records[record.id] = record
         self._ids_by_address[record.address] = record.id
         return InstancesChange((record,), removed)
@@ -106,32 +140,27 @@
     def _remove(self, instance_id: str) -> InstancesChange:
         record = self.records.get(instance_id)
         if record is None:
-            self._mark_as_gone(instance_id)
+            # it has expired, or a report of it is still on its way here: such a report must not register it
+            earlier = self._removals.get(instance_id)
+            self._removals.add(instance_id, _Removal(earlier.sequence if earlier else 0, is_final=True))
             return NO_CHANGE
-        self._depart(record, final=True)
+        self._unregister(record, is_final=True)
         return InstancesChange(removed=(instance_id,))
 
-    def _mark_as_gone(self, instance_id: str) -> None:
-        """The end of one that was expired, or whose reports are late or were never heard: none may follow."""
-        sequence = self._departed.entries.get(instance_id, [0])[0]
-        self._departed.add(instance_id, sequence, final=True)
-
     def _expire(self, sequences: Mapping[str, int]) -> InstancesChange:
+        """Expires instances, apart from those with a newer record: they reported after the leader's check."""
         expired = [
             record
             for instance_id, sequence in sequences.items()
             if (record := self.records.get(instance_id)) is not None and record.sequence == sequence
         ]
         for record in expired:
-            self._depart(record, final=False)
+            self._unregister(record, is_final=False)
         return InstancesChange(removed=tuple(record.id for record in expired))
 
-    def _depart(self, record: InstanceRecord, final: bool) -> None:
+    def _unregister(self, record: InstanceRecord, is_final: bool) -> None:
         del self.records[record.id]
         if self._ids_by_address.get(record.address) == record.id:
             del self._ids_by_address[record.address]
-        self._departed.add(record.id, record.sequence, final, record.state == InstanceState.DRAINING)
-
-
-def _leads_back(before: str, after: str) -> bool:
-    return before == InstanceState.DRAINING and after == InstanceState.READY
+        was_draining = record.state == InstanceState.DRAINING
+        self._removals.add(record.id, _Removal(record.sequence, is_final, was_draining))
--- a/ochrespan/control_plane/registry/views.py
+++ b/ochrespan/control_plane/registry/views.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """One incarnation of a server; `cold_until` is a time of this machine's steady clock."""
+    """One incarnation of a server; `cold_until` is the end of its slow start by the monotonic clock here."""
 
     id: str
     service: str
@@ -26,7 +26,7 @@
 
 
 def instance_view(record: InstanceRecord, now: float) -> Instance:
-    """The instance of a record that arrived at `now`."""
+    """Returns the view of a record that arrived at `now`, in seconds of the monotonic clock."""
     return Instance(
         id=record.id,
         service=record.backend,
--- a/tests/control_plane/registry/test_instances.py
+++ b/tests/control_plane/registry/test_instances.py
@@ -148,9 +148,9 @@
 
 def watched(*heard, began=100.0):
     watch = HeartbeatMonitor(TIMEOUT)
-    watch.begin(began)
+    watch.start(began)
     for instance_id, sequence, at in heard:
-        watch.heard(instance_id, sequence, at)
+        watch.record(instance_id, sequence, at)
     return watch
 
 
@@ -173,7 +173,7 @@
 def test_a_new_owner_gives_everyone_the_whole_timeout_first():
     watch = watched(began=100.0)
     assert tick(watch, ["a"], 100.0 + TIMEOUT)[0] == []
-    watch.begin(200.0)
+    watch.start(200.0)
     assert tick(watch, ["a"], 200.0 + TIMEOUT, since=200.0)[0] == []
 
 
@@ -186,7 +186,7 @@
 
 def test_a_watch_that_ended_names_nobody():
     watch = watched(("a", 1, 100.0))
-    watch.end()
+    watch.stop()
     assert tick(watch, ["a"], 150.0)[0] == []
 
 
@@ -205,5 +205,5 @@
 def test_what_is_forgotten_may_begin_again_with_a_low_sequence_number():
     watch = watched(("a", 9, 101.0))
     watch.forget("a")
-    watch.heard("a", 1, 106.0)
+    watch.record("a", 1, 106.0)
     assert tick(watch, ["a"], 106.0 + TIMEOUT)[0] == []
--- a/tests/golden/test_wire_bytes.py
+++ b/tests/golden/test_wire_bytes.py
@@ -271,7 +271,7 @@
     machine.restore(RECORDED["snapshot/instances"])
     assert machine.records == expected.records
     assert sorted(machine.records) == ["chat-1", "code-1"]
-    assert (machine.is_gone("chat-3"), machine.is_gone("chat-2")) == (True, False)
+    assert (machine.is_removed("chat-3"), machine.is_removed("chat-2")) == (True, False)
     assert machine.placements.fields() == expected.placements.fields()
     assert_same_content(machine.snapshot(), "snapshot/instances")
 
