--- a/tests/control_plane/config/test_commands.py
+++ b/tests/control_plane/config/test_commands.py
@@ -1,19 +1,18 @@
-"""Orders are taken once, and what was taken is never refused: by the state machine and over several controllers."""
+"""Commands are accepted once and never rejected afterwards, by the state machine and across several controllers."""
 
 import gevent
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ochrespan.control_plane.config import change_history
-from ochrespan.control_plane.config import state_machine as orders
+from ochrespan.control_plane.config import change_history, state_machine
 from ochrespan.control_plane.config.commands import ConfigCommandKind, encode_command, make_command
 from ochrespan.control_plane.config.state_machine import CommandOutcome, ConfigurationStateMachine
 from ochrespan.transport import compact
 from tests.support.control_plane_world import World, configuration, route
 
 
-def whole(generation, builds_on, *routes):
+def replace(generation, builds_on, *routes):
     return encode_command(make_command(ConfigCommandKind.REPLACE, builds_on, configuration(generation, *routes)))
 
 
@@ -21,14 +20,14 @@
     return encode_command(make_command(ConfigCommandKind.PATCH, builds_on, {"generation": generation, **fields}))
 
 
-def judgements(machine, *commands):
+def outcomes(machine, *commands):
     return [machine.apply(index, command).outcome for index, command in enumerate(commands, start=1)]
 
 
-def test_the_same_order_is_taken_once_and_acknowledged_again_also_after_later_versions():
+def test_a_repeated_command_is_accepted_once_and_acknowledged_again_also_after_later_versions():
     machine = ConfigurationStateMachine()
-    first, second = whole(3, 0), patch(5, 3, upsert={"routes": [route("r2")]})
-    assert judgements(machine, first, first, second, second, first) == [
+    first, second = replace(3, 0), patch(5, 3, upsert={"routes": [route("r2")]})
+    assert outcomes(machine, first, first, second, second, first) == [
         CommandOutcome.ACCEPTED,
         CommandOutcome.ALREADY_ACCEPTED,
         CommandOutcome.ACCEPTED,
@@ -38,12 +37,12 @@
     assert machine.current.version == 5
 
 
-def test_the_same_order_with_its_fields_in_another_sequence_is_the_same_order():
+def test_the_digest_does_not_depend_on_the_sequence_of_fields():
     document = configuration(3)
-    turned = dict(reversed(document.items()))
+    reordered = dict(reversed(document.items()))
     assert (
         make_command(ConfigCommandKind.REPLACE, 0, document).digest
-        == make_command(ConfigCommandKind.REPLACE, 0, turned).digest
+        == make_command(ConfigCommandKind.REPLACE, 0, reordered).digest
     )
     assert (
         make_command(ConfigCommandKind.REPLACE, 0, document).digest
@@ -51,20 +50,20 @@
     )
 
 
-def test_the_same_order_with_its_numbers_written_in_another_way_is_the_same_order():
+def test_the_digest_does_not_depend_on_how_numbers_are_written():
     plain, other = configuration(3, route("a", timeout_ms=8000)), configuration(3, route("a", timeout_ms=8000.0))
-    orders_of = [make_command(kind, 0, document) for kind in ConfigCommandKind for document in (plain, other)]
-    assert orders_of[0].digest == orders_of[1].digest
-    assert orders_of[2].digest == orders_of[3].digest
-    assert orders_of[0].digest != orders_of[2].digest
+    commands = [make_command(kind, 0, document) for kind in ConfigCommandKind for document in (plain, other)]
+    assert commands[0].digest == commands[1].digest
+    assert commands[2].digest == commands[3].digest
+    assert commands[0].digest != commands[2].digest
     different = configuration(3, route("a", timeout_ms=8000.5))
-    assert make_command(ConfigCommandKind.REPLACE, 0, different).digest != orders_of[0].digest
+    assert make_command(ConfigCommandKind.REPLACE, 0, different).digest != commands[0].digest
 
 
 def test_of_two_changes_on_one_version_one_wins_whatever_their_numbers():
     machine = ConfigurationStateMachine()
-    changes = whole(7, 5, route("a")), whole(7, 5, route("b")), whole(9, 5, route("c"))
-    assert judgements(machine, whole(5, 0), *changes) == [
+    changes = replace(7, 5, route("a")), replace(7, 5, route("b")), replace(9, 5, route("c"))
+    assert outcomes(machine, replace(5, 0), *changes) == [
         CommandOutcome.ACCEPTED,
         CommandOutcome.ACCEPTED,
         CommandOutcome.VERSION_CONFLICT,
@@ -73,10 +72,10 @@
     assert list(machine.current.routes) == ["a"]
 
 
-def test_an_invalid_order_changes_nothing_and_is_invalid_again():
+def test_an_invalid_command_changes_nothing_and_is_invalid_again():
     machine = ConfigurationStateMachine()
-    bad = whole(7, 5, route("a", service="nobody"))
-    assert judgements(machine, whole(5, 0), bad, bad, whole(5, 5, route("z"))) == [
+    bad = replace(7, 5, route("a", service="nobody"))
+    assert outcomes(machine, replace(5, 0), bad, bad, replace(5, 5, route("z"))) == [
         CommandOutcome.ACCEPTED,
         CommandOutcome.INVALID,
         CommandOutcome.INVALID,
@@ -86,17 +85,17 @@
 
 
 @pytest.mark.parametrize("command", [b"", b"\xc1", b"\x91\xa7nothing", b"\x91\xa8cp.order"])
-def test_a_command_that_is_no_order_is_judged_invalid_and_ends_nothing(command):
+def test_a_malformed_command_is_invalid_and_does_not_stop_the_state_machine(command):
     machine = ConfigurationStateMachine()
-    assert judgements(machine, command, whole(5, 0)) == [CommandOutcome.INVALID, CommandOutcome.ACCEPTED]
+    assert outcomes(machine, command, replace(5, 0)) == [CommandOutcome.INVALID, CommandOutcome.ACCEPTED]
 
 
-def test_a_snapshot_keeps_the_configuration_and_the_orders_taken():
+def test_a_snapshot_keeps_the_configuration_and_the_accepted_commands():
     machine, restored = ConfigurationStateMachine(), ConfigurationStateMachine()
-    judgements(machine, whole(3, 0, route("a"), route("b")), patch(4, 3, delete={"routes": ["a"]}))
+    outcomes(machine, replace(3, 0, route("a"), route("b")), patch(4, 3, delete={"routes": ["a"]}))
     restored.restore(machine.snapshot())
     assert restored.current == machine.current
-    assert judgements(restored, whole(3, 0, route("a"), route("b")), whole(9, 3)) == [
+    assert outcomes(restored, replace(3, 0, route("a"), route("b")), replace(9, 3)) == [
         CommandOutcome.ALREADY_ACCEPTED,
         CommandOutcome.VERSION_CONFLICT,
     ]
@@ -108,15 +107,15 @@
 
 def test_a_snapshot_of_a_version_without_history_is_read():
     machine, restored = ConfigurationStateMachine(), ConfigurationStateMachine()
-    judgements(machine, whole(3, 0))
+    outcomes(machine, replace(3, 0))
     restored.restore(compact.pack(compact.unpack(machine.snapshot())[:2]))
     assert restored.current == machine.current and restored.history.fields() == []
 
 
-def test_the_history_is_bounded_and_the_same_order_at_another_time_is_the_same_order(monkeypatch):
+def test_the_history_is_bounded_and_the_digest_does_not_depend_on_the_time(monkeypatch):
     monkeypatch.setattr(change_history, "MAX_REMEMBERED_CHANGES", 3)
     machine = ConfigurationStateMachine()
-    judgements(machine, *(whole(version, version - 1) for version in range(1, 6)))
+    outcomes(machine, *(replace(version, version - 1) for version in range(1, 6)))
     assert [each["version"] for each in machine.history.fields()] == [3, 4, 5]
     document = configuration(3)
     assert (
@@ -125,45 +124,45 @@
     )
 
 
-def test_the_memory_of_orders_is_bounded_and_drops_the_oldest(monkeypatch):
-    monkeypatch.setattr(orders, "MAX_REMEMBERED_COMMANDS", 3)
+def test_the_memory_of_commands_is_bounded_and_evicts_the_oldest(monkeypatch):
+    monkeypatch.setattr(state_machine, "MAX_REMEMBERED_COMMANDS", 3)
     machine = ConfigurationStateMachine()
-    changes = [whole(version, version - 1) for version in range(1, 6)]
-    judgements(machine, *changes)
-    assert judgements(machine, *changes) == [
+    changes = [replace(version, version - 1) for version in range(1, 6)]
+    outcomes(machine, *changes)
+    assert outcomes(machine, *changes) == [
         CommandOutcome.TOO_OLD,
         CommandOutcome.TOO_OLD,
         *[CommandOutcome.ALREADY_ACCEPTED] * 3,
     ]
     restored = ConfigurationStateMachine()
     restored.restore(machine.snapshot())
-    assert judgements(restored, *changes[:2]) == [CommandOutcome.TOO_OLD] * 2
-    assert judgements(restored, whole(9, 4)) == [CommandOutcome.VERSION_CONFLICT]
+    assert outcomes(restored, *changes[:2]) == [CommandOutcome.TOO_OLD] * 2
+    assert outcomes(restored, replace(9, 4)) == [CommandOutcome.VERSION_CONFLICT]
 
 
-_orders = st.tuples(st.integers(0, 4), st.integers(1, 5), st.sampled_from("ab"))
+_steps = st.tuples(st.integers(0, 4), st.integers(1, 5), st.sampled_from("ab"))
 
 
-@given(st.lists(_orders, max_size=30), st.integers(0, 30))
+@given(st.lists(_steps, max_size=30), st.integers(0, 30))
 @settings(deadline=None)
-def test_every_history_of_orders_is_linear_and_the_same_after_a_snapshot(history, cut):
+def test_every_history_of_commands_is_linear_and_the_same_after_a_snapshot(history, cut):
     machine, replica = ConfigurationStateMachine(), ConfigurationStateMachine()
     winners: dict[int, bytes] = {}
     for index, (builds_on, step, name) in enumerate(history):
         if index == cut:
             replica = ConfigurationStateMachine()
             replica.restore(machine.snapshot())
-        command = whole(builds_on + step, builds_on, route(name))
+        command = replace(builds_on + step, builds_on, route(name))
         before = machine.current.version
-        verdict = machine.apply(index, command)
-        assert replica.apply(index, command) == verdict
-        if verdict.outcome is CommandOutcome.ACCEPTED:
-            assert before == builds_on < verdict.version
+        result = machine.apply(index, command)
+        assert replica.apply(index, command) == result
+        if result.outcome is CommandOutcome.ACCEPTED:
+            assert before == builds_on < result.version
             assert builds_on not in winners
             winners[builds_on] = command
-        if verdict.outcome is CommandOutcome.ALREADY_ACCEPTED:
+        if result.outcome is CommandOutcome.ALREADY_ACCEPTED:
             assert winners[builds_on] == command
-        if verdict.outcome in (CommandOutcome.VERSION_CONFLICT, CommandOutcome.INVALID):
+        if result.outcome in (CommandOutcome.VERSION_CONFLICT, CommandOutcome.INVALID):
             assert machine.current.version == before and winners.get(builds_on) != command
 
 
@@ -202,14 +201,14 @@
     assert second.put_config(configuration(6), 5)[0] == 412
 
 
-def test_the_same_change_eight_times_at_once_is_taken_once(world):
+def test_the_same_change_eight_times_at_once_is_accepted_once(world):
     world.controllers[0].put_config(configuration(5), 0)
     calls = [gevent.spawn(world.controllers[number % 3].put_config, configuration(6), 5) for number in range(8)]
     assert {call.get()[0] for call in calls} == {200}
     assert world.controllers[1].call("GET", "/api/config")[1] == configuration(6)
 
 
-def test_of_eight_different_changes_on_one_version_exactly_one_is_taken(world):
+def test_of_eight_different_changes_on_one_version_exactly_one_is_accepted(world):
     world.controllers[0].put_config(configuration(5), 0)
     documents = [configuration(6 + number % 2, route(f"r{number}")) for number in range(8)]
     calls = [
@@ -220,9 +219,9 @@
     assert world.controllers[1].call("GET", "/api/config")[1] == documents[statuses.index(200)]
 
 
-def test_operators_that_race_through_changes_of_leader_leave_one_line_of_versions(world):
-    """Two operators send on what they read, and again until there is a verdict; the history is checked afterwards."""
-    taken: list[tuple[int, int, str]] = []
+def test_operators_that_race_through_changes_of_leader_leave_a_linear_history(world):
+    """Two operators build on the version they read and retry until there is an outcome; then the history is checked."""
+    accepted: list[tuple[int, int, str]] = []
 
     def operate(operator: str, seed: int) -> None:
         for turn in range(12):
@@ -238,7 +237,7 @@
                 status = controller.put_config(document, version)[0]
             assert status in (200, 412)
             if status == 200:
-                taken.append((version, document["generation"], f"{operator}{turn}"))
+                accepted.append((version, document["generation"], f"{operator}{turn}"))
 
     def disturb() -> None:
         for turn in range(9):
@@ -251,8 +250,8 @@
         [gevent.spawn(operate, "a", 0), gevent.spawn(operate, "b", 1), gevent.spawn(disturb)], raise_error=True
     )
     version = 5
-    steps = {builds_on: (generation, name) for builds_on, generation, name in taken}
-    assert len(steps) == len(taken) > 0
+    steps = {builds_on: (generation, name) for builds_on, generation, name in accepted}
+    assert len(steps) == len(accepted) > 0
     while version in steps:
         version, name = steps.pop(version)
     assert not steps
--- a/tests/control_plane/config/test_commands_under_loss.py
+++ b/tests/control_plane/config/test_commands_under_loss.py
@@ -1,8 +1,8 @@
-"""One winner under one number: operators race and lose answers while the core is killed, cut, wiped and compacted."""
+"""One command wins on each version while operators race and lose responses, and controllers crash, part and compact."""
 
 import pytest
 
-from ochrespan.control_plane.config import state_machine as orders
+from ochrespan.control_plane.config import state_machine
 from ochrespan.control_plane.config.state_machine import ConfigurationStateMachine
 from tests.support.raft_simulation.checks import Violation
 from tests.support.raft_simulation.operators import Operator, OrderBook, OrderMachine
@@ -12,7 +12,7 @@
 SECONDS = 25.0
 
 
-def play_orders(seed: int, size: int = 3, tolerated: int = 1, gap_s: float = 0.8) -> tuple[World, OrderBook]:
+def run_operators(seed: int, size: int = 3, tolerated: int = 1, gap_s: float = 0.8) -> tuple[World, OrderBook]:
     world, book = World(seed, size, tolerated), OrderBook()
     world.machine_type = OrderMachine
     world.run(3.0)
@@ -34,26 +34,26 @@
     ("size", "tolerated", "seed"),
     [(size, tolerated, seed) for size, tolerated, count in [(3, 1, 12), (5, 2, 6)] for seed in range(count)],
 )
-def test_of_two_operators_one_wins_and_no_order_that_was_taken_is_refused(size, tolerated, seed):
-    _, book = play_orders(seed, size, tolerated)
+def test_one_of_two_operators_wins_and_no_accepted_command_is_rejected(size, tolerated, seed):
+    _, book = run_operators(seed, size, tolerated)
     assert len(book.confirmed) > 10
     assert book.refused
     assert book.repeats
 
 
-def caught(rules: set[str]) -> None:
+def assert_detected(rules: set[str]) -> None:
     for seed in range(20):
         try:
-            play_orders(seed)
+            run_operators(seed)
         except Violation as violation:
             assert violation.rule in rules, str(violation)
             return
         except AssertionError:
             continue
-    pytest.fail("no violation was told")
+    pytest.fail("no violation was detected")
 
 
-def test_a_memory_that_a_snapshot_lacks_is_caught_as_a_repeat_refused(monkeypatch):
+def test_a_snapshot_without_the_accepted_commands_is_detected(monkeypatch):
     original = ConfigurationStateMachine.restore
 
     def forgetting(self, data):
@@ -61,22 +61,22 @@
         self._accepted_versions = {}
 
     monkeypatch.setattr(ConfigurationStateMachine, "restore", forgetting)
-    caught({"a repeat refused", "a confirmed order is not in force"})
+    assert_detected({"a repeat refused", "a confirmed order is not in force"})
 
 
-def test_orders_that_do_not_say_what_they_build_on_are_caught_as_two_on_one_version(monkeypatch):
+def test_commands_that_build_on_any_version_are_detected(monkeypatch):
     original = ConfigurationStateMachine._evaluate
 
-    def on_any_version(self, order):
-        order.builds_on = self.current.version
-        return original(self, order)
+    def on_any_version(self, command):
+        command.builds_on = self.current.version
+        return original(self, command)
 
     monkeypatch.setattr(ConfigurationStateMachine, "_evaluate", on_any_version)
-    caught({"two orders on one version"})
+    assert_detected({"two orders on one version"})
 
 
-def test_an_order_that_is_forgotten_gets_no_verdict_instead_of_a_refusal(monkeypatch):
-    monkeypatch.setattr(orders, "MAX_REMEMBERED_COMMANDS", 2)
+def test_a_command_that_is_too_old_gets_no_outcome_instead_of_a_rejection(monkeypatch):
+    monkeypatch.setattr(state_machine, "MAX_REMEMBERED_COMMANDS", 2)
     for seed in range(4):
         world, book = World(seed), OrderBook()
         world.machine_type = OrderMachine
--- a/tests/control_plane/config/test_configuration.py
+++ b/tests/control_plane/config/test_configuration.py
@@ -18,22 +18,22 @@
     return read_json(json.dumps(document).encode(), CHECK_CONFIGURATION)
 
 
-def taken(document, current=None):
+def applied(document, current=None):
     current = current or Configuration()
     return current.changed_by(change_to(current, read(document)))
 
 
 def findings_of(document, current=None):
     with pytest.raises(ValidationError) as caught:
-        taken(document, current)
+        applied(document, current)
     for finding in caught.value.findings:
         assert finding.where and finding.found and finding.allowed
     return [finding.where for finding in caught.value.findings]
 
 
-def test_the_whole_document_comes_back_as_it_was_sent_with_unknown_fields():
+def test_a_document_is_read_back_as_it_was_sent_with_unknown_fields():
     document = configuration(7, route("r1", strange=[1]), tenants=[tenant("t", "k")], later={"a": None})
-    assert taken(copy.deepcopy(document)).document() == document
+    assert applied(copy.deepcopy(document)).document() == document
 
 
 SPLIT_WITHOUT_WEIGHT = [{"backend": "judges", "weight": 0}, {"backend": "judges", "weight": 0.0}]
@@ -66,7 +66,7 @@
         ({"generation": 1, "routes": [], "services": {}}, "services"),
     ],
 )
-def test_an_invalid_configuration_is_refused_with_its_place(document, where):
+def test_an_invalid_configuration_is_rejected_with_the_position_of_the_fault(document, where):
     assert where in findings_of(document)
 
 
@@ -92,13 +92,13 @@
         b'{"generation":1,"routes":[],"services":[],"limits":{"max_body_bytes":Infinity}}',
     ],
 )
-def test_what_cannot_be_read_whole_is_refused(body):
+def test_a_body_that_holds_no_valid_document_is_rejected(body):
     with pytest.raises(ValidationError):
         read_json(body, CHECK_CONFIGURATION)
 
 
 def test_a_generation_must_rise():
-    current = taken(configuration(5))
+    current = applied(configuration(5))
     assert findings_of(configuration(5), current) == ["generation"]
     assert findings_of(configuration(4), current) == ["generation"]
 
@@ -108,8 +108,8 @@
     return current.changed_by(change_of_patch(current, document))
 
 
-def test_two_routes_may_swap_their_places_and_two_tenants_their_keys():
-    current = taken(configuration(1, route("a"), route("b"), tenants=[tenant("t", "k1"), tenant("u", "k2")]))
+def test_two_routes_may_swap_their_locations_and_two_tenants_their_keys():
+    current = applied(configuration(1, route("a"), route("b"), tenants=[tenant("t", "k1"), tenant("u", "k2")]))
     swapped = patched(
         current,
         upsert={
@@ -131,15 +131,15 @@
         ({"generation": 1}, "generation"),
     ],
 )
-def test_a_patch_is_judged_with_what_it_leaves_standing(patch, where):
-    current = taken(configuration(1, route("r1"), tenants=[tenant("t", "k")]))
+def test_a_patch_is_validated_together_with_what_it_leaves_unchanged(patch, where):
+    current = applied(configuration(1, route("r1"), tenants=[tenant("t", "k")]))
     with pytest.raises(ValidationError) as caught:
         patched(current, **patch)
     assert [finding.where for finding in caught.value.findings] == [where]
 
 
-def test_a_service_may_go_together_with_its_last_route():
-    current = taken(
+def test_a_service_may_be_deleted_together_with_its_last_route():
+    current = applied(
         configuration(1, route("r1"), route("r2", service="ledger"), services=[service(), service("ledger")])
     )
     after = patched(current, delete={"services": ["ledger"], "routes": ["r2"]})
@@ -152,7 +152,7 @@
 
 @given(st.lists(_routes, min_size=1, max_size=6))
 @settings(deadline=None)
-def test_the_changes_from_version_to_version_lead_where_the_whole_documents_do(versions):
+def test_changes_from_version_to_version_give_the_state_of_the_complete_document(versions):
     by_steps = Configuration()
     for generation, routes in enumerate(versions, start=1):
         listed = [route(name, timeout_ms=timeout, hostname=f"{name}{host}") for name, (timeout, host) in routes.items()]
@@ -167,11 +167,11 @@
 
 
 def test_a_patch_of_one_route_among_thousands_costs_little():
-    current = taken(configuration(1, *(route(f"r{number}") for number in range(20_000))))
-    began = time.process_time()
+    current = applied(configuration(1, *(route(f"r{number}") for number in range(20_000))))
+    started_at = time.process_time()
     for _ in range(10):
         current = patched(current, upsert={"routes": [route("new", path_prefix=f"/new{current.version}/")]})
-    assert time.process_time() - began < 1.0
+    assert time.process_time() - started_at < 1.0
 
 
 @pytest.mark.parametrize(
@@ -187,7 +187,7 @@
         {"cold_remaining_ms": -1},
     ],
 )
-def test_a_malformed_report_of_a_server_is_refused(fields):
+def test_a_malformed_report_of_a_server_is_rejected(fields):
     with pytest.raises(ValidationError) as caught:
         read_json(json.dumps({**instance(1), **fields}).encode(), CHECK_INSTANCE)
     assert next(iter(fields)) in caught.value.findings[0].where
--- a/tests/control_plane/registry/test_instances.py
+++ b/tests/control_plane/registry/test_instances.py
@@ -1,10 +1,10 @@
-"""Instances: incarnations never go back, late reports change nothing, and only a watcher that listened expires."""
+"""Instances: removed incarnations never return, late reports change nothing, and expiry needs a full time-out."""
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ochrespan.control_plane.registry import state_machine as instances
+from ochrespan.control_plane.registry import state_machine
 from ochrespan.control_plane.registry.changes import NO_CHANGE
 from ochrespan.control_plane.registry.commands import ExpireInstances, RegisterInstance, RemoveInstance
 from ochrespan.control_plane.registry.heartbeats import MASS_EXPIRY_TIMEOUTS, HeartbeatMonitor, heartbeat_timeout_s
@@ -27,7 +27,7 @@
     return machine.apply(1, encode(ExpireInstances(sequences)))
 
 
-def test_an_instance_registers_changes_drains_and_ends():
+def test_an_instance_registers_changes_drains_and_is_removed():
     machine = InstanceStateMachine()
     assert register(machine, "i1", 1).upserted[0].state == "ready"
     assert register(machine, "i1", 2, capacity=16).upserted[0].capacity == 16
@@ -36,7 +36,7 @@
     assert machine.records == {}
 
 
-def test_a_draining_incarnation_does_not_become_ready_and_one_that_is_gone_does_not_come_back():
+def test_a_draining_incarnation_does_not_become_ready_and_a_removed_one_does_not_return():
     machine = InstanceStateMachine()
     register(machine, "i1", 1, "draining")
     assert register(machine, "i1", 2, "ready") == NO_CHANGE
@@ -52,7 +52,7 @@
     assert machine.records["i1"].capacity == 8
 
 
-def test_a_new_incarnation_at_an_old_address_takes_its_place():
+def test_a_new_incarnation_replaces_the_old_one_at_its_address():
     machine = InstanceStateMachine()
     register(machine, "old", 5)
     change = register(machine, "new", 1)
@@ -60,7 +60,7 @@
     assert register(machine, "old", 6) == NO_CHANGE and list(machine.records) == ["new"]
 
 
-def test_an_instance_may_move_to_another_address_without_hurting_who_takes_the_old_one():
+def test_an_instance_may_move_and_another_may_register_at_its_old_address():
     machine = InstanceStateMachine()
     register(machine, "a", 1, address="10.0.0.1:1")
     register(machine, "a", 2, address="10.0.0.2:1")
@@ -68,7 +68,7 @@
     assert set(machine.records) == {"a", "b"}
 
 
-def test_an_expired_instance_comes_back_by_a_newer_report_but_never_from_draining_to_ready():
+def test_an_expired_instance_returns_by_a_newer_report_but_never_from_draining_to_ready():
     machine = InstanceStateMachine()
     register(machine, "i1", 5)
     assert expire(machine, i1=4) == NO_CHANGE
@@ -81,7 +81,7 @@
     assert register(machine, "i1", 9, "draining").upserted
 
 
-def test_an_expired_instance_that_is_removed_stays_gone():
+def test_an_expired_instance_that_is_removed_does_not_return():
     machine = InstanceStateMachine()
     register(machine, "i1", 5)
     expire(machine, i1=5)
@@ -89,8 +89,8 @@
     assert register(machine, "i1", 6) == NO_CHANGE
 
 
-def test_the_memory_of_departed_instances_is_bounded(monkeypatch):
-    monkeypatch.setattr(instances, "MAX_REMEMBERED_REMOVALS", 2)
+def test_the_memory_of_removed_instances_is_bounded(monkeypatch):
+    monkeypatch.setattr(state_machine, "MAX_REMEMBERED_REMOVALS", 2)
     machine = InstanceStateMachine()
     for number in range(5):
         register(machine, f"i{number}", 1, address=f"10.0.0.{number}:1")
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("command", [b"", b"\xc1", b"\x91\xa5other"])
-def test_a_command_that_is_none_changes_nothing(command):
+def test_a_malformed_command_changes_nothing(command):
     assert InstanceStateMachine().apply(1, command) == NO_CHANGE
 
 
@@ -122,9 +122,9 @@
 
 @given(st.lists(_steps, max_size=40), st.integers(0, 40))
 @settings(deadline=None)
-def test_every_history_keeps_one_instance_an_address_and_changes_that_lead_to_the_state(history, cut):
+def test_every_history_has_one_instance_per_address_and_changes_that_add_up_to_the_state(history, cut):
     machine, replica, followed = InstanceStateMachine(), InstanceStateMachine(), {}
-    drained, gone = set(), set()
+    drained, ended = set(), set()
     for index, (action, instance_id, *fields) in enumerate(history):
         if index == cut:
             replica = InstanceStateMachine()
@@ -135,9 +135,9 @@
             del followed[removed]
         for record in change.upserted:
             followed[record.id] = record
-            assert record.id not in gone and not (record.id in drained and record.state == "ready")
+            assert record.id not in ended and not (record.id in drained and record.state == "ready")
             drained |= {record.id} if record.state == "draining" else set()
-        gone |= {instance_id} if action == "remove" and change.removed else set()
+        ended |= {instance_id} if action == "remove" and change.removed else set()
         assert followed == machine.records == replica.records
         addresses = [record.address for record in machine.records.values()]
         assert len(addresses) == len(set(addresses))
@@ -146,64 +146,64 @@
 TIMEOUT = heartbeat_timeout_s(1.2)
 
 
-def watched(*heard, began=100.0):
-    watch = HeartbeatMonitor(TIMEOUT)
-    watch.start(began)
-    for instance_id, sequence, at in heard:
-        watch.record(instance_id, sequence, at)
-    return watch
+def started_monitor(*heartbeats, started_at=100.0):
+    monitor = HeartbeatMonitor(TIMEOUT)
+    monitor.start(started_at)
+    for instance_id, sequence, at in heartbeats:
+        monitor.record(instance_id, sequence, at)
+    return monitor
 
 
-def tick(watch, registered, until, since=100.0):
-    """Asks every half second, as the owner does; the first answer that names anyone, and its time."""
+def tick(monitor, registered, until, since=100.0):
+    """Checks every half second, as the owner does; returns the first instances that expire, and when."""
     now = since
     while now + 0.5 <= until:
         now += 0.5
-        if silent := watch.expired(registered, now):
-            return silent, now
+        if expired := monitor.expired(registered, now):
+            return expired, now
     return [], now
 
 
-def test_an_instance_that_falls_silent_expires_after_the_timeout():
-    watch = watched(("a", 1, 103.0))
-    silent, at = tick(watch, ["a"], 120.0)
-    assert silent == ["a"] and TIMEOUT < at - 103.0 <= TIMEOUT + 0.5
+def test_an_instance_without_heartbeats_expires_after_the_timeout():
+    monitor = started_monitor(("a", 1, 103.0))
+    expired, at = tick(monitor, ["a"], 120.0)
+    assert expired == ["a"] and TIMEOUT < at - 103.0 <= TIMEOUT + 0.5
 
 
-def test_a_new_owner_gives_everyone_the_whole_timeout_first():
-    watch = watched(began=100.0)
-    assert tick(watch, ["a"], 100.0 + TIMEOUT)[0] == []
-    watch.start(200.0)
-    assert tick(watch, ["a"], 200.0 + TIMEOUT, since=200.0)[0] == []
+def test_a_new_owner_gives_every_instance_the_full_timeout_first():
+    monitor = started_monitor(started_at=100.0)
+    assert tick(monitor, ["a"], 100.0 + TIMEOUT)[0] == []
+    monitor.start(200.0)
+    assert tick(monitor, ["a"], 200.0 + TIMEOUT, since=200.0)[0] == []
 
 
-def test_an_owner_that_was_itself_away_begins_anew():
-    watch = watched(("a", 1, 101.0), ("b", 1, 101.0))
-    assert tick(watch, ["a"], 102.0)[0] == []
-    assert watch.expired(["a"], 130.0) == []
-    assert tick(watch, ["a"], 130.0 + TIMEOUT, since=130.0)[0] == []
+def test_a_monitor_that_was_paused_starts_again():
+    monitor = started_monitor(("a", 1, 101.0), ("b", 1, 101.0))
+    assert tick(monitor, ["a"], 102.0)[0] == []
+    assert monitor.expired(["a"], 130.0) == []
+    assert tick(monitor, ["a"], 130.0 + TIMEOUT, since=130.0)[0] == []
 
 
-def test_a_watch_that_ended_names_nobody():
-    watch = watched(("a", 1, 100.0))
-    watch.stop()
-    assert tick(watch, ["a"], 150.0)[0] == []
+def test_a_stopped_monitor_expires_nothing():
+    monitor = started_monitor(("a", 1, 100.0))
+    monitor.stop()
+    assert tick(monitor, ["a"], 150.0)[0] == []
 
 
-def test_when_most_fall_silent_at_once_they_get_more_time():
-    everyone = [f"i{number}" for number in range(6)]
-    watch = watched(*((each, 1, 101.0) for each in everyone))
-    silent, at = tick(watch, everyone, 150.0)
-    assert silent == everyone and at - 101.0 > MASS_EXPIRY_TIMEOUTS * TIMEOUT
+def test_when_most_instances_expire_at_once_they_get_more_time():
+    instance_ids = [f"i{number}" for number in range(6)]
+    monitor = started_monitor(*((each, 1, 101.0) for each in instance_ids))
+    expired, at = tick(monitor, instance_ids, 150.0)
+    assert expired == instance_ids and at - 101.0 > MASS_EXPIRY_TIMEOUTS * TIMEOUT
 
 
-def test_a_late_report_does_not_count_as_a_sign_of_life():
-    watch = watched(("a", 5, 101.0), ("a", 3, 105.0))
-    assert tick(watch, ["a"], 101.0 + TIMEOUT + 0.6)[0] == ["a"]
+def test_a_late_report_is_no_heartbeat():
+    monitor = started_monitor(("a", 5, 101.0), ("a", 3, 105.0))
+    assert tick(monitor, ["a"], 101.0 + TIMEOUT + 0.6)[0] == ["a"]
 
 
-def test_what_is_forgotten_may_begin_again_with_a_low_sequence_number():
-    watch = watched(("a", 9, 101.0))
-    watch.forget("a")
-    watch.record("a", 1, 106.0)
-    assert tick(watch, ["a"], 106.0 + TIMEOUT)[0] == []
+def test_a_forgotten_instance_may_start_again_with_a_low_sequence_number():
+    monitor = started_monitor(("a", 9, 101.0))
+    monitor.forget("a")
+    monitor.record("a", 1, 106.0)
+    assert tick(monitor, ["a"], 106.0 + TIMEOUT)[0] == []
