--- a/ochrespan/control_plane/config/owner.py
+++ b/ochrespan/control_plane/config/owner.py
@@ -32,6 +32,7 @@
 log = logging.getLogger(__name__)
 
 COMMAND_TIMEOUT_PER_BYTE_S = 1.0 / 1_000_000
+COMMAND_FINDING = "order"  # where a finding about a command lies; the text is part of the JSON interface
 
 
 @message("cp.read")
@@ -64,12 +65,12 @@
     def submit(self, command: ConfigCommand) -> Response:
         """Proposes a command and responds with its result once it is committed and applied.
 
-        A time-out or lost leadership leaves the outcome unknown; the caller may repeat the command as it is.
+        A time-out or lost leadership leaves the outcome unknown; the caller may retry the same command.
         """
         try:
             result = self._groups.propose(CONFIG_SHARD, encode(command), command_timeout_s(command))
         except OutcomeUnknownError as error:
-            return unavailable_response("order", str(error) or "no commitment in time")
+            return unavailable_response(COMMAND_FINDING, str(error) or "no commitment in time")
         log.info(
             "command evaluated outcome=%s version=%d builds_on=%d",
             result.outcome.name,
@@ -98,7 +99,7 @@
     if result.outcome in (CommandOutcome.ACCEPTED, CommandOutcome.ALREADY_ACCEPTED):
         return json_response(OK, {"generation": result.version})
     if result.outcome is CommandOutcome.TOO_OLD:
-        return unavailable_response("order", result.outcome.value)
+        return unavailable_response(COMMAND_FINDING, result.outcome.value)
     if result.outcome is CommandOutcome.VERSION_CONFLICT:
         return findings_response(PRECONDITION_FAILED, [Finding("If-Match", "another version", str(result.version))])
     return findings_response(BAD_REQUEST, result.findings)
--- a/ochrespan/control_plane/config/state_machine.py
+++ b/ochrespan/control_plane/config/state_machine.py
@@ -1,7 +1,7 @@
 """The state machine of the configuration shard: evaluates the operator's commands from the applied state alone.
 
-A command is accepted if it builds on the current version. Operators repeat a command whose response was lost, so the
-digests of accepted commands are remembered: a repeat is acknowledged again and never rejected.
+A command is accepted if it builds on the current version. Operators retry a command whose response was lost, so the
+digests of accepted commands are remembered: a retry is acknowledged again and never rejected.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
     """What became of a command. The values reach operators in JSON."""
 
     ACCEPTED = "taken"
-    ALREADY_ACCEPTED = "taken before"  # a repeat of a remembered command
+    ALREADY_ACCEPTED = "taken before"  # a retry of a remembered command
     VERSION_CONFLICT = "another version is current"
-    TOO_OLD = "too old to tell whether it was taken"  # it may be a repeat of a command that is remembered no more
+    TOO_OLD = "too old to tell whether it was taken"  # it may be a retry of a command that was evicted
     INVALID = "invalid"
 
 
--- a/ochrespan/control_plane/registry/owner.py
+++ b/ochrespan/control_plane/registry/owner.py
@@ -75,11 +75,7 @@
         self._monitors[shard].record(record.id, record.sequence, monotonic())
         if not _is_change(self._machines[shard], record):
             return self._acknowledge_uncommitted(shard)
-        try:
-            self._groups.propose(shard, encode(RegisterInstance(record_fields(record))), CALL_TIMEOUT_S)
-        except OutcomeUnknownError as error:
-            return unavailable_response("instance", str(error) or "no commitment in time")
-        return json_response(OK, {})
+        return self._commit(shard, RegisterInstance(record_fields(record)))
 
     def remove(self, request: InstanceEnded) -> Response:
         """Acknowledges the end of an instance after its removal is committed."""
@@ -87,12 +83,10 @@
         self._require_leadership(shard)
         if self._machines[shard].is_removed(request.id):
             return self._acknowledge_uncommitted(shard)
-        try:
-            self._groups.propose(shard, encode(RemoveInstance(request.id)), CALL_TIMEOUT_S)
-        except OutcomeUnknownError as error:
-            return unavailable_response("instance", str(error) or "no commitment in time")
-        self._monitors[shard].forget(request.id)
-        return json_response(OK, {})
+        response = self._commit(shard, RemoveInstance(request.id))
+        if response.status == OK:
+            self._monitors[shard].forget(request.id)
+        return response
 
     def run(self) -> None:
         """Expires instances until the greenlet is killed.
@@ -124,6 +118,18 @@
             self._monitors[shard].forget(instance_id)
         log.info("instances expired shard=%d instances=%s", shard, ",".join(change.removed))
 
+    def _commit(self, shard: int, command: RegisterInstance | RemoveInstance) -> Response:
+        """Proposes a command and acknowledges it once it is applied.
+
+        A time-out or lost leadership leaves the outcome unknown. The server then retries, which is harmless:
+        a record with a known sequence number changes nothing.
+        """
+        try:
+            self._groups.propose(shard, encode(command), CALL_TIMEOUT_S)
+        except OutcomeUnknownError as error:
+            return unavailable_response("instance", str(error) or "no commitment in time")
+        return json_response(OK, {})
+
     def _require_leadership(self, shard: int) -> None:
         if not self._groups.is_leader(shard):
             raise NotLeaderError(self._groups.leader(shard))
--- a/ochrespan/control_plane/registry/slow_start.py
+++ b/ochrespan/control_plane/registry/slow_start.py
@@ -17,7 +17,7 @@
     """The end of each instance's slow start, counted from when its record was applied here."""
 
     def __init__(self) -> None:
-        self._cold_until: dict[str, float] = {}
+        self._slow_start_ends_at: dict[str, float] = {}
 
     def note(self, change: InstancesChange, now: float) -> None:
         """Updates the times from an applied change.
@@ -25,12 +25,12 @@
         An instance has one slow start, at its start: the first record decides, later ones don't prolong it.
         """
         for instance_id in change.removed:
-            self._cold_until.pop(instance_id, None)
+            self._slow_start_ends_at.pop(instance_id, None)
         for record in change.upserted:
             if record.cold_remaining_ms > 0:
-                self._cold_until.setdefault(record.id, now + record.cold_remaining_ms / MILLISECONDS)
+                self._slow_start_ends_at.setdefault(record.id, now + record.cold_remaining_ms / MILLISECONDS)
 
     def aged(self, record: InstanceRecord, now: float) -> InstanceRecord:
         """Returns the record with the remaining time of its slow start."""
-        remaining_ms = max(0.0, self._cold_until.get(record.id, now) - now) * MILLISECONDS
+        remaining_ms = max(0.0, self._slow_start_ends_at.get(record.id, now) - now) * MILLISECONDS
         return record if remaining_ms == record.cold_remaining_ms else replace(record, cold_remaining_ms=remaining_ms)
--- a/ochrespan/control_plane/responses.py
+++ b/ochrespan/control_plane/responses.py
@@ -56,7 +56,7 @@
 
 
 def unavailable_response(where: str, found: str) -> Response:
-    """Returns a 503: the outcome is unknown, and the caller may repeat the request here or at another controller.
+    """Returns a 503: the outcome is unknown, and the caller may retry here or at another controller.
 
     Args:
         where: What the request concerned.
