--- a/ochrespan/control_plane/api/forwarding.py
+++ b/ochrespan/control_plane/api/forwarding.py
@@ -49,11 +49,11 @@
         self._machines = instance_machines
         self._peers = peers
         self._handlers: dict[type, Callable[[Any], Response]] = {
-            ConfigCommand: configuration_owner.order,
+            ConfigCommand: configuration_owner.submit,
             ReadConfiguration: configuration_owner.read,
             ReadHistory: configuration_owner.history,
             InstanceReport: instance_owner.report,
-            InstanceEnded: instance_owner.ended,
+            InstanceEnded: instance_owner.remove,
         }
 
     def register(self, call_server: RpcServer) -> None:
--- a/ochrespan/control_plane/api/handlers.py
+++ b/ochrespan/control_plane/api/handlers.py
@@ -126,7 +126,7 @@
         return self._service.read_configuration()
 
     def _put_config(self, environment: Environment) -> Response:
-        return self._submit(ConfigCommandKind.WHOLE, CHECK_CONFIGURATION, environment)
+        return self._submit(ConfigCommandKind.REPLACE, CHECK_CONFIGURATION, environment)
 
     def _patch_config(self, environment: Environment) -> Response:
         return self._submit(ConfigCommandKind.PATCH, CHECK_PATCH, environment)
--- a/ochrespan/control_plane/controller.py
+++ b/ochrespan/control_plane/controller.py
@@ -121,7 +121,7 @@
 
     def start(self) -> None:
         """Starts the periodic work."""
-        for loop in (self._instance_owner.watch, self._feed.run, self._presence.run):
+        for loop in (self._instance_owner.run, self._feed.run, self._presence.run):
             task = gevent.spawn(loop)
             task.name = loop.__qualname__
             task.link_exception(_log_failed_task)
--- a/tests/golden/test_wire_bytes.py
+++ b/tests/golden/test_wire_bytes.py
@@ -239,7 +239,7 @@
         machine.apply(index, codec.encode(order))
         for index, order in enumerate((wire_samples.whole_order(), wire_samples.patch_order()))
     ]
-    assert [(verdict.judgement.value, verdict.version) for verdict in verdicts] == [
+    assert [(verdict.outcome.value, verdict.version) for verdict in verdicts] == [
         ("taken before", 7),
         ("taken before", 8),
     ]
@@ -271,7 +271,7 @@
     machine.restore(RECORDED["snapshot/instances"])
     assert machine.records == expected.records
     assert sorted(machine.records) == ["chat-1", "code-1"]
-    assert (machine.is_gone("chat-3"), machine.is_gone("chat-2")) == (True, False)
+    assert (machine.is_removed("chat-3"), machine.is_removed("chat-2")) == (True, False)
     assert machine.placements.fields() == expected.placements.fields()
     assert_same_content(machine.snapshot(), "snapshot/instances")
 
