--- a/ochrespan/control_plane/owner_calls.py
+++ b/ochrespan/control_plane/owner_calls.py
@@ -1,9 +1,13 @@
-"""Calls from a router to the owner of a name: the leader of the name's shard, as far as it is known."""
+"""Calls from a router to the owner of a tenant or service: the leader of the shard that its name belongs to.
+
+A router knows the leaders from the change feed, which may be out of date. A controller that is not the owner says so
+and names the owner where it knows one, so that a call reaches a new leader before the feed has named it.
+"""
 
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 from typing import Any, TypeVar
 
@@ -16,39 +20,66 @@
 
 MAX_OWNER_CALLS = 3
 
-Call = Callable[[Address, Any, float], Any]  # the reply of the process at an address; raises RpcError
-Reply = TypeVar("Reply")
+Call = Callable[[Address, Any, float], Any]  # address, request, timeout in seconds -> response; raises RpcError
+Response = TypeVar("Response")
 
 
-def call_owner(
-    call: Call, addresses: Iterable[Address], request: Any, reply_type: type[Reply], timeout: float, about: str
-) -> Reply | None:
-    """The first reply of this type. An owner that another process names is asked next, and nobody is asked twice.
+@dataclass(frozen=True, slots=True)
+class OwnerClient:
+    """Sends requests to the owners of names.
 
-    `about` names the request in the log.
+    Attributes:
+        candidates: The controllers to call for a name, in this order: the owner as far as it is known, and others that
+            may know a newer one.
+        call: Sends a request to an address and returns the response, or raises `RpcError`.
     """
-    waiting, asked = list(addresses), set[Address]()
-    while waiting and len(asked) < MAX_OWNER_CALLS:
-        address = waiting.pop(0)
-        if address in asked:
-            continue
-        asked.add(address)
-        try:
-            reply = call(address, request, timeout)
-        except RpcError as error:
-            log.info("no %s %s error=%r", reply_type.__name__.lower(), about, str(error))
-            continue
-        if isinstance(reply, reply_type):
-            return reply
-        if isinstance(reply, NotOwnerResponse) and reply.ip:
-            waiting.insert(0, (reply.ip, reply.port))
-    return None
+
+    candidates: Callable[[str], Sequence[Address]]
+    call: Call
+
+    def request(
+        self, name: str, request: Any, response_type: type[Response], timeout_s: float, log_fields: str
+    ) -> Response | None:
+        """Calls the candidates until one gives a response of the type, each at most once.
+
+        An owner that a `NotOwnerResponse` names is called next.
+
+        Args:
+            name: The tenant or service whose owner is called.
+            request: The message to send.
+            response_type: The type of an owner's response.
+            timeout_s: For each call.
+            log_fields: Names the request in the log, as `key=value`.
+
+        Returns:
+            The owner's response; None where no owner responded to `MAX_OWNER_CALLS` calls.
+        """
+        pending = list(self.candidates(name))
+        called = set[Address]()
+        while pending and len(called) < MAX_OWNER_CALLS:
+            address = pending.pop(0)
+            if address in called:
+                continue
+            called.add(address)
+            try:
+                response = self.call(address, request, timeout_s)
+            except RpcError as error:
+                log.info(
+                    "owner call failed response=%s %s error=%r",
+                    response_type.__name__.lower(), log_fields, str(error),
+                )  # fmt: skip
+                continue
+            if isinstance(response, response_type):
+                return response
+            if isinstance(response, NotOwnerResponse) and response.ip:
+                pending.insert(0, (response.ip, response.port))
+        return None
 
 
 @message("quota.elsewhere")
 @dataclass(slots=True)
 class NotOwnerResponse:
-    """This process does not own the tenant; the address of the owner, if it is known."""
+    """The called process does not own the name; the address of the owner, or an empty IP where it is not known."""
 
     ip: str = ""
     port: int = 0
--- a/ochrespan/control_plane/prefix_placement/client.py
+++ b/ochrespan/control_plane/prefix_placement/client.py
@@ -1,62 +1,71 @@
-"""A router's knowledge of where prompts' shared parts are kept: asked of the service's owner once for each prefix."""
+"""The router's cache of prefix placements: the owner of a service is called once for each prefix."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
-from collections.abc import Callable, Sequence
+from collections.abc import Callable
 from time import monotonic
 
-from ochrespan.common.addresses import Address
-from ochrespan.control_plane.owner_calls import Call, call_owner
+from ochrespan.control_plane.owner_calls import OwnerClient
 
 from .messages import PrefixPlacement, PrefixPlacementRequest
 
-RESPONSE_TIMEOUT_S = 0.15  # bodies of requests hold answers up on a narrow link; without one a request goes by a hash
-OWNER_BACKOFF_S = 0.5  # where no owner answered, none is asked again for this long
+RESPONSE_TIMEOUT_S = 0.15  # request bodies delay responses on a slow link; without one a request is placed by a hash
+OWNER_BACKOFF_S = 0.5  # no owner of a service is called for this long after a call without a response
 UNKNOWN_PLACEMENT = PrefixPlacement("")
-MAX_CACHED_PLACEMENTS = 8192  # prefixes; those used longest ago are forgotten
+MAX_CACHED_PLACEMENTS = 8192  # prefixes; the least recently used are dropped
 
 
 class PrefixPlacementClient:
-    """`ask_at(service)` names the processes to ask in turn; `is_usable(service, instance)` is the table's word."""
+    """Locates the instance that serves a prefix, from the cache or from the service's owner.
+
+    Args:
+        owners: Calls the owners of services.
+        is_usable: Whether an instance (second argument) of a service (first) is in the router's table and usable.
+        clock: The present time in seconds, monotonic.
+    """
 
     def __init__(
         self,
-        ask_at: Callable[[str], Sequence[Address]],
-        call: Call,
+        owners: OwnerClient,
         is_usable: Callable[[str, str], bool],
         clock: Callable[[], float] = monotonic,
     ) -> None:
-        self._ask_at = ask_at
-        self._call = call
+        self._owners = owners
         self._is_usable = is_usable
         self._clock = clock
-        self._known: OrderedDict[tuple[str, str], PrefixPlacement] = OrderedDict()
-        self._silent_until: dict[str, float] = {}
+        self._cache: OrderedDict[tuple[str, str], PrefixPlacement] = OrderedDict()
+        self._backoff_until: dict[str, float] = {}  # by service
+
+    def locate(self, service: str, prefix: str, tokens: float) -> PrefixPlacement:
+        """The placement of a prefix; may wait for up to the time-outs of the calls to the owner.
 
-    def home(self, service: str, prefix: str, tokens: float) -> PrefixPlacement:
-        """The instance that keeps the prefix, empty where nobody says; may wait for a short time."""
+        Args:
+            service: The service that the prompt is for.
+            prefix: Identifies the shared prefix.
+            tokens: The length of the prefix.
+
+        Returns:
+            The placement, with an empty instance where no owner responded or where the named instance is not usable.
+        """
         key = (service, prefix)
-        known = self._known.get(key, UNKNOWN_PLACEMENT)
-        if known.instance and self._is_usable(service, known.instance):
-            self._known.move_to_end(key)
-            return known
-        if self._clock() < self._silent_until.get(service, 0.0):
+        cached = self._cache.get(key, UNKNOWN_PLACEMENT)
+        if cached.instance and self._is_usable(service, cached.instance):
+            self._cache.move_to_end(key)
+            return cached
+        if self._clock() < self._backoff_until.get(service, 0.0):
             return UNKNOWN_PLACEMENT
-        found = self._ask(PrefixPlacementRequest(service, prefix, float(tokens), known.instance))
-        if found is None:
-            self._silent_until[service] = self._clock() + OWNER_BACKOFF_S
+        placement = self._request(PrefixPlacementRequest(service, prefix, float(tokens), cached.instance))
+        if placement is None:
+            self._backoff_until[service] = self._clock() + OWNER_BACKOFF_S
             return UNKNOWN_PLACEMENT
-        if not found.instance or not self._is_usable(service, found.instance):
+        if not placement.instance or not self._is_usable(service, placement.instance):
             return UNKNOWN_PLACEMENT
-        self._known[key] = PrefixPlacement(found.instance)
-        while len(self._known) > MAX_CACHED_PLACEMENTS:
-            self._known.popitem(last=False)
-        return found
-
-    def _ask(self, request: PrefixPlacementRequest) -> PrefixPlacement | None:
-        """The owner's word; None where no owner answered."""
-        about = f"service={request.service}"
-        return call_owner(
-            self._call, self._ask_at(request.service), request, PrefixPlacement, RESPONSE_TIMEOUT_S, about
-        )
+        self._cache[key] = PrefixPlacement(placement.instance)  # without `is_new`, which is for this request alone
+        while len(self._cache) > MAX_CACHED_PLACEMENTS:
+            self._cache.popitem(last=False)
+        return placement
+
+    def _request(self, request: PrefixPlacementRequest) -> PrefixPlacement | None:
+        service = request.service
+        return self._owners.request(service, request, PrefixPlacement, RESPONSE_TIMEOUT_S, f"service={service}")
--- a/ochrespan/control_plane/prefix_placement/messages.py
+++ b/ochrespan/control_plane/prefix_placement/messages.py
@@ -1,4 +1,7 @@
-"""The messages between routers and the owners of services about where prompts' shared parts are kept."""
+"""The messages between routers and the owners of services about the placement of prefixes.
+
+The names and the order of the fields are part of the wire format.
+"""
 
 from __future__ import annotations
 
@@ -10,18 +13,30 @@
 @message("home.ask")
 @dataclass(slots=True)
 class PrefixPlacementRequest:
-    """A router meets shared parts of a prompt whose server it does not know, or whose server it cannot use."""
+    """A router asks for the placement of a prefix that it has not cached, or whose instance it cannot use.
+
+    Attributes:
+        service: The service that the prompt is for.
+        prefix: Identifies the shared prefix of prompts.
+        tokens: The length of the prefix.
+        unusable: An instance that the router cannot use; empty where there is none.
+    """
 
     service: str
     prefix: str
     tokens: float
-    unusable: str = ""  # an instance that the router cannot use
+    unusable: str = ""
 
 
 @message("home.is")
 @dataclass(slots=True)
 class PrefixPlacement:
-    """The instance that keeps the shared parts; empty where the service has none."""
+    """The instance that a prefix is placed on.
+
+    Attributes:
+        instance: Empty where the service has no instance that is ready.
+        is_new: Placed by this request: the instance has not cached the prefix yet.
+    """
 
     instance: str
-    is_new: bool = False  # placed by this question: the instance has still to read the parts
+    is_new: bool = False
--- a/ochrespan/control_plane/prefix_placement/owner.py
+++ b/ochrespan/control_plane/prefix_placement/owner.py
@@ -1,7 +1,8 @@
-"""Where the shared parts of prompts are kept: decided by the owner of the service's shard, once for all routers.
+"""The owner of a service's prefix placements: the leader of the shard that the service's name belongs to.
 
-A hash would do without a word between processes, but a few dozen long prefixes fall unevenly on a few servers. The
-owner deals them out by their tokens, answers at once, and has the placements replicated in batches behind that.
+Consistent hashing would need no messages, but a few dozen long prefixes fall unevenly on a few instances. The owner
+balances the prefixes by their tokens, responds at once, and replicates the placements in batches afterwards. A
+placement that is lost before it is replicated costs one prefill of the prefix.
 """
 
 from __future__ import annotations
@@ -26,44 +27,51 @@
 log = logging.getLogger(__name__)
 
 
-BATCH_S = 0.1  # placements are gathered for so long
+BATCH_INTERVAL_S = 0.1  # from the first placement of a batch to its replication
 REPLICATION_TIMEOUT_S = 3.0
 
 
 class PrefixPlacementOwner:
-    """Answers routers for the services whose shards this process leads."""
+    """Places prefixes for the services whose shards this process leads.
+
+    Args:
+        groups: The Raft groups of this process.
+        instances: The state machine of each shard of instances.
+        schedule: Calls a function with the arguments given after `BATCH_INTERVAL_S`.
+    """
 
     def __init__(
         self,
         groups: ReplicaGroups,
         instances: Mapping[int, InstanceStateMachine],
-        later: Callable[..., object] = lambda call, *given: gevent.spawn_later(BATCH_S, call, *given),
+        schedule: Callable[..., object] = lambda call, *given: gevent.spawn_later(BATCH_INTERVAL_S, call, *given),
     ) -> None:
         self._groups = groups
         self._instances = instances
-        self._later = later
-        self._fresh: dict[str, PrefixPlacements] = {}  # by service: placements that may not be replicated yet
-        self._batches: dict[str, list[tuple[str, str, float]]] = {}
-
-    def register(self, call_server: RpcServer) -> None:
-        """Answers routers."""
-        call_server.on_request(PrefixPlacementRequest, self.home)
-
-    def leadership_changed(self, shard: int, is_leader: bool) -> None:
-        """To be called when this process begins or ceases to lead a shard."""
-        for service in [each for each in self._fresh if shard_of(each) == shard]:
-            del self._fresh[service]
+        self._schedule = schedule
+        self._unreplicated: dict[str, PrefixPlacements] = {}  # by service: may not be in the state machine yet
+        self._batches: dict[str, list[tuple[str, str, float]]] = {}  # by service: prefix, instance and tokens of each
+
+    def register(self, rpc_server: RpcServer) -> None:
+        """Serves the requests of routers."""
+        rpc_server.on_request(PrefixPlacementRequest, self.place)
+
+    def leadership_changed(self, shard: int, is_leader: bool) -> None:  # noqa: ARG002 - all owners have the same hook
+        """To be called when this process begins or ceases to lead a shard: both drop what is not replicated."""
+        for service in [each for each in self._unreplicated if shard_of(each) == shard]:
+            del self._unreplicated[service]
             self._batches.pop(service, None)
 
-    def home(self, request: PrefixPlacementRequest) -> PrefixPlacement | NotOwnerResponse:
-        """The instance that keeps the prefix: a known one, or the one with the fewest tokens so far."""
-        shard, service = shard_of(request.service), request.service
+    def place(self, request: PrefixPlacementRequest) -> PrefixPlacement | NotOwnerResponse:
+        """The placement of a prefix: the one that is known, or the ready instance with the fewest tokens placed."""
+        service = request.service
+        shard = shard_of(service)
         if not self._groups.is_leader(shard):
             leader = self._groups.leader(shard)
             return NotOwnerResponse(*leader) if leader is not None else NotOwnerResponse()
         machine = self._instances[shard]
-        fresh = self._fresh.setdefault(service, PrefixPlacements())
-        known = fresh.of(service, request.prefix) or machine.placements.of(service, request.prefix)
+        unreplicated = self._unreplicated.setdefault(service, PrefixPlacements())
+        known = unreplicated.of(service, request.prefix) or machine.placements.of(service, request.prefix)
         ready = [
             record.id
             for record in machine.records.values()
@@ -73,19 +81,19 @@
             return PrefixPlacement(known)
         if not ready:
             return PrefixPlacement("")
-        instance = min(ready, key=lambda name: (machine.placements.tokens(name) + fresh.tokens(name), name))
-        self._place(service, (request.prefix, instance, request.tokens))
+        instance = min(ready, key=lambda name: (machine.placements.tokens(name) + unreplicated.tokens(name), name))
+        self._assign(service, (request.prefix, instance, request.tokens))
         return PrefixPlacement(instance, is_new=True)
 
-    def _place(self, service: str, entry: tuple[str, str, float]) -> None:
-        self._fresh[service].assign(AssignPrefixes(service, [entry]))
+    def _assign(self, service: str, entry: tuple[str, str, float]) -> None:
+        self._unreplicated[service].assign(AssignPrefixes(service, [entry]))
         if service not in self._batches:
             self._batches[service] = []
-            self._later(self._replicate, service)
+            self._schedule(self._replicate, service)
         self._batches[service].append(entry)
 
     def _replicate(self, service: str) -> None:
-        """Has the placements of the last moments replicated; those that fail are known here alone."""
+        """Replicates the batch of a service; where that fails, its placements are known to this process alone."""
         entries = self._batches.pop(service, [])
         if not entries:
             return
@@ -94,5 +102,6 @@
         except (NotLeaderError, OutcomeUnknownError) as error:
             log.info("placements not replicated service=%s count=%d error=%r", service, len(entries), str(error))
             return
-        if (fresh := self._fresh.get(service)) is not None:
-            fresh.forget(service, [prefix for prefix, _, _ in entries])
+        # Leadership may have changed during the proposal, which dropped the placements of the service.
+        if (unreplicated := self._unreplicated.get(service)) is not None:
+            unreplicated.forget(service, [prefix for prefix, _, _ in entries])
--- a/ochrespan/control_plane/quota/allocation.py
+++ b/ochrespan/control_plane/quota/allocation.py
@@ -1,9 +1,10 @@
-"""The arithmetic of quotas over many routers. Pure: time is an argument, in seconds of the steady clock.
+"""The arithmetic of token quotas over many routers. Pure: the time is an argument, in seconds of a monotonic clock.
 
-The owner of a tenant grants tokens out of a bucket, and a router spends a grant within the grant's lifetime. In a
-window of W seconds the routers together spend at most what the owner granted in the W seconds and the lifetime before,
-and the sure shares of routers that had no owner to ask. `terms_for` chooses the bucket and the sure share so that the
-sum stays within `(rate * W + burst) * (1 + overshoot) + slack`.
+The owner of a tenant grants tokens from a token bucket, and a router spends a grant within the grant's lifetime. In any
+window of W seconds the routers together spend at most the sum of two parts: what the owner granted in a window longer
+by the lifetime and the send delay, and the reserved tokens, which routers spend while they reach no owner. `terms_for`
+chooses the bucket and the reserved tokens so that the sum stays within
+`(rate * W + burst) * (1 + overshoot) + slack`.
 """
 
 from __future__ import annotations
@@ -14,107 +15,136 @@
 from typing import Any
 
 GRANT_LIFETIME_S = 0.5
-SEND_DELAY_S = 0.3  # from the moment when tokens are taken to the arrival of the request at a server
-RESERVED_FRACTION = 0.8  # of what the bound leaves above rate and burst
-RATE_FRACTION = 0.5  # of the overshoot that goes into the rate
+SEND_DELAY_S = 0.3  # from taking the tokens of a request to its arrival at an instance
+RESERVED_FRACTION = 0.8  # of the headroom that the bound leaves above rate and burst
+RATE_FRACTION = 0.5  # of the overshoot, added to the bucket's rate
 MIN_WAIT_S = 0.001
-PREFETCH_FRACTION = 0.25  # of the bucket's level: at most this much is granted for requests that have not come yet
-# of the sure share is dealt evenly, as a part has to hold a whole request; the rest by past grants
+PREFETCH_FRACTION = 0.25  # of a bucket's level: at most this much is granted ahead of requests
+# Of the reserved tokens this fraction is divided equally, since a router's share has to cover a complete request. The
+# rest is divided by the tokens that each router was granted recently.
 EQUAL_FRACTION = 0.8
+_MIN_MAX_GRANTED = 1e-9  # avoids a division by zero for a tenant without a rate and a burst
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaBounds:
-    """How far the tokens spent in a window may exceed a tenant's rate and burst."""
+    """How far the tokens spent in a window may exceed a tenant's rate and burst.
+
+    Attributes:
+        window_s: The length of the window.
+        overshoot: As a fraction of rate and burst.
+        slack: In tokens.
+    """
 
     window_s: float
     overshoot: float
     slack: float
 
     def allowed(self, rate: float, burst: float) -> float:
-        """The most that all routers together may spend in any window."""
+        """The maximum number of tokens that all routers together may spend in any window."""
         return (rate * self.window_s + burst) * (1 + self.overshoot) + self.slack
 
 
-def quota_bounds(figures: Mapping[str, Any]) -> QuotaBounds:
-    """The bounds as the settings name them."""
+def quota_bounds(bounds: Mapping[str, Any]) -> QuotaBounds:
+    """The quota bounds in the `bounds` of the settings; the strictest default for what is missing or no number."""
 
-    def figure(name: str, default: float) -> float:
-        value = figures.get(name)
+    def number(name: str, default: float) -> float:
+        value = bounds.get(name, default)
         return float(value) if type(value) in (int, float) else default
 
-    return QuotaBounds(figure("quota_window_s", 8.0), figure("quota_overshoot", 0.0), figure("quota_slack", 0.0))
+    return QuotaBounds(number("quota_window_s", 8.0), number("quota_overshoot", 0.0), number("quota_slack", 0.0))
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaTerms:
-    """A tenant's bucket at its owner, and the sure share, which routers spend that reach no owner."""
+    """The token bucket of a tenant at its owner, and the tokens reserved for routers that reach no owner.
+
+    Attributes:
+        rate: Of the bucket, in tokens per second.
+        depth: Of the bucket, in tokens.
+        reserved: Tokens in any window, over all routers.
+        window_s: The length of the window.
+    """
 
     rate: float
     depth: float
-    reserved: float  # in any window, over all routers
+    reserved: float
     window_s: float
 
     @property
-    def most_granted(self) -> float:
-        """The most that the owner grants in any window."""
+    def max_granted(self) -> float:
+        """The maximum number of tokens that the owner grants in any window."""
         return self.rate * self.window_s + self.depth
 
 
 def terms_for(rate: float, burst: float, bounds: QuotaBounds) -> QuotaTerms:
-    """Terms that keep the bound, and admit all of rate and burst where the bound leaves room for the lifetimes."""
+    """Terms that keep the bound, and admit all of rate and burst where the headroom covers the delays.
+
+    Args:
+        rate: Of the tenant, in tokens per second.
+        burst: Of the tenant, in tokens.
+        bounds: The bounds of the fleet.
+    """
     allowed = bounds.allowed(rate, burst)
     granting_s = bounds.window_s + GRANT_LIFETIME_S + SEND_DELAY_S
-    room = max(0.0, allowed - rate * granting_s - burst)
-    reserved = RESERVED_FRACTION * room
-    raised = rate * (1 + RATE_FRACTION * bounds.overshoot)
-    owner_rate = max(0.0, min(raised, (allowed - reserved - burst) / granting_s))
-    depth = allowed - reserved - owner_rate * granting_s
-    return QuotaTerms(owner_rate, max(0.0, depth), reserved, bounds.window_s)
+    headroom = max(0.0, allowed - rate * granting_s - burst)
+    reserved = RESERVED_FRACTION * headroom
+    raised_rate = rate * (1 + RATE_FRACTION * bounds.overshoot)
+    bucket_rate = max(0.0, min(raised_rate, (allowed - reserved - burst) / granting_s))
+    depth = allowed - reserved - bucket_rate * granting_s
+    return QuotaTerms(bucket_rate, max(0.0, depth), reserved, bounds.window_s)
 
 
 class TokenBucket:
-    """Tokens that come at a rate, up to a depth."""
+    """A token bucket: tokens accrue at `rate` per second up to `depth`."""
 
     def __init__(self, rate: float, depth: float, now: float, level: float = 0.0) -> None:
         self.rate = rate
         self.depth = depth
         self.level = min(level, depth)
-        self._at = now
+        self._refilled_at = now
 
     def refill(self, now: float) -> None:
-        """Adds what came since the last call."""
-        if now > self._at:
-            self.level = min(self.depth, self.level + self.rate * (now - self._at))
-            self._at = now
+        """Adds the tokens that accrued since the last call."""
+        if now > self._refilled_at:
+            self.level = min(self.depth, self.level + self.rate * (now - self._refilled_at))
+            self._refilled_at = now
 
-    def change(self, rate: float, depth: float, now: float) -> None:
-        """Other figures from now on."""
+    def configure(self, rate: float, depth: float, now: float) -> None:
+        """Sets the rate and the depth from now on."""
         self.refill(now)
-        self.rate, self.depth = rate, depth
+        self.rate = rate
+        self.depth = depth
         self.level = min(self.level, depth)
 
-    def take(self, tokens: float, now: float, on_credit: bool = False) -> bool:
-        """Takes the tokens if they are there; on credit, a full bucket also gives more than its depth."""
+    def take(self, tokens: float, now: float, allow_debt: bool = False) -> bool:
+        """Takes the tokens if there are enough.
+
+        Args:
+            tokens: How many to take.
+            now: The present time.
+            allow_debt: Whether a full bucket gives more than its depth, which leaves its level below zero: a request
+                larger than the depth could never be served otherwise.
+        """
         self.refill(now)
-        if self.level < (min(tokens, self.depth) if on_credit else tokens):
+        if self.level < (min(tokens, self.depth) if allow_debt else tokens):
             return False
         self.level -= tokens
         return True
 
-    def take_up_to(self, tokens: float, now: float) -> float:
-        """Takes at most PREFETCH_FRACTION of the level."""
+    def take_prefetch(self, tokens: float, now: float) -> float:
+        """Takes up to `tokens`, but at most PREFETCH_FRACTION of the level; returns how many were taken."""
         self.refill(now)
         taken = max(0.0, min(tokens, PREFETCH_FRACTION * self.level))
         self.level -= taken
         return taken
 
     def put_back(self, tokens: float) -> None:
-        """Tokens that were taken and surely will not be spent."""
+        """Returns tokens that were taken and certainly will not be spent."""
         self.level = min(self.depth, self.level + tokens)
 
     def wait_for(self, tokens: float, now: float) -> float:
-        """Seconds until the tokens will be there, if nobody else takes any."""
+        """Seconds until the tokens have accrued if nothing else is taken; infinite where the rate is zero."""
         self.refill(now)
         missing = min(tokens, self.depth) - self.level
         if missing <= 0:
@@ -123,31 +153,36 @@
 
 
 class SlidingWindowSum:
-    """The sum of what was added within the last seconds."""
+    """The sum of the amounts added within the last `span_s` seconds."""
 
     def __init__(self, span_s: float) -> None:
         self._span_s = span_s
-        self._parts: deque[tuple[float, float]] = deque()
+        self._entries: deque[tuple[float, float]] = deque()  # time and amount, the oldest first
         self._sum = 0.0
 
     def add(self, amount: float, now: float) -> None:
         """Adds an amount that counts from now on."""
-        self._parts.append((now, amount))
+        self._entries.append((now, amount))
         self._sum += amount
 
     def total(self, now: float) -> float:
         """The present sum."""
-        while self._parts and now - self._parts[0][0] > self._span_s:
-            self._sum -= self._parts.popleft()[1]
-        if not self._parts:
-            self._sum = 0.0
+        while self._entries and now - self._entries[0][0] > self._span_s:
+            self._sum -= self._entries.popleft()[1]
+        if not self._entries:
+            self._sum = 0.0  # drops the rounding errors
         return self._sum
 
 
 class ReservedShare:
-    """What a router may spend of a tenant's tokens where no owner answers, or one that began with an empty bucket.
+    """A router's share of a tenant's reserved tokens.
 
-    The routers' parts add up to one at most: most is dealt evenly, the rest by what each was granted lately.
+    It is spent where no owner responds, and where the owner is so new that it began with an empty bucket. The shares of
+    all routers add up to at most one: EQUAL_FRACTION is divided equally, the rest by the tokens granted recently.
+
+    Attributes:
+        terms: The tenant's terms.
+        equal_share: One over the number of live routers.
     """
 
     def __init__(self, terms: QuotaTerms) -> None:
@@ -156,16 +191,15 @@
         self._granted = SlidingWindowSum(terms.window_s)
         self._spent = SlidingWindowSum(terms.window_s + SEND_DELAY_S)
 
-    def granted(self, tokens: float, now: float) -> None:
-        """The owner has granted tokens to this router."""
+    def record_grant(self, tokens: float, now: float) -> None:
+        """Counts tokens that the owner granted to this router."""
         self._granted.add(tokens, now)
 
     def take(self, tokens: float, now: float) -> bool:
-        """Spends the tokens if this router's part has them left."""
-        most = max(self.terms.most_granted, 1e-9)
-        learned = min(1.0, self._granted.total(now) / most)
-        part = EQUAL_FRACTION * self.equal_share + (1 - EQUAL_FRACTION) * learned
-        if self._spent.total(now) + tokens > part * self.terms.reserved:
+        """Spends the tokens if this router's share has that many left."""
+        granted_share = min(1.0, self._granted.total(now) / max(self.terms.max_granted, _MIN_MAX_GRANTED))
+        share = EQUAL_FRACTION * self.equal_share + (1 - EQUAL_FRACTION) * granted_share
+        if self._spent.total(now) + tokens > share * self.terms.reserved:
             return False
         self._spent.add(tokens, now)
         return True
@@ -179,35 +213,40 @@
 
 
 class GrantedTokens:
-    """The unspent grants of one tenant at a router, the oldest first."""
+    """The unspent grants of one tenant at a router, the oldest first.
+
+    Attributes:
+        epoch: Identifies the owner's period of ownership in which the latest grant was given.
+    """
 
     def __init__(self) -> None:
         self._grants: deque[_UnspentGrant] = deque()
-        self._left_over = 0.0  # expired unspent, to be told to the owner that granted it
-        self.epoch = 0  # names the ownership under which the latest grant was given
+        self._unused = 0.0  # to be returned to the owner of `epoch`
+        self.epoch = 0
 
-    def add(self, tokens: float, asked_at: float, epoch: int) -> None:
-        """A grant; its lifetime counts from when it was asked for, which is before it was given."""
+    def add(self, tokens: float, requested_at: float, epoch: int) -> None:
+        """Adds a grant. Its lifetime counts from when it was requested, which is before it was given."""
         if epoch != self.epoch:
-            self.epoch, self._left_over = epoch, 0.0
+            self.epoch = epoch
+            self._unused = 0.0
         if tokens > 0:
-            self._grants.append(_UnspentGrant(tokens, asked_at + GRANT_LIFETIME_S, epoch))
+            self._grants.append(_UnspentGrant(tokens, requested_at + GRANT_LIFETIME_S, epoch))
 
-    def give_back(self, tokens: float, epoch: int) -> None:
-        """Tokens that were taken out of a grant, and surely will not be spent."""
+    def put_back(self, tokens: float, epoch: int) -> None:
+        """Returns tokens that were taken out of a grant and certainly will not be spent."""
         if epoch == self.epoch:
-            self._left_over += tokens
+            self._unused += tokens
 
     def available(self, now: float) -> float:
-        """Tokens that may be spent now."""
+        """The number of tokens that may be spent now."""
         while self._grants and self._grants[0].expires_at <= now:
             expired = self._grants.popleft()
             if expired.epoch == self.epoch:
-                self._left_over += expired.tokens
+                self._unused += expired.tokens
         return sum(grant.tokens for grant in self._grants)
 
     def take(self, tokens: float, now: float) -> bool:
-        """Spends the tokens if they are there."""
+        """Spends the tokens if there are enough."""
         if self.available(now) < tokens:
             return False
         while tokens > 0 and self._grants:
@@ -219,7 +258,8 @@
                 self._grants.popleft()
         return True
 
-    def take_left_over(self) -> float:
-        """What expired unspent since the last call."""
-        left_over, self._left_over = self._left_over, 0.0
-        return left_over
+    def take_unused(self) -> float:
+        """The tokens that expired or were put back since the last call."""
+        unused = self._unused
+        self._unused = 0.0
+        return unused
--- a/ochrespan/control_plane/quota/client.py
+++ b/ochrespan/control_plane/quota/client.py
@@ -1,51 +1,61 @@
-"""A router's end of the quotas: takes tokens for requests out of grants of the tenants' owners.
+"""The router's end of the token quotas: takes tokens for requests out of grants of the tenants' owners.
 
-`take` is called when a request comes; where the grants at hand do not suffice it asks the owner, and waits for a short
-time. Where none answers, or where the owner is new and began with an empty bucket, the router spends its part of the
-sure share. A tenant with many requests gets grants ahead of them, so that most requests need not wait. A request that
-is sent later than SEND_DELAY_S after that calls `renew` first, since its tokens count when it reaches its server.
+`take` is called when a request arrives. Where the unspent grants do not suffice, it requests a grant from the owner and
+waits for a short time. Where no owner responds, or where the owner is so new that it began with an empty bucket, the
+router spends its reserved share. For a tenant with many requests grants are prefetched, so that most of its requests
+do not wait.
+
+A request's tokens count when it reaches its instance. One that is sent later than SEND_DELAY_S after `take` therefore
+calls `renew` first.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping, Sequence
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field, replace
 from time import monotonic
 
 import gevent
 
-from ochrespan.common.addresses import Address
 from ochrespan.control_plane.config.views import QuotaUnit, Tenant
-from ochrespan.control_plane.owner_calls import Call, call_owner
+from ochrespan.control_plane.owner_calls import OwnerClient
 
 from .allocation import SEND_DELAY_S, GrantedTokens, QuotaBounds, QuotaTerms, ReservedShare, terms_for
 from .messages import Grant, GrantRequest
 
 RESPONSE_TIMEOUT_S = 0.3
-OWNER_BACKOFF_S = 0.1  # where no owner answered, none is asked again for this long
+OWNER_BACKOFF_S = 0.1  # no owner of a tenant is called for this long after a call without a response
 NO_OWNER_RETRY_S = 0.5
-MIN_RETRY_S = 0.4  # others wait for the same tokens, so a client that comes back at once is refused again
-MAX_WAIT_S = 0.12  # for tokens that the owner will have by then
-PREFETCH_S = 0.2  # of a tenant's demand is asked for ahead
+MIN_RETRY_S = 0.4  # other requests wait for the same tokens, so a client that retries at once is rejected again
+MAX_WAIT_S = 0.12  # for tokens that will have accrued at the owner by then
+PREFETCH_S = 0.2  # seconds of a tenant's demand that are prefetched
 PREFETCH_MIN_REQUESTS_PER_S = 10.0
-DEMAND_WEIGHT = 0.5  # of the last second, in the mean of the demand
+DEMAND_WEIGHT = 0.5  # of the last interval, in the moving average of the demand
 DEMAND_INTERVAL_S = 1.0
-IDLE_TENANT_S = 60.0  # after which nothing is kept of a tenant
+IDLE_TENANT_S = 60.0  # after which the state of a tenant is dropped
 
 
 @dataclass(frozen=True, slots=True)
 class TokenReservation:
-    """Whether a request may be sent; if not, when its client should come back."""
+    """The result of taking the tokens of a request.
+
+    Attributes:
+        allowed: Whether the request may be sent.
+        retry_after_s: If it may not: when its client should retry.
+        tokens: The tokens taken; zero for a tenant without a limit.
+        epoch: Of the grant that they were taken from; None for the reserved share, and for tenants without a limit.
+        taken_at: When they were taken.
+    """
 
     allowed: bool
     retry_after_s: float = 0.0
     tokens: float = 0.0
-    epoch: int | None = None  # of the grant; None for the sure share, and for tenants without a limit
-    at: float = 0.0
+    epoch: int | None = None
+    taken_at: float = 0.0
 
-    def holds(self, now: float) -> bool:
+    def is_valid(self, now: float) -> bool:
         """Whether the request may be sent now without renewing its tokens."""
-        return self.tokens == 0.0 or now - self.at <= SEND_DELAY_S
+        return self.tokens == 0.0 or now - self.taken_at <= SEND_DELAY_S
 
 
 UNLIMITED = TokenReservation(True)
@@ -53,24 +63,26 @@
 
 @dataclass(slots=True)
 class _Demand:
-    """What requests of a tenant asked for here, as means over seconds."""
+    """Moving averages of the tokens and requests of a tenant at this router."""
 
-    began: float
+    interval_started_at: float
     tokens: float = 0.0
     requests: int = 0
     tokens_per_s: float = 0.0
     requests_per_s: float = 0.0
 
     def add(self, tokens: float, now: float) -> None:
-        elapsed = now - self.began
+        elapsed = now - self.interval_started_at
         if elapsed >= DEMAND_INTERVAL_S:
             self.tokens_per_s += DEMAND_WEIGHT * (self.tokens / elapsed - self.tokens_per_s)
             self.requests_per_s += DEMAND_WEIGHT * (self.requests / elapsed - self.requests_per_s)
-            self.began, self.tokens, self.requests = now, 0.0, 0
+            self.interval_started_at = now
+            self.tokens = 0.0
+            self.requests = 0
         self.tokens += tokens
         self.requests += 1
 
-    def wanted_ahead(self) -> float:
+    def prefetch_tokens(self) -> float:
         return self.tokens_per_s * PREFETCH_S if self.requests_per_s >= PREFETCH_MIN_REQUESTS_PER_S else 0.0
 
 
@@ -79,157 +91,175 @@
     reserved: ReservedShare
     demand: _Demand
     used_at: float
-    configured: int  # the number of the configuration that its terms and share are of
+    configure_count: int  # of the `configure` call that its terms and equal share stem from
     granted: GrantedTokens = field(default_factory=GrantedTokens)
-    asking_ahead: bool = False
-    silent_until: float = 0.0
+    is_prefetching: bool = False
+    backoff_until: float = 0.0
 
 
 class QuotaClient:
-    """`ask_at(tenant)` names the processes to ask in turn: the owner as far as it is known, and who may know better.
-
-    `call(address, request, timeout)` asks one of them, or raises RpcError.
+    """Takes tokens for the requests of one router.
+
+    Args:
+        router: The node name of the router.
+        bounds: The quota bounds of the fleet.
+        owners: Calls the owners of tenants.
+        clock: The present time in seconds, monotonic.
+        sleep: Pauses the calling greenlet for some seconds.
     """
 
     def __init__(
         self,
         router: str,
         bounds: QuotaBounds,
-        ask_at: Callable[[str], Sequence[Address]],
-        call: Call,
+        owners: OwnerClient,
         clock: Callable[[], float] = monotonic,
-        pause: Callable[[float], None] = gevent.sleep,
+        sleep: Callable[[float], None] = gevent.sleep,
     ) -> None:
-        self._pause = pause
         self._router = router
         self._bounds = bounds
-        self._ask_at = ask_at
-        self._call = call
+        self._owners = owners
         self._clock = clock
+        self._sleep = sleep
         self._tenants: Mapping[str, Tenant] = {}
         self._router_count = 1
-        self._configured = 0
-        self._states: dict[str, _TenantState] = {}  # of tenants that were lately served
-        self._swept_at = clock()
+        self._configure_count = 0
+        self._states: dict[str, _TenantState] = {}  # of tenants with recent requests
+        self._idle_dropped_at = clock()
 
     def configure(self, tenants: Mapping[str, Tenant], router_count: int) -> None:
-        """The tenants or the count of routers have changed. What is kept of a tenant follows at its next use."""
-        self._tenants, self._router_count = tenants, max(1, router_count)
-        self._configured += 1
+        """Sets the tenants and the number of live routers. The state of a tenant follows at its next use."""
+        self._tenants = tenants
+        self._router_count = max(1, router_count)
+        self._configure_count += 1
+
+    def try_take(self, tenant: str, tokens: float, now: float) -> bool:
+        """Takes the tokens out of the unspent grants without waiting; true for a tenant without a limit."""
+        state = self._state_of(tenant)
+        if state is None:
+            return True
+        state.demand.add(tokens, now)
+        is_taken = state.granted.take(tokens, now)
+        self._prefetch(tenant, state, now)
+        return is_taken
+
+    def take(self, tenant: str, tokens: float) -> TokenReservation:
+        """Takes the tokens of a request that has arrived; may wait for the owner for a short time."""
+        now = self._clock()
+        if self.try_take(tenant, tokens, now):
+            return self._reservation(tenant, tokens, now)
+        return self._take_from_owner(tenant, tokens)
+
+    def renew(self, tenant: str, reservation: TokenReservation) -> TokenReservation:
+        """Takes the tokens of a request that has not been sent anew; does nothing while they are still valid."""
+        state = self._state_of(tenant)
+        if state is None or reservation.is_valid(self._clock()):
+            return reservation
+        self.release(tenant, reservation)
+        return self._take_from_owner(tenant, reservation.tokens)
+
+    def release(self, tenant: str, reservation: TokenReservation) -> None:
+        """Returns the tokens of a request that certainly is not sent: the owner gets them with the next grant request.
+
+        Tokens of the reserved share are not returned.
+        """
+        state = self._state_of(tenant)
+        if state is not None and reservation.epoch is not None:
+            state.granted.put_back(reservation.tokens, reservation.epoch)
 
     def _state_of(self, name: str) -> _TenantState | None:
-        """What is kept of a tenant, under the terms in force; None where it has no limit."""
-        tenant, now = self._tenants.get(name), self._clock()
+        """The state of a tenant under its present terms; None where it has no limit."""
+        tenant = self._tenants.get(name)
+        now = self._clock()
         if tenant is None or tenant.rate_per_s <= 0:
             self._states.pop(name, None)
             return None
         state = self._states.get(name)
         if state is None:
-            self._forget_idle(now)
+            self._drop_idle(now)
             state = _TenantState(ReservedShare(self._terms_of(tenant)), _Demand(now), now, 0)
             self._states[name] = state
-        if state.configured != self._configured:
-            state.configured = self._configured
-            state.reserved.terms, state.reserved.equal_share = self._terms_of(tenant), 1 / self._router_count
+        if state.configure_count != self._configure_count:
+            state.configure_count = self._configure_count
+            state.reserved.terms = self._terms_of(tenant)
+            state.reserved.equal_share = 1 / self._router_count
         state.used_at = now
         return state
 
     def _terms_of(self, tenant: Tenant) -> QuotaTerms:
         return terms_for(tenant.rate_per_s, tenant.burst, self._bounds)
 
-    def _forget_idle(self, now: float) -> None:
-        """Grants have long expired and spending has left its window when a tenant was idle for so long."""
+    def _drop_idle(self, now: float) -> None:
+        """Drops the tenants that were idle for so long that all grants have expired and no spending counts any more."""
         idle_s = max(IDLE_TENANT_S, 2 * self._bounds.window_s)
-        if now - self._swept_at > idle_s:
-            self._swept_at = now
+        if now - self._idle_dropped_at > idle_s:
+            self._idle_dropped_at = now
             self._states = {name: state for name, state in self._states.items() if now - state.used_at <= idle_s}
 
-    def try_take(self, tenant: str, tokens: float, now: float) -> bool:
-        """Takes the tokens out of the grants at hand without waiting; true for a tenant without a limit."""
-        state = self._state_of(tenant)
-        if state is None:
-            return True
-        state.demand.add(tokens, now)
-        taken = state.granted.take(tokens, now)
-        self._ask_ahead(tenant, state, now)
-        return taken
-
-    def take(self, tenant: str, tokens: float) -> TokenReservation:
-        """Takes the tokens, asking the owner if need be; where no owner answers, out of this router's sure share."""
-        now = self._clock()
-        if self.try_take(tenant, tokens, now):
-            return self._taken(tenant, tokens, now)
-        return self._take_by_asking(tenant, tokens)
-
-    def renew(self, tenant: str, taken: TokenReservation) -> TokenReservation:
-        """Takes the tokens of a request anew that has not been sent: nothing changes if they still hold."""
-        state = self._state_of(tenant)
-        if state is None or taken.holds(self._clock()):
-            return taken
-        self.release(tenant, taken)
-        return self._take_by_asking(tenant, taken.tokens)
-
-    def release(self, tenant: str, taken: TokenReservation) -> None:
-        """The request was surely not sent, and will not be: its tokens go back to the owner with the next request."""
-        state = self._state_of(tenant)
-        if state is not None and taken.epoch is not None:
-            state.granted.give_back(taken.tokens, taken.epoch)
-
-    def _take_by_asking(self, tenant: str, tokens: float) -> TokenReservation:
-        """Waits where the owner will have the tokens shortly, since a refusal would cost the client more."""
-        taken = self._take_once(tenant, tokens)
-        if not taken.allowed and taken.retry_after_s <= MAX_WAIT_S:
-            self._pause(taken.retry_after_s)
-            taken = self._take_once(tenant, tokens)
-        return taken if taken.allowed else replace(taken, retry_after_s=max(taken.retry_after_s, MIN_RETRY_S))
+    def _take_from_owner(self, tenant: str, tokens: float) -> TokenReservation:
+        """Requests a grant, and once more after a wait where the tokens accrue shortly: a rejection costs more time."""
+        reservation = self._take_once(tenant, tokens)
+        if not reservation.allowed and reservation.retry_after_s <= MAX_WAIT_S:
+            self._sleep(reservation.retry_after_s)
+            reservation = self._take_once(tenant, tokens)
+        if reservation.allowed:
+            return reservation
+        return replace(reservation, retry_after_s=max(reservation.retry_after_s, MIN_RETRY_S))
 
     def _take_once(self, tenant: str, tokens: float) -> TokenReservation:
         state = self._state_of(tenant)
         if state is None:
-            return UNLIMITED  # the limit was lifted meanwhile
-        grant = self._ask(tenant, state, tokens, state.demand.wanted_ahead())
+            return UNLIMITED  # the limit was lifted while the request waited
+        grant = self._request_grant(tenant, state, tokens, state.demand.prefetch_tokens())
         now = self._clock()
         if state.granted.take(tokens, now):
-            return self._taken(tenant, tokens, now)
-        has_settled = grant is not None and grant.owner_age_s >= self._bounds.window_s
-        if not has_settled and state.reserved.take(tokens, now):
+            return self._reservation(tenant, tokens, now)
+        # The bucket of a newer owner began empty within this window: rejections would fall on a tenant within its rate.
+        is_owner_settled = grant is not None and grant.owner_age_s >= self._bounds.window_s
+        if not is_owner_settled and state.reserved.take(tokens, now):
             return TokenReservation(True, 0.0, tokens, None, now)
         return TokenReservation(False, NO_OWNER_RETRY_S if grant is None else grant.retry_after_s)
 
-    def _taken(self, tenant: str, tokens: float, now: float) -> TokenReservation:
+    def _reservation(self, tenant: str, tokens: float, now: float) -> TokenReservation:
         state = self._state_of(tenant)
         return UNLIMITED if state is None else TokenReservation(True, 0.0, tokens, state.granted.epoch, now)
 
-    def _ask_ahead(self, tenant: str, state: _TenantState, now: float) -> None:
-        wanted = state.demand.wanted_ahead()
-        if wanted and not state.asking_ahead and state.granted.available(now) < wanted / 2:
-            state.asking_ahead = True
-            gevent.spawn(self._fetch_ahead, tenant, state, wanted)
+    def _prefetch(self, tenant: str, state: _TenantState, now: float) -> None:
+        """Requests a grant in a greenlet of its own where less than half of the prefetched tokens is left."""
+        tokens = state.demand.prefetch_tokens()
+        if tokens and not state.is_prefetching and state.granted.available(now) < tokens / 2:
+            state.is_prefetching = True
+            gevent.spawn(self._request_prefetch, tenant, state, tokens)
 
-    def _fetch_ahead(self, tenant: str, state: _TenantState, wanted: float) -> None:
+    def _request_prefetch(self, tenant: str, state: _TenantState, tokens: float) -> None:
         try:
-            self._ask(tenant, state, 0.0, wanted)
+            self._request_grant(tenant, state, 0.0, tokens)
         finally:
-            state.asking_ahead = False
+            state.is_prefetching = False
 
-    def _ask(self, tenant: str, state: _TenantState, needed: float, ahead: float) -> Grant | None:
-        """Adds what the owner grants; None where no owner answered."""
-        asked_at = self._clock()
-        if asked_at < state.silent_until:
+    def _request_grant(self, tenant: str, state: _TenantState, needed: float, ahead: float) -> Grant | None:
+        """Adds what the owner grants; returns None where no owner responded."""
+        requested_at = self._clock()
+        if requested_at < state.backoff_until:
             return None
-        left_over = state.granted.take_left_over()
-        request = GrantRequest(tenant, self._router, needed, ahead, left_over, state.granted.epoch)
-        grant = call_owner(self._call, self._ask_at(tenant), request, Grant, RESPONSE_TIMEOUT_S, f"tenant={tenant}")
+        unused = state.granted.take_unused()
+        request = GrantRequest(tenant, self._router, needed, ahead, unused, state.granted.epoch)
+        grant = self._owners.request(tenant, request, Grant, RESPONSE_TIMEOUT_S, f"tenant={tenant}")
         if grant is None:
-            state.silent_until = self._clock() + OWNER_BACKOFF_S
+            state.backoff_until = self._clock() + OWNER_BACKOFF_S
             return None
-        state.granted.add(grant.tokens, asked_at, grant.epoch)
-        state.reserved.granted(grant.tokens, asked_at)
+        state.granted.add(grant.tokens, requested_at, grant.epoch)
+        state.reserved.record_grant(grant.tokens, requested_at)
         return grant
 
 
 def request_cost(tenant: Tenant, token_usage: tuple[float, float] | None) -> float:
-    """What a request counts for: its tokens, or 1 where the tenant's quota is in requests."""
+    """The tokens that a request takes of its tenant's quota; 1 where the quota is in requests.
+
+    Args:
+        tenant: The tenant of the request.
+        token_usage: The tokens of the prompt and of the response, where the client declared them.
+    """
     if tenant.unit is not QuotaUnit.TOKENS:
         return 1.0
     return tenant.plain_tokens if token_usage is None else sum(token_usage)
--- a/ochrespan/control_plane/quota/messages.py
+++ b/ochrespan/control_plane/quota/messages.py
@@ -1,4 +1,7 @@
-"""The messages between routers and the owners of tenants."""
+"""The messages between routers and the owners of tenants about token quotas.
+
+The names and the order of the fields are part of the wire format.
+"""
 
 from __future__ import annotations
 
@@ -10,22 +13,38 @@
 @message("quota.ask")
 @dataclass(slots=True)
 class GrantRequest:
-    """A router asks for tokens of a tenant: those `needed` for a request that waits, and some `ahead`."""
+    """A router requests tokens of a tenant.
+
+    Attributes:
+        tenant: The tenant's name.
+        router: The node name of the router.
+        needed: Tokens for a request that waits for them.
+        ahead: Tokens to prefetch for requests that are expected.
+        left_over: Unused tokens of earlier grants of the same owner and epoch, which go back into its bucket.
+        epoch: Of the latest grant that the router got.
+    """
 
     tenant: str
     router: str
     needed: float
     ahead: float
-    left_over: float = 0.0  # earlier grants of the same owner and epoch that expired unspent
+    left_over: float = 0.0
     epoch: int = 0
 
 
 @message("quota.grant")
 @dataclass(slots=True)
 class Grant:
-    """Tokens to be spent within GRANT_LIFETIME_S; none where the tenant is at its limit."""
+    """Tokens to be spent within GRANT_LIFETIME_S.
+
+    Attributes:
+        tokens: Zero where the quota is exhausted.
+        retry_after_s: Seconds until the needed tokens will have accrued.
+        epoch: Identifies the owner's period of ownership.
+        owner_age_s: How long it has been the owner.
+    """
 
     tokens: float
     retry_after_s: float
-    epoch: int  # names the owner's time of ownership
-    owner_age_s: float = 0.0  # for how long it has been the owner
+    epoch: int
+    owner_age_s: float = 0.0
--- a/ochrespan/control_plane/quota/owner.py
+++ b/ochrespan/control_plane/quota/owner.py
@@ -1,7 +1,7 @@
 """The owner of a tenant's quota: the leader of the shard that the tenant's name belongs to.
 
-Buckets are kept in memory alone. A new owner begins with empty ones, which counts whatever its predecessor granted as
-spent; a former owner stops before it can have a successor, since it no longer hears from a majority.
+The token buckets are kept in memory alone. A new owner begins with empty ones, which counts whatever its predecessor
+granted as spent. A former owner stops granting before it can have a successor, since its leader lease expires first.
 """
 
 from __future__ import annotations
@@ -28,27 +28,35 @@
 
 
 class QuotaOwner:
-    """Grants tokens for the tenants whose shards this process leads."""
+    """Grants tokens of the tenants whose shards this process leads.
+
+    Args:
+        groups: The Raft groups of this process.
+        find_tenant: A tenant of the present configuration by its name, or None.
+        bounds: The quota bounds of the fleet.
+        clock: The present time in seconds, monotonic.
+    """
 
     def __init__(
         self,
         groups: ReplicaGroups,
-        tenant: Callable[[str], Tenant | None],
+        find_tenant: Callable[[str], Tenant | None],
         bounds: QuotaBounds,
         clock: Callable[[], float] = monotonic,
     ) -> None:
         self._groups = groups
-        self._tenant = tenant
+        self._find_tenant = find_tenant
         self._bounds = bounds
         self._clock = clock
-        self._owner_since: dict[int, float] = {}
-        self._epochs: dict[int, int] = {}
-        self._numbers = itertools.count(random.SystemRandom().getrandbits(48))
-        self._buckets: dict[str, TokenBucket] = {}
+        self._owner_since: dict[int, float] = {}  # by shard
+        self._epochs: dict[int, int] = {}  # by shard
+        # A random start keeps the epochs of different processes apart, and those of a process that was restarted.
+        self._next_epochs = itertools.count(random.SystemRandom().getrandbits(48))
+        self._buckets: dict[str, TokenBucket] = {}  # by tenant
 
-    def register(self, call_server: RpcServer) -> None:
-        """Answers routers."""
-        call_server.on_request(GrantRequest, self.grant)
+    def register(self, rpc_server: RpcServer) -> None:
+        """Serves the requests of routers."""
+        rpc_server.on_request(GrantRequest, self.grant)
 
     def leadership_changed(self, shard: int, is_leader: bool) -> None:
         """To be called when this process begins or ceases to lead a shard."""
@@ -56,27 +64,31 @@
             del self._buckets[tenant]
         if is_leader:
             self._owner_since[shard] = self._clock()
-            self._epochs[shard] = next(self._numbers)
+            self._epochs[shard] = next(self._next_epochs)
         else:
             self._owner_since.pop(shard, None)
 
     def grant(self, request: GrantRequest) -> Grant | NotOwnerResponse:
-        """Answers a router: tokens, none, or who to ask instead."""
+        """Grants the needed tokens and some ahead, or none, or names the owner where it is another process."""
         shard = shard_of(request.tenant)
         if not self._owns(shard):
             leader = self._groups.leader(shard)
             return NotOwnerResponse(*leader) if leader is not None else NotOwnerResponse()
-        tenant, epoch, now = self._tenant(request.tenant), self._epochs[shard], self._clock()
-        age = now - self._owner_since[shard]
+        tenant = self._find_tenant(request.tenant)
+        epoch = self._epochs[shard]
+        now = self._clock()
+        owner_age_s = now - self._owner_since[shard]
         if tenant is None:
-            return Grant(0.0, MAX_RETRY_S, epoch, age)
+            return Grant(0.0, MAX_RETRY_S, epoch, owner_age_s)
         bucket = self._bucket(tenant, shard, now)
         if request.epoch == epoch and request.left_over > 0:
             bucket.put_back(request.left_over)
-        if not bucket.take(request.needed, now, on_credit=True):
-            log.debug("at its limit tenant=%s needed=%.0f level=%.0f", request.tenant, request.needed, bucket.level)
-            return Grant(0.0, min(MAX_RETRY_S, bucket.wait_for(request.needed, now)), epoch, age)
-        return Grant(request.needed + bucket.take_up_to(request.ahead, now), 0.0, epoch, age)
+        if not bucket.take(request.needed, now, allow_debt=True):
+            log.debug(
+                "quota exhausted tenant=%s needed=%.0f available=%.0f", request.tenant, request.needed, bucket.level
+            )
+            return Grant(0.0, min(MAX_RETRY_S, bucket.wait_for(request.needed, now)), epoch, owner_age_s)
+        return Grant(request.needed + bucket.take_prefetch(request.ahead, now), 0.0, epoch, owner_age_s)
 
     def _owns(self, shard: int) -> bool:
         return shard in self._owner_since and self._groups.lease_age_s(shard) < LEASE_DURATION_S
@@ -85,7 +97,8 @@
         terms = terms_for(tenant.rate_per_s, tenant.burst, self._bounds)
         bucket = self._buckets.get(tenant.name)
         if bucket is None:
+            # Filled from the beginning of the ownership on, so that its first request does not find it empty later.
             bucket = self._buckets[tenant.name] = TokenBucket(terms.rate, terms.depth, self._owner_since[shard])
         if (bucket.rate, bucket.depth) != (terms.rate, terms.depth):
-            bucket.change(terms.rate, terms.depth, now)
+            bucket.configure(terms.rate, terms.depth, now)
         return bucket
--- a/ochrespan/control_plane/quota/router_setup.py
+++ b/ochrespan/control_plane/quota/router_setup.py
@@ -1,13 +1,14 @@
-"""Joins a router's clients of owners to its feed, which knows the leaders of the shards and the live routers."""
+"""Connects a router's owner clients to its change feed, which names the shard leaders and counts the live routers."""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
+from collections.abc import Mapping
 from typing import Any
 
 from ochrespan.common.addresses import Address
 from ochrespan.control_plane.feed.client import FeedClient
 from ochrespan.control_plane.feed.table import FleetTable
+from ochrespan.control_plane.owner_calls import OwnerClient
 from ochrespan.control_plane.shards import shard_of
 from ochrespan.transport.peer_clients import PeerClients
 
@@ -15,22 +16,22 @@
 from .client import QuotaClient
 
 
-def owners_of(feed: FeedClient) -> Callable[[str], list[Address]]:
-    """Who to ask about a tenant or service."""
+def owner_client_for(feed: FeedClient, peers: PeerClients) -> OwnerClient:
+    """A client of the owners that the feed names."""
 
-    def ask_at(name: str) -> list[Address]:
-        """The owner as the feed last told, then the controller that is followed, which may know of a new one."""
+    def candidates(name: str) -> list[Address]:
+        """The leader that the feed named last, then the followed controller, which may know a newer one."""
         known = (feed.leaders.get(shard_of(name)), feed.controller)
         return [address for address in known if address is not None]
 
-    return ask_at
+    return OwnerClient(candidates, peers.call)
 
 
-def quota_client_for(router: str, figures: Mapping[str, Any], feed: FeedClient, peers: PeerClients) -> QuotaClient:
-    """The quota client of a router; `figures` are the `bounds` of its settings."""
-    return QuotaClient(router, quota_bounds(figures), owners_of(feed), peers.call)
+def quota_client_for(router: str, bounds: Mapping[str, Any], owners: OwnerClient) -> QuotaClient:
+    """The quota client of a router; `bounds` are the `bounds` of its settings."""
+    return QuotaClient(router, quota_bounds(bounds), owners)
 
 
 def configure_quotas(quotas: QuotaClient, table: FleetTable) -> None:
-    """To be called with each new table."""
+    """Passes on the tenants and the router count of a new table."""
     quotas.configure(table.configuration.tenants, table.router_count)
--- a/ochrespan/data_plane/front.py
+++ b/ochrespan/data_plane/front.py
@@ -50,9 +50,9 @@
 
 
 class Homes(Protocol):
-    """What is used of `control_plane.home_client.PrefixPlacementClient`; the call may wait for a short time."""
+    """What is used of `control_plane.prefix_placement.client.PrefixPlacementClient`; the call may wait a short time."""
 
-    def home(self, service: str, prefix: str, tokens: float) -> PrefixPlacement: ...
+    def locate(self, service: str, prefix: str, tokens: float) -> PrefixPlacement: ...
 
 
 @dataclass(slots=True)
@@ -194,7 +194,7 @@
         """Names the server that keeps the shared parts of a prompt, where these are worth asking."""
         shared = request.shared_tokens
         if self._homes is not None and shared >= LEAST_SHARED_TOKENS:
-            home = self._homes.home(request.service, shared_prefix(request.prefix), shared)
+            home = self._homes.locate(request.service, shared_prefix(request.prefix), shared)
             request.home, request.is_unread = home.instance, home.is_new or not home.instance
 
     def _deny(self, status: int, text: str, request_id: str) -> OwnAnswer:
--- a/ochrespan/programs/router_process.py
+++ b/ochrespan/programs/router_process.py
@@ -15,7 +15,7 @@
 from ochrespan.control_plane.feed.client import FeedClient
 from ochrespan.control_plane.feed.table import FleetChange, FleetTable
 from ochrespan.control_plane.prefix_placement.client import PrefixPlacementClient
-from ochrespan.control_plane.quota.router_setup import configure_quotas, owners_of, quota_client_for
+from ochrespan.control_plane.quota.router_setup import configure_quotas, owner_client_for, quota_client_for
 from ochrespan.membership.agent import ROUTER_ROLE, MembershipAgent, membership_settings
 from ochrespan.membership.peer_addresses import seed_peer_addresses
 from ochrespan.observability import logs
@@ -59,9 +59,9 @@
         self._settings = settings
         self._feed = FeedClient(settings["node"], settings["zone"], seed_peer_addresses(settings), self._table_changed)
         self._membership = MembershipAgent(membership_settings(settings, ROUTER_ROLE), self._members_changed)
-        peers = PeerClients()
-        self._quotas = quota_client_for(settings["node"], settings.get("bounds", {}), self._feed, peers)
-        homes = PrefixPlacementClient(owners_of(self._feed), peers.call, scheduler.is_usable)
+        owners = owner_client_for(self._feed, PeerClients())
+        self._quotas = quota_client_for(settings["node"], settings.get("bounds", {}), owners)
+        homes = PrefixPlacementClient(owners, scheduler.is_usable)
         self._node = RouterNode(
             _listener_at(listen_address(settings, "front"), listener),
             listen_address(settings, "ready"),
--- a/tests/control_plane/feed/test_feed.py
+++ b/tests/control_plane/feed/test_feed.py
@@ -10,7 +10,7 @@
 from ochrespan.control_plane.feed.messages import Freshness, Presence, Subscribe
 from ochrespan.control_plane.feed.server import FeedServer
 from ochrespan.control_plane.feed.table import FleetChange, FleetTable
-from ochrespan.control_plane.quota.router_setup import configure_quotas, quota_client_for
+from ochrespan.control_plane.quota.router_setup import configure_quotas, owner_client_for, quota_client_for
 from ochrespan.control_plane.shards import shard_of
 from ochrespan.transport.peer_clients import PeerClients
 from ochrespan.transport.tcp import ConnectionClosedError, dial
@@ -288,7 +288,8 @@
     router = Router(world, controllers=3)
     routers.append(router)
     table = router.wait(lambda table: table.version == 5)
-    quotas = quota_client_for("edge-1", {"quota_window_s": 8, "quota_overshoot": 0.1}, router.client, PeerClients())
+    owners = owner_client_for(router.client, PeerClients())
+    quotas = quota_client_for("edge-1", {"quota_window_s": 8, "quota_overshoot": 0.1}, owners)
     configure_quotas(quotas, table)
     with gevent.Timeout(PATIENCE_S):
         while (taken := quotas.take("t", 1.0)).epoch is None:
--- a/tests/control_plane/prefix_placement/test_prefix_placement.py
+++ b/tests/control_plane/prefix_placement/test_prefix_placement.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ochrespan.control_plane.owner_calls import NotOwnerResponse
+from ochrespan.control_plane.owner_calls import NotOwnerResponse, OwnerClient
 from ochrespan.control_plane.prefix_placement.client import OWNER_BACKOFF_S, PrefixPlacementClient
 from ochrespan.control_plane.prefix_placement.messages import PrefixPlacement, PrefixPlacementRequest
 from ochrespan.control_plane.prefix_placement.owner import PrefixPlacementOwner
@@ -62,7 +62,7 @@
         self.machine.apply(0, encode(RegisterInstance(record_fields(record_of(f"i{number}", document)))))
 
     def ask(self, prefix: str, tokens: float = 1000.0, unusable: str = "") -> str:
-        return self.owner.home(PrefixPlacementRequest("llm", prefix, tokens, unusable)).instance
+        return self.owner.place(PrefixPlacementRequest("llm", prefix, tokens, unusable)).instance
 
     def replicate(self) -> None:
         while self.batches:
@@ -129,7 +129,7 @@
     assert {prefix: made.ask(prefix) for prefix in placements} == placements
     made.owner.leadership_changed(SHARD, False)
     made.groups.leads = False
-    assert made.owner.home(PrefixPlacementRequest("llm", "p0", 1.0)) == NotOwnerResponse(*OTHER)
+    assert made.owner.place(PrefixPlacementRequest("llm", "p0", 1.0)) == NotOwnerResponse(*OTHER)
 
 
 def test_what_is_kept_is_bounded():
@@ -147,7 +147,9 @@
     def __init__(self, *replies) -> None:
         self.replies, self.asked, self.now, self.usable = list(replies), [], 100.0, {"i1", "i2"}
         self.client = PrefixPlacementClient(
-            lambda service: [OWNER], self.call, lambda service, instance: instance in self.usable, lambda: self.now
+            OwnerClient(lambda service: [OWNER], self.call),
+            lambda service, instance: instance in self.usable,
+            lambda: self.now,
         )
 
     def call(self, address, request, timeout):
@@ -160,35 +162,35 @@
 
 def test_a_router_asks_once_for_a_prefix_and_anew_when_its_server_is_gone():
     made = Calls(PrefixPlacement("i1"), PrefixPlacement("i2"))
-    assert [made.client.home("llm", "p", 1000) for _ in range(3)] == [PrefixPlacement("i1")] * 3
+    assert [made.client.locate("llm", "p", 1000) for _ in range(3)] == [PrefixPlacement("i1")] * 3
     made.usable.discard("i1")
-    assert made.client.home("llm", "p", 1000) == PrefixPlacement("i2")
+    assert made.client.locate("llm", "p", 1000) == PrefixPlacement("i2")
     assert made.asked == [(OWNER, ""), (OWNER, "i1")]
 
 
 def test_a_router_follows_to_the_owner_and_does_without_one_for_a_while():
     made = Calls(NotOwnerResponse(*OTHER), PrefixPlacement("i1"), RpcError("no"), PrefixPlacement("i2"))
-    assert made.client.home("llm", "p", 1000) == PrefixPlacement("i1")
+    assert made.client.locate("llm", "p", 1000) == PrefixPlacement("i1")
     assert [address for address, _ in made.asked] == [OWNER, OTHER]
-    assert [made.client.home("llm", "q", 1000) for _ in range(2)] == [PrefixPlacement("")] * 2
+    assert [made.client.locate("llm", "q", 1000) for _ in range(2)] == [PrefixPlacement("")] * 2
     assert len(made.asked) == 3
     made.now += OWNER_BACKOFF_S
-    assert made.client.home("llm", "q", 1000) == PrefixPlacement("i2")
+    assert made.client.locate("llm", "q", 1000) == PrefixPlacement("i2")
 
 
 def test_a_server_that_the_router_does_not_know_is_not_taken():
     made = Calls(PrefixPlacement("i9"))
-    assert made.client.home("llm", "p", 1000) == PrefixPlacement("")
+    assert made.client.locate("llm", "p", 1000) == PrefixPlacement("")
 
 
 def test_the_owner_tells_once_that_the_parts_have_still_to_be_read():
     made = Owner()
-    answers = [made.owner.home(PrefixPlacementRequest("llm", "p", 1000.0)) for _ in range(2)]
+    answers = [made.owner.place(PrefixPlacementRequest("llm", "p", 1000.0)) for _ in range(2)]
     assert [answer.is_new for answer in answers] == [True, False]
-    moved = made.owner.home(PrefixPlacementRequest("llm", "p", 1000.0, answers[0].instance))
+    moved = made.owner.place(PrefixPlacementRequest("llm", "p", 1000.0, answers[0].instance))
     assert moved.is_new and moved.instance != answers[0].instance
 
 
 def test_a_router_takes_a_prefix_for_new_at_its_first_request_only():
     made = Calls(PrefixPlacement("i1", is_new=True))
-    assert [made.client.home("llm", "p", 1000).is_new for _ in range(2)] == [True, False]
+    assert [made.client.locate("llm", "p", 1000).is_new for _ in range(2)] == [True, False]
--- a/tests/control_plane/quota/test_quota.py
+++ b/tests/control_plane/quota/test_quota.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from ochrespan.control_plane.config.views import QuotaUnit, Tenant
-from ochrespan.control_plane.owner_calls import NotOwnerResponse
+from ochrespan.control_plane.owner_calls import NotOwnerResponse, OwnerClient
 from ochrespan.control_plane.quota.allocation import (
     EQUAL_FRACTION,
     GRANT_LIFETIME_S,
@@ -33,7 +33,7 @@
     return Tenant(name, ("k",), 0, unit, 200.0, rate, burst)
 
 
-def most_in_a_window(spends, window):
+def max_in_a_window(spends, window):
     """The largest sum of spends in any window of the length."""
     spends = sorted(spends)
     most = total = first = 0
@@ -99,7 +99,9 @@
         self.cut_off = set()
         self.owners = [self.new_owner()]
         self.clients = [
-            QuotaClient(f"edge-{number}", BOUNDS, lambda tenant: [OWNER], self.call_as(number), clock, clock.pause)
+            QuotaClient(
+                f"edge-{number}", BOUNDS, OwnerClient(lambda tenant: [OWNER], self.call_as(number)), clock, clock.pause
+            )
             for number in range(routers)
         ]
         for client in self.clients:
@@ -156,7 +158,7 @@
             waiting.remove((until, client, taken))
             if (taken := client.renew("t", taken)).allowed:
                 spends.append((clock.now + draw.uniform(0, SEND_DELAY_S), taken.tokens))
-    assert most_in_a_window(spends, BOUNDS.window_s) <= BOUNDS.allowed(tenant.rate_per_s, tenant.burst)
+    assert max_in_a_window(spends, BOUNDS.window_s) <= BOUNDS.allowed(tenant.rate_per_s, tenant.burst)
 
 
 def test_a_tenant_within_its_rate_is_never_refused():
@@ -194,14 +196,14 @@
     def call(address, request, timeout):
         raise AssertionError("asked")
 
-    client = QuotaClient("edge-1", BOUNDS, lambda tenant: [OWNER], call)
+    client = QuotaClient("edge-1", BOUNDS, OwnerClient(lambda tenant: [OWNER], call))
     client.configure({"free": limited("free", rate=0.0)}, 3)
     assert client.take("free", 1e9).allowed and client.try_take("unknown", 1.0, 0.0)
 
 
 def test_nothing_is_kept_of_a_tenant_that_was_idle_or_lost_its_limit():
     clock = Clock()
-    client = QuotaClient("edge-1", BOUNDS, lambda tenant: [], lambda *call: None, clock, clock.pause)
+    client = QuotaClient("edge-1", BOUNDS, OwnerClient(lambda tenant: [], lambda *call: None), clock, clock.pause)
     tenants = {name: limited(name) for name in "abc"}
     client.configure(tenants, 2)
     assert not client._states
@@ -218,7 +220,7 @@
 
 def test_another_count_of_routers_holds_from_the_next_request_on():
     clock = Clock()
-    client = QuotaClient("edge-1", BOUNDS, lambda tenant: [], lambda *call: None, clock, clock.pause)
+    client = QuotaClient("edge-1", BOUNDS, OwnerClient(lambda tenant: [], lambda *call: None), clock, clock.pause)
     client.configure({"t": limited()}, 1)
     part = EQUAL_FRACTION * terms_for(limited().rate_per_s, limited().burst, BOUNDS).reserved
     assert client.take("t", 0.6 * part).allowed
@@ -229,7 +231,7 @@
     assert client.take("t", 0.3 * part).allowed
 
 
-def test_a_router_that_reaches_no_owner_lives_on_its_sure_share_alone():
+def test_a_router_that_reaches_no_owner_spends_its_reserved_share_alone():
     clock, tenant = Clock(), limited()
     fleet = Fleet(tenant, 4, clock)
     fleet.cut_off = {0}
@@ -239,7 +241,7 @@
         if fleet.clients[0].take("t", 100.0).allowed:
             spends.append((clock.now, 100.0))
     part = EQUAL_FRACTION / 4 * terms_for(tenant.rate_per_s, tenant.burst, BOUNDS).reserved
-    assert 0.9 * part < most_in_a_window(spends, BOUNDS.window_s) <= part
+    assert 0.9 * part < max_in_a_window(spends, BOUNDS.window_s) <= part
 
 
 def test_a_router_asks_the_owner_that_another_controller_names():
@@ -249,7 +251,7 @@
         asked.append(address)
         return NotOwnerResponse(*OTHER) if address == OWNER else Grant(request.needed, 0.0, 1)
 
-    client = QuotaClient("edge-1", BOUNDS, lambda tenant: [OWNER], call)
+    client = QuotaClient("edge-1", BOUNDS, OwnerClient(lambda tenant: [OWNER], call))
     client.configure({"t": limited()}, 1)
     assert client.take("t", 5.0).allowed and asked == [OWNER, OTHER]
 
@@ -269,18 +271,18 @@
 
 
 def test_what_expired_unspent_goes_back_to_the_owner_that_granted_it_alone():
-    held = GrantedTokens()
-    held.add(10.0, asked_at=0.0, epoch=1)
-    assert held.take(4.0, now=GRANT_LIFETIME_S / 2)
-    assert held.available(GRANT_LIFETIME_S) == 0 and held.take_left_over() == 6.0
-    held.add(10.0, asked_at=2.0, epoch=1)
-    held.add(3.0, asked_at=2.1, epoch=2)
-    assert held.available(9.0) == 0 and held.take_left_over() == 3.0
+    granted = GrantedTokens()
+    granted.add(10.0, requested_at=0.0, epoch=1)
+    assert granted.take(4.0, now=GRANT_LIFETIME_S / 2)
+    assert granted.available(GRANT_LIFETIME_S) == 0 and granted.take_unused() == 6.0
+    granted.add(10.0, requested_at=2.0, epoch=1)
+    granted.add(3.0, requested_at=2.1, epoch=2)
+    assert granted.available(9.0) == 0 and granted.take_unused() == 3.0
 
 
 def test_a_lower_limit_binds_from_the_next_grant():
     bucket = TokenBucket(100.0, 100.0, now=0.0, level=100.0)
-    bucket.change(1.0, 10.0, now=1.0)
+    bucket.configure(1.0, 10.0, now=1.0)
     assert bucket.level == 10.0 and not bucket.take(11.0, now=1.0)
     assert bucket.wait_for(11.0, now=1.0) == 0.0 and not bucket.take(10.5, now=2.0)
 
@@ -322,7 +324,7 @@
     clock.now += SEND_DELAY_S + 0.1
     level = bucket.level
     renewed = client.renew("t", taken)
-    assert renewed.allowed and renewed.at == clock.now and renewed.holds(clock.now)
+    assert renewed.allowed and renewed.taken_at == clock.now and renewed.is_valid(clock.now)
     assert bucket.level >= level
     free = client.take("unlimited", 1e9)
     assert client.renew("unlimited", free) is free
@@ -335,7 +337,7 @@
         return NotOwnerResponse(*OWNER) if address == OTHER else Grant(request.needed, 0.0, 1)
 
     third = ("10.0.0.3", 7500)
-    client = QuotaClient("edge-1", BOUNDS, lambda tenant: [OWNER, OTHER, third], call)
+    client = QuotaClient("edge-1", BOUNDS, OwnerClient(lambda tenant: [OWNER, OTHER, third], call))
     client.configure({"t": limited()}, 1)
     assert client.take("t", 5.0).allowed
 
@@ -352,7 +354,7 @@
     client.release("unlimited", client.take("unlimited", 1.0))
 
 
-def test_a_new_owner_that_has_nothing_yet_leaves_routers_their_sure_share():
+def test_a_new_owner_with_empty_buckets_leaves_routers_their_reserved_share():
     clock, tenant = Clock(), limited(rate=10_000.0, burst=16_000.0)
     fleet = Fleet(tenant, 9, clock)
     clock.now += 20.0
