--- a/ochrespan/control_plane/controller.py
+++ b/ochrespan/control_plane/controller.py
@@ -13,8 +13,9 @@
 from ochrespan.control_plane.api.handlers import ControlApi
 from ochrespan.control_plane.config.owner import ConfigurationOwner
 from ochrespan.control_plane.config.state_machine import ConfigurationStateMachine
+from ochrespan.control_plane.feed.live_routers import LiveRouters
 from ochrespan.control_plane.feed.messages import max_duration_s
-from ochrespan.control_plane.feed.presence import LiveRouters, PresenceReporter
+from ochrespan.control_plane.feed.presence import PresenceReporter, PresenceState
 from ochrespan.control_plane.feed.server import FeedServer
 from ochrespan.control_plane.prefix_placement.owner import PrefixPlacementOwner
 from ochrespan.control_plane.quota.allocation import QuotaBounds
@@ -84,7 +85,11 @@
             groups, state.configuration, state.instances, self._live_routers, self._lag_detector, self._controllers
         )
         self._presence = PresenceReporter(
-            address, zone, groups, self._live_routers, self._lag_detector, self._peers, self._known_addresses
+            address,
+            zone,
+            PresenceState(groups, self._live_routers, self._lag_detector),
+            self._peers,
+            self._known_addresses,
         )
         self._seeds = seeds
         self._members: frozenset[Address] = frozenset()
@@ -119,7 +124,7 @@
 
     def members_changed(self, routers: Iterable[str], controllers: Iterable[Address]) -> None:
         """Membership holds these processes for living."""
-        self._live_routers.members(routers)
+        self._live_routers.set_members(routers)
         self._members = frozenset(controllers)
 
     def is_ready(self) -> bool:
@@ -153,7 +158,9 @@
         )
         registry.gauge("ochrespan_instances", "Registered servers.", lambda: len(self._state.records()))
         registry.gauge("ochrespan_routers", "Living routers.", lambda: len(self._live_routers.routers()))
-        registry.gauge("ochrespan_feed_readers", "Routers that read here.", lambda: len(self._live_routers.readers()))
+        registry.gauge(
+            "ochrespan_feed_readers", "Routers that read here.", lambda: len(self._live_routers.subscribers())
+        )
         registry.gauges(
             "ochrespan_shard_leads", "Whether this controller leads it.", by_shard, lambda: _each(groups.is_leader)
         )
--- a/ochrespan/control_plane/feed/client.py
+++ b/ochrespan/control_plane/feed/client.py
@@ -96,12 +96,12 @@
 
     def seeds_changed(self, seeds: list[Address]) -> None:
         """The settings name other seeds."""
-        self._choice.add_seeds(seeds)
+        self._choice.set_seeds(seeds)
 
     def members_changed(self, routers: Collection[str], controllers: Mapping[Address, str]) -> None:
         """Membership holds these processes for living; `controllers` gives the zone of each."""
         self._members = len(routers)
-        self._choice.told(controllers, monotonic())
+        self._choice.update(controllers, monotonic())
         self._take_count(self._members, self._draft.router_rank)
 
     def _run(self) -> None:
@@ -116,17 +116,17 @@
             self.controller = None
             self._publish_changes()
             self._publish_after_patience()
-            gevent.sleep(self._choice.pause(monotonic(), random.random()))
+            gevent.sleep(self._choice.retry_delay_s(monotonic(), random.random()))
 
     def _follow(self, address: Address) -> None:
         connection = None
         try:
-            connection = dial(address, self._choice.connect_timeout(address))
+            connection = dial(address, self._choice.connect_timeout_s(address))
             connection.limit_silence(FEED_TIMEOUT_S)
             connection.send(Subscribe(self._node, self._zone, dict(self._offsets), self._cluster))
             self._read(address, connection, since=monotonic())
         except (OSError, ConnectionClosedError, MessageError, LeaveControllerError):
-            self._choice.failed(address, monotonic(), random.random())
+            self._choice.record_failure(address, monotonic(), random.random())
             raise
         finally:
             if connection is not None:
@@ -141,7 +141,7 @@
                 self._take_snapshot(received)
             elif isinstance(received, Freshness):
                 self._take_freshness(received, address)
-                if monotonic() - since > MIN_STAY_S and self._choice.is_nearer_than(address, monotonic()):
+                if monotonic() - since > MIN_STAY_S and self._choice.is_nearer_available(address, monotonic()):
                     return
             if not connection.has_message:
                 self._publish_changes()
@@ -177,10 +177,10 @@
             raise LeaveControllerError(f"it belongs to another fleet, {freshness.cluster} in place of {self._cluster}")
         self._take_offsets(freshness, address)
         self.leaders = {shard: (leader[0], leader[1]) for shard, leader in freshness.leaders.items()}
-        self._choice.told({(ip, port): zone for ip, port, zone in freshness.controllers}, monotonic())
+        self._choice.update({(ip, port): zone for ip, port, zone in freshness.controllers}, monotonic())
         if (age := max_duration_s(freshness.quorum_ages)) > MAX_QUORUM_AGE_S:
             self.controller = None
-            if self._choice.another_has_rested(address, monotonic()):
+            if self._choice.is_other_available(address, monotonic()):
                 raise LeaveControllerError(f"no majority for {age:.1f} s")
             self._publish_after_patience()
             return
@@ -188,14 +188,14 @@
             raise LeaveControllerError(f"behind other controllers for {lag:.1f} s")
         self.controller = address
         self._cluster = self._cluster or freshness.cluster
-        self._choice.succeeded(address)
+        self._choice.record_success(address)
         if freshness.router_count:
             self._take_count(max(self._members, freshness.router_count), freshness.router_rank)
         if self.table is None and self._is_complete():
             self._publish(_everything(self._draft))
 
     def _take_count(self, routers: int, rank: int) -> None:
-        count = self._count.told(routers, monotonic())
+        count = self._count.update(routers, monotonic())
         self._draft_changed(*with_routers(self._draft, count, rank))
 
     def _take_offsets(self, freshness: Freshness, address: Address) -> None:
--- a/ochrespan/control_plane/feed/router_count.py
+++ b/ochrespan/control_plane/feed/router_count.py
@@ -1,4 +1,4 @@
-"""The count of live routers as a router uses it: a rise counts at once, a fall after a while. Pure."""
+"""The number of live routers as a router uses it: an increase applies at once, a decrease after a delay. Pure."""
 
 from __future__ import annotations
 
@@ -8,16 +8,19 @@
 
 
 class RouterCountFilter:
-    """Controllers that have just started, or that routers are leaving, tell too low a count for a while."""
+    """Delays decreases of the router count.
+
+    A controller that has just started, or whose routers move to another one, reports too low a count for a while.
+    """
 
     def __init__(self) -> None:
-        self._told: deque[tuple[float, int]] = deque()  # falling counts, the latest last
-
-    def told(self, count: int, now: float) -> int:
-        """A controller tells a count; the highest one of the last seconds holds."""
-        while self._told and self._told[-1][1] <= count:
-            self._told.pop()
-        self._told.append((now, count))
-        while now - self._told[0][0] > DECREASE_DELAY_S:
-            self._told.popleft()
-        return self._told[0][1]
+        self._counts: deque[tuple[float, int]] = deque()  # time and count, decreasing; the latest last
+
+    def update(self, count: int, now: float) -> int:
+        """Takes a reported count; returns the maximum of the last DECREASE_DELAY_S."""
+        while self._counts and self._counts[-1][1] <= count:
+            self._counts.pop()
+        self._counts.append((now, count))
+        while now - self._counts[0][0] > DECREASE_DELAY_S:
+            self._counts.popleft()
+        return self._counts[0][1]
--- a/ochrespan/control_plane/feed/server.py
+++ b/ochrespan/control_plane/feed/server.py
@@ -26,6 +26,7 @@
 from ochrespan.transport.rpc import RpcServer
 from ochrespan.transport.tcp import Connection, ConnectionClosedError
 
+from .live_routers import LiveRouters
 from .messages import (
     FRESHNESS_INTERVAL_S,
     FeedDelta,
@@ -37,7 +38,6 @@
     pack_configuration_change,
     pack_instances_change,
 )
-from .presence import LiveRouters
 
 log = logging.getLogger(__name__)
 
@@ -244,11 +244,15 @@
         )
 
     def _freshness_for(self, subscriber: Subscriber, freshness: Freshness) -> Freshness:
-        freshness.router_count, freshness.router_rank = self._live_routers.place_of(subscriber.node, monotonic())
+        position = self._live_routers.position_of(subscriber.node, monotonic())
+        freshness.router_count = position.count
+        freshness.router_rank = position.rank
         return freshness
 
     def _take_census(self) -> None:
-        self._live_routers.own({subscriber.node for subscriber in self._subscribers.values()}, monotonic())
+        self._live_routers.update_subscribers(
+            {subscriber.node for subscriber in self._subscribers.values()}, monotonic()
+        )
 
     def _send(self, subscriber: Subscriber, encoded: bytes) -> None:
         try:
--- a/tests/control_plane/feed/test_feed.py
+++ b/tests/control_plane/feed/test_feed.py
@@ -254,7 +254,7 @@
     first, stranger = world.controllers[0], world.controllers[1]
     first.groups.cluster_number, stranger.groups.cluster_number = 1, 2
     presence = Presence("127.0.0.1", 1, "z", ["edge-9"], {0: 10_000}, 2)
-    first.node._presence._answer(presence)
+    first.node._presence._receive(presence)
     assert "edge-9" not in first.node._live_routers.routers()
     assert not any(first.node._lag_detector.lags({0: 5}, 1e9).values())
 
--- a/tests/control_plane/feed/test_feed_parts.py
+++ b/tests/control_plane/feed/test_feed_parts.py
@@ -6,6 +6,7 @@
 
 from ochrespan.control_plane.config.configuration import Configuration, change_to
 from ochrespan.control_plane.feed import server as feed_server
+from ochrespan.control_plane.feed.live_routers import STARTUP_SETTLE_S, LiveRouters, RouterPosition
 from ochrespan.control_plane.feed.messages import (
     Presence,
     pack_configuration_change,
@@ -13,7 +14,6 @@
     unpack_configuration_change,
     unpack_instances_change,
 )
-from ochrespan.control_plane.feed.presence import STARTUP_SETTLE_S, LiveRouters
 from ochrespan.control_plane.feed.router_count import DECREASE_DELAY_S, RouterCountFilter
 from ochrespan.control_plane.feed.server import ShardHistory
 from ochrespan.control_plane.feed.table import (
@@ -129,37 +129,39 @@
 
 def test_a_count_of_routers_rises_at_once_and_falls_after_a_while():
     count = RouterCountFilter()
-    assert [count.told(told, at) for told, at in ((3, 0.0), (9, 1.0), (2, 1.5), (4, 2.0))] == [3, 9, 9, 9]
-    assert count.told(4, 1.0 + DECREASE_DELAY_S) == 9
-    assert count.told(4, 1.1 + DECREASE_DELAY_S) == 4
-
-
-def test_the_census_adds_up_the_routers_of_all_controllers_once_it_has_settled():
-    live_routers = LiveRouters(started=0.0)
-    live_routers.own({"b", "d"}, 1.0)
-    assert live_routers.place_of("b", 1.0) == (0, 0)
-    live_routers.told(Presence("10.0.0.2", 7500, "z", ["a", "b"]), 1.0)
-    live_routers.own({"b", "d"}, STARTUP_SETTLE_S)
-    assert [live_routers.place_of(each, STARTUP_SETTLE_S) for each in "abd"] == [(3, 0), (3, 1), (3, 2)]
+    assert [count.update(reported, at) for reported, at in ((3, 0.0), (9, 1.0), (2, 1.5), (4, 2.0))] == [3, 9, 9, 9]
+    assert count.update(4, 1.0 + DECREASE_DELAY_S) == 9
+    assert count.update(4, 1.1 + DECREASE_DELAY_S) == 4
+
+
+def test_live_routers_are_those_of_all_controllers_after_the_startup_settle_time():
+    live_routers = LiveRouters(started_at=0.0)
+    live_routers.update_subscribers({"b", "d"}, 1.0)
+    assert live_routers.position_of("b", 1.0) == RouterPosition(0, 0)
+    live_routers.record_report(Presence("10.0.0.2", 7500, "z", ["a", "b"]), 1.0)
+    live_routers.update_subscribers({"b", "d"}, STARTUP_SETTLE_S)
+    positions = [live_routers.position_of(each, STARTUP_SETTLE_S) for each in "abd"]
+    assert positions == [RouterPosition(3, 0), RouterPosition(3, 1), RouterPosition(3, 2)]
     assert live_routers.controllers() == [(("10.0.0.2", 7500), "z")]
-    live_routers.own({"b", "d"}, STARTUP_SETTLE_S + 5.0)
-    assert live_routers.place_of("d", STARTUP_SETTLE_S + 5.0) == (2, 1) and live_routers.controllers() == []
+    live_routers.update_subscribers({"b", "d"}, STARTUP_SETTLE_S + 5.0)
+    assert live_routers.position_of("d", STARTUP_SETTLE_S + 5.0) == RouterPosition(2, 1)
+    assert live_routers.controllers() == []
 
 
 @pytest.mark.parametrize("name", ["0", "c", "z"])
 def test_a_router_that_is_not_counted_yet_counts_itself(name):
-    live_routers = LiveRouters(started=0.0)
-    live_routers.own({"b", "d"}, STARTUP_SETTLE_S)
-    assert live_routers.place_of(name, STARTUP_SETTLE_S)[0] == 3
+    live_routers = LiveRouters(started_at=0.0)
+    live_routers.update_subscribers({"b", "d"}, STARTUP_SETTLE_S)
+    assert live_routers.position_of(name, STARTUP_SETTLE_S).count == 3
 
 
-def test_routers_that_membership_holds_for_living_are_counted_before_they_read_a_feed():
-    live_routers = LiveRouters(started=0.0)
-    live_routers.members(["c", "a"])
-    live_routers.own({"b"}, STARTUP_SETTLE_S)
+def test_routers_that_membership_finds_alive_count_before_they_subscribe():
+    live_routers = LiveRouters(started_at=0.0)
+    live_routers.set_members(["c", "a"])
+    live_routers.update_subscribers({"b"}, STARTUP_SETTLE_S)
     assert live_routers.routers() == ["a", "b", "c"]
-    live_routers.members([])
-    live_routers.own({"b"}, STARTUP_SETTLE_S + 5.0)
+    live_routers.set_members([])
+    live_routers.update_subscribers({"b"}, STARTUP_SETTLE_S + 5.0)
     assert live_routers.routers() == ["b"]
 
 
