--- a/ochrespan/control_plane/controller.py
+++ b/ochrespan/control_plane/controller.py
@@ -17,6 +17,7 @@
 from ochrespan.control_plane.feed.messages import max_duration_s
 from ochrespan.control_plane.feed.presence import PresenceReporter, PresenceState
 from ochrespan.control_plane.feed.server import FeedServer
+from ochrespan.control_plane.feed.shard_snapshots import ShardSnapshots
 from ochrespan.control_plane.prefix_placement.owner import PrefixPlacementOwner
 from ochrespan.control_plane.quota.allocation import QuotaBounds
 from ochrespan.control_plane.quota.owner import QuotaOwner
@@ -82,7 +83,11 @@
         self._add_gauges(registry)
         self.api = ControlApi(self.service, self.status, self.is_ready, registry)
         self._feed = FeedServer(
-            groups, state.configuration, state.instances, self._live_routers, self._lag_detector, self._controllers
+            groups,
+            ShardSnapshots(groups, state.configuration, state.instances),
+            self._live_routers,
+            self._lag_detector,
+            self._controllers,
         )
         self._presence = PresenceReporter(
             address,
--- a/tests/control_plane/feed/test_feed_parts.py
+++ b/tests/control_plane/feed/test_feed_parts.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from ochrespan.control_plane.config.configuration import Configuration, change_to
-from ochrespan.control_plane.feed import server as feed_server
+from ochrespan.control_plane.feed import shard_history
 from ochrespan.control_plane.feed.live_routers import STARTUP_SETTLE_S, LiveRouters, RouterPosition
 from ochrespan.control_plane.feed.messages import (
     Presence,
@@ -15,7 +15,7 @@
     unpack_instances_change,
 )
 from ochrespan.control_plane.feed.router_count import DECREASE_DELAY_S, RouterCountFilter
-from ochrespan.control_plane.feed.server import ShardHistory
+from ochrespan.control_plane.feed.shard_history import ShardHistory
 from ochrespan.control_plane.feed.table import (
     NO_DIFFERENCE,
     FleetChange,
@@ -42,7 +42,7 @@
 
 
 def test_a_history_leads_on_from_every_offset_that_it_reaches_back_to(monkeypatch):
-    monkeypatch.setattr(feed_server, "HISTORY_CHANGES", 3)
+    monkeypatch.setattr(shard_history, "MAX_HISTORY_CHANGES", 3)
     history = ShardHistory()
     for offset in (2, 5, 6, 9):
         history.add(offset, b"%d" % offset)
@@ -54,7 +54,7 @@
 
 
 def test_a_history_is_bounded_by_its_bytes(monkeypatch):
-    monkeypatch.setattr(feed_server, "HISTORY_BYTES", 10)
+    monkeypatch.setattr(shard_history, "MAX_HISTORY_BYTES", 10)
     history = ShardHistory()
     for offset in range(1, 9):
         history.add(offset, b"1234")
