--- a/ochrespan/control_plane/feed/table.py
+++ b/ochrespan/control_plane/feed/table.py
@@ -1,4 +1,8 @@
-"""The router's copy of the control state: an immutable table, replaced whole, that shares what has not changed."""
+"""The router's copy of the control state: an immutable table, whose successors share what has not changed.
+
+Each `with_...` function returns the next table and what differs; where nothing does, the same table and NO_CHANGE.
+Pure: the time is an argument, in seconds of a monotonic clock.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +21,17 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetChange:
-    """What differs between two tables: names of items, and of services whose instances changed."""
+    """What differs between two tables.
+
+    Attributes:
+        version: Whether the version of the configuration differs.
+        routes: The names of routes that were added, changed or removed.
+        services: The same of services.
+        tenants: The same of tenants.
+        limits: Whether the limits differ.
+        instances: The names of services whose instances differ.
+        routers: Whether the router count or rank differs.
+    """
 
     version: bool = False
     routes: frozenset[str] = frozenset()
@@ -28,7 +42,7 @@
     routers: bool = False
 
     def __or__(self, other: FleetChange) -> FleetChange:
-        """What differs after both."""
+        """What differs after both changes."""
         return FleetChange(
             version=self.version or other.version,
             routes=self.routes | other.routes,
@@ -40,12 +54,19 @@
         )
 
 
-NO_DIFFERENCE = FleetChange()
+NO_CHANGE = FleetChange()
 
 
 @dataclass(frozen=True, slots=True)
 class FleetTable:
-    """Configuration, instances by service and id, and this router's place among the live routers."""
+    """The state that a router serves by.
+
+    Attributes:
+        configuration: The configuration.
+        instances: The instances by service and id.
+        router_count: The number of live routers.
+        router_rank: This router's rank among them in the order of their names.
+    """
 
     configuration: ConfigurationView = ConfigurationView()
     instances: InstancesByService = field(default_factory=dict)
@@ -58,17 +79,17 @@
         return self.configuration.version
 
     def instances_of(self, service: str) -> Mapping[str, Instance]:
-        """The known instances of a service by their ids."""
+        """The instances of a service by their ids."""
         return self.instances.get(service, {})
 
 
 def with_configuration_change(table: FleetTable, change: ConfigurationChange) -> tuple[FleetTable, FleetChange]:
-    """The table after a step of the configuration. A step to a version that is not newer changes nothing."""
+    """The table after a change of the configuration; one to a version that is not newer does nothing."""
     view = table.configuration
     if change.version <= view.version:
-        return table, NO_DIFFERENCE
+        return table, NO_CHANGE
     limits = view.limits if change.others is None else limits_view(change.others.get("limits"))
-    fresh = ConfigurationView(
+    changed = ConfigurationView(
         version=change.version,
         routes=_with_section(view.routes, change.routes, route_view),
         services=_with_section(view.services, change.services, service_view),
@@ -82,61 +103,82 @@
         tenants=_names(change.tenants),
         limits=limits != view.limits,
     )
-    return replace(table, configuration=fresh), difference
+    return replace(table, configuration=changed), difference
 
 
-def with_whole_configuration(table: FleetTable, whole: ConfigurationChange) -> tuple[FleetTable, FleetChange]:
-    """The table after a snapshot of the configuration, given as the step from the empty one."""
+def with_configuration_snapshot(table: FleetTable, snapshot: ConfigurationChange) -> tuple[FleetTable, FleetChange]:
+    """The table after a snapshot of the configuration, given as the change from the empty one."""
     view = table.configuration
-    step = ConfigurationChange(
-        version=whole.version,
-        routes=_difference(view.routes, whole.routes, route_view),
-        services=_difference(view.services, whole.services, service_view),
-        tenants=_difference(view.tenants, whole.tenants, tenant_view),
-        others=whole.others or {},
+    change = ConfigurationChange(
+        version=snapshot.version,
+        routes=_difference(view.routes, snapshot.routes, route_view),
+        services=_difference(view.services, snapshot.services, service_view),
+        tenants=_difference(view.tenants, snapshot.tenants, tenant_view),
+        others=snapshot.others or {},
     )
-    return with_configuration_change(table, step)
+    return with_configuration_change(table, change)
 
 
 def with_instances_change(table: FleetTable, change: InstancesChange, now: float) -> tuple[FleetTable, FleetChange]:
     """The table after instances were registered, changed or removed."""
-    touched: dict[str, dict[str, Instance]] = {}
+    copies: dict[str, dict[str, Instance]] = {}  # by service, of those that the change may affect
 
-    def members(service: str) -> dict[str, Instance]:
-        if service not in touched:
-            touched[service] = dict(table.instances.get(service, {}))
-        return touched[service]
+    def copy_of(service: str) -> dict[str, Instance]:
+        if service not in copies:
+            copies[service] = dict(table.instances.get(service, {}))
+        return copies[service]
 
-    gone = set(change.removed)
-    if gone:
+    removed = set(change.removed)
+    if removed:
         for service, known in table.instances.items():
-            for instance_id in gone & known.keys():
-                del members(service)[instance_id]
+            for instance_id in removed & known.keys():
+                del copy_of(service)[instance_id]
     for record in change.upserted:
-        members(record.backend)[record.id] = _fresh_instance(table, instance_view(record, now))
-    changed = {service for service, known in touched.items() if known != table.instances.get(service, {})}
+        copy_of(record.backend)[record.id] = _with_known_slow_start(table, instance_view(record, now))
+    changed = {service for service, known in copies.items() if known != table.instances.get(service, {})}
     if not changed:
-        return table, NO_DIFFERENCE
-    instances = {**table.instances, **{service: touched[service] for service in changed}}
-    return replace(table, instances={name: known for name, known in instances.items() if known}), FleetChange(
-        instances=frozenset(changed)
-    )
+        return table, NO_CHANGE
+    instances = {**table.instances, **{service: copies[service] for service in changed}}
+    without_empty = {service: known for service, known in instances.items() if known}
+    return replace(table, instances=without_empty), FleetChange(instances=frozenset(changed))
 
 
-def with_whole_shard(
-    table: FleetTable, whole: InstancesChange, services_of_shard: Iterable[str], now: float
+def with_instances_snapshot(
+    table: FleetTable, snapshot: InstancesChange, services_of_shard: Iterable[str], now: float
 ) -> tuple[FleetTable, FleetChange]:
-    """The table after a snapshot of a shard of instances; what it does not name is gone."""
-    present = {record.id for record in whole.upserted}
+    """The table after a snapshot of a shard of instances.
+
+    Args:
+        table: The table before.
+        snapshot: All instances of the shard.
+        services_of_shard: The services in the table whose instances belong to the shard: those that the snapshot does
+            not contain are removed.
+        now: The present time.
+    """
+    present = {record.id for record in snapshot.upserted}
     known = (each for service in services_of_shard for each in table.instances.get(service, {}))
     removed = tuple(each for each in known if each not in present)
-    return with_instances_change(table, InstancesChange(whole.upserted, removed), now)
+    return with_instances_change(table, InstancesChange(snapshot.upserted, removed), now)
 
 
-def with_routers(table: FleetTable, count: int, rank: int) -> tuple[FleetTable, FleetChange]:
-    """The table after a new count of routers."""
+def full_change(table: FleetTable) -> FleetChange:
+    """The change from no table at all: everything that the table contains."""
+    view = table.configuration
+    return FleetChange(
+        version=True,
+        routes=frozenset(view.routes),
+        services=frozenset(view.services),
+        tenants=frozenset(view.tenants),
+        limits=True,
+        instances=frozenset(table.instances),
+        routers=True,
+    )
+
+
+def with_router_count(table: FleetTable, count: int, rank: int) -> tuple[FleetTable, FleetChange]:
+    """The table after a change of the router count or of this router's rank."""
     if (count, rank) == (table.router_count, table.router_rank):
-        return table, NO_DIFFERENCE
+        return table, NO_CHANGE
     return replace(table, router_count=count, router_rank=rank), FleetChange(routers=True)
 
 
@@ -151,19 +193,22 @@
     return changed
 
 
-def _difference(views: Mapping[str, View], whole: SectionChange, view_of: Any) -> SectionChange:
-    upserted = tuple(each for each in whole.upserted if views.get(each["name"]) != view_of(each))
-    kept = {each["name"] for each in whole.upserted}
-    return SectionChange(upserted, tuple(name for name in views if name not in kept))
+def _difference(views: Mapping[str, View], snapshot: SectionChange, view_of: Any) -> SectionChange:
+    upserted = tuple(each for each in snapshot.upserted if views.get(each["name"]) != view_of(each))
+    present = {each["name"] for each in snapshot.upserted}
+    return SectionChange(upserted, tuple(name for name in views if name not in present))
 
 
 def _names(change: SectionChange) -> frozenset[str]:
     return frozenset((*change.deleted, *(document["name"] for document in change.upserted)))
 
 
-def _fresh_instance(table: FleetTable, fresh: Instance) -> Instance:
-    """A snapshot repeats how long an instance was cold when it registered: the first word on that holds."""
-    known = table.instances.get(fresh.service, {}).get(fresh.id)
-    if known is not None and known.cold_until < fresh.cold_until:
-        return replace(fresh, cold_until=known.cold_until)
-    return fresh
+def _with_known_slow_start(table: FleetTable, instance: Instance) -> Instance:
+    """The instance with the earliest known end of its slow start.
+
+    A message may repeat the remaining slow start as it was when the instance registered, and so end it too late.
+    """
+    known = table.instances.get(instance.service, {}).get(instance.id)
+    if known is not None and known.cold_until < instance.cold_until:
+        return replace(instance, cold_until=known.cold_until)
+    return instance
--- a/tests/control_plane/feed/test_feed.py
+++ b/tests/control_plane/feed/test_feed.py
@@ -6,7 +6,8 @@
 import pytest
 from gevent.event import Event
 
-from ochrespan.control_plane.feed.client import FeedClient, LeaveControllerError
+from ochrespan.control_plane.feed.client import FeedClient
+from ochrespan.control_plane.feed.errors import OtherClusterError
 from ochrespan.control_plane.feed.messages import Freshness, Presence, Subscribe
 from ochrespan.control_plane.feed.server import FeedServer
 from ochrespan.control_plane.feed.table import FleetChange, FleetTable
@@ -24,11 +25,10 @@
 
     def __init__(self, world: World, node: str = "edge-1", controllers: int = 1, first: int = 0) -> None:
         addresses = world.addresses()[first : first + controllers]
-        self.client = FeedClient(node, "z", addresses)
+        self.client = FeedClient(node, "z", addresses, self._changed)
         self.history: list[FleetTable] = []
         self.changes: list[FleetChange] = []
         self._waiting: list[tuple[Callable[[FleetTable], bool], Event]] = []
-        self.client.on_change = self._changed
         self.client.start()
 
     def _changed(self, table: FleetTable, change: FleetChange) -> None:
@@ -43,7 +43,7 @@
     def wait_for_draft(self, version: int) -> None:
         """Waits until the configuration is known, whether or not it is good enough to serve by."""
         with gevent.Timeout(PATIENCE_S):
-            while self.client._draft.version != version:
+            while self.client._draft.table.version != version:
                 gevent.idle()
 
     def wait(self, condition: Callable[[FleetTable], bool]) -> FleetTable:
@@ -123,14 +123,14 @@
     routers.append(first)
     first.wait(lambda table: "i-1" in table.instances_of("judges"))
     first.client.stop()
-    before = dict(first.client._offsets)
+    before = dict(first.client._draft.offsets)
     controller.put_config(configuration(6, route("new")), 5)
     controller.put_instance("i-2", instance(1, address="10.0.0.8:1"))
     first.client.start()
     table = first.wait(lambda table: table.version == 6 and len(table.instances_of("judges")) == 2)
     assert set(table.configuration.routes) == {"new"}
     shard = shard_of("judges")
-    assert first.client._offsets[0] == before[0] + 1 and first.client._offsets[shard] == before[shard] + 1
+    assert first.client._draft.offsets[0] == before[0] + 1 and first.client._draft.offsets[shard] == before[shard] + 1
 
 
 def test_a_reader_of_changes_that_fails_does_not_end_the_feed(world, routers, caplog):
@@ -139,13 +139,13 @@
     router = Router(world)
     routers.append(router)
     router.wait(lambda table: table.version == 5)
-    seen = router.client.on_change
+    seen = router.client._publisher.on_change
 
     def fail_after(table: FleetTable, change: FleetChange) -> None:
         seen(table, change)
         raise ValueError("the reader's own fault")
 
-    router.client.on_change = fail_after
+    router.client._publisher.on_change = fail_after
     controller.put_config(configuration(6), 5)
     router.wait(lambda table: table.version == 6)
     controller.put_config(configuration(7), 6)
@@ -186,7 +186,7 @@
 
 
 def test_a_router_reads_a_shard_anew_whose_log_began_again_but_keeps_its_configuration(world, routers, monkeypatch):
-    monkeypatch.setattr("ochrespan.control_plane.feed.client.LOG_RESET_CONFIRM_S", 0.0)
+    monkeypatch.setattr("ochrespan.control_plane.feed.draft_table.LOG_RESET_CONFIRM_S", 0.0)
     leader = world.controllers[0]
     leader.put_config(configuration(5), 0)
     for sequence in (1, 2, 3):
@@ -246,7 +246,7 @@
 def test_a_router_leaves_a_controller_that_names_another_fleet(world):
     client = FeedClient("edge-1", "z", world.addresses())
     client._cluster = 1
-    with pytest.raises(LeaveControllerError, match="another fleet"):
+    with pytest.raises(OtherClusterError, match="another fleet"):
         client._take_freshness(Freshness({}, {}, {}, [], 0, 0, cluster=2), world.addresses()[0])
 
 
@@ -273,7 +273,7 @@
 
 
 def test_without_any_majority_a_router_serves_by_what_there_is_after_some_patience(world, routers, monkeypatch):
-    monkeypatch.setattr("ochrespan.control_plane.feed.client.INCOMPLETE_TABLE_WAIT_S", 0.0)
+    monkeypatch.setattr("ochrespan.control_plane.feed.table_publisher.INCOMPLETE_TABLE_WAIT_S", 0.0)
     world.controllers[0].put_config(configuration(5), 0)
     for controller in world.controllers:
         controller.groups.quorum_ages = dict.fromkeys(controller.groups.quorum_ages, float("inf"))
@@ -305,10 +305,10 @@
 def test_membership_counts_routers_and_names_controllers_also_while_no_controller_is_reached(world):
     client = FeedClient("edge-1", "z", [])
     client.members_changed(["edge-1", "edge-2", "edge-3"], {("10.0.0.9", 7500): "z"})
-    assert client._draft.router_count == 3
+    assert client._draft.table.router_count == 3
     assert client._choice.best(0.0) == ("10.0.0.9", 7500)
     client.members_changed(["edge-1"], {})
-    assert client._draft.router_count == 3  # a fall counts after a while
+    assert client._draft.table.router_count == 3  # a fall counts after a while
 
 
 def test_many_changes_at_once_reach_a_router_in_few_messages(world, routers, monkeypatch):
--- a/tests/control_plane/feed/test_feed_parts.py
+++ b/tests/control_plane/feed/test_feed_parts.py
@@ -17,13 +17,13 @@
 from ochrespan.control_plane.feed.router_count import DECREASE_DELAY_S, RouterCountFilter
 from ochrespan.control_plane.feed.shard_history import ShardHistory
 from ochrespan.control_plane.feed.table import (
-    NO_DIFFERENCE,
+    NO_CHANGE,
     FleetChange,
     FleetTable,
     with_configuration_change,
+    with_configuration_snapshot,
     with_instances_change,
-    with_whole_configuration,
-    with_whole_shard,
+    with_instances_snapshot,
 )
 from ochrespan.control_plane.registry.change_batch import ChangeBatch
 from ochrespan.control_plane.registry.changes import InstancesChange
@@ -33,7 +33,7 @@
 from tests.support.control_plane_world import configuration, instance, route, service, tenant
 
 
-def whole(document):
+def change_from_empty(document):
     return change_to(Configuration(), document)
 
 
@@ -62,41 +62,41 @@
 
 
 def test_changes_survive_the_way_over_the_wire():
-    change = whole(configuration(5, route("r1"), tenants=[tenant("t", "k")], extra=[None, 1.5]))
+    change = change_from_empty(configuration(5, route("r1"), tenants=[tenant("t", "k")], extra=[None, 1.5]))
     assert unpack_configuration_change(pack_configuration_change(change)) == change
     instances = InstancesChange((record("i1", models=[{"name": "m"}]),), ("i0",))
     assert unpack_instances_change(pack_instances_change(instances)) == instances
 
 
 def test_a_table_shares_what_a_change_leaves_standing():
-    first, _ = with_configuration_change(FleetTable(), whole(configuration(5, route("r1"), route("r2"))))
+    first, _ = with_configuration_change(FleetTable(), change_from_empty(configuration(5, route("r1"), route("r2"))))
     table, _ = with_instances_change(first, InstancesChange((record("i1"), record("i2", backend="ledger"))), 0.0)
     after, change = with_instances_change(table, InstancesChange((), ("i2",)), 0.0)
     assert change == FleetChange(instances=frozenset({"ledger"}))
     assert after.instances["judges"] is table.instances["judges"] and "ledger" not in after.instances
     assert after.configuration is table.configuration and "ledger" in table.instances
-    assert with_instances_change(after, InstancesChange((record("i1"),), ("never",)), 0.0) == (after, NO_DIFFERENCE)
+    assert with_instances_change(after, InstancesChange((record("i1"),), ("never",)), 0.0) == (after, NO_CHANGE)
 
 
 def test_a_snapshot_of_the_configuration_tells_only_what_differs():
-    table, _ = with_whole_configuration(FleetTable(), whole(configuration(5, route("r1"), route("r2"))))
+    table, _ = with_configuration_snapshot(FleetTable(), change_from_empty(configuration(5, route("r1"), route("r2"))))
     later = configuration(8, route("r1"), route("r2", timeout_ms=1), route("r3"), services=[service(), service("x")])
-    after, change = with_whole_configuration(table, whole(later))
+    after, change = with_configuration_snapshot(table, change_from_empty(later))
     assert change == FleetChange(version=True, routes=frozenset({"r2", "r3"}), services=frozenset({"x"}))
     assert after.configuration.routes["r1"] is table.configuration.routes["r1"]
 
 
 def test_an_older_configuration_is_never_taken():
-    table, _ = with_whole_configuration(FleetTable(), whole(configuration(5)))
-    for change in (whole(configuration(5, route("x"))), whole(configuration(4))):
-        assert with_whole_configuration(table, change) == (table, NO_DIFFERENCE)
-        assert with_configuration_change(table, change) == (table, NO_DIFFERENCE)
+    table, _ = with_configuration_snapshot(FleetTable(), change_from_empty(configuration(5)))
+    for change in (change_from_empty(configuration(5, route("x"))), change_from_empty(configuration(4))):
+        assert with_configuration_snapshot(table, change) == (table, NO_CHANGE)
+        assert with_configuration_change(table, change) == (table, NO_CHANGE)
 
 
 def test_a_snapshot_of_a_shard_removes_what_it_does_not_name_and_leaves_other_shards():
     records = (record("i1"), record("i2"), record("x", backend="ledger"))
     table, _ = with_instances_change(FleetTable(), InstancesChange(records), 0.0)
-    after, _ = with_whole_shard(table, InstancesChange((record("i2"), record("i3"))), ["judges"], 0.0)
+    after, _ = with_instances_snapshot(table, InstancesChange((record("i2"), record("i3"))), ["judges"], 0.0)
     assert set(after.instances_of("judges")) == {"i2", "i3"} and set(after.instances_of("ledger")) == {"x"}
 
 
--- a/tests/test_router_tables.py
+++ b/tests/test_router_tables.py
@@ -10,6 +10,7 @@
 from ochrespan.control_plane.config.configuration import Configuration, change_to
 from ochrespan.control_plane.config.views import ConfigurationView
 from ochrespan.control_plane.feed import client as feed_client
+from ochrespan.control_plane.feed import table_publisher
 from ochrespan.control_plane.feed.client import FeedClient
 from ochrespan.control_plane.feed.messages import (
     FeedDelta,
@@ -18,7 +19,7 @@
     pack_configuration_change,
     pack_instances_change,
 )
-from ochrespan.control_plane.feed.table import FleetChange, FleetTable, with_instances_change, with_routers
+from ochrespan.control_plane.feed.table import FleetChange, FleetTable, with_instances_change, with_router_count
 from ochrespan.control_plane.registry.changes import InstancesChange
 from ochrespan.control_plane.registry.records import record_of
 from ochrespan.control_plane.shards import ALL_SHARDS, CONFIG_SHARD, shard_of
@@ -74,7 +75,7 @@
         self.node.table_changed(self.table, change)
 
     def count(self, routers: int) -> None:
-        self.table, change = with_routers(self.table, routers, 0)
+        self.table, change = with_router_count(self.table, routers, 0)
         self.node.table_changed(self.table, change)
 
 
@@ -216,14 +217,14 @@
 @pytest.fixture
 def follow(monkeypatch):
     """Lets a feed client take the messages of some connections, one after the other, to its end."""
-    monkeypatch.setattr(feed_client, "PUBLISH_PAUSE_FACTOR", 0.0)
+    monkeypatch.setattr(table_publisher, "PUBLISH_PAUSE_FACTOR", 0.0)
 
     def take(client: FeedClient, *connections: ArrivedTogether) -> None:
         for connection in connections:
             monkeypatch.setattr(feed_client, "dial", lambda address, timeout, given=connection: given)
             with pytest.raises(ConnectionClosedError):
                 client._follow(ADDRESS)
-            client._publish_changes()
+            client._publisher.publish_changes()
 
     return take
 
@@ -253,8 +254,9 @@
 
 def test_where_tables_take_long_to_take_up_changes_of_a_busy_time_are_told_together(follow, monkeypatch):
     clock = [100.0]
-    monkeypatch.setattr(feed_client, "monotonic", lambda: clock[0])
-    monkeypatch.setattr(feed_client, "PUBLISH_PAUSE_FACTOR", 20.0)
+    for module in (feed_client, table_publisher):
+        monkeypatch.setattr(module, "monotonic", lambda: clock[0])
+    monkeypatch.setattr(table_publisher, "PUBLISH_PAUSE_FACTOR", 20.0)
     told: list[tuple[float, FleetTable]] = []
 
     def take(table: FleetTable, change: FleetChange) -> None:
@@ -265,23 +267,24 @@
     follow(client, ArrivedTogether(*whole_state()))
     for number in range(100):
         clock[0] += 0.001
-        client._take_delta(list(deltas("a", number + 1))[-1])
-        client._publish_changes()
+        client._draft.apply_delta(list(deltas("a", number + 1))[-1], clock[0])
+        client._publisher.publish_changes()
     assert len(told) <= 3  # of 0.1 s at 20 times 5 ms
     clock[0] += 0.2
-    client._publish_late()
+    client._publisher.publish_delayed()
     assert len(told[-1][1].instances_of("a")) == 100
     client.stop()
 
 
 def test_the_pause_between_tables_is_bounded(follow, monkeypatch):
     clock = [100.0]
-    monkeypatch.setattr(feed_client, "monotonic", lambda: clock[0])
-    monkeypatch.setattr(feed_client, "PUBLISH_PAUSE_FACTOR", 20.0)
+    for module in (feed_client, table_publisher):
+        monkeypatch.setattr(module, "monotonic", lambda: clock[0])
+    monkeypatch.setattr(table_publisher, "PUBLISH_PAUSE_FACTOR", 20.0)
 
     def take(table: FleetTable, change: FleetChange) -> None:
         clock[0] += 3.0
 
     client = FeedClient("edge-1", "z", [ADDRESS], take)
     follow(client, ArrivedTogether(*whole_state()))
-    assert client._publish_from == clock[0] + feed_client.MAX_PUBLISH_PAUSE_S
+    assert client._publisher.paused_until == clock[0] + table_publisher.MAX_PUBLISH_PAUSE_S
