--- a/ochrespan/control_plane/feed/client.py
+++ b/ochrespan/control_plane/feed/client.py
@@ -15,6 +15,7 @@
 import gevent
 
 from ochrespan.common.addresses import Address, format_address
+from ochrespan.control_plane.replication.groups import MAX_QUORUM_AGE_S
 from ochrespan.transport.codec import MessageError
 from ochrespan.transport.tcp import Connection, ConnectionClosedError, dial
 
@@ -30,7 +31,6 @@
 
 
 FEED_TIMEOUT_S = 1.2  # longer than two intervals of freshness messages
-MAX_QUORUM_AGE_S = 1.0
 MAX_LAG_S = 0.4
 MIN_STAY_S = 5.0  # before a move to a controller that is merely nearer
 
--- a/tests/control_plane/feed/test_feed.py
+++ b/tests/control_plane/feed/test_feed.py
@@ -107,7 +107,7 @@
     assert router.client.controller != followed.groups.address
 
 
-def test_routers_know_how_many_they_are_and_their_own_place(world, routers):
+def test_routers_know_their_count_and_their_own_rank(world, routers):
     world.controllers[0].put_config(configuration(5), 0)
     for name in ("edge-a", "edge-b", "edge-c"):
         routers.append(Router(world, node=name))
@@ -115,7 +115,7 @@
         router.wait(lambda table, rank=rank: (table.router_count, table.router_rank) == (3, rank))
 
 
-def test_a_late_router_gets_the_whole_state_and_one_behind_only_what_it_missed(world, routers):
+def test_a_late_router_gets_a_snapshot_and_one_behind_only_the_missed_changes(world, routers):
     controller = world.controllers[0]
     controller.put_config(configuration(5), 0)
     controller.put_instance("i-1", instance(1))
@@ -133,7 +133,7 @@
     assert first.client._draft.offsets[0] == before[0] + 1 and first.client._draft.offsets[shard] == before[shard] + 1
 
 
-def test_a_reader_of_changes_that_fails_does_not_end_the_feed(world, routers, caplog):
+def test_a_callback_that_fails_does_not_end_the_feed(world, routers, caplog):
     controller = world.controllers[0]
     controller.put_config(configuration(5), 0)
     router = Router(world)
@@ -143,17 +143,17 @@
 
     def fail_after(table: FleetTable, change: FleetChange) -> None:
         seen(table, change)
-        raise ValueError("the reader's own fault")
+        raise ValueError("the callback's own fault")
 
     router.client._publisher.on_change = fail_after
     controller.put_config(configuration(6), 5)
     router.wait(lambda table: table.version == 6)
     controller.put_config(configuration(7), 6)
     router.wait(lambda table: table.version == 7)
-    assert "the reader's own fault" in caplog.text
+    assert "the callback's own fault" in caplog.text
 
 
-def test_a_router_follows_a_controller_whose_state_jumped_ahead_by_a_snapshot(world, routers):
+def test_a_router_follows_a_controller_that_restored_a_snapshot(world, routers):
     leader, behind = world.controllers[0], world.controllers[1]
     leader.put_config(configuration(5), 0)
     router = Router(world, first=1)
@@ -172,7 +172,7 @@
     router.wait(lambda table: table.version == 9)
 
 
-def test_a_router_leaves_a_controller_that_hears_a_majority_but_stays_behind(world, routers):
+def test_a_router_leaves_a_controller_that_has_a_quorum_but_lags(world, routers):
     leader, behind = world.controllers[0], world.controllers[1]
     leader.put_config(configuration(5), 0)
     router = Router(world, controllers=1, first=1)
@@ -185,7 +185,7 @@
     assert behind.state.configuration.current.version == 5
 
 
-def test_a_router_reads_a_shard_anew_whose_log_began_again_but_keeps_its_configuration(world, routers, monkeypatch):
+def test_a_router_resets_a_shard_whose_log_began_anew_but_keeps_its_configuration(world, routers, monkeypatch):
     monkeypatch.setattr("ochrespan.control_plane.feed.draft_table.LOG_RESET_CONFIRM_S", 0.0)
     leader = world.controllers[0]
     leader.put_config(configuration(5), 0)
@@ -205,7 +205,7 @@
     anew.close()
 
 
-def test_a_router_takes_nothing_from_another_fleet_until_it_is_restarted(world, routers):
+def test_a_router_takes_nothing_from_another_cluster_until_it_is_restarted(world, routers):
     for controller in world.controllers:
         controller.groups.cluster_number = 1
     world.controllers[0].put_config(configuration(5), 0)
@@ -228,7 +228,7 @@
     beside.close()
 
 
-def test_a_controller_sends_a_router_of_another_fleet_nothing(world):
+def test_a_controller_rejects_a_router_of_another_cluster(world):
     controller = world.controllers[0]
     controller.groups.cluster_number = 1
     controller.put_config(configuration(5), 0)
@@ -243,14 +243,14 @@
         connection.close()
 
 
-def test_a_router_leaves_a_controller_that_names_another_fleet(world):
+def test_a_router_leaves_a_controller_of_another_cluster(world):
     client = FeedClient("edge-1", "z", world.addresses())
     client._cluster = 1
     with pytest.raises(OtherClusterError, match="another fleet"):
         client._take_freshness(Freshness({}, {}, {}, [], 0, 0, cluster=2), world.addresses()[0])
 
 
-def test_controllers_of_another_fleet_do_not_count(world):
+def test_reports_of_controllers_of_another_cluster_are_ignored(world):
     first, stranger = world.controllers[0], world.controllers[1]
     first.groups.cluster_number, stranger.groups.cluster_number = 1, 2
     presence = Presence("127.0.0.1", 1, "z", ["edge-9"], {0: 10_000}, 2)
@@ -259,7 +259,7 @@
     assert not any(first.node._lag_detector.lags({0: 5}, 1e9).values())
 
 
-def test_a_router_that_waits_for_a_majority_serves_as_soon_as_there_is_one(world, routers):
+def test_a_router_without_a_table_publishes_one_as_soon_as_there_is_a_quorum(world, routers):
     world.controllers[0].put_config(configuration(5), 0)
     for controller in world.controllers:
         controller.groups.quorum_ages = dict.fromkeys(controller.groups.quorum_ages, float("inf"))
@@ -272,7 +272,7 @@
     assert router.wait(lambda table: table.version == 5).configuration.routes
 
 
-def test_without_any_majority_a_router_serves_by_what_there_is_after_some_patience(world, routers, monkeypatch):
+def test_without_a_quorum_a_router_publishes_an_unconfirmed_table_after_a_wait(world, routers, monkeypatch):
     monkeypatch.setattr("ochrespan.control_plane.feed.table_publisher.INCOMPLETE_TABLE_WAIT_S", 0.0)
     world.controllers[0].put_config(configuration(5), 0)
     for controller in world.controllers:
@@ -283,7 +283,7 @@
     assert router.client.controller is None
 
 
-def test_routers_take_tokens_from_the_owner_also_after_it_has_moved(world, routers):
+def test_routers_take_tokens_from_the_owner_also_after_leadership_moved(world, routers):
     world.controllers[0].put_config(configuration(5, tenants=[tenant("t", "k", rate_per_s=1000, burst=1000)]), 0)
     router = Router(world, controllers=3)
     routers.append(router)
--- a/tests/control_plane/prefix_placement/test_prefix_placement.py
+++ b/tests/control_plane/prefix_placement/test_prefix_placement.py
@@ -1,4 +1,4 @@
-"""Where prompts' shared parts are kept: dealt out by the owner, replicated, and known at the routers."""
+"""Prefix placement: decided by the owner, replicated, and cached at the routers."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Groups:
-    """Commits at once, unless told otherwise."""
+    """Commits at once, unless the test sets otherwise."""
 
     def __init__(self, machine: InstanceStateMachine) -> None:
         self.machine, self.leads, self.commits, self.index = machine, True, True, 0
@@ -70,7 +70,7 @@
             call(*given)
 
 
-def test_prefixes_are_dealt_out_evenly_by_their_tokens():
+def test_prefixes_are_balanced_by_their_tokens():
     made = Owner()
     tokens: dict[str, float] = {}
     for number in range(60):
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("replicated", [False, True])
-def test_all_routers_are_told_the_same_server(replicated):
+def test_all_routers_get_the_same_placement(replicated):
     made = Owner()
     first = made.ask("p")
     if replicated:
@@ -91,7 +91,7 @@
     assert {made.ask("p") for _ in range(5)} == {first}
 
 
-def test_a_server_that_goes_or_drains_or_cannot_be_used_loses_its_prefixes_and_no_other_does():
+def test_only_an_instance_that_is_gone_draining_or_unusable_loses_its_prefixes():
     made = Owner()
     placements = {f"p{number}": made.ask(f"p{number}") for number in range(9)}
     made.replicate()
@@ -121,7 +121,7 @@
     assert Owner(servers=0, machine=restored).ask("p") in made.machine.records
 
 
-def test_placements_that_are_not_committed_hold_while_the_owner_leads():
+def test_placements_that_are_not_committed_last_while_the_owner_leads():
     made = Owner()
     made.groups.commits = False
     placements = {f"p{number}": made.ask(f"p{number}") for number in range(5)}
@@ -132,7 +132,7 @@
     assert made.owner.place(PrefixPlacementRequest("llm", "p0", 1.0)) == NotOwnerResponse(*OTHER)
 
 
-def test_what_is_kept_is_bounded():
+def test_the_replicated_placements_are_bounded():
     placements = PrefixPlacements()
     for number in range(MAX_PREFIXES + 50):
         placements.assign(AssignPrefixes("llm", [(f"p{number}", f"i{number % 3}", 10.0)]))
@@ -160,7 +160,7 @@
         return reply
 
 
-def test_a_router_asks_once_for_a_prefix_and_anew_when_its_server_is_gone():
+def test_a_router_requests_a_placement_once_and_again_when_its_instance_is_gone():
     made = Calls(PrefixPlacement("i1"), PrefixPlacement("i2"))
     assert [made.client.locate("llm", "p", 1000) for _ in range(3)] == [PrefixPlacement("i1")] * 3
     made.usable.discard("i1")
@@ -168,7 +168,7 @@
     assert made.asked == [(OWNER, ""), (OWNER, "i1")]
 
 
-def test_a_router_follows_to_the_owner_and_does_without_one_for_a_while():
+def test_a_router_follows_to_the_owner_and_backs_off_where_none_responds():
     made = Calls(NotOwnerResponse(*OTHER), PrefixPlacement("i1"), RpcError("no"), PrefixPlacement("i2"))
     assert made.client.locate("llm", "p", 1000) == PrefixPlacement("i1")
     assert [address for address, _ in made.asked] == [OWNER, OTHER]
@@ -178,12 +178,12 @@
     assert made.client.locate("llm", "q", 1000) == PrefixPlacement("i2")
 
 
-def test_a_server_that_the_router_does_not_know_is_not_taken():
+def test_an_instance_that_the_router_does_not_know_is_not_used():
     made = Calls(PrefixPlacement("i9"))
     assert made.client.locate("llm", "p", 1000) == PrefixPlacement("")
 
 
-def test_the_owner_tells_once_that_the_parts_have_still_to_be_read():
+def test_a_placement_is_new_in_the_first_response_of_the_owner_only():
     made = Owner()
     answers = [made.owner.place(PrefixPlacementRequest("llm", "p", 1000.0)) for _ in range(2)]
     assert [answer.is_new for answer in answers] == [True, False]
@@ -191,6 +191,6 @@
     assert moved.is_new and moved.instance != answers[0].instance
 
 
-def test_a_router_takes_a_prefix_for_new_at_its_first_request_only():
+def test_a_placement_is_new_for_the_first_request_of_a_router_only():
     made = Calls(PrefixPlacement("i1", is_new=True))
     assert [made.client.locate("llm", "p", 1000).is_new for _ in range(2)] == [True, False]
--- a/tests/control_plane/quota/test_quota.py
+++ b/tests/control_plane/quota/test_quota.py
@@ -1,4 +1,4 @@
-"""Quotas: the bound over all routers in any window, with owners that change and routers that are out of touch."""
+"""Quotas: the bound over all routers in any window, with owners that change and routers that reach none."""
 
 import random
 
@@ -46,14 +46,14 @@
     return most
 
 
-def test_the_terms_admit_rate_and_burst_where_the_bound_leaves_room():
+def test_the_terms_admit_rate_and_burst_where_the_bound_leaves_headroom():
     terms = terms_for(71_430, 112_296, BOUNDS)
     assert terms.rate >= 71_430 and terms.depth >= 112_296 and terms.reserved > 71_430
 
 
 @given(st.floats(0.1, 1e6), st.floats(0, 1e6), st.floats(1, 60), st.floats(0, 1), st.floats(0, 1e6))
 @settings(deadline=None)
-def test_the_terms_add_up_to_the_bound_at_most(rate, burst, window, overshoot, slack):
+def test_the_terms_never_exceed_the_bound(rate, burst, window, overshoot, slack):
     bounds = QuotaBounds(window, overshoot, slack)
     terms = terms_for(rate, burst, bounds)
     granted = terms.rate * (window + GRANT_LIFETIME_S + SEND_DELAY_S) + terms.depth
@@ -114,7 +114,7 @@
         return owner
 
     def replace_owner(self):
-        """The former owner hears no majority, and falls silent before the next one is elected."""
+        """The former owner has no quorum, and its lease expires before the next one is elected."""
         self.owners[-1]._groups.age = LEASE_DURATION_S
         self.owners.append(self.new_owner())
 
@@ -134,7 +134,7 @@
 
 @given(st.integers(0, 2**32), st.integers(1, 12))
 @settings(max_examples=60, deadline=None)
-def test_no_window_exceeds_the_bound_with_owners_that_change_and_routers_out_of_touch(seed, routers):
+def test_no_window_exceeds_the_bound_with_owners_that_change_and_unreachable_owners(seed, routers):
     draw = random.Random(seed)
     random.seed(seed)
     clock, tenant = Clock(), limited()
@@ -161,7 +161,7 @@
     assert max_in_a_window(spends, BOUNDS.window_s) <= BOUNDS.allowed(tenant.rate_per_s, tenant.burst)
 
 
-def test_a_tenant_within_its_rate_is_never_refused():
+def test_a_tenant_within_its_rate_is_never_rejected():
     clock, tenant = Clock(), limited(rate=1000.0, burst=3000.0)
     fleet = Fleet(tenant, 4, clock)
     clock.now += 10.0
@@ -170,7 +170,7 @@
         assert fleet.clients[number % 4].take("t", 500.0).allowed
 
 
-def test_a_refusal_says_when_to_come_back():
+def test_a_rejection_says_when_to_retry():
     clock, tenant = Clock(), limited(rate=10.0, burst=5.0, unit=QuotaUnit.REQUESTS)
     fleet = Fleet(tenant, 1, clock)
     clock.now += 2 * BOUNDS.window_s
@@ -181,7 +181,7 @@
     assert fleet.clients[0].take("t", 5.0).allowed
 
 
-def test_a_request_waits_for_tokens_that_come_shortly_in_place_of_a_refusal():
+def test_a_request_waits_for_tokens_that_accrue_shortly_instead_of_being_rejected():
     clock, tenant = Clock(), limited(rate=10.0, burst=5.0, unit=QuotaUnit.REQUESTS)
     fleet = Fleet(tenant, 1, clock)
     clock.now += 2 * BOUNDS.window_s
@@ -192,7 +192,7 @@
     assert all(taken) and clock.now - began > 1.0
 
 
-def test_tenants_without_a_limit_are_not_asked_about():
+def test_no_owner_is_called_for_tenants_without_a_limit():
     def call(address, request, timeout):
         raise AssertionError("asked")
 
@@ -201,7 +201,7 @@
     assert client.take("free", 1e9).allowed and client.try_take("unknown", 1.0, 0.0)
 
 
-def test_nothing_is_kept_of_a_tenant_that_was_idle_or_lost_its_limit():
+def test_the_state_of_a_tenant_that_is_idle_or_lost_its_limit_is_dropped():
     clock = Clock()
     client = QuotaClient("edge-1", BOUNDS, OwnerClient(lambda tenant: [], lambda *call: None), clock, clock.pause)
     tenants = {name: limited(name) for name in "abc"}
@@ -218,7 +218,7 @@
     assert client.take("b", 1e9).allowed and set(client._states) == {"c"}
 
 
-def test_another_count_of_routers_holds_from_the_next_request_on():
+def test_a_new_router_count_applies_from_the_next_request_on():
     clock = Clock()
     client = QuotaClient("edge-1", BOUNDS, OwnerClient(lambda tenant: [], lambda *call: None), clock, clock.pause)
     client.configure({"t": limited()}, 1)
@@ -244,7 +244,7 @@
     assert 0.9 * part < max_in_a_window(spends, BOUNDS.window_s) <= part
 
 
-def test_a_router_asks_the_owner_that_another_controller_names():
+def test_a_router_calls_the_owner_that_another_controller_names():
     asked = []
 
     def call(address, request, timeout):
@@ -256,7 +256,7 @@
     assert client.take("t", 5.0).allowed and asked == [OWNER, OTHER]
 
 
-def test_an_owner_that_hears_no_majority_or_leads_no_more_grants_nothing():
+def test_an_owner_without_a_lease_or_leadership_grants_nothing():
     groups, tenant = Groups(), limited()
     owner = QuotaOwner(groups, lambda name: tenant, BOUNDS)
     request = GrantRequest("t", "edge-1", 1.0, 0.0)
@@ -270,7 +270,7 @@
     assert isinstance(owner.grant(request), NotOwnerResponse)
 
 
-def test_what_expired_unspent_goes_back_to_the_owner_that_granted_it_alone():
+def test_unused_tokens_go_back_only_to_the_owner_that_granted_them():
     granted = GrantedTokens()
     granted.add(10.0, requested_at=0.0, epoch=1)
     assert granted.take(4.0, now=GRANT_LIFETIME_S / 2)
@@ -280,16 +280,16 @@
     assert granted.available(9.0) == 0 and granted.take_unused() == 3.0
 
 
-def test_a_lower_limit_binds_from_the_next_grant():
+def test_a_lower_limit_applies_from_the_next_grant_on():
     bucket = TokenBucket(100.0, 100.0, now=0.0, level=100.0)
     bucket.configure(1.0, 10.0, now=1.0)
     assert bucket.level == 10.0 and not bucket.take(11.0, now=1.0)
     assert bucket.wait_for(11.0, now=1.0) == 0.0 and not bucket.take(10.5, now=2.0)
 
 
-@pytest.mark.parametrize("figures", [{}, {"quota_window_s": "8"}, {"quota_slack": None}, {"quota_overshoot": True}])
-def test_figures_that_are_missing_or_no_numbers_take_the_strictest_default(figures):
-    assert quota_bounds(figures) == QuotaBounds(8.0, 0.0, 0.0)
+@pytest.mark.parametrize("bounds", [{}, {"quota_window_s": "8"}, {"quota_slack": None}, {"quota_overshoot": True}])
+def test_bounds_that_are_missing_or_no_numbers_take_the_strictest_default(bounds):
+    assert quota_bounds(bounds) == QuotaBounds(8.0, 0.0, 0.0)
 
 
 def test_a_request_counts_by_its_tokens_or_as_one():
@@ -298,7 +298,7 @@
     assert request_cost(limited(unit=QuotaUnit.REQUESTS), (1460, 80)) == 1
 
 
-def test_a_router_whose_owner_falls_silent_goes_on_for_a_while_at_the_rate_it_had():
+def test_a_router_whose_owner_is_unreachable_continues_for_a_while_at_its_rate():
     clock, tenant = Clock(), limited()
     fleet = Fleet(tenant, 4, clock)
     clock.now += 5.0
@@ -313,7 +313,7 @@
     assert served >= 30_000
 
 
-def test_a_request_that_waited_renews_its_tokens_and_keeps_them_where_they_still_hold():
+def test_a_request_that_waited_renews_its_tokens_unless_they_are_still_valid():
     clock, tenant = Clock(), limited(rate=10.0, burst=5.0, unit=QuotaUnit.REQUESTS)
     fleet = Fleet(tenant, 2, clock)
     clock.now += 20.0
@@ -368,9 +368,9 @@
 
 @given(st.floats(1, 1e5), st.floats(0, 1e5), st.floats(0, 2e5))
 @settings(deadline=None)
-def test_the_bucket_holds_the_burst_and_what_the_slack_has_to_spare(rate, burst, slack):
+def test_the_bucket_covers_rate_and_burst_where_the_slack_leaves_headroom(rate, burst, slack):
     bounds = QuotaBounds(8.0, 0.1, slack)
     terms = terms_for(rate, burst, bounds)
-    room = bounds.allowed(rate, burst) - rate * (8.0 + GRANT_LIFETIME_S + SEND_DELAY_S) - burst
-    if room >= 0.25 * rate:
+    headroom = bounds.allowed(rate, burst) - rate * (8.0 + GRANT_LIFETIME_S + SEND_DELAY_S) - burst
+    if headroom >= 0.25 * rate:
         assert terms.depth >= 0.99 * burst - 1e-6 and terms.rate >= rate
--- a/tests/test_router_tables.py
+++ b/tests/test_router_tables.py
@@ -229,38 +229,38 @@
     return take
 
 
-def test_changes_that_arrive_together_are_told_at_once(follow):
-    told: list[tuple[FleetTable, FleetChange]] = []
-    client = FeedClient("edge-1", "z", [ADDRESS], lambda table, change: told.append((table, change)))
+def test_changes_that_arrive_together_are_published_as_one(follow):
+    published: list[tuple[FleetTable, FleetChange]] = []
+    client = FeedClient("edge-1", "z", [ADDRESS], lambda table, change: published.append((table, change)))
     follow(client, ArrivedTogether(*whole_state()), ArrivedTogether(*deltas("a", 200), *deltas("b", 100)))
-    assert len(told) == 2
-    table, change = told[1]
+    assert len(published) == 2
+    table, change = published[1]
     assert change.instances == {"a", "b"}
     assert (len(table.instances_of("a")), len(table.instances_of("b"))) == (200, 100)
 
 
-def test_a_change_that_was_not_taken_is_told_again_with_the_next(follow):
-    told: list[FleetChange] = []
+def test_a_change_whose_callback_failed_is_published_again_with_the_next(follow):
+    published: list[FleetChange] = []
 
     def take(table: FleetTable, change: FleetChange) -> None:
-        told.append(change)
-        if len(told) == 2:
+        published.append(change)
+        if len(published) == 2:
             raise RuntimeError("planted")
 
     client = FeedClient("edge-1", "z", [ADDRESS], take)
     follow(client, ArrivedTogether(*whole_state()), ArrivedTogether(*deltas("a", 1)), ArrivedTogether(*deltas("b", 1)))
-    assert [change.instances for change in told[1:]] == [{"a"}, {"a", "b"}]
+    assert [change.instances for change in published[1:]] == [{"a"}, {"a", "b"}]
 
 
-def test_where_tables_take_long_to_take_up_changes_of_a_busy_time_are_told_together(follow, monkeypatch):
+def test_changes_of_a_burst_are_published_together_where_callbacks_take_long(follow, monkeypatch):
     clock = [100.0]
     for module in (feed_client, table_publisher):
         monkeypatch.setattr(module, "monotonic", lambda: clock[0])
     monkeypatch.setattr(table_publisher, "PUBLISH_PAUSE_FACTOR", 20.0)
-    told: list[tuple[float, FleetTable]] = []
+    published: list[tuple[float, FleetTable]] = []
 
     def take(table: FleetTable, change: FleetChange) -> None:
-        told.append((clock[0], table))
+        published.append((clock[0], table))
         clock[0] += 0.005  # s
 
     client = FeedClient("edge-1", "z", [ADDRESS], take)
@@ -269,10 +269,10 @@
         clock[0] += 0.001
         client._draft.apply_delta(list(deltas("a", number + 1))[-1], clock[0])
         client._publisher.publish_changes()
-    assert len(told) <= 3  # of 0.1 s at 20 times 5 ms
+    assert len(published) <= 3  # of 0.1 s at 20 times 5 ms
     clock[0] += 0.2
     client._publisher.publish_delayed()
-    assert len(told[-1][1].instances_of("a")) == 100
+    assert len(published[-1][1].instances_of("a")) == 100
     client.stop()
 
 
