--- a/ochrespan/control_plane/api/errors.py
+++ b/ochrespan/control_plane/api/errors.py
@@ -2,8 +2,10 @@
 
 from __future__ import annotations
 
+from ochrespan.control_plane.errors import ControlPlaneError
 
-class ControlApiError(Exception):
+
+class ControlApiError(ControlPlaneError):
     """Base of the errors of the control interface."""
 
 
--- a/ochrespan/control_plane/controller.py
+++ b/ochrespan/control_plane/controller.py
@@ -14,9 +14,11 @@
 from ochrespan.control_plane.api.forwarding import ControlService
 from ochrespan.control_plane.api.handlers import ControlApi
 from ochrespan.control_plane.config.owner import ConfigurationOwner
+from ochrespan.control_plane.feed.live_routers import LiveRouters
 from ochrespan.control_plane.feed.messages import max_duration_s
-from ochrespan.control_plane.feed.presence import LiveRouters, PresenceReporter
+from ochrespan.control_plane.feed.presence import PresenceReporter, PresenceState
 from ochrespan.control_plane.feed.server import FeedServer
+from ochrespan.control_plane.feed.shard_snapshots import ShardSnapshots
 from ochrespan.control_plane.prefix_placement.owner import PrefixPlacementOwner
 from ochrespan.control_plane.quota.allocation import QuotaBounds
 from ochrespan.control_plane.quota.owner import QuotaOwner
@@ -103,14 +105,16 @@
         register_controller_metrics(registry, groups, state, self._live_routers)
         self.api = ControlApi(self.service, self.status, self.is_ready, registry)
         self._feed = FeedServer(
-            groups, state.configuration, state.instances, self._live_routers, self._lag_detector, self._controllers
+            groups,
+            ShardSnapshots(groups, state.configuration, state.instances),
+            self._live_routers,
+            self._lag_detector,
+            self._controllers,
         )
         self._presence = PresenceReporter(
             settings.address,
             settings.zone,
-            groups,
-            self._live_routers,
-            self._lag_detector,
+            PresenceState(groups, self._live_routers, self._lag_detector),
             self._peers,
             self._known_addresses,
         )
@@ -147,7 +151,7 @@
 
     def members_changed(self, routers: Iterable[str], controllers: Iterable[Address]) -> None:
         """Takes in the routers and controllers that are alive, as membership sees it."""
-        self._live_routers.members(routers)
+        self._live_routers.set_members(routers)
         self._members = frozenset(controllers)
 
     def is_ready(self) -> bool:
--- a/ochrespan/control_plane/controller_metrics.py
+++ b/ochrespan/control_plane/controller_metrics.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from ochrespan.control_plane.feed.presence import LiveRouters
+from ochrespan.control_plane.feed.live_routers import LiveRouters
 from ochrespan.control_plane.replication.groups import ReplicaGroups
 from ochrespan.observability.metrics import MetricsRegistry
 
@@ -26,7 +26,7 @@
     )
     registry.gauge("ochrespan_instances", "Registered servers.", lambda: len(state.records()))
     registry.gauge("ochrespan_routers", "Living routers.", lambda: len(live_routers.routers()))
-    registry.gauge("ochrespan_feed_readers", "Routers that read here.", lambda: len(live_routers.readers()))
+    registry.gauge("ochrespan_feed_readers", "Routers that read here.", lambda: len(live_routers.subscribers()))
 
 
 def _register_shards(registry: MetricsRegistry, groups: ReplicaGroups) -> None:
--- a/tests/control_plane/quota/test_quota.py
+++ b/tests/control_plane/quota/test_quota.py
@@ -1,4 +1,4 @@
-"""Quotas: the bound over all routers in any window, with owners that change and routers that are out of touch."""
+"""Quotas: the bound over all routers in any window, with owners that change and routers that reach none."""
 
 import random
 
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from ochrespan.control_plane.config.views import QuotaUnit, Tenant
-from ochrespan.control_plane.owner_calls import NotOwnerResponse
+from ochrespan.control_plane.owner_calls import NotOwnerResponse, OwnerClient
 from ochrespan.control_plane.quota.allocation import (
     EQUAL_FRACTION,
     GRANT_LIFETIME_S,
@@ -33,7 +33,7 @@
     return Tenant(name, ("k",), 0, unit, 200.0, rate, burst)
 
 
-def most_in_a_window(spends, window):
+def max_in_a_window(spends, window):
     """The largest sum of spends in any window of the length."""
     spends = sorted(spends)
     most = total = first = 0
@@ -46,14 +46,14 @@
     return most
 
 
-def test_the_terms_admit_rate_and_burst_where_the_bound_leaves_room():
+def test_the_terms_admit_rate_and_burst_where_the_bound_leaves_headroom():
     terms = terms_for(71_430, 112_296, BOUNDS)
     assert terms.rate >= 71_430 and terms.depth >= 112_296 and terms.reserved > 71_430
 
 
 @given(st.floats(0.1, 1e6), st.floats(0, 1e6), st.floats(1, 60), st.floats(0, 1), st.floats(0, 1e6))
 @settings(deadline=None)
-def test_the_terms_add_up_to_the_bound_at_most(rate, burst, window, overshoot, slack):
+def test_the_terms_never_exceed_the_bound(rate, burst, window, overshoot, slack):
     bounds = QuotaBounds(window, overshoot, slack)
     terms = terms_for(rate, burst, bounds)
     granted = terms.rate * (window + GRANT_LIFETIME_S + SEND_DELAY_S) + terms.depth
@@ -99,7 +99,9 @@
         self.cut_off = set()
         self.owners = [self.new_owner()]
         self.clients = [
-            QuotaClient(f"edge-{number}", BOUNDS, lambda tenant: [OWNER], self.call_as(number), clock, clock.pause)
+            QuotaClient(
+                f"edge-{number}", BOUNDS, OwnerClient(lambda tenant: [OWNER], self.call_as(number)), clock, clock.pause
+            )
             for number in range(routers)
         ]
         for client in self.clients:
@@ -112,7 +114,7 @@
         return owner
 
     def replace_owner(self):
-        """The former owner hears no majority, and falls silent before the next one is elected."""
+        """The former owner has no quorum, and its lease expires before the next one is elected."""
         self.owners[-1]._groups.age = LEASE_DURATION_S
         self.owners.append(self.new_owner())
 
@@ -132,7 +134,7 @@
 
 @given(st.integers(0, 2**32), st.integers(1, 12))
 @settings(max_examples=60, deadline=None)
-def test_no_window_exceeds_the_bound_with_owners_that_change_and_routers_out_of_touch(seed, routers):
+def test_no_window_exceeds_the_bound_with_owners_that_change_and_unreachable_owners(seed, routers):
     draw = random.Random(seed)
     random.seed(seed)
     clock, tenant = Clock(), limited()
@@ -156,10 +158,10 @@
             waiting.remove((until, client, taken))
             if (taken := client.renew("t", taken)).allowed:
                 spends.append((clock.now + draw.uniform(0, SEND_DELAY_S), taken.tokens))
-    assert most_in_a_window(spends, BOUNDS.window_s) <= BOUNDS.allowed(tenant.rate_per_s, tenant.burst)
+    assert max_in_a_window(spends, BOUNDS.window_s) <= BOUNDS.allowed(tenant.rate_per_s, tenant.burst)
 
 
-def test_a_tenant_within_its_rate_is_never_refused():
+def test_a_tenant_within_its_rate_is_never_rejected():
     clock, tenant = Clock(), limited(rate=1000.0, burst=3000.0)
     fleet = Fleet(tenant, 4, clock)
     clock.now += 10.0
@@ -168,7 +170,7 @@
         assert fleet.clients[number % 4].take("t", 500.0).allowed
 
 
-def test_a_refusal_says_when_to_come_back():
+def test_a_rejection_says_when_to_retry():
     clock, tenant = Clock(), limited(rate=10.0, burst=5.0, unit=QuotaUnit.REQUESTS)
     fleet = Fleet(tenant, 1, clock)
     clock.now += 2 * BOUNDS.window_s
@@ -179,7 +181,7 @@
     assert fleet.clients[0].take("t", 5.0).allowed
 
 
-def test_a_request_waits_for_tokens_that_come_shortly_in_place_of_a_refusal():
+def test_a_request_waits_for_tokens_that_accrue_shortly_instead_of_being_rejected():
     clock, tenant = Clock(), limited(rate=10.0, burst=5.0, unit=QuotaUnit.REQUESTS)
     fleet = Fleet(tenant, 1, clock)
     clock.now += 2 * BOUNDS.window_s
@@ -190,18 +192,18 @@
     assert all(taken) and clock.now - began > 1.0
 
 
-def test_tenants_without_a_limit_are_not_asked_about():
+def test_no_owner_is_called_for_tenants_without_a_limit():
     def call(address, request, timeout):
         raise AssertionError("asked")
 
-    client = QuotaClient("edge-1", BOUNDS, lambda tenant: [OWNER], call)
+    client = QuotaClient("edge-1", BOUNDS, OwnerClient(lambda tenant: [OWNER], call))
     client.configure({"free": limited("free", rate=0.0)}, 3)
     assert client.take("free", 1e9).allowed and client.try_take("unknown", 1.0, 0.0)
 
 
-def test_nothing_is_kept_of_a_tenant_that_was_idle_or_lost_its_limit():
+def test_the_state_of_a_tenant_that_is_idle_or_lost_its_limit_is_dropped():
     clock = Clock()
-    client = QuotaClient("edge-1", BOUNDS, lambda tenant: [], lambda *call: None, clock, clock.pause)
+    client = QuotaClient("edge-1", BOUNDS, OwnerClient(lambda tenant: [], lambda *call: None), clock, clock.pause)
     tenants = {name: limited(name) for name in "abc"}
     client.configure(tenants, 2)
     assert not client._states
@@ -216,9 +218,9 @@
     assert client.take("b", 1e9).allowed and set(client._states) == {"c"}
 
 
-def test_another_count_of_routers_holds_from_the_next_request_on():
+def test_a_new_router_count_applies_from_the_next_request_on():
     clock = Clock()
-    client = QuotaClient("edge-1", BOUNDS, lambda tenant: [], lambda *call: None, clock, clock.pause)
+    client = QuotaClient("edge-1", BOUNDS, OwnerClient(lambda tenant: [], lambda *call: None), clock, clock.pause)
     client.configure({"t": limited()}, 1)
     part = EQUAL_FRACTION * terms_for(limited().rate_per_s, limited().burst, BOUNDS).reserved
     assert client.take("t", 0.6 * part).allowed
@@ -229,7 +231,7 @@
     assert client.take("t", 0.3 * part).allowed
 
 
-def test_a_router_that_reaches_no_owner_lives_on_its_sure_share_alone():
+def test_a_router_that_reaches_no_owner_spends_its_reserved_share_alone():
     clock, tenant = Clock(), limited()
     fleet = Fleet(tenant, 4, clock)
     fleet.cut_off = {0}
@@ -239,22 +241,22 @@
         if fleet.clients[0].take("t", 100.0).allowed:
             spends.append((clock.now, 100.0))
     part = EQUAL_FRACTION / 4 * terms_for(tenant.rate_per_s, tenant.burst, BOUNDS).reserved
-    assert 0.9 * part < most_in_a_window(spends, BOUNDS.window_s) <= part
+    assert 0.9 * part < max_in_a_window(spends, BOUNDS.window_s) <= part
 
 
-def test_a_router_asks_the_owner_that_another_controller_names():
+def test_a_router_calls_the_owner_that_another_controller_names():
     asked = []
 
     def call(address, request, timeout):
         asked.append(address)
         return NotOwnerResponse(*OTHER) if address == OWNER else Grant(request.needed, 0.0, 1)
 
-    client = QuotaClient("edge-1", BOUNDS, lambda tenant: [OWNER], call)
+    client = QuotaClient("edge-1", BOUNDS, OwnerClient(lambda tenant: [OWNER], call))
     client.configure({"t": limited()}, 1)
     assert client.take("t", 5.0).allowed and asked == [OWNER, OTHER]
 
 
-def test_an_owner_that_hears_no_majority_or_leads_no_more_grants_nothing():
+def test_an_owner_without_a_lease_or_leadership_grants_nothing():
     groups, tenant = Groups(), limited()
     owner = QuotaOwner(groups, lambda name: tenant, BOUNDS)
     request = GrantRequest("t", "edge-1", 1.0, 0.0)
@@ -268,26 +270,26 @@
     assert isinstance(owner.grant(request), NotOwnerResponse)
 
 
-def test_what_expired_unspent_goes_back_to_the_owner_that_granted_it_alone():
-    held = GrantedTokens()
-    held.add(10.0, asked_at=0.0, epoch=1)
-    assert held.take(4.0, now=GRANT_LIFETIME_S / 2)
-    assert held.available(GRANT_LIFETIME_S) == 0 and held.take_left_over() == 6.0
-    held.add(10.0, asked_at=2.0, epoch=1)
-    held.add(3.0, asked_at=2.1, epoch=2)
-    assert held.available(9.0) == 0 and held.take_left_over() == 3.0
+def test_unused_tokens_go_back_only_to_the_owner_that_granted_them():
+    granted = GrantedTokens()
+    granted.add(10.0, requested_at=0.0, epoch=1)
+    assert granted.take(4.0, now=GRANT_LIFETIME_S / 2)
+    assert granted.available(GRANT_LIFETIME_S) == 0 and granted.take_unused() == 6.0
+    granted.add(10.0, requested_at=2.0, epoch=1)
+    granted.add(3.0, requested_at=2.1, epoch=2)
+    assert granted.available(9.0) == 0 and granted.take_unused() == 3.0
 
 
-def test_a_lower_limit_binds_from_the_next_grant():
+def test_a_lower_limit_applies_from_the_next_grant_on():
     bucket = TokenBucket(100.0, 100.0, now=0.0, level=100.0)
-    bucket.change(1.0, 10.0, now=1.0)
+    bucket.configure(1.0, 10.0, now=1.0)
     assert bucket.level == 10.0 and not bucket.take(11.0, now=1.0)
     assert bucket.wait_for(11.0, now=1.0) == 0.0 and not bucket.take(10.5, now=2.0)
 
 
-@pytest.mark.parametrize("figures", [{}, {"quota_window_s": "8"}, {"quota_slack": None}, {"quota_overshoot": True}])
-def test_figures_that_are_missing_or_no_numbers_take_the_strictest_default(figures):
-    assert quota_bounds(figures) == QuotaBounds(8.0, 0.0, 0.0)
+@pytest.mark.parametrize("bounds", [{}, {"quota_window_s": "8"}, {"quota_slack": None}, {"quota_overshoot": True}])
+def test_bounds_that_are_missing_or_no_numbers_take_the_strictest_default(bounds):
+    assert quota_bounds(bounds) == QuotaBounds(8.0, 0.0, 0.0)
 
 
 def test_a_request_counts_by_its_tokens_or_as_one():
@@ -296,7 +298,7 @@
     assert request_cost(limited(unit=QuotaUnit.REQUESTS), (1460, 80)) == 1
 
 
-def test_a_router_whose_owner_falls_silent_goes_on_for_a_while_at_the_rate_it_had():
+def test_a_router_whose_owner_is_unreachable_continues_for_a_while_at_its_rate():
     clock, tenant = Clock(), limited()
     fleet = Fleet(tenant, 4, clock)
     clock.now += 5.0
@@ -311,7 +313,7 @@
     assert served >= 30_000
 
 
-def test_a_request_that_waited_renews_its_tokens_and_keeps_them_where_they_still_hold():
+def test_a_request_that_waited_renews_its_tokens_unless_they_are_still_valid():
     clock, tenant = Clock(), limited(rate=10.0, burst=5.0, unit=QuotaUnit.REQUESTS)
     fleet = Fleet(tenant, 2, clock)
     clock.now += 20.0
@@ -322,7 +324,7 @@
     clock.now += SEND_DELAY_S + 0.1
     level = bucket.level
     renewed = client.renew("t", taken)
-    assert renewed.allowed and renewed.at == clock.now and renewed.holds(clock.now)
+    assert renewed.allowed and renewed.taken_at == clock.now and renewed.is_valid(clock.now)
     assert bucket.level >= level
     free = client.take("unlimited", 1e9)
     assert client.renew("unlimited", free) is free
@@ -335,7 +337,7 @@
         return NotOwnerResponse(*OWNER) if address == OTHER else Grant(request.needed, 0.0, 1)
 
     third = ("10.0.0.3", 7500)
-    client = QuotaClient("edge-1", BOUNDS, lambda tenant: [OWNER, OTHER, third], call)
+    client = QuotaClient("edge-1", BOUNDS, OwnerClient(lambda tenant: [OWNER, OTHER, third], call))
     client.configure({"t": limited()}, 1)
     assert client.take("t", 5.0).allowed
 
@@ -352,7 +354,7 @@
     client.release("unlimited", client.take("unlimited", 1.0))
 
 
-def test_a_new_owner_that_has_nothing_yet_leaves_routers_their_sure_share():
+def test_a_new_owner_with_empty_buckets_leaves_routers_their_reserved_share():
     clock, tenant = Clock(), limited(rate=10_000.0, burst=16_000.0)
     fleet = Fleet(tenant, 9, clock)
     clock.now += 20.0
@@ -366,9 +368,9 @@
 
 @given(st.floats(1, 1e5), st.floats(0, 1e5), st.floats(0, 2e5))
 @settings(deadline=None)
-def test_the_bucket_holds_the_burst_and_what_the_slack_has_to_spare(rate, burst, slack):
+def test_the_bucket_covers_rate_and_burst_where_the_slack_leaves_headroom(rate, burst, slack):
     bounds = QuotaBounds(8.0, 0.1, slack)
     terms = terms_for(rate, burst, bounds)
-    room = bounds.allowed(rate, burst) - rate * (8.0 + GRANT_LIFETIME_S + SEND_DELAY_S) - burst
-    if room >= 0.25 * rate:
+    headroom = bounds.allowed(rate, burst) - rate * (8.0 + GRANT_LIFETIME_S + SEND_DELAY_S) - burst
+    if headroom >= 0.25 * rate:
         assert terms.depth >= 0.99 * burst - 1e-6 and terms.rate >= rate
