--- a/ochrespan/membership/agent.py
+++ b/ochrespan/membership/agent.py
@@ -1,4 +1,8 @@
-"""The SWIM agent of a process: sends and receives datagrams and drives the protocol's clock."""
+"""The SWIM agent of a process: owns the datagram socket and the clock, and drives `SwimProtocol` with both.
+
+`SwimProtocol` is not thread-safe and doesn't yield: the greenlet of `_run` and those of received datagrams call it in
+turn.
+"""
 
 from __future__ import annotations
 
@@ -14,6 +18,7 @@
 from ochrespan.common.addresses import Address, format_address
 from ochrespan.transport.udp import DatagramEndpoint
 
+from .errors import MalformedMessageError
 from .member_table import FleetMember
 from .peer_addresses import PeerSettings, peer_address, seed_peer_addresses
 from .protocol import SwimProtocol
@@ -21,15 +26,14 @@
 
 log = logging.getLogger(__name__)
 
-
-MIN_WAIT_S = 0.01
+MIN_WAIT_S = 0.01  # between two ticks
 CONTROLLER_ROLE = "controller"
 ROUTER_ROLE = "router"
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """`address` and `seeds`: IP and first port of `port_range`."""
+    """What the agent takes from a process's settings. `address` and `seeds`: IP and first port of `port_range`."""
 
     address: Address
     seeds: tuple[Address, ...]
@@ -39,13 +43,23 @@
 
 
 def membership_settings(settings: PeerSettings, role: str) -> MembershipSettings:
-    """What membership needs of a process's settings."""
-    seeds = tuple(seed_peer_addresses(settings))
-    return MembershipSettings(peer_address(settings), seeds, role, settings["zone"], settings["node"])
+    """The part of a process's settings that membership needs; `role` is CONTROLLER_ROLE or ROUTER_ROLE."""
+    return MembershipSettings(
+        address=peer_address(settings),
+        seeds=tuple(seed_peer_addresses(settings)),
+        role=role,
+        zone=settings["zone"],
+        node=settings["node"],
+    )
 
 
 class MembershipAgent:
-    """Keeps the list of the fleet's living processes. `on_change()` runs after each change of it."""
+    """Keeps the list of the fleet's alive processes.
+
+    Args:
+        settings: This process as a member, and the seeds.
+        on_change: Called without arguments after each change of the list, in the greenlet that saw the change.
+    """
 
     def __init__(self, settings: MembershipSettings, on_change: Callable[[], None]) -> None:
         own = FleetMember(settings.address, settings.role, settings.zone, settings.node)
@@ -56,60 +70,60 @@
         self._greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
+        """Opens the socket and starts probing."""
         self._endpoint.start()
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """Tells the fleet of the planned end."""
+        """Announces the planned shutdown to some members, then closes the socket."""
         self._protocol.leave()
-        self._send()
+        self._send_messages()
         if self._greenlet is not None:
             self._greenlet.kill(block=False)
         self._endpoint.stop()
 
     def seeds_changed(self, seeds: Iterable[Address]) -> None:
-        """The settings name other seeds."""
+        """Takes the seeds of reloaded settings; members that are known stay."""
         self._protocol.seeds_changed(tuple(seeds))
 
     def routers(self) -> list[str]:
-        """The names of the living routers."""
+        """The node names of the alive routers."""
         return [member.node for member in self._protocol.alive(ROUTER_ROLE)]
 
     def controllers(self) -> dict[Address, str]:
-        """The living controllers and their zones."""
+        """The zones of the alive controllers by address."""
         return {member.address: member.zone for member in self._protocol.alive(CONTROLLER_ROLE)}
 
     def alive(self, role: str | None = None) -> list[FleetMember]:
-        """The living members of a role, or of all, this process among them."""
+        """The alive members with a role, or with any where it is None, this process among them."""
         return self._protocol.alive(role)
 
     def _run(self) -> None:
         while True:
             self._protocol.tick(time.monotonic())
-            self._send()
-            self._tell()
+            self._send_messages()
+            self._notify_of_change()
             self._wake.clear()
-            self._wake.wait(max(MIN_WAIT_S, self._protocol.next_at - time.monotonic()))
+            self._wake.wait(max(MIN_WAIT_S, self._protocol.next_tick_at - time.monotonic()))
 
     def _received(self, datagram: SwimDatagram, peer: Address) -> None:
         try:
             value = unpack(datagram)
-        except (ValueError, TypeError, IndexError, AttributeError) as error:
-            log.warning("bad membership message peer=%s error=%r", format_address(peer), error)
+        except MalformedMessageError as error:
+            log.warning("malformed membership message peer=%s error=%r", format_address(peer), error)
             return
-        expected = self._protocol.next_at
+        planned_tick_at = self._protocol.next_tick_at
         self._protocol.receive(time.monotonic(), peer, value)
-        self._send()
-        self._tell()
-        if self._protocol.next_at < expected:
-            self._wake.set()
+        self._send_messages()
+        self._notify_of_change()
+        if self._protocol.next_tick_at < planned_tick_at:
+            self._wake.set()  # `_run` waits for a later tick than is needed now
 
-    def _send(self) -> None:
+    def _send_messages(self) -> None:
         for address, value in self._protocol.take_messages():
             self._endpoint.send(pack(value), address)
 
-    def _tell(self) -> None:
-        if self._protocol.take_changed():
-            members = self._protocol.alive()
-            log.info("membership members=%d", len(members))
+    def _notify_of_change(self) -> None:
+        if self._protocol.take_has_changed():
+            log.info("membership changed members=%d", len(self._protocol.alive()))
             self._on_change()
--- a/ochrespan/membership/member_table.py
+++ b/ochrespan/membership/member_table.py
@@ -1,28 +1,31 @@
-"""The table of a fleet's members as one process knows it, and the queue of news about them.
+"""The table of a fleet's members as one process knows it.
 
-News about a member is ordered by its incarnation, which the member alone raises, and then by state: a suspicion beats
-the life of the same incarnation, an end beats both. Who is named suspected or dead while alive refutes it with a higher
-incarnation.
+Updates about a member are ordered by its incarnation, which only the member itself increments, and then by state:
+SUSPECT overrides ALIVE of the same incarnation, DEAD and LEFT override both (SWIM, 2002, section 4.2). A member that is
+suspected or declared dead while it is alive refutes that with a higher incarnation.
 """
 
 from __future__ import annotations
 
-import math
 import zlib
 from dataclasses import dataclass, field
 from enum import IntEnum
 
 from ochrespan.common.addresses import Address
 
-TRANSMIT_FACTOR = 3  # a piece of news is sent this many times the logarithm of the fleet's size
-FORGET_ENDED_AFTER_S = 60.0  # how long an ended member is remembered, so that old news can't bring it back
+from .gossip_queue import GossipQueue
+
+# How long a member that is DEAD or LEFT stays in the table, so that a delayed update can't bring it back.
+DEPARTED_RETENTION_S = 60.0
 
 
 class MemberState(IntEnum):
+    """State of a member; with equal incarnations the greater one overrides. The numbers are part of the wire format."""
+
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
-    LEFT = 3  # ended as planned
+    LEFT = 3  # a planned shutdown
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +40,10 @@
 
 @dataclass(slots=True)
 class MemberUpdate:
-    """What a message tells of one member. `suspected_by` is a number for the process that suspects it."""
+    """What a message says about one member. `suspected_by` is the `member_number` of the process that suspects it.
+
+    The order of the fields is part of the wire format.
+    """
 
     host: str
     port: int
@@ -50,57 +56,79 @@
 
     @property
     def address(self) -> Address:
+        """Where the member is reached."""
         return (self.host, self.port)
 
+    @property
+    def member(self) -> FleetMember:
+        """The member that this is about."""
+        return FleetMember(self.address, self.role, self.zone, self.node)
+
 
 @dataclass(slots=True)
 class MemberRecord:
+    """A member, its state, and since when (seconds of the caller's clock) it has been in that state."""
+
     member: FleetMember
     state: MemberState
     incarnation: int
-    since: float
+    state_since: float
     suspecting_members: set[int] = field(default_factory=set)
 
     @property
     def is_alive_or_suspect(self) -> bool:
-        """A suspect counts as alive until its suspicion has run out."""
+        """A suspect counts as alive until its suspicion has timed out."""
         return self.state <= MemberState.SUSPECT
 
 
 def member_number(address: Address) -> int:
+    """A short number that stands for a process in `suspected_by`."""
     return zlib.crc32(f"{address[0]}:{address[1]}".encode())
 
 
 class MemberTable:
-    """Merges news and hands out what should be told on."""
+    """Merges updates about members and hands out those that are to be disseminated.
+
+    Attributes:
+        own: This process as a member. It has no record.
+        incarnation: This process's own incarnation.
+        is_leaving: Whether this process has announced its planned shutdown.
+        records: The other members.
+        has_changed: The set of alive members has changed since the flag was cleared.
+        has_refuted: This process has refuted a suspicion or its death since the flag was cleared.
+    """
 
     def __init__(self, own: FleetMember) -> None:
         self.own = own
         self.incarnation = 0
-        self.leaving = False
+        self.is_leaving = False
         self.records: dict[Address, MemberRecord] = {}
-        self.changed = True  # the set of living members
-        self.refuted = False  # somebody took this process for dead or suspected it
-        self._queue: dict[Address, int] = {}  # times that the newest news about a member was sent
+        self.has_changed = True
+        self.has_refuted = False
+        self._gossip = GossipQueue()
         self._announce_self()
 
     def alive_members(self) -> list[MemberRecord]:
+        """The other members that are alive or suspected."""
         return [record for record in self.records.values() if record.is_alive_or_suspect]
 
-    def merge(self, now: float, updates: MemberUpdate) -> None:
-        if updates.address == self.own.address:
-            self._merge_about_self(updates)
+    def merge(self, now: float, update: MemberUpdate) -> None:
+        """Applies an update if it overrides what is known, and queues it for dissemination then."""
+        address = update.address
+        if address == self.own.address:
+            self._merge_about_self(update)
             return
-        record = self.records.get(updates.address)
-        state = MemberState(updates.state)
+        record = self.records.get(address)
+        state = MemberState(update.state)
         if record is None:
-            self._add(now, updates, state)
-        elif (updates.incarnation, state) > (record.incarnation, record.state):
-            self._update(now, record, updates, state)
-        elif state is MemberState.SUSPECT is record.state and updates.incarnation == record.incarnation:
-            self._add_suspecting_member(record, updates.suspected_by)
+            self._add(now, update, state)
+        elif (update.incarnation, state) > (record.incarnation, record.state):
+            self._override(now, record, update, state)
+        elif state is MemberState.SUSPECT is record.state and update.incarnation == record.incarnation:
+            self._add_suspecting_member(record, update.suspected_by)
 
     def suspect(self, now: float, address: Address) -> None:
+        """Records that this process suspects a member."""
         record = self.records.get(address)
         if record is not None and record.state is MemberState.ALIVE:
             self.merge(now, self._update_about(record, MemberState.SUSPECT, member_number(self.own.address)))
@@ -108,82 +136,87 @@
             self._add_suspecting_member(record, member_number(self.own.address))
 
     def declare_dead(self, now: float, address: Address) -> None:
+        """Declares a member dead whose suspicion has timed out."""
         if record := self.records.get(address):
             self.merge(now, self._update_about(record, MemberState.DEAD))
 
     def leave(self) -> None:
-        self.leaving = True
+        """Announces the planned shutdown of this process."""
+        self.is_leaving = True
         self.incarnation += 1
         self._announce_self()
 
-    def forget_ended(self, now: float) -> None:
+    def remove_departed(self, now: float) -> None:
+        """Drops the members that have been DEAD or LEFT for longer than DEPARTED_RETENTION_S."""
         for address, record in list(self.records.items()):
-            if not record.is_alive_or_suspect and now - record.since > FORGET_ENDED_AFTER_S:
+            if not record.is_alive_or_suspect and now - record.state_since > DEPARTED_RETENTION_S:
                 del self.records[address]
-                self._queue.pop(address, None)
+                self._gossip.discard(address)
 
     def own_update(self) -> MemberUpdate:
-        state = MemberState.LEFT if self.leaving else MemberState.ALIVE
+        """What this process says about itself."""
+        state = MemberState.LEFT if self.is_leaving else MemberState.ALIVE
         own = self.own
         return MemberUpdate(*own.address, own.role, own.zone, own.node, state, self.incarnation)
 
     def update_for(self, address: Address) -> MemberUpdate | None:
+        """What is known about another member; None where it isn't in the table."""
         record = self.records.get(address)
-        return self._update_about(record, record.state, next(iter(record.suspecting_members), 0)) if record else None
+        return self._update_for_record(record) if record else None
 
     def next_updates(self, count: int) -> list[MemberUpdate]:
-        """The news that were sent least often; each is dropped after enough sends."""
-        limit = TRANSMIT_FACTOR * math.ceil(math.log2(len(self.records) + 2))
-        chosen = sorted(self._queue, key=self._queue.__getitem__)[:count]
-        taken = []
-        for address in chosen:
-            self._queue[address] += 1
-            if self._queue[address] >= limit:
-                del self._queue[address]
-            updates = self.own_update() if address == self.own.address else self.update_for(address)
-            if updates is not None:
-                taken.append(updates)
-        return taken
+        """At most `count` updates to piggyback on a message, the least transmitted first."""
+        updates = []
+        for address in self._gossip.take(count, len(self.records)):
+            update = self.own_update() if address == self.own.address else self.update_for(address)
+            if update is not None:
+                updates.append(update)
+        return updates
 
     def all_updates(self) -> list[MemberUpdate]:
-        return [self.own_update(), *(self.update_for(address) for address in self.records)]
-
-    def _add(self, now: float, updates: MemberUpdate, state: MemberState) -> None:
-        member = FleetMember(updates.address, updates.role, updates.zone, updates.node)
-        suspecting_members = {updates.suspected_by} if state is MemberState.SUSPECT else set()
-        self.records[updates.address] = MemberRecord(member, state, updates.incarnation, now, suspecting_members)
-        self._queue[updates.address] = 0
-        self.changed |= state <= MemberState.SUSPECT
-
-    def _update(self, now: float, record: MemberRecord, updates: MemberUpdate, state: MemberState) -> None:
-        counted, member = record.is_alive_or_suspect, record.member
-        record.member = FleetMember(updates.address, updates.role, updates.zone, updates.node)
-        record.state, record.incarnation, record.since = state, updates.incarnation, now
-        record.suspecting_members = {updates.suspected_by} if state is MemberState.SUSPECT else set()
-        self._queue[updates.address] = 0
-        self.changed |= counted != record.is_alive_or_suspect or member != record.member
+        """The full table, this process first."""
+        return [self.own_update(), *(self._update_for_record(record) for record in self.records.values())]
+
+    def _add(self, now: float, update: MemberUpdate, state: MemberState) -> None:
+        suspecting_members = {update.suspected_by} if state is MemberState.SUSPECT else set()
+        self.records[update.address] = MemberRecord(update.member, state, update.incarnation, now, suspecting_members)
+        self._gossip.push(update.address)
+        self.has_changed |= state <= MemberState.SUSPECT
+
+    def _override(self, now: float, record: MemberRecord, update: MemberUpdate, state: MemberState) -> None:
+        was_alive = record.is_alive_or_suspect
+        old_member = record.member
+        record.member = update.member
+        record.state = state
+        record.incarnation = update.incarnation
+        record.state_since = now
+        record.suspecting_members = {update.suspected_by} if state is MemberState.SUSPECT else set()
+        self._gossip.push(update.address)
+        self.has_changed |= was_alive != record.is_alive_or_suspect or old_member != record.member
 
     def _add_suspecting_member(self, record: MemberRecord, suspected_by: int) -> None:
-        """A suspicion that more processes share is worth telling on again."""
+        """Counts a further suspecting process, and disseminates that: it shortens the suspicion time-out of all."""
         if suspected_by not in record.suspecting_members:
             record.suspecting_members.add(suspected_by)
-            self._queue[record.member.address] = 0
+            self._gossip.push(record.member.address)
+
+    def _merge_about_self(self, update: MemberUpdate) -> None:
+        """Refutes an update about this process that isn't true, with a higher incarnation.
 
-    def _merge_about_self(self, updates: MemberUpdate) -> None:
-        """An earlier life at this address, or a suspicion: this process is alive with a higher incarnation."""
+        It comes from a suspicion, from a declared death, or from an earlier process at this address.
+        """
         own = self.own_update()
-        stale = updates.state != own.state or (updates.role, updates.zone, updates.node) != (
-            own.role,
-            own.zone,
-            own.node,
-        )
-        if updates.incarnation > self.incarnation or updates.incarnation == self.incarnation and stale:
-            self.refuted |= updates.state in (MemberState.SUSPECT, MemberState.DEAD)
-            self.incarnation = updates.incarnation + 1
+        is_wrong = update.state != own.state or update.member != self.own
+        if update.incarnation > self.incarnation or (update.incarnation == self.incarnation and is_wrong):
+            self.has_refuted |= update.state in (MemberState.SUSPECT, MemberState.DEAD)
+            self.incarnation = update.incarnation + 1
             self._announce_self()
 
     def _announce_self(self) -> None:
-        self._queue[self.own.address] = 0
+        self._gossip.push(self.own.address)
+
+    def _update_for_record(self, record: MemberRecord) -> MemberUpdate:
+        return self._update_about(record, record.state, next(iter(record.suspecting_members), 0))
 
     @staticmethod
     def _update_about(record: MemberRecord, state: MemberState, suspected_by: int = 0) -> MemberUpdate:
--- a/ochrespan/membership/messages.py
+++ b/ochrespan/membership/messages.py
@@ -1,4 +1,7 @@
-"""Messages of SWIM membership; `updates` travels along with probes and their answers."""
+"""Messages of SWIM membership. `updates` are piggybacked on probes and their acknowledgements.
+
+The order of the fields is part of the wire format; `wire` holds the kinds and their numbers.
+"""
 
 from __future__ import annotations
 
@@ -9,26 +12,35 @@
 
 @dataclass(slots=True)
 class Ping:
-    number: int
+    """A direct probe; the receiver replies with an `Ack` of the same sequence number."""
+
+    sequence_number: int
     updates: list[MemberUpdate]
 
 
 @dataclass(slots=True)
 class Ack:
-    number: int
+    """The sender is alive or, relayed for a `PingRequest`, the member that it names."""
+
+    sequence_number: int
     updates: list[MemberUpdate]
 
 
 @dataclass(slots=True)
 class Nack:
-    """The helper has no answer from the member that it was asked to probe; the helper itself is well."""
+    """The sender, asked for an indirect probe, has no acknowledgement yet from the member; it is itself healthy.
 
-    number: int
+    Lifeguard's refinement: a missing Nack says that the requesting process itself may be the slow one.
+    """
+
+    sequence_number: int
 
 
 @dataclass(slots=True)
 class PingRequest:
-    number: int
+    """Asks the receiver to probe the member at `host` and `port` on the sender's behalf: SWIM's `ping-req`."""
+
+    sequence_number: int
     host: str
     port: int
     updates: list[MemberUpdate]
@@ -36,9 +48,9 @@
 
 @dataclass(slots=True)
 class Sync:
-    """All that the sender knows, in several messages; `answer` asks for the same in return."""
+    """Anti-entropy: the sender's full table in several messages; `wants_reply` asks for the receiver's in return."""
 
-    answer: bool
+    wants_reply: bool
     updates: list[MemberUpdate]
 
 
--- a/ochrespan/membership/protocol.py
+++ b/ochrespan/membership/protocol.py
@@ -1,296 +1,337 @@
-"""SWIM membership with the refinements of Lifeguard: direct and indirect probes, suspicion, refutation, local health.
+"""SWIM membership with the refinements of Lifeguard, without I/O: probes, suspicion, refutation, local health.
 
-A process that misses answers, or finds itself suspected, doubts itself first: its local health multiplier stretches its
-own time-outs, so a slow processor doesn't take the living for dead. A suspicion runs out sooner the more processes
-share it.
+Sources: Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol",
+2002; Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More Accurate Failure Detection", 2018.
+
+A process that misses acknowledgements, or has to refute a suspicion, may itself be the slow one. Its local health
+multiplier then stretches its own time-outs, so that a process short of processor time doesn't declare healthy members
+dead. A suspicion times out sooner the more processes share it.
 """
 
 from __future__ import annotations
 
 import math
 import random
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
 from ochrespan.common.addresses import Address
 
 from .member_table import FleetMember, MemberState, MemberTable, MemberUpdate
 from .messages import Ack, Nack, Ping, PingRequest, SwimMessage, Sync
 
-PERIOD_S = 0.5
-PROBE_TIMEOUT_S = 0.2
-HELPERS = 3
-NACK_FRACTION = 0.8  # a helper says that it got no answer after this share of the time-out
+PROTOCOL_PERIOD_S = 0.5
+PROBE_TIMEOUT_S = 0.2  # for the direct probe; the indirect ones have the rest of the period
+INDIRECT_PROBES = 3  # members that are asked to probe on behalf of this process (SWIM's k)
+NACK_FRACTION = 0.8  # an indirect probe without acknowledgement is reported after this fraction of the probe time-out
 MAX_HEALTH_MULTIPLIER = 8
-SUSPICION_PERIODS = 3  # shortest suspicion in periods, times the logarithm of the fleet's size
-SUSPICION_STRETCH = 4  # the longest suspicion against the shortest
+SUSPICION_PERIODS = 3  # minimal suspicion time-out in periods, times the logarithm of the fleet's size
+SUSPICION_STRETCH = 4  # ratio of the maximal suspicion time-out to the minimal one
 PINGED_SUSPECTS = 2
 UPDATES_PER_MESSAGE = 10
 UPDATES_PER_SYNC = 10
-CONTACT_INTERVAL_S = 1.0  # between messages to seeds that aren't known, and to the dead, who may be back
+CONTACT_INTERVAL_S = 1.0  # between messages to seeds that aren't known, and to dead members, which may have restarted
 SYNC_INTERVAL_S = 15.0
-# after the start of a whole fleet, news alone would take a while to reach all; doubles each time
+# After the start of a full fleet, gossip alone would take a while to reach every member. Doubles with each sync.
 INITIAL_SYNC_INTERVAL_S = 2.5
-# a tick this late means that this process was held up: it judges nobody by the time that it missed
+# A tick later than this shows that this process was stalled: no time-out may count the time that it missed.
 MAX_TICK_DELAY_S = 0.3
 
 
 @dataclass(slots=True)
 class _Probe:
+    """The probe of the current period. `nacks_missing`: members asked to probe that have sent no Nack."""
+
     target: Address
-    number: int
-    ask_helpers_at: float
+    sequence_number: int
+    indirect_at: float
     ends_at: float
-    nacks_due: int = 0
-    asked: bool = False
+    nacks_missing: int = 0
+    is_indirect: bool = False
 
 
 @dataclass(slots=True)
-class _Relayed:
-    """A probe on behalf of another process."""
+class _RelayedProbe:
+    """A probe on behalf of the process at `origin`, which knows it by `sequence_number`."""
 
     origin: Address
-    number: int
+    sequence_number: int
     nack_at: float
     ends_at: float
-    nacked: bool = field(default=False)
+    is_nack_sent: bool = False
 
 
 class SwimProtocol:
-    """One process's part. Feed it ticks (at `next_at`) and messages; take messages and the change of members out."""
+    """The protocol state of one process.
+
+    The owner calls `tick` at `next_tick_at` and `receive` for each message, and then takes out what is to be sent and
+    whether the members have changed.
+
+    Args:
+        own: This process as a member.
+        seeds: Where to look for other members.
+        source: Draws targets, members that probe on behalf of this process, and sync times.
+        now: Seconds of the clock that all calls use.
+    """
 
     def __init__(self, own: FleetMember, seeds: tuple[Address, ...], source: random.Random, now: float) -> None:
         self.table = MemberTable(own)
-        self.health = 0
+        self.local_health_multiplier = 0  # 0 is healthy; time-outs are stretched by 1 + multiplier
         self._seeds = tuple(seed for seed in seeds if seed != own.address)
         self._random = source
         self._outbox: list[tuple[Address, SwimMessage]] = []
-        self._numbers = 0
+        self._last_sequence_number = 0
         self._probe: _Probe | None = None
-        self._relayed: dict[int, _Relayed] = {}
-        self._order: list[Address] = []
-        self._period_at = now
+        self._relayed_probes: dict[int, _RelayedProbe] = {}
+        self._probe_targets: list[Address] = []  # the rest of this round
+        self._period_ends_at = now
         self._contact_at = now
-        self._sync_interval = INITIAL_SYNC_INTERVAL_S
+        self._sync_interval_s = INITIAL_SYNC_INTERVAL_S
         self._sync_at = now + INITIAL_SYNC_INTERVAL_S * source.uniform(0.5, 1.0)
-        self._expected_tick = now
+        self._planned_tick_at = now
 
     @property
-    def next_at(self) -> float:
-        """When the next tick is needed."""
-        times = [self._period_at, self._contact_at]
-        if self._probe and not self._probe.asked:
-            times.append(self._probe.ask_helpers_at)
-        times += [relayed.nack_at for relayed in self._relayed.values() if not relayed.nacked]
+    def next_tick_at(self) -> float:
+        """When the next tick is due."""
+        times = [self._period_ends_at, self._contact_at]
+        if self._probe and not self._probe.is_indirect:
+            times.append(self._probe.indirect_at)
+        times += [relayed.nack_at for relayed in self._relayed_probes.values() if not relayed.is_nack_sent]
         return min(times)
 
     def alive(self, role: str | None = None) -> list[FleetMember]:
-        """This process and the members that aren't known to have ended, by address."""
+        """This process, unless it is leaving, and the members that are alive or suspected, by address."""
         members = [record.member for record in self.table.alive_members()]
-        if not self.table.leaving:
+        if not self.table.is_leaving:
             members.append(self.table.own)
         return sorted((member for member in members if role in (None, member.role)), key=lambda member: member.address)
 
     def take_messages(self) -> list[tuple[Address, SwimMessage]]:
+        """The messages to send and their receivers; each is handed out once."""
         messages, self._outbox = self._outbox, []
         return messages
 
-    def take_changed(self) -> bool:
-        changed, self.table.changed = self.table.changed, False
-        return changed
+    def take_has_changed(self) -> bool:
+        """Whether the alive members have changed since the last call."""
+        has_changed = self.table.has_changed
+        self.table.has_changed = False
+        return has_changed
 
     def seeds_changed(self, seeds: tuple[Address, ...]) -> None:
-        """Other seeds hold from now on; the members that are known stay."""
+        """Replaces the seeds; the members that are known stay."""
         self._seeds = tuple(seed for seed in seeds if seed != self.table.own.address)
 
     def leave(self) -> None:
-        """Tells some members of the planned end; the others learn it from them."""
+        """Announces the planned shutdown to some members; gossip brings it to the others."""
         self.table.leave()
-        for address in self._pick_others(HELPERS, exclude=None):
-            self._send(address, Ping(self._next_number(), [self.table.own_update()]))
+        for address in self._pick_members(INDIRECT_PROBES, exclude=None):
+            self._send(address, Ping(self._next_sequence_number(), [self.table.own_update()]))
 
     def tick(self, now: float) -> None:
-        if now - self._expected_tick > MAX_TICK_DELAY_S:
-            self._excuse(now - self._expected_tick)
+        """Does what has become due."""
+        delay_s = now - self._planned_tick_at
+        if delay_s > MAX_TICK_DELAY_S:
+            self._extend_timeouts_after_stall(delay_s)
         if now >= self._contact_at:
-            self._contact(now)
-        self._drive_probe(now)
-        self._drive_relayed(now)
-        if now >= self._period_at:
-            self._end_period(now)
-        self._expected_tick = self.next_at
+            self._contact_seeds_and_dead(now)
+        self._probe_indirectly_if_due(now)
+        self._advance_relayed_probes(now)
+        if now >= self._period_ends_at:
+            self._start_next_period(now)
+        self._planned_tick_at = self.next_tick_at
 
     def receive(self, now: float, peer: Address, message: SwimMessage) -> None:
+        """Handles a message that came from `peer`."""
         match message:
             case Ping():
                 self._merge(now, message.updates)
-                self._send(peer, Ack(message.number, self._updates_for(peer)))
+                self._send(peer, Ack(message.sequence_number, self._updates_for(peer)))
             case Ack():
                 self._merge(now, message.updates)
-                self._acknowledged(message.number)
+                self._handle_ack(message.sequence_number)
             case Nack():
-                if self._probe and message.number == self._probe.number:
-                    self._probe.nacks_due -= 1
+                if self._probe and message.sequence_number == self._probe.sequence_number:
+                    self._probe.nacks_missing -= 1
             case PingRequest():
                 self._merge(now, message.updates)
-                self._relay(now, peer, message)
+                self._relay_probe(now, peer, message)
             case Sync():
                 self._merge(now, message.updates)
-                if message.answer:
-                    self._sync_with(peer, answer=False)
-        if self.table.refuted:
-            self.table.refuted = False
-            self._doubt_self(1)
+                if message.wants_reply:
+                    self._sync_with(peer, wants_reply=False)
+        if self.table.has_refuted:
+            self.table.has_refuted = False
+            self._degrade_local_health(1)
 
     # Probing
 
-    def _end_period(self, now: float) -> None:
+    def _start_next_period(self, now: float) -> None:
         if self._probe is not None:
-            self._failed(now, self._probe)
-        self._judge_suspects(now)
-        self.table.forget_ended(now)
+            self._handle_failed_probe(now, self._probe)
+        self._expire_suspicions(now)
+        self.table.remove_departed(now)
         if now >= self._sync_at:
-            self._sync_interval = min(SYNC_INTERVAL_S, 2 * self._sync_interval)
-            self._sync_at = now + self._sync_interval * self._random.uniform(0.5, 1.0)
-            for address in self._pick_others(1, exclude=None):
-                self._sync_with(address, answer=True)
-        self._period_at = now + PERIOD_S * (1 + self.health)
+            self._sync_interval_s = min(SYNC_INTERVAL_S, 2 * self._sync_interval_s)
+            self._sync_at = now + self._sync_interval_s * self._random.uniform(0.5, 1.0)
+            for address in self._pick_members(1, exclude=None):
+                self._sync_with(address, wants_reply=True)
+        stretch = 1 + self.local_health_multiplier
+        self._period_ends_at = now + PROTOCOL_PERIOD_S * stretch
         target = self._next_target()
         if target is not None:
-            number = self._next_number()
-            self._probe = _Probe(target, number, now + PROBE_TIMEOUT_S * (1 + self.health), self._period_at)
+            number = self._next_sequence_number()
+            self._probe = _Probe(target, number, now + PROBE_TIMEOUT_S * stretch, self._period_ends_at)
             self._send(target, Ping(number, self._updates_for(target)))
-        self._warn_suspects(target)
+        self._ping_suspects(target)
 
-    def _warn_suspects(self, target: Address | None) -> None:
-        """Pings some suspects besides, so that they hear of their suspicion and can refute it in time."""
+    def _ping_suspects(self, target: Address | None) -> None:
+        """Pings some suspects apart from the period's target, so that they learn of it and can refute in time."""
         suspects = [
             record.member.address
             for record in self.table.alive_members()
             if record.state is MemberState.SUSPECT and record.member.address != target
         ]
         for address in self._random.sample(suspects, min(PINGED_SUSPECTS, len(suspects))):
-            self._send(address, Ping(self._next_number(), self._updates_for(address)))
+            self._send(address, Ping(self._next_sequence_number(), self._updates_for(address)))
 
-    def _drive_probe(self, now: float) -> None:
+    def _probe_indirectly_if_due(self, now: float) -> None:
         probe = self._probe
-        if probe is None or probe.asked or now < probe.ask_helpers_at:
+        if probe is None or probe.is_indirect or now < probe.indirect_at:
             return
-        probe.asked = True
-        helpers = self._pick_others(HELPERS, exclude=probe.target)
-        probe.nacks_due = len(helpers)
-        for helper in helpers:
-            self._send(helper, PingRequest(probe.number, *probe.target, self._updates_for(helper)))
+        probe.is_indirect = True
+        intermediaries = self._pick_members(INDIRECT_PROBES, exclude=probe.target)
+        probe.nacks_missing = len(intermediaries)
+        for address in intermediaries:
+            self._send(address, PingRequest(probe.sequence_number, *probe.target, self._updates_for(address)))
 
-    def _failed(self, now: float, probe: _Probe) -> None:
+    def _handle_failed_probe(self, now: float, probe: _Probe) -> None:
         self._probe = None
         self.table.suspect(now, probe.target)
-        self._doubt_self(probe.nacks_due)
+        self._degrade_local_health(probe.nacks_missing)
 
-    def _acknowledged(self, number: int) -> None:
-        if self._probe is not None and number == self._probe.number:
+    def _handle_ack(self, sequence_number: int) -> None:
+        if self._probe is not None and sequence_number == self._probe.sequence_number:
             self._probe = None
-            self.health = max(0, self.health - 1)
-        elif relayed := self._relayed.pop(number, None):
-            self._send(relayed.origin, Ack(relayed.number, []))
-
-    def _relay(self, now: float, origin: Address, request: PingRequest) -> None:
-        number = self._next_number()
-        self._relayed[number] = _Relayed(origin, request.number, now + PROBE_TIMEOUT_S * NACK_FRACTION, now + PERIOD_S)
+            self.local_health_multiplier = max(0, self.local_health_multiplier - 1)
+        elif relayed := self._relayed_probes.pop(sequence_number, None):
+            self._send(relayed.origin, Ack(relayed.sequence_number, []))
+
+    def _relay_probe(self, now: float, origin: Address, request: PingRequest) -> None:
+        number = self._next_sequence_number()
+        self._relayed_probes[number] = _RelayedProbe(
+            origin=origin,
+            sequence_number=request.sequence_number,
+            nack_at=now + PROBE_TIMEOUT_S * NACK_FRACTION,
+            ends_at=now + PROTOCOL_PERIOD_S,
+        )
         target = (request.host, request.port)
         self._send(target, Ping(number, self._updates_for(target)))
 
-    def _drive_relayed(self, now: float) -> None:
-        for number, relayed in list(self._relayed.items()):
-            if now >= relayed.nack_at and not relayed.nacked:
-                relayed.nacked = True
-                self._send(relayed.origin, Nack(relayed.number))
+    def _advance_relayed_probes(self, now: float) -> None:
+        for number, relayed in list(self._relayed_probes.items()):
+            if now >= relayed.nack_at and not relayed.is_nack_sent:
+                relayed.is_nack_sent = True
+                self._send(relayed.origin, Nack(relayed.sequence_number))
             if now >= relayed.ends_at:
-                del self._relayed[number]
+                del self._relayed_probes[number]
 
-    def _judge_suspects(self, now: float) -> None:
+    def _expire_suspicions(self, now: float) -> None:
         for record in self.table.alive_members():
-            if record.state is MemberState.SUSPECT and now - record.since >= self._suspicion_s(
-                len(record.suspecting_members)
-            ):
+            if record.state is not MemberState.SUSPECT:
+                continue
+            if now - record.state_since >= self._suspicion_timeout_s(len(record.suspecting_members)):
                 self.table.declare_dead(now, record.member.address)
 
-    def _suspicion_s(self, suspecting_members: int) -> float:
-        others = len(self.table.alive_members())
-        shortest = SUSPICION_PERIODS * max(1.0, math.log10(others + 1)) * PERIOD_S * (1 + self.health / 2)
-        expected = max(1, min(HELPERS, others - 1))
-        share = min(1.0, math.log(max(1, suspecting_members)) / math.log(expected)) if expected > 1 else 1.0
-        return shortest * (1 + (SUSPICION_STRETCH - 1) * (1 - share))
+    def _suspicion_timeout_s(self, suspecting_members: int) -> float:
+        """Lifeguard's suspicion time-out: falls with the logarithm of the number of processes that share it."""
+        members = len(self.table.alive_members())
+        min_timeout_s = (
+            SUSPICION_PERIODS
+            * max(1.0, math.log10(members + 1))
+            * PROTOCOL_PERIOD_S
+            * (1 + self.local_health_multiplier / 2)
+        )
+        expected = max(1, min(INDIRECT_PROBES, members - 1))
+        confirmed = min(1.0, math.log(max(1, suspecting_members)) / math.log(expected)) if expected > 1 else 1.0
+        return min_timeout_s * (1 + (SUSPICION_STRETCH - 1) * (1 - confirmed))
 
     def _next_target(self) -> Address | None:
-        """Each living member once in a random order, then in another order."""
+        """The next alive member of the round-robin; each round has a new random order (SWIM, section 4.3)."""
         for _ in range(2):
-            while self._order:
-                address = self._order.pop()
+            while self._probe_targets:
+                address = self._probe_targets.pop()
                 record = self.table.records.get(address)
                 if record is not None and record.is_alive_or_suspect:
                     return address
-            self._order = [record.member.address for record in self.table.alive_members()]
-            self._random.shuffle(self._order)
+            self._probe_targets = [record.member.address for record in self.table.alive_members()]
+            self._random.shuffle(self._probe_targets)
         return None
 
-    # Health
+    # Local health
+
+    def _degrade_local_health(self, steps: int) -> None:
+        self.local_health_multiplier = min(MAX_HEALTH_MULTIPLIER, self.local_health_multiplier + max(0, steps))
 
-    def _doubt_self(self, steps: int) -> None:
-        self.health = min(MAX_HEALTH_MULTIPLIER, self.health + max(0, steps))
+    def _extend_timeouts_after_stall(self, stalled_s: float) -> None:
+        """Extends the current probe and the suspicions by the time that this process missed.
 
-    def _excuse(self, held_up_s: float) -> None:
-        """This process stood still: its probes and suspicions get the time that it missed."""
-        self._doubt_self(1)
-        self._period_at += held_up_s
+        Acknowledgements and refutations may have come meanwhile, and wait in the socket's buffer.
+        """
+        self._degrade_local_health(1)
+        self._period_ends_at += stalled_s
         if self._probe is not None:
-            self._probe.ask_helpers_at += held_up_s
-            self._probe.ends_at += held_up_s
+            self._probe.indirect_at += stalled_s
+            self._probe.ends_at += stalled_s
         for record in self.table.alive_members():
-            record.since += held_up_s if record.state is MemberState.SUSPECT else 0.0
+            if record.state is MemberState.SUSPECT:
+                record.state_since += stalled_s
 
     # Messages
 
-    def _contact(self, now: float) -> None:
-        """Seeds that aren't known alive, and one of the dead: they may be there, or be back.
+    def _contact_seeds_and_dead(self, now: float) -> None:
+        """Sends to the seeds that aren't known to be alive, and to one dead member: they may be up, or up again.
 
-        One seed is asked for all it knows, the others are only told: the answer grows with the fleet.
+        One seed alone is asked for its table, as the reply grows with the fleet; the others only learn of this process.
         """
         self._contact_at = now + CONTACT_INTERVAL_S
         records = self.table.records
-        unknown = [seed for seed in self._seeds if seed not in records or not records[seed].is_alive_or_suspect]
+        unknown_seeds = [seed for seed in self._seeds if seed not in records or not records[seed].is_alive_or_suspect]
         dead = [
-            address for address, record in records.items() if not record.is_alive_or_suspect and address not in unknown
+            address
+            for address, record in records.items()
+            if not record.is_alive_or_suspect and address not in unknown_seeds
         ]
-        asked = self._random.sample(unknown, min(1, len(unknown)))
-        for seed in unknown:
-            self._send(seed, Sync(seed in asked, [self.table.own_update()]))
+        asked_for_table = self._random.sample(unknown_seeds, min(1, len(unknown_seeds)))
+        for seed in unknown_seeds:
+            self._send(seed, Sync(seed in asked_for_table, [self.table.own_update()]))
         for address in self._random.sample(dead, min(1, len(dead))):
             self._send(address, Sync(True, [self.table.own_update()]))
 
-    def _sync_with(self, address: Address, answer: bool) -> None:
+    def _sync_with(self, address: Address, wants_reply: bool) -> None:
+        """Sends the full table in several messages, of which the first alone asks for a reply."""
         updates = self.table.all_updates()
         for start in range(0, len(updates), UPDATES_PER_SYNC):
-            self._send(address, Sync(answer and start == 0, updates[start : start + UPDATES_PER_SYNC]))
+            self._send(address, Sync(wants_reply and start == 0, updates[start : start + UPDATES_PER_SYNC]))
 
     def _updates_for(self, address: Address) -> list[MemberUpdate]:
-        """News to travel along. A suspect hears of its suspicion first, so that it can refute it."""
-        first = []
+        """Updates to piggyback. What is said about the receiver itself comes first, so that it can refute it."""
         record = self.table.records.get(address)
-        if record is not None and record.state is not MemberState.ALIVE:
-            first = [self.table.update_for(address)]
-        return first + self.table.next_updates(UPDATES_PER_MESSAGE - len(first))
+        if record is None or record.state is MemberState.ALIVE:
+            return self.table.next_updates(UPDATES_PER_MESSAGE)
+        about_receiver = self.table.update_for(address)
+        assert about_receiver is not None  # there is a record
+        return [about_receiver, *self.table.next_updates(UPDATES_PER_MESSAGE - 1)]
 
     def _merge(self, now: float, updates: list[MemberUpdate]) -> None:
-        for item in updates:
-            self.table.merge(now, item)
+        for update in updates:
+            self.table.merge(now, update)
 
-    def _pick_others(self, count: int, exclude: Address | None) -> list[Address]:
-        others = [record.member.address for record in self.table.alive_members() if record.member.address != exclude]
-        return self._random.sample(others, min(count, len(others)))
+    def _pick_members(self, count: int, exclude: Address | None) -> list[Address]:
+        members = [record.member.address for record in self.table.alive_members() if record.member.address != exclude]
+        return self._random.sample(members, min(count, len(members)))
 
-    def _next_number(self) -> int:
-        self._numbers += 1
-        return self._numbers
+    def _next_sequence_number(self) -> int:
+        self._last_sequence_number += 1
+        return self._last_sequence_number
 
     def _send(self, address: Address, message: SwimMessage) -> None:
         self._outbox.append((address, message))
--- a/tests/golden/wire_samples.py
+++ b/tests/golden/wire_samples.py
@@ -363,11 +363,11 @@
 
 # A sample of each membership message; the place in this list is its number on the wire.
 SWIM_SAMPLES = [
-    swim_messages.Ping(number=LARGE_INDEX, updates=NEWS),
-    swim_messages.Ack(number=70_000, updates=NEWS[1:]),
-    swim_messages.Nack(number=12),
-    swim_messages.PingRequest(number=13, host="10.0.0.5", port=8020, updates=NEWS[:1]),
-    swim_messages.Sync(answer=True, updates=NEWS),
+    swim_messages.Ping(sequence_number=LARGE_INDEX, updates=NEWS),
+    swim_messages.Ack(sequence_number=70_000, updates=NEWS[1:]),
+    swim_messages.Nack(sequence_number=12),
+    swim_messages.PingRequest(sequence_number=13, host="10.0.0.5", port=8020, updates=NEWS[:1]),
+    swim_messages.Sync(wants_reply=True, updates=NEWS),
 ]
 
 
@@ -391,7 +391,7 @@
         WireCase(swim_name(number), value, encode_membership, decode_membership)
         for number, value in enumerate(SWIM_SAMPLES)
     ),
-    WireCase("swim/00/empty", swim_messages.Ping(number=0, updates=[]), encode_membership, decode_membership),
+    WireCase("swim/00/empty", swim_messages.Ping(sequence_number=0, updates=[]), encode_membership, decode_membership),
 ]
 
 
--- a/tests/membership/test_protocol.py
+++ b/tests/membership/test_protocol.py
@@ -1,4 +1,4 @@
-"""SWIM membership on a simulated network: datagrams lost, processes killed, held up and restarted; virtual time."""
+"""SWIM membership on a simulated network: datagrams lost, processes killed, stalled and restarted; virtual time."""
 
 import heapq
 import random
@@ -20,15 +20,15 @@
 
 
 class Fleet:
-    """Processes with a queue of events; a process that is held up gets neither ticks nor messages until it goes on."""
+    """Processes with a queue of events; a process that is stalled gets neither ticks nor messages until it goes on."""
 
     def __init__(self, size: int, seed: int, loss: float = 0.0) -> None:
         self.random, self.loss, self.now = random.Random(seed), loss, 0.0
         self.processes: dict[tuple[str, int], SwimProtocol] = {}
-        self.held_up: set[tuple[str, int]] = set()
+        self.stalled: set[tuple[str, int]] = set()
         self._events: list = []
         self._count = 0
-        self.ended_falsely: list[tuple[float, tuple[str, int], tuple[str, int]]] = []
+        self.falsely_dead: list[tuple[float, tuple[str, int], tuple[str, int]]] = []
         for number in range(1, size + 1):
             self.start(number)
 
@@ -43,7 +43,7 @@
     def run(self, seconds: float) -> None:
         end = self.now + seconds
         while True:
-            due = [process.next_at for at, process in self.processes.items() if at not in self.held_up]
+            due = [process.next_tick_at for at, process in self.processes.items() if at not in self.stalled]
             next_tick = min(due, default=end)
             next_event = self._events[0][0] if self._events else end
             self.now = max(self.now, min(next_tick, next_event))
@@ -55,13 +55,13 @@
     def _step(self) -> None:
         while self._events and self._events[0][0] <= self.now:
             _, _, to, sender, message = heapq.heappop(self._events)
-            if to in self.held_up:
+            if to in self.stalled:
                 self._post(to, sender, message, 0.05)
             elif to in self.processes:
                 self.processes[to].receive(self.now, sender, message)
                 self._collect(to)
         for at, process in list(self.processes.items()):
-            if at not in self.held_up and process.next_at <= self.now:
+            if at not in self.stalled and process.next_tick_at <= self.now:
                 process.tick(self.now)
                 self._collect(at)
 
@@ -70,7 +70,7 @@
             if self.random.random() >= self.loss:
                 self._post(to, sender, message, DELAY_S * self.random.uniform(0.5, 2.0))
         known = self.processes[sender].table.records
-        self.ended_falsely += [
+        self.falsely_dead += [
             (self.now, sender, at)
             for at, record in known.items()
             if record.state is MemberState.DEAD and at in self.processes
@@ -101,11 +101,11 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_a_fifth_of_the_datagrams_lost_ends_nobody(seed):
+def test_a_fifth_of_the_datagrams_lost_declare_nobody_dead(seed):
     fleet = Fleet(12, seed, loss=0.2)
     fleet.run(90.0)
     assert fleet.agreed()
-    assert fleet.ended_falsely == []
+    assert fleet.falsely_dead == []
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -119,7 +119,7 @@
     assert fleet.agreed()
 
 
-def test_a_process_that_leaves_as_planned_is_known_at_once():
+def test_a_planned_shutdown_is_known_to_all_at_once():
     fleet = Fleet(12, 1)
     fleet.run(5.0)
     leaving = fleet.processes[address(5)]
@@ -132,17 +132,17 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_process_that_was_held_up_doubts_itself_and_ends_nobody(seed):
+def test_a_process_that_was_stalled_degrades_its_local_health_and_declares_nobody_dead(seed):
     fleet = Fleet(12, seed)
     fleet.run(10.0)
-    fleet.held_up.add(address(4))
+    fleet.stalled.add(address(4))
     fleet.run(1.2)
-    fleet.held_up.clear()
+    fleet.stalled.clear()
     fleet.run(0.3)
-    assert fleet.processes[address(4)].health > 0
+    assert fleet.processes[address(4)].local_health_multiplier > 0
     fleet.run(20.0)
     assert fleet.agreed()
-    assert {suspected_by for _, suspected_by, _ in fleet.ended_falsely if suspected_by == address(4)} == set()
+    assert {suspected_by for _, suspected_by, _ in fleet.falsely_dead if suspected_by == address(4)} == set()
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -173,11 +173,11 @@
     assert fleet.agreed()
 
 
-def updates(state: MemberState, incarnation: int, number: int = 2) -> MemberUpdate:
+def update(state: MemberState, incarnation: int, number: int = 2) -> MemberUpdate:
     return MemberUpdate(*address(number), "router", "hall-a", f"edge-{number}", state, incarnation)
 
 
-def test_news_is_ordered_by_incarnation_and_then_by_state():
+def test_updates_are_ordered_by_incarnation_and_then_by_state():
     table = MemberTable(member(1))
     for state, incarnation, is_alive_or_suspect in [
         (MemberState.ALIVE, 1, True),
@@ -189,12 +189,12 @@
         (MemberState.LEFT, 2, False),
         (MemberState.SUSPECT, 2, False),
     ]:
-        table.merge(0.0, updates(state, incarnation))
+        table.merge(0.0, update(state, incarnation))
         assert table.records[address(2)].is_alive_or_suspect is is_alive_or_suspect
 
 
-def test_a_process_refutes_what_is_said_of_it_by_a_higher_incarnation():
+def test_a_suspected_process_refutes_with_a_higher_incarnation():
     table = MemberTable(member(1))
-    table.merge(0.0, updates(MemberState.SUSPECT, 4, number=1))
-    assert (table.incarnation, table.refuted) == (5, True)
+    table.merge(0.0, update(MemberState.SUSPECT, 4, number=1))
+    assert (table.incarnation, table.has_refuted) == (5, True)
     assert table.own_update().state == MemberState.ALIVE
