--- a/ochrespan/control_plane/feed/client.py
+++ b/ochrespan/control_plane/feed/client.py
@@ -122,7 +122,7 @@
         connection = None
         try:
             connection = dial(address, self._choice.connect_timeout(address))
-            connection.limit_silence(FEED_TIMEOUT_S)
+            connection.set_idle_timeout(FEED_TIMEOUT_S)
             connection.send(Subscribe(self._node, self._zone, dict(self._offsets), self._cluster))
             self._read(address, connection, since=monotonic())
         except (OSError, ConnectionClosedError, MessageError, LeaveControllerError):
--- a/ochrespan/control_plane/replication/host.py
+++ b/ochrespan/control_plane/replication/host.py
@@ -240,7 +240,7 @@
         except (ValueError, TypeError, IndexError) as error:
             log.warning("bad raft message peer=%s:%s error=%r", batch.host, batch.port, error)
             return
-        self._links.heard(envelope.address)
+        self._links.record_contact(envelope.address)
         self._peers[connection] = envelope.address
         self._table.receive(time.monotonic(), envelope)
         self._wake.set()
--- a/ochrespan/programs/settings.py
+++ b/ochrespan/programs/settings.py
@@ -155,10 +155,10 @@
     files = settings.get("peer_tls")
     if not files:
         return
-    from ochrespan.transport.tls import KeyFiles, PeerSecurity
+    from ochrespan.transport.tls import CertificateFiles, MutualTls
 
     try:
-        secure_connections(PeerSecurity(KeyFiles(files["certificate"], files["key"], files["authority"])))
+        secure_connections(MutualTls(CertificateFiles(files["certificate"], files["key"], files["authority"])))
     except OSError as error:
         allowed = "PEM files of a certificate, its key and the authority"
         raise ValidationError([Finding("peer_tls", str(error), allowed)]) from error
--- a/ochrespan/transport/compact.py
+++ b/ochrespan/transport/compact.py
@@ -1,4 +1,7 @@
-"""Values as msgpack, compressed where that pays: for commands, snapshots and the change feed."""
+"""Values as msgpack, compressed with zlib above a size: for commands, snapshots and the change feed.
+
+The first byte says whether the rest is compressed.
+"""
 
 from __future__ import annotations
 
@@ -7,22 +10,29 @@
 
 import ormsgpack
 
+from .errors import PackingError as PackingError  # the alias exports it
+
 COMPRESSED_FROM_BYTES = 1024
 COMPRESSION_LEVEL = 1
-_PLAIN, _COMPRESSED = b"\x00", b"\x01"
-
-
-class PackingError(ValueError):
-    """A value that msgpack cannot express: a string that is no Unicode, or a number of more than 64 bits."""
+_PLAIN = b"\x00"
+_COMPRESSED = b"\x01"
 
 
 def pack(value: Any) -> bytes:
-    """The bytes of a value made of maps, lists, strings, bytes, numbers, booleans and null."""
+    """The bytes of a value made of dicts, lists, strings, bytes, numbers, booleans and None.
+
+    Raises:
+        PackingError: msgpack cannot express the value.
+    """
     return compress(pack_sorted(value))
 
 
 def pack_sorted(value: Any) -> bytes:
-    """The uncompressed bytes of a value, the same for maps with the same fields in another order."""
+    """The uncompressed bytes of a value, the same for dicts with the same keys in another order.
+
+    Raises:
+        PackingError: msgpack cannot express the value.
+    """
     try:
         return ormsgpack.packb(value, option=ormsgpack.OPT_SORT_KEYS)
     except (ormsgpack.MsgpackEncodeError, RecursionError) as error:
@@ -30,17 +40,17 @@
 
 
 def compress(data: bytes) -> bytes:
-    """`data`, compressed if it is large."""
+    """`data` behind its first byte, compressed from COMPRESSED_FROM_BYTES on."""
     if len(data) < COMPRESSED_FROM_BYTES:
         return _PLAIN + data
     return _COMPRESSED + zlib.compress(data, COMPRESSION_LEVEL)
 
 
 def decompress(data: bytes) -> bytes:
-    """What was given to `compress`."""
+    """The data that `compress` was given. Raises zlib.error where it is damaged."""
     return data[1:] if data[:1] == _PLAIN else zlib.decompress(data[1:])
 
 
 def unpack(data: bytes) -> Any:
-    """The value that `pack` was given, with lists in place of tuples."""
+    """The value that `pack` was given, with lists in place of tuples. Raises ValueError or zlib.error if damaged."""
     return ormsgpack.unpackb(decompress(data))
--- a/ochrespan/transport/peer_clients.py
+++ b/ochrespan/transport/peer_clients.py
@@ -1,4 +1,4 @@
-"""Connections to other processes of the fleet for calls, kept open between calls."""
+"""RPC clients for the other processes of the fleet, whose connections stay open between calls."""
 
 from __future__ import annotations
 
@@ -11,18 +11,30 @@
 
 
 class PeerClients:
-    """One connection to each other controller, opened when it is first needed."""
+    """One RPC client for each peer, made when it is first called."""
 
     def __init__(self) -> None:
-        self._callers: dict[Address, RpcClient] = {}
+        self._clients: dict[Address, RpcClient] = {}
 
     def call(self, address: Address, request: Any, timeout: float) -> Any:
-        """The reply of the process at `address`; raises RpcError."""
-        if address not in self._callers:
-            self._callers[address] = RpcClient(address)
-        return self._callers[address].call(request, timeout)
+        """Calls the process at `address`.
+
+        Args:
+            address: Where the peer listens for calls.
+            request: A registered message.
+            timeout: Seconds.
+
+        Returns:
+            The message of the response.
+
+        Raises:
+            RpcError: There is no response.
+        """
+        if address not in self._clients:
+            self._clients[address] = RpcClient(address)
+        return self._clients[address].call(request, timeout)
 
     def keep_only(self, addresses: Iterable[Address]) -> None:
-        """Closes the connections to processes that are gone."""
-        for address in set(self._callers) - set(addresses):
-            self._callers.pop(address).close()
+        """Closes the connections to all other processes."""
+        for address in set(self._clients) - set(addresses):
+            self._clients.pop(address).close()
--- a/ochrespan/transport/peer_connections.py
+++ b/ochrespan/transport/peer_connections.py
@@ -1,6 +1,6 @@
 """One outgoing connection to each peer process, opened when there is something to send.
 
-What can't be sent is dropped: the protocols above repeat it.
+Messages that can't be sent are dropped: the protocols above, Raft first of all, send them again.
 """
 
 from __future__ import annotations
@@ -19,16 +19,15 @@
 
 log = logging.getLogger(__name__)
 
-
 DIAL_TIMEOUT_S = 0.5
-DIAL_PAUSE_S = 0.1
-QUEUED_MESSAGES = 32  # kept while the connection comes up
-PEER_TIMEOUT_S = 0.9  # a peer that hasn't been heard for so long gets a new connection
+DIAL_PAUSE_S = 0.1  # after a failed attempt
+QUEUED_MESSAGES = 32  # the newest ones, while the connection is being opened
+PEER_TIMEOUT_S = 0.9  # without a message from the peer; the connection to it is replaced then
 IDLE_CLOSE_S = 10.0
 
 
 class PeerConnection:
-    """Sends to one address."""
+    """The outgoing connection to one peer, opened again after it has ended. `used_at`: when it was last sent to."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
@@ -36,27 +35,33 @@
         self._connection: Connection | None = None
         self._connected_at = 0.0
         self._queue: deque[bytes] = deque(maxlen=QUEUED_MESSAGES)
-        self._dialling = False
+        self._is_dialing = False
         self._dial_at = 0.0
 
     def send(self, data: bytes) -> None:
+        """Sends an encoded message, or queues it while the connection is being opened. Never waits."""
         self.used_at = time.monotonic()
         if self._connection is not None and not self._connection.closed:
             with contextlib.suppress(ConnectionClosedError):
                 self._connection.send_encoded(data)
             return
         self._queue.append(data)
-        if not self._dialling and self.used_at >= self._dial_at:
-            self._dialling = True
+        if not self._is_dialing and self.used_at >= self._dial_at:
+            self._is_dialing = True
             gevent.spawn(self._dial)
 
-    def renew(self, heard_at: float) -> None:
-        """Closes a connection over which a silent peer may never be reached again."""
+    def close_if_timed_out(self, last_contact_at: float) -> None:
+        """Closes the connection if the peer has sent nothing for PEER_TIMEOUT_S; the next message opens a new one.
+
+        Data that a network fault has held up is retransmitted after growing pauses, the last of which may end long
+        after the fault. A new connection is tried at once.
+        """
         now = time.monotonic()
-        if self._connection is not None and now - max(heard_at, self._connected_at) > PEER_TIMEOUT_S:
+        if self._connection is not None and now - max(last_contact_at, self._connected_at) > PEER_TIMEOUT_S:
             self.close()
 
     def close(self) -> None:
+        """Closes the connection if there is one."""
         if self._connection is not None:
             self._connection.close()
             self._connection = None
@@ -65,43 +70,48 @@
         try:
             connection = dial(self.address, DIAL_TIMEOUT_S)
         except OSError as error:
-            log.debug("peer not reached peer=%s error=%s", format_address(self.address), error)
+            log.debug("peer unreachable peer=%s error=%s", format_address(self.address), error)
             self._dial_at = time.monotonic() + DIAL_PAUSE_S
             return
         finally:
-            self._dialling = False
-        self._connection, self._connected_at = connection, time.monotonic()
-        queued, self._queue = list(self._queue), deque(maxlen=QUEUED_MESSAGES)
+            self._is_dialing = False
+        self._connection = connection
+        self._connected_at = time.monotonic()
+        queued = list(self._queue)
+        self._queue.clear()
         with contextlib.suppress(ConnectionClosedError):
             for data in queued:
                 connection.send_encoded(data)
 
 
 class PeerConnections:
-    """The links of a process, and when each peer was last heard."""
+    """The outgoing connections of a process, and when each peer last sent a message."""
 
     def __init__(self) -> None:
-        self._links: dict[Address, PeerConnection] = {}
-        self._heard_at: dict[Address, float] = {}
+        self._connections: dict[Address, PeerConnection] = {}
+        self._last_contact_at: dict[Address, float] = {}
 
     def send(self, address: Address, value: object) -> None:
-        link = self._links.get(address)
-        if link is None:
-            link = self._links[address] = PeerConnection(address)
-        link.send(encode(value))
+        """Sends a registered message to a peer; it may be lost."""
+        connection = self._connections.get(address)
+        if connection is None:
+            connection = self._connections[address] = PeerConnection(address)
+        connection.send(encode(value))
 
-    def heard(self, address: Address) -> None:
-        self._heard_at[address] = time.monotonic()
+    def record_contact(self, address: Address) -> None:
+        """Notes that a message from the peer has arrived, over whichever connection."""
+        self._last_contact_at[address] = time.monotonic()
 
     def maintain(self) -> None:
-        """Renews the connections of silent peers and forgets links that aren't used."""
+        """Closes the connections to peers that have timed out, and drops those that weren't used for IDLE_CLOSE_S."""
         now = time.monotonic()
-        for address, link in list(self._links.items()):
-            link.renew(self._heard_at.get(address, 0.0))
-            if now - link.used_at > IDLE_CLOSE_S:
-                link.close()
-                del self._links[address]
+        for address, connection in list(self._connections.items()):
+            connection.close_if_timed_out(self._last_contact_at.get(address, 0.0))
+            if now - connection.used_at > IDLE_CLOSE_S:
+                connection.close()
+                del self._connections[address]
 
     def close(self) -> None:
-        for link in self._links.values():
-            link.close()
+        """Closes all connections."""
+        for connection in self._connections.values():
+            connection.close()
--- a/ochrespan/transport/tcp.py
+++ b/ochrespan/transport/tcp.py
@@ -16,38 +16,46 @@
 
 from ochrespan.common.addresses import Address, format_address
 
-from .codec import MessageError, decode, encode
+from .codec import decode, encode
+from .errors import ConnectionClosedError as ConnectionClosedError  # the alias exports it
+from .errors import MessageError
 
 log = logging.getLogger(__name__)
 
-
 if TYPE_CHECKING:  # loaded only where the settings ask for it
-    from .tls import PeerSecurity
+    from .tls import MutualTls
 
 MAX_FRAME_BYTES = 64 * 1024 * 1024
-MAX_QUEUED_BYTES = 16 * 1024 * 1024  # a peer that reads more slowly than this is cut off
-USER_TIMEOUT_MS = 2500  # unacknowledged data ends a connection after this long
-KEEPALIVE_IDLE_S, KEEPALIVE_INTERVAL_S, KEEPALIVE_PROBES = 1, 1, 2
+MAX_QUEUED_BYTES = 16 * 1024 * 1024  # unsent; the connection to a peer that reads too slowly is closed
+USER_TIMEOUT_MS = 2500  # data that stays unacknowledged for this long ends the connection
+KEEPALIVE_IDLE_S = 1
+KEEPALIVE_INTERVAL_S = 1
+KEEPALIVE_PROBES = 2
 RECEIVE_BYTES = 64 * 1024
 HANDSHAKE_TIMEOUT_S = 2.0
 
-_security: PeerSecurity | None = None  # of all connections of this process
+_security: MutualTls | None = None  # of all connections of this process
 
 _length = struct.Struct(">I")
 
 
-def secure_connections(security: PeerSecurity | None) -> None:
-    """Connections that are opened or accepted from now on use TLS, or none."""
+def secure_connections(security: MutualTls | None) -> None:
+    """Connections that are opened or accepted from now on use mutual TLS, or plain TCP where `security` is None."""
     global _security
     _security = security
 
 
-class ConnectionClosedError(Exception):
-    """The connection has ended, or its peer could not keep up."""
+def set_options(sock: socket.socket, user_timeout_ms: int = USER_TIMEOUT_MS) -> None:
+    """Sets a TCP socket up for small messages and the early detection of lost peers.
 
+    Nagle's algorithm is off, so that small messages leave at once. Keepalive probes end an idle connection within
+    seconds when its peer is gone.
 
-def set_options(sock: socket.socket, user_timeout_ms: int = USER_TIMEOUT_MS) -> None:
-    """Small messages leave at once; a silent peer is noticed within seconds, unacknowledged data after the time-out."""
+    Args:
+        sock: A TCP socket.
+        user_timeout_ms: Data that stays unacknowledged for so many milliseconds ends the connection (TCP_USER_TIMEOUT,
+            RFC 5482).
+    """
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
@@ -57,7 +65,10 @@
 
 
 class Connection:
-    """One framed connection. `send` never waits; `receive` waits for the next message."""
+    """One framed connection, which owns its socket and the greenlet that writes to it.
+
+    `send` queues and never waits; `receive` waits for the next message and is called by one greenlet alone.
+    """
 
     def __init__(self, sock: socket.socket, peer: Address) -> None:
         self.peer = peer
@@ -72,14 +83,19 @@
 
     @property
     def closed(self) -> bool:
+        """Whether this side has closed the connection, also after a fault."""
         return self._closed
 
     def send(self, value: Any) -> None:
-        """Queues a message; raises ConnectionClosedError."""
+        """Queues a registered message; raises ConnectionClosedError."""
         self.send_encoded(encode(value))
 
     def send_encoded(self, data: bytes) -> None:
-        """Queues a message that `codec.encode` has made, which may go to many connections."""
+        """Queues the bytes that `codec.encode` has made, which may go to many connections.
+
+        Raises:
+            ConnectionClosedError: The connection has ended, or is closed here since the peer reads too slowly.
+        """
         if self._closed:
             raise ConnectionClosedError(format_address(self.peer))
         if self._queued_bytes > MAX_QUEUED_BYTES:
@@ -90,9 +106,18 @@
         self._wake.set()
 
     def receive(self, timeout: float | None = None) -> Any:
-        """The next message. Raises ConnectionClosedError, MessageError, or TimeoutError after `timeout` seconds.
+        """Waits for the next message.
 
-        A frame is taken whole or not at all: after a time-out the next call goes on with the bytes that have arrived.
+        A frame is taken completely or not at all: after a time-out, the next call continues with the bytes that have
+        arrived.
+
+        Args:
+            timeout: Seconds; None waits without limit.
+
+        Raises:
+            ConnectionClosedError: The connection has ended.
+            MessageError: The frame is too large, which closes the connection, or holds no message.
+            TimeoutError: No complete message has arrived in time.
         """
         limit = gevent.Timeout.start_new(timeout)
         try:
@@ -109,16 +134,18 @@
 
     @property
     def has_message(self) -> bool:
-        """Whether a whole message has arrived that is not received yet."""
+        """Whether a complete message has arrived that `receive` has not returned yet."""
         if len(self._received) < _length.size:
             return False
-        return len(self._received) >= _length.size + _length.unpack_from(self._received)[0]
+        length: int = _length.unpack_from(self._received)[0]
+        return len(self._received) >= _length.size + length
 
-    def limit_silence(self, seconds: float) -> None:
-        """Ends the connection when no byte of a message has arrived, or could be sent, for this long."""
+    def set_idle_timeout(self, seconds: float) -> None:
+        """Ends the connection when `receive` waits for a byte, or the queue for room to send, for this long."""
         self._socket.settimeout(seconds)
 
     def close(self) -> None:
+        """Closes the socket and ends the writing greenlet; queued messages are dropped. May be called again."""
         if not self._closed:
             self._closed = True
             self._wake.set()
@@ -127,9 +154,9 @@
             self._socket.close()
 
     def _fill_frame(self) -> int:
-        """Waits for a whole frame and gives its size, the length in front of it included; raises MessageError."""
+        """Waits for a complete frame and returns its size with the four bytes of length; raises MessageError."""
         self._fill(_length.size)
-        size = _length.unpack_from(self._received)[0]
+        size: int = _length.unpack_from(self._received)[0]
         if size > MAX_FRAME_BYTES:
             self.close()
             raise MessageError("frame length", str(size), f"at most {MAX_FRAME_BYTES}")
@@ -137,11 +164,11 @@
         return _length.size + size
 
     def _fill(self, size: int) -> None:
-        """Waits until so many bytes have arrived that no message has been made of yet."""
+        """Waits until at least `size` received bytes are buffered."""
         while len(self._received) < size:
             try:
                 data = self._socket.recv(RECEIVE_BYTES)
-            except (OSError, ValueError) as error:  # ValueError: TLS on a socket that was closed meanwhile
+            except (OSError, ValueError) as error:  # ValueError: TLS on a socket that another greenlet has closed
                 self.close()
                 raise ConnectionClosedError(f"{format_address(self.peer)}: {error}") from error
             if not data:
@@ -160,12 +187,20 @@
                 continue
             try:
                 self._socket.sendall(data)
-            except (OSError, ValueError):
+            except (OSError, ValueError):  # ValueError: as in `_fill`
                 self.close()
 
 
 def dial(address: Address, timeout: float) -> Connection:
-    """Opens a connection; raises OSError, TimeoutError among them."""
+    """Opens a connection, with a TLS handshake where the process uses TLS.
+
+    Args:
+        address: Host and port.
+        timeout: Seconds for the connection, and again for the handshake.
+
+    Raises:
+        OSError: There is no connection; TimeoutError and ssl.SSLError are such.
+    """
     sock = socket.create_connection(address, timeout=timeout)
     if _security is not None:
         sock = _with_handshake(sock, _security.wrap_client, timeout)
@@ -174,7 +209,7 @@
 
 
 def _with_handshake(sock: socket.socket, wrap: Callable[[Any], Any], timeout: float) -> Any:
-    """The socket after its TLS handshake; raises OSError, and closes it then."""
+    """The socket after its TLS handshake; closes it and raises OSError where that fails."""
     sock.settimeout(timeout)
     try:
         return wrap(sock)
@@ -184,32 +219,38 @@
 
 
 class Listener:
-    """Accepts connections and runs `handle(connection)` in a greenlet for each."""
+    """Accepts connections and runs `handle(connection)` in a greenlet for each.
+
+    The connection is closed when `handle` returns or raises; its ConnectionClosedError and MessageError end there.
+    """
 
     def __init__(self, address: Address, handle: Callable[[Connection], None]) -> None:
         self._handle = handle
-        self._server = StreamServer(address, self._accepted, backlog=256)
+        self._server = StreamServer(address, self._serve, backlog=256)
         self._connections: set[Connection] = set()
 
     @property
     def address(self) -> Address:
-        return self._server.address
+        """Where the listener is bound, once it is started."""
+        address: Address = self._server.address
+        return address
 
     def start(self) -> None:
+        """Accepts connections from now on."""
         self._server.start()
 
     def stop(self) -> None:
-        """Accepts no more, and closes what was accepted."""
+        """Accepts no more connections, and closes those that were accepted."""
         self._server.stop()
         for connection in list(self._connections):
             connection.close()
 
-    def _accepted(self, sock: socket.socket, peer: Address) -> None:
+    def _serve(self, sock: socket.socket, peer: Address) -> None:
         if _security is not None:
             try:
                 sock = _with_handshake(sock, _security.wrap_server, HANDSHAKE_TIMEOUT_S)
             except OSError as error:
-                log.warning("peer refused peer=%s error=%r", format_address(peer), str(error))
+                log.warning("connection rejected peer=%s error=%r", format_address(peer), str(error))
                 return
             sock.settimeout(None)
         connection = Connection(sock, peer)
@@ -219,7 +260,7 @@
         except ConnectionClosedError:
             pass
         except MessageError as error:
-            log.warning("bad message peer=%s error=%s", format_address(peer), error)
+            log.warning("malformed message peer=%s error=%s", format_address(peer), error)
         finally:
             self._connections.discard(connection)
             connection.close()
--- a/ochrespan/transport/udp.py
+++ b/ochrespan/transport/udp.py
@@ -1,4 +1,4 @@
-"""Datagrams that carry one typed message each."""
+"""UDP datagrams that carry one typed message each."""
 
 from __future__ import annotations
 
@@ -15,12 +15,17 @@
 
 log = logging.getLogger(__name__)
 
-
-MAX_DATAGRAM_BYTES = 1400
+MAX_DATAGRAM_BYTES = 1400  # fits an Ethernet frame with its headers, so that no datagram is fragmented
 
 
 class DatagramEndpoint:
-    """Runs `handle(message, peer)` for each datagram; bytes that are no message are logged and dropped."""
+    """A UDP socket that owns its greenlets.
+
+    Args:
+        address: Where to listen; port 0 takes a free one.
+        handle: Called as `handle(message, peer)` for each datagram, in a greenlet of its own. Bytes that are no message
+            are logged and dropped.
+    """
 
     def __init__(self, address: Address, handle: Callable[[Any, Address], None]) -> None:
         self._handle = handle
@@ -28,16 +33,20 @@
 
     @property
     def address(self) -> Address:
-        return self._server.address
+        """Where the socket is bound, once it is started."""
+        address: Address = self._server.address
+        return address
 
     def start(self) -> None:
+        """Opens the socket and receives from now on."""
         self._server.start()
 
     def stop(self) -> None:
+        """Closes the socket."""
         self._server.stop()
 
     def send(self, value: Any, peer: Address) -> None:
-        """Sends a message if the link takes it now; a datagram may be lost like any other."""
+        """Sends a registered message without waiting. A message that is too large or can't be sent now is dropped."""
         data = encode(value)
         if len(data) > MAX_DATAGRAM_BYTES:
             log.warning("datagram too large bytes=%d allowed=%d", len(data), MAX_DATAGRAM_BYTES)
@@ -51,4 +60,4 @@
         try:
             self._handle(decode(data), peer)
         except MessageError as error:
-            log.warning("bad datagram peer=%s error=%s", peer, error)
+            log.warning("malformed datagram peer=%s error=%s", peer, error)
--- a/tests/test_router_tables.py
+++ b/tests/test_router_tables.py
@@ -191,7 +191,7 @@
     def send(self, message) -> None:
         pass
 
-    def limit_silence(self, seconds: float) -> None:
+    def set_idle_timeout(self, seconds: float) -> None:
         pass
 
     def close(self) -> None:
--- a/tests/transport/test_tls.py
+++ b/tests/transport/test_tls.py
@@ -13,7 +13,7 @@
 from ochrespan.common.validation import ValidationError
 from ochrespan.programs.settings import parse_settings, secure_peers
 from ochrespan.transport import codec, rpc, tcp
-from ochrespan.transport.tls import KeyFiles, PeerSecurity
+from ochrespan.transport.tls import CertificateFiles, MutualTls
 from tests.support.replica_hosts import free_port, kill, leader_of, make_host, propose
 
 
@@ -23,14 +23,14 @@
     text: str
 
 
-def key_files(folder, authority: trustme.CA) -> KeyFiles:
+def key_files(folder, authority: trustme.CA) -> CertificateFiles:
     """Puts a new certificate of the authority into the folder's files, each replaced whole."""
     issued = authority.issue_cert("fleet.example")
     blobs = {"certificate": issued.cert_chain_pems[0], "key": issued.private_key_pem, "authority": authority.cert_pem}
     for name, blob in blobs.items():
         blob.write_to_path(str(folder / f"{name}.new"))
         os.replace(folder / f"{name}.new", folder / f"{name}.pem")
-    return KeyFiles(*(str(folder / f"{name}.pem") for name in ("certificate", "key", "authority")))
+    return CertificateFiles(*(str(folder / f"{name}.pem") for name in ("certificate", "key", "authority")))
 
 
 @pytest.fixture
@@ -54,7 +54,7 @@
 
 
 def test_calls_of_any_size_pass_between_processes_of_one_authority(tmp_path, authority, use, server):
-    use(PeerSecurity(key_files(tmp_path, authority)))
+    use(MutualTls(key_files(tmp_path, authority)))
     caller = rpc.RpcClient(server.address)
     texts = ["a", "b" * 3_000_000, "c"]
     calls = [gevent.spawn(caller.call, Secret(text), 20.0) for text in texts]
@@ -64,14 +64,14 @@
 def test_a_peer_without_tls_is_refused_with_a_line_in_the_log(tmp_path, authority, use, server, caplog):
     plain = tcp.dial(server.address, 5.0)
     gevent.sleep(0)  # accepted while there was no TLS: it stays
-    use(PeerSecurity(key_files(tmp_path, authority)))
+    use(MutualTls(key_files(tmp_path, authority)))
     with caplog.at_level(logging.WARNING):
         stranger = tcp.socket.create_connection(server.address, timeout=5.0)
         stranger.sendall(b"\x00\x00\x00\x05hello")
         with contextlib.suppress(ConnectionResetError):  # the listener may close with bytes unread
             while stranger.recv(100):
                 pass
-    assert "peer refused" in caplog.text
+    assert "connection rejected" in caplog.text
     stranger.close()
     plain.close()
 
@@ -79,8 +79,8 @@
 def test_a_peer_with_a_certificate_of_another_authority_gets_no_answer(tmp_path, authority, use, server, caplog):
     own, foreign = tmp_path / "own", tmp_path / "foreign"
     own.mkdir(), foreign.mkdir()
-    security = PeerSecurity(key_files(own, authority))
-    stranger = PeerSecurity(key_files(foreign, trustme.CA()))
+    security = MutualTls(key_files(own, authority))
+    stranger = MutualTls(key_files(foreign, trustme.CA()))
 
     class TwoSides:
         wrap_client, wrap_server = stranger.wrap_client, security.wrap_server
@@ -94,12 +94,12 @@
 
 def test_keys_that_are_replaced_count_for_new_connections_and_old_ones_go_on(tmp_path, authority, use, server, caplog):
     caplog.set_level(logging.INFO)
-    use(PeerSecurity(key_files(tmp_path, authority)))
+    use(MutualTls(key_files(tmp_path, authority)))
     old = rpc.RpcClient(server.address)
     assert old.call(Secret("a"), 5.0) == Secret("aa")
     key_files(tmp_path, trustme.CA())
     assert rpc.RpcClient(server.address).call(Secret("b"), 5.0) == Secret("bb")
-    assert "keys for peers changed" in caplog.text
+    assert "peer certificates reloaded" in caplog.text
     assert old.call(Secret("c"), 5.0) == Secret("cc")
 
 
@@ -113,10 +113,12 @@
     authorities = (old / "authority.pem").read_text() + (new / "authority.pem").read_text()
     for folder in (old, new, both):
         (folder / "authority.pem").write_text(authorities)
-    not_changed = PeerSecurity(KeyFiles(*(str(old / f"{name}.pem") for name in ("certificate", "key", "authority"))))
+    not_changed = MutualTls(
+        CertificateFiles(*(str(old / f"{name}.pem") for name in ("certificate", "key", "authority")))
+    )
 
     class TwoSides:
-        wrap_client, wrap_server = PeerSecurity(files).wrap_client, not_changed.wrap_server
+        wrap_client, wrap_server = MutualTls(files).wrap_client, not_changed.wrap_server
 
     use(TwoSides())
     assert rpc.RpcClient(server.address).call(Secret("a"), 5.0) == Secret("aa")
@@ -124,16 +126,16 @@
 
 @pytest.mark.parametrize("spoil", ["certificate", "key", "authority"])
 def test_new_keys_that_cannot_be_read_change_nothing(tmp_path, authority, use, server, spoil, caplog):
-    use(PeerSecurity(key_files(tmp_path, authority)))
+    use(MutualTls(key_files(tmp_path, authority)))
     (tmp_path / f"{spoil}.pem").write_text("spoilt")
     assert rpc.RpcClient(server.address).call(Secret("a"), 5.0) == Secret("aa")
-    assert "the old ones stay" in caplog.text
+    assert "the previous ones stay" in caplog.text
     (tmp_path / f"{spoil}.pem").unlink()
     assert rpc.RpcClient(server.address).call(Secret("b"), 5.0) == Secret("bb")
 
 
 def test_replica_groups_form_and_hand_over_over_tls(tmp_path, authority, use):
-    use(PeerSecurity(key_files(tmp_path, authority)))
+    use(MutualTls(key_files(tmp_path, authority)))
     port = free_port()
     hosts = [make_host(tmp_path, number, port) for number in (1, 2, 3)]
     try:
--- a/tests/transport/test_transport.py
+++ b/tests/transport/test_transport.py
@@ -93,7 +93,7 @@
         caller.call(Echo("a"), 0.05)
     waiting = gevent.spawn(caller.call, Echo("a"), 5.0)
     gevent.idle()
-    caller._connected().send(Echo("push"))
+    caller._ensure_connected().send(Echo("push"))
     connections.get().close()
     with pytest.raises(rpc.RpcError):
         waiting.get()
@@ -217,7 +217,7 @@
     while not connections:
         gevent.sleep(0.001)
     old = caller._connection
-    caller._connection = None  # what `closed` tells before the reader has seen the end
+    caller._connection = None  # as if it were closed, before its greenlet has seen the end
     second = gevent.spawn(caller.call, Echo("second"), 5.0)
     while len(connections) < 2:
         gevent.sleep(0.001)
@@ -250,9 +250,9 @@
 def test_a_reply_of_another_connection_is_not_taken():
     """Numbers go on over connections, but only the one that carried a call may answer it."""
     caller = rpc.RpcClient(("127.0.0.1", 1))
-    asked_on, other, result = object(), object(), AsyncResult()
-    caller._waiting[7] = (asked_on, result)
-    caller._take(other, rpc.RpcResponse(7, b""))
+    carrier, other, result = object(), object(), AsyncResult()
+    caller._pending_calls[7] = rpc._PendingCall(carrier, result)
+    caller._handle_response(other, rpc.RpcResponse(7, b""))
     assert not result.ready()
-    caller._take(asked_on, rpc.RpcResponse(7, b""))
+    caller._handle_response(carrier, rpc.RpcResponse(7, b""))
     assert result.ready()
