--- a/ochrespan/control_plane/replication/host.py
+++ b/ochrespan/control_plane/replication/host.py
@@ -193,7 +193,7 @@
             except OSError as error:
                 log.error("disk not readable error=%s", error)
                 gevent.sleep(RETRY_S)
-        image = unpack_checkpoint(recovered.image) if recovered.image is not None else []
+        image = unpack_checkpoint(recovered.checkpoint) if recovered.checkpoint is not None else []
         identity, durable = replay([*image, *recovered.records])
         settings = self.settings
         bootstrap = BootstrapSettings(settings.address, settings.seeds, settings.bootstrap, settings.fault_tolerance)
--- a/ochrespan/storage/files.py
+++ b/ochrespan/storage/files.py
@@ -1,4 +1,4 @@
-"""The file operations that the store needs, and their form for a real directory."""
+"""The file operations that the store needs, and their implementation for a directory of the operating system."""
 
 from __future__ import annotations
 
@@ -8,33 +8,41 @@
 
 
 class Directory(Protocol):
-    """A folder of a few files that are read whole and written at an offset. Every call may raise OSError."""
+    """A directory of a few files, which are read completely and written at an offset.
+
+    Names are plain file names. Every call blocks and may raise OSError; what a failed call has left in the file is then
+    unknown, and the call may be repeated. Nothing is durable, that is, certain to survive a loss of power, before the
+    matching sync has returned.
+    """
 
     def read(self, name: str) -> bytes | None:
-        """The whole content; None where there is no such file."""
+        """The complete content of a file; None where it does not exist."""
 
     def create(self, name: str) -> None:
-        """Makes an empty file where there is none, and syncs it."""
+        """Creates an empty file where there is none, and syncs the file. Existing content stays."""
 
-    def write_at(self, name: str, offset: int, data: bytes) -> None: ...
+    def write_at(self, name: str, offset: int, data: bytes) -> None:
+        """Writes all of `data` from `offset` (bytes) on, and extends the file if needed."""
 
-    def set_length(self, name: str, length: int) -> None: ...
+    def set_length(self, name: str, length: int) -> None:
+        """Truncates a file to `length` bytes, or extends it with zeros."""
 
     def sync(self, name: str) -> None:
-        """What was written to the file lasts from here on."""
+        """Makes durable what has been written to a file, and its length."""
 
-    def sync_names(self) -> None:
-        """The names of the folder last from here on."""
+    def sync_directory(self) -> None:
+        """Makes the names of the files durable."""
 
 
 class PosixDirectory:
-    """Files of a folder of the operating system; keeps one descriptor a file."""
+    """A `Directory` of the operating system. Owns one descriptor a file from its first use until `close`."""
 
     def __init__(self, path: str) -> None:
         self._path = path
         self._descriptors: dict[str, int] = {}
 
     def read(self, name: str) -> bytes | None:
+        """See `Directory.read`."""
         try:
             with open(os.path.join(self._path, name), "rb") as file:
                 return file.read()
@@ -42,22 +50,27 @@
             return None
 
     def create(self, name: str) -> None:
+        """See `Directory.create`."""
         os.fsync(self._descriptor(name))
 
     def write_at(self, name: str, offset: int, data: bytes) -> None:
+        """See `Directory.write_at`."""
         descriptor = self._descriptor(name)
         os.lseek(descriptor, offset, os.SEEK_SET)
-        view = memoryview(data)
-        while view:
-            view = view[os.write(descriptor, view) :]
+        remaining = memoryview(data)
+        while remaining:
+            remaining = remaining[os.write(descriptor, remaining) :]
 
     def set_length(self, name: str, length: int) -> None:
+        """See `Directory.set_length`."""
         os.ftruncate(self._descriptor(name), length)
 
     def sync(self, name: str) -> None:
+        """See `Directory.sync`: fdatasync, which covers a changed length."""
         os.fdatasync(self._descriptor(name))
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
+        """See `Directory.sync_directory`."""
         descriptor = os.open(self._path, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(descriptor)
@@ -65,6 +78,7 @@
             os.close(descriptor)
 
     def close(self) -> None:
+        """Closes the descriptors; a later call opens them again."""
         for descriptor in self._descriptors.values():
             with contextlib.suppress(OSError):
                 os.close(descriptor)
--- a/ochrespan/storage/records.py
+++ b/ochrespan/storage/records.py
@@ -1,8 +1,13 @@
-"""Bytes of the store's files: a slot with one image, and a log of records whose checksums are chained.
+"""The bytes of the store's files: a slot with one checkpoint, and a log of records whose checksums are chained.
 
-Integers are big endian. A header names what the file is, the version of its format and its generation. Each record of a
-log carries a checksum that continues the one before it, so nothing that an earlier use of the file left behind is ever
-taken for a record.
+Integers are big endian; checksums are CRC-32. Both files begin with a header: four magic bytes, the format version (16
+bits), the generation (64 bits), the length of the checkpoint (64 bits, 0 in a log), and a checksum of these.
+
+- Slot: header, checksum of the checkpoint (started from the generation), checkpoint.
+- Log: header, then records of length (32 bits), checksum (32 bits) and payload.
+
+The checksum of a record covers its length and payload and continues that of the record before it, the first one that of
+the header. So a record that an earlier generation has left in the file is never taken for one of this generation.
 """
 
 from __future__ import annotations
@@ -10,92 +15,118 @@
 import struct
 import zlib
 from dataclasses import dataclass
+from typing import NamedTuple
+
+from .errors import FormatError as FormatError  # the alias exports it
 
 FORMAT_VERSION = 1
-SLOT_MAGIC, LOG_MAGIC = b"OCHS", b"OCHL"
+SLOT_MAGIC = b"OCHS"
+LOG_MAGIC = b"OCHL"
 
-_header = struct.Struct(">4sHQQ")  # magic, format version, generation, length of the image (0 in a log)
+_header = struct.Struct(">4sHQQ")
 _checksum = struct.Struct(">I")
-_record = struct.Struct(">II")  # length, checksum
+_record_header = struct.Struct(">II")
 HEADER_BYTES = _header.size + _checksum.size
 
 
-class FormatError(Exception):
-    """A file of a format that this version can't read: what was found and what is allowed."""
+class SlotContent(NamedTuple):
+    """A complete checkpoint and its generation."""
+
+    generation: int
+    checkpoint: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class LogContent:
-    """Records of a log up to the first that is torn or missing."""
+    """The records of a log up to the first that is torn or missing.
+
+    Attributes:
+        generation: The generation that the log belongs to.
+        records: Their payloads, the oldest first.
+        end: The offset behind the last good record, in bytes.
+        checksum: That of the last good record, or of the header; the next record continues it.
+    """
 
     generation: int
     records: list[bytes]
-    end: int  # offset behind the last good record
-    checksum: int  # of the last good record; the next one continues it
-
+    end: int
+    checksum: int
 
-def header(magic: bytes, generation: int, length: int = 0) -> bytes:
-    data = _header.pack(magic, FORMAT_VERSION, generation, length)
-    return data + _checksum.pack(zlib.crc32(data))
 
+def encode_slot(generation: int, checkpoint: bytes) -> bytes:
+    """The bytes of a slot."""
+    header = _encode_header(SLOT_MAGIC, generation, len(checkpoint))
+    return header + _checkpoint_checksum(generation, checkpoint) + checkpoint
 
-def encode_slot(generation: int, image: bytes) -> bytes:
-    return header(SLOT_MAGIC, generation, len(image)) + _image_checksum(generation, image) + image
 
+def decode_slot(data: bytes | None) -> SlotContent | None:
+    """The content of a slot; None where it was never written, or not to its end.
 
-def decode_slot(data: bytes | None) -> tuple[int, bytes] | None:
-    """Generation and image; None where the slot was never written, or not to its end."""
-    parsed = _parse_header(data, SLOT_MAGIC)
-    if parsed is None:
+    Raises:
+        FormatError: The file has another format version, or is no slot.
+    """
+    if data is None or (header := _decode_header(data, SLOT_MAGIC)) is None:
         return None
-    generation, length = parsed
+    generation, length = header
     start = HEADER_BYTES + _checksum.size
-    image = data[start : start + length]
-    if len(image) < length or _image_checksum(generation, image) != data[HEADER_BYTES:start]:
+    checkpoint = data[start : start + length]
+    if len(checkpoint) < length or _checkpoint_checksum(generation, checkpoint) != data[HEADER_BYTES:start]:
         return None
-    return generation, image
+    return SlotContent(generation, checkpoint)
 
 
 def log_header(generation: int) -> tuple[bytes, int]:
-    """The first bytes of a log, and the checksum that its first record continues."""
-    data = header(LOG_MAGIC, generation)
+    """The header of a log, and its checksum, which the first record continues."""
+    data = _encode_header(LOG_MAGIC, generation, 0)
     return data, zlib.crc32(data)
 
 
-def encode_record(payload: bytes, previous: int) -> tuple[bytes, int]:
-    """The bytes of a record, and its checksum."""
-    checksum = zlib.crc32(payload, zlib.crc32(_checksum.pack(len(payload)), previous))
-    return _record.pack(len(payload), checksum) + payload, checksum
+def encode_record(payload: bytes, previous_checksum: int) -> tuple[bytes, int]:
+    """The bytes of a record, and its checksum, which the next record continues."""
+    checksum = zlib.crc32(payload, zlib.crc32(_checksum.pack(len(payload)), previous_checksum))
+    return _record_header.pack(len(payload), checksum) + payload, checksum
 
 
 def decode_log(data: bytes | None) -> LogContent | None:
-    """The good records of a log; None where its header is missing or torn."""
-    parsed = _parse_header(data, LOG_MAGIC)
-    if parsed is None:
+    """The good records of a log; None where its header is missing or torn.
+
+    Raises:
+        FormatError: The file has another format version, or is no log.
+    """
+    if data is None or (header := _decode_header(data, LOG_MAGIC)) is None:
         return None
-    generation = parsed[0]
+    generation, _ = header
     _, checksum = log_header(generation)
-    records, end = [], HEADER_BYTES
-    while end + _record.size <= len(data):
-        length, expected = _record.unpack_from(data, end)
-        payload = data[end + _record.size : end + _record.size + length]
+    records = []
+    end = HEADER_BYTES
+    while end + _record_header.size <= len(data):
+        length, expected = _record_header.unpack_from(data, end)
+        start = end + _record_header.size
+        payload = data[start : start + length]
         if len(payload) < length or encode_record(payload, checksum)[1] != expected:
             break
         records.append(payload)
-        end, checksum = end + _record.size + length, expected
+        end = start + length
+        checksum = expected
     return LogContent(generation, records, end, checksum)
 
 
-def _image_checksum(generation: int, image: bytes) -> bytes:
-    return _checksum.pack(zlib.crc32(image, generation & 0xFFFFFFFF))
+def _checkpoint_checksum(generation: int, checkpoint: bytes) -> bytes:
+    return _checksum.pack(zlib.crc32(checkpoint, generation & 0xFFFFFFFF))
+
+
+def _encode_header(magic: bytes, generation: int, length: int) -> bytes:
+    data = _header.pack(magic, FORMAT_VERSION, generation, length)
+    return data + _checksum.pack(zlib.crc32(data))
 
 
-def _parse_header(data: bytes | None, magic: bytes) -> tuple[int, int] | None:
-    if data is None or len(data) < HEADER_BYTES:
+def _decode_header(data: bytes, magic: bytes) -> tuple[int, int] | None:
+    """Generation and length; None where the header is incomplete or torn."""
+    if len(data) < HEADER_BYTES:
         return None
     if _checksum.unpack_from(data, _header.size)[0] != zlib.crc32(data[: _header.size]):
         return None
     found_magic, version, generation, length = _header.unpack_from(data)
     if found_magic != magic or version != FORMAT_VERSION:
-        raise FormatError(f"found {found_magic!r} version {version}, allowed {magic!r} version {FORMAT_VERSION}")
+        raise FormatError(f"{found_magic!r} version {version}", f"{magic!r} version {FORMAT_VERSION}")
     return generation, length
--- a/tests/control_plane/replication/test_disk_writer.py
+++ b/tests/control_plane/replication/test_disk_writer.py
@@ -101,11 +101,11 @@
     harness.add(b"b")
     until(lambda: len(harness.batches) == 2, "write after it")
     found = harness.recovered()
-    assert (found.image, found.records) == (None, [record, b"b"])
+    assert (found.checkpoint, found.records) == (None, [record, b"b"])
     refuse.clear()
     until(lambda: harness.writer.wake() or not harness.store.checkpoint_in_progress, "checkpoint")
     found = harness.recovered()
-    assert (found.image, found.records) == (b"image", [b"b"])
+    assert (found.checkpoint, found.records) == (b"image", [b"b"])
 
 
 def test_an_error_that_nobody_expects_does_not_end_the_writer(harness, caplog):
--- a/tests/golden/stored_state.py
+++ b/tests/golden/stored_state.py
@@ -57,7 +57,7 @@
         recovered = SnapshotStore(directory).open()
     finally:
         directory.close()
-    image = unpack_checkpoint(recovered.image) if recovered.image is not None else []
+    image = unpack_checkpoint(recovered.checkpoint) if recovered.checkpoint is not None else []
     return replay([*image, *recovered.records])
 
 
--- a/tests/storage/test_snapshot_store.py
+++ b/tests/storage/test_snapshot_store.py
@@ -12,7 +12,7 @@
 from tests.support.raft_simulation.disk import ProcessEnds, SimDirectory
 
 ROUNDS = 4  # checkpoints of the run; records before, between and after their parts
-MOST_LEFT_DISKS = 3**6
+MAX_LEFT_DISKS = 3**6
 
 
 class Journal:
@@ -25,8 +25,8 @@
 
     def open(self) -> None:
         recovered = self.store.open()
-        image = ormsgpack.unpackb(recovered.image) if recovered.image is not None else []
-        self.values = replay(image, [ormsgpack.unpackb(record) for record in recovered.records])
+        checkpoint = ormsgpack.unpackb(recovered.checkpoint) if recovered.checkpoint is not None else []
+        self.values = replay(checkpoint, [ormsgpack.unpackb(record) for record in recovered.records])
         self.durable = len(self.values)
 
     def add(self, count: int) -> None:
@@ -40,13 +40,13 @@
 
     def checkpoint(self) -> None:
         self.store.begin_checkpoint()
-        image = ormsgpack.packb(self.values)
-        self.store.write_checkpoint(image)
+        checkpoint = ormsgpack.packb(self.values)
+        self.store.write_checkpoint(checkpoint)
 
 
-def replay(image: list[int], later: list[int]) -> list[int]:
-    """Records that the image holds already are passed over, as a log's entries behind its snapshot are."""
-    values = list(image)
+def replay(checkpoint: list[int], later: list[int]) -> list[int]:
+    """Records that the checkpoint contains already are skipped, as a log's entries up to its snapshot are."""
+    values = list(checkpoint)
     for value in later:
         assert value <= len(values), "a gap"
         if value == len(values):
@@ -83,7 +83,7 @@
     return directory.calls
 
 
-def assert_whole(directory, journal: Journal) -> None:
+def assert_recovers(directory, journal: Journal) -> None:
     """What is found is what was written, in order, and no less than was known to be durable; and it goes on."""
     again = Journal(directory)
     again.open()
@@ -106,7 +106,7 @@
     journal = Journal(directory)
     run(journal, retry=True)
     assert journal.durable == 7 * ROUNDS
-    assert_whole(directory, journal)
+    assert_recovers(directory, journal)
 
 
 @pytest.mark.parametrize("number", range(2, CALLS + 1))
@@ -116,7 +116,7 @@
     journal = Journal(directory)
     with pytest.raises(ProcessEnds):
         run(journal, retry=False)
-    assert_whole(directory, journal)
+    assert_recovers(directory, journal)
 
 
 @pytest.mark.parametrize("number", range(2, CALLS + 1))
@@ -126,11 +126,11 @@
     journal = Journal(directory)
     with pytest.raises(ProcessEnds):
         run(journal, retry=False)
-    for left in itertools.islice(directory.after_power_loss(), MOST_LEFT_DISKS):
-        assert_whole(left, journal)
+    for left in itertools.islice(directory.after_power_loss(), MAX_LEFT_DISKS):
+        assert_recovers(left, journal)
 
 
-def test_what_a_kill_left_in_the_file_is_durable_once_it_was_read():
+def test_unsynced_records_of_a_killed_process_are_durable_once_they_were_read():
     """A record that was never synced and yet was found must not vanish at a later loss of power."""
     directory = SimDirectory()
     journal = Journal(directory)
@@ -149,7 +149,7 @@
         assert third.values == [0]
 
 
-def test_a_full_disk_refuses_and_then_takes_all_that_was_waiting():
+def test_a_full_disk_raises_until_there_is_space_and_then_takes_all_pending_records():
     directory = SimDirectory()
     journal = Journal(directory)
     journal.open()
@@ -161,7 +161,7 @@
         assert caught.value.errno == errno.ENOSPC
     directory.full = False
     journal.flush()
-    assert_whole(directory, journal)
+    assert_recovers(directory, journal)
 
 
 def test_records_of_an_earlier_use_of_the_file_are_never_taken_for_new_ones():
@@ -176,7 +176,7 @@
 
 
 @pytest.mark.parametrize("name", [*SLOT_NAMES, *LOG_NAMES])
-def test_a_file_of_another_format_version_is_told_by_what_was_found_and_allowed(name, monkeypatch):
+def test_a_file_of_another_format_version_raises_what_was_found_and_allowed(name, monkeypatch):
     directory = SimDirectory()
     run(Journal(directory), retry=False)
     data = bytearray(directory.files[name].visible())
@@ -185,24 +185,24 @@
         (records.decode_slot if name in SLOT_NAMES else records.decode_log)(bytes(data))
 
 
-def test_the_size_on_the_disk_stays_within_two_images_and_two_logs():
+def test_the_size_on_the_disk_stays_within_two_checkpoints_and_two_logs():
     directory = SimDirectory()
     journal = Journal(directory)
     journal.open()
-    largest = 0
+    max_bytes = 0
     for _ in range(200):
         journal.add(20)
         journal.flush()
         if journal.store.log_bytes > 1000:
             journal.checkpoint()
-        largest = max(largest, sum(len(file.visible()) for file in directory.files.values()))
-    image = len(ormsgpack.packb(journal.values))
-    assert largest < 2 * (image + 100) + 2 * (1000 + 600)
+        max_bytes = max(max_bytes, sum(len(file.visible()) for file in directory.files.values()))
+    checkpoint_bytes = len(ormsgpack.packb(journal.values))
+    assert max_bytes < 2 * (checkpoint_bytes + 100) + 2 * (1000 + 600)
 
 
-def test_a_real_folder_keeps_what_was_written(tmp_path):
+def test_a_posix_directory_keeps_what_was_written(tmp_path):
     directory = PosixDirectory(str(tmp_path))
     journal = Journal(directory)
     run(journal, retry=False)
     directory.close()
-    assert_whole(PosixDirectory(str(tmp_path)), journal)
+    assert_recovers(PosixDirectory(str(tmp_path)), journal)
--- a/tests/support/raft_simulation/disk.py
+++ b/tests/support/raft_simulation/disk.py
@@ -75,7 +75,7 @@
         file = self.files[name]
         file.durable, file.unsynced = file.visible(), []
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         self._called(writes=False)
 
     def lose_power(self, source: random.Random) -> None:
--- a/tests/support/raft_simulation/node.py
+++ b/tests/support/raft_simulation/node.py
@@ -76,7 +76,7 @@
         except OSError:
             self._later(RETRY_S, lambda: self.start(seeds, bootstrap))
             return
-        image = unpack_checkpoint(recovered.image) if recovered.image is not None else []
+        image = unpack_checkpoint(recovered.checkpoint) if recovered.checkpoint is not None else []
         identity, durable = replay([*image, *recovered.records])
         self.machines = {shard: world.machine_type() for shard in world.shards}
         for shard, state in durable.items():
