--- a/ochrespan/common/__init__.py
+++ b/ochrespan/common/__init__.py
@@ -1,4 +1,4 @@
-"""What every package shares: network addresses, and validation of documents and settings.
+"""What all packages share: network addresses, and the validation of documents and settings.
 
 State: none. Imports: the standard library alone.
 """
--- a/ochrespan/common/addresses.py
+++ b/ochrespan/common/addresses.py
@@ -3,17 +3,23 @@
 from __future__ import annotations
 
 Address = tuple[str, int]
+"""IP address or host name, and port."""
 
-Address = tuple[str, int]
+MAX_PORT = 65535
 
 
 def parse_address(text: str) -> Address:
-    """`10.0.0.1:8000` as a pair of host and port; raises ValueError."""
+    """Reads the text form of an address, such as `10.0.0.1:8000`.
+
+    Raises:
+        ValueError: The text isn't of this form, or the port is too large.
+    """
     host, separator, port = text.rpartition(":")
-    if not separator or not host or not port.isdigit() or int(port) > 65535:
+    if not separator or not host or not port.isdigit() or int(port) > MAX_PORT:
         raise ValueError(f"found {text!r}, allowed IP:PORT")
     return host, int(port)
 
 
 def format_address(address: Address) -> str:
+    """The text form of an address, such as `10.0.0.1:8000`."""
     return f"{address[0]}:{address[1]}"
--- a/ochrespan/common/validation.py
+++ b/ochrespan/common/validation.py
@@ -1,7 +1,11 @@
-"""A small checker for typed dictionaries: every finding is collected with its place, then reported together.
+"""Validation of documents and settings: all faults are collected with their places, then reported together.
 
-A check is a function `(value, where, findings)`. `typed(SomeTypedDict)` derives one from the annotations of a
-TypedDict, whose fields carry their checks as `Annotated[type, check]`. Unknown fields are allowed everywhere.
+A `Check` is a function that appends the faults of a value to a list of findings, and raises nothing. The functions here
+make checks: `text`, `integer` and `number` for bounds, `list_of`, `map_of` and `optional` from the check of an item,
+and `typed(SomeTypedDict)` from the annotations of a TypedDict, whose fields carry their checks as
+`Annotated[type, check]`. Fields that a TypedDict doesn't name are allowed, as a newer version may send them.
+
+The texts of the findings are part of the control interface.
 """
 
 from __future__ import annotations
@@ -11,21 +15,27 @@
 from dataclasses import dataclass
 from typing import Annotated, Any, NotRequired, get_args, get_origin, get_type_hints
 
-MAX_FINDINGS = 100
+MAX_FINDINGS = 100  # of one document; further ones are dropped
 MAX_SHOWN_CHARACTERS = 60
-MAX_INTEGER = 2**53
+MAX_INTEGER = 2**53  # up to here a JSON reader that takes numbers as doubles is exact
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One fault: where it lies, what was found there, and what is allowed."""
+    """One fault of a document.
+
+    Attributes:
+        where: The place, such as `services[0].name`; empty for the document itself.
+        found: What was found there, in short.
+        allowed: What is allowed there.
+    """
 
     where: str
     found: str
     allowed: str
 
     def fields(self) -> dict[str, str]:
-        """The finding as a map, for answers."""
+        """The finding as a JSON object, for responses."""
         return {"where": self.where, "found": self.found, "allowed": self.allowed}
 
     def __str__(self) -> str:
@@ -33,11 +43,14 @@
 
 
 Findings = list[Finding]
+"""Collects the findings of several checks; `add_finding` bounds its length."""
+
 Check = Callable[[Any, str, Findings], None]
+"""`check(value, where, findings)` appends the faults of `value`, which stands at `where` in its document."""
 
 
 class ValidationError(ValueError):
-    """A document with at least one finding."""
+    """A document, or a settings file, with at least one finding. `findings` holds all of them."""
 
     def __init__(self, findings: Sequence[Finding]) -> None:
         super().__init__("; ".join(str(finding) for finding in findings))
@@ -55,24 +68,24 @@
 
 
 def add_finding(findings: Findings, where: str, found: Any, allowed: str) -> None:
-    """Adds a finding, unless there are MAX_FINDINGS of them already."""
+    """Adds a finding, unless there are MAX_FINDINGS already. `found` is a text, or the value that was found."""
     if len(findings) < MAX_FINDINGS:
         findings.append(Finding(where, found if isinstance(found, str) else show(found), allowed))
 
 
-def text(smallest: int = 1, largest: int = 4096) -> Check:
-    """A string of `smallest` to `largest` characters."""
-    allowed = f"a string of {smallest} to {largest} characters"
+def text(minimum: int = 1, maximum: int = 4096) -> Check:
+    """Checks for a string of `minimum` to `maximum` characters."""
+    allowed = f"a string of {minimum} to {maximum} characters"
 
     def check(value: Any, where: str, findings: Findings) -> None:
-        if not isinstance(value, str) or not smallest <= len(value) <= largest:
+        if not isinstance(value, str) or not minimum <= len(value) <= maximum:
             add_finding(findings, where, show(value), allowed)
 
     return check
 
 
 def one_of(*choices: str) -> Check:
-    """One of the given strings."""
+    """Checks for one of the given strings."""
     allowed = "one of " + ", ".join(choices)
 
     def check(value: Any, where: str, findings: Findings) -> None:
@@ -82,39 +95,39 @@
     return check
 
 
-def integer(smallest: int = 0, largest: int = MAX_INTEGER) -> Check:
-    """A whole number within bounds; true and false are none."""
-    allowed = f"a whole number of {smallest} to {largest}"
+def integer(minimum: int = 0, maximum: int = MAX_INTEGER) -> Check:
+    """Checks for an integer of `minimum` to `maximum`; true and false are none."""
+    allowed = f"a whole number of {minimum} to {maximum}"
 
     def check(value: Any, where: str, findings: Findings) -> None:
-        if type(value) is not int or not smallest <= value <= largest:
+        if type(value) is not int or not minimum <= value <= maximum:
             add_finding(findings, where, show(value), allowed)
 
     return check
 
 
-def number(smallest: float = 0.0, above: bool = False, largest: float = MAX_INTEGER) -> Check:
-    """A finite number of at least `smallest`, or above it, and at most `largest`."""
-    allowed = f"a number {'above' if above else 'of at least'} {smallest:g}"
-    if largest != MAX_INTEGER:
-        allowed += f" and at most {largest:g}"
+def number(minimum: float = 0.0, above: bool = False, maximum: float = MAX_INTEGER) -> Check:
+    """Checks for a finite number of at least `minimum`, or above it, and at most `maximum`."""
+    allowed = f"a number {'above' if above else 'of at least'} {minimum:g}"
+    if maximum != MAX_INTEGER:
+        allowed += f" and at most {maximum:g}"
 
     def check(value: Any, where: str, findings: Findings) -> None:
         finite = type(value) is int or (type(value) is float and math.isfinite(value))
-        if not finite or not smallest <= value <= largest or (above and value == smallest):
+        if not finite or not minimum <= value <= maximum or (above and value == minimum):
             add_finding(findings, where, show(value), allowed)
 
     return check
 
 
 def flag(value: Any, where: str, findings: Findings) -> None:
-    """True or false."""
+    """A check for true or false."""
     if type(value) is not bool:
         add_finding(findings, where, show(value), "true or false")
 
 
 def optional(check: Check) -> Check:
-    """What `check` allows, or null."""
+    """Checks for what `check` allows, or null."""
 
     def check_unless_null(value: Any, where: str, findings: Findings) -> None:
         if value is not None:
@@ -123,12 +136,12 @@
     return check_unless_null
 
 
-def list_of(item: Check, smallest: int = 0) -> Check:
-    """A list whose items pass `item`; an item that has a name is reported under it."""
+def list_of(item: Check, minimum: int = 0) -> Check:
+    """Checks for a list of at least `minimum` items, all of which pass `item`."""
 
     def check(value: Any, where: str, findings: Findings) -> None:
-        if not isinstance(value, list) or len(value) < smallest:
-            add_finding(findings, where, show(value), "a list" if not smallest else f"a list of at least {smallest}")
+        if not isinstance(value, list) or len(value) < minimum:
+            add_finding(findings, where, show(value), "a list" if not minimum else f"a list of at least {minimum}")
             return
         for position, entry in enumerate(value):
             item(entry, f"{where}[{position}]", findings)
@@ -137,7 +150,7 @@
 
 
 def map_of(item: Check) -> Check:
-    """A map from strings to what passes `item`."""
+    """Checks for a JSON object whose values pass `item`."""
 
     def check(value: Any, where: str, findings: Findings) -> None:
         if not isinstance(value, dict):
@@ -150,7 +163,7 @@
 
 
 def typed(typed_dict: type) -> Check:
-    """A map whose fields pass the checks that the TypedDict's annotations carry."""
+    """Checks for a JSON object with the required fields of a TypedDict, each of which passes the check it carries."""
     checks: dict[str, Check] = {}
     required: list[str] = []
     for name, hint in get_type_hints(typed_dict, include_extras=True).items():
--- a/ochrespan/observability/__init__.py
+++ b/ochrespan/observability/__init__.py
@@ -1,4 +1,5 @@
 """Log lines in `key=value` form and metrics in the text format of Prometheus.
 
-State: the counters of a process, and the allowance of each log line's rate limit. Imports: the standard library alone.
+State: the counters of a process, and the token buckets that limit the rate of its log lines. Imports: the standard
+library alone.
 """
--- a/ochrespan/observability/logs.py
+++ b/ochrespan/observability/logs.py
@@ -1,4 +1,7 @@
-"""Logs of the fleet's programs: one event a line on standard error, bounded in rate, with a level set in service."""
+"""Logs of the fleet's programs: one event a line on standard error, limited in rate, with a level that can be changed.
+
+A line is `LEVEL logger event text key=value ...`.
+"""
 
 from __future__ import annotations
 
@@ -9,55 +12,59 @@
 DEFAULT_LEVEL = "INFO"
 LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 LINE_FORMAT = "%(levelname)s %(name)s %(message)s"
-BURST = 50  # lines of one kind at once
-LINES_PER_S = 5.0  # of one kind, in the long run
+BURST = 50  # lines of one call site at once
+LINES_PER_S = 5.0  # of one call site, in the long run
 
 
 class RateLimit(logging.Filter):
-    """Lets through so many lines of one kind; the next one that passes tells how many were left out before it.
+    """Limits the lines of each call site with a token bucket of BURST and LINES_PER_S.
+
+    The first line that passes again carries the number of those dropped before it as `left_out`.
 
-    Lines are of one kind when they come from the same call, with whatever values.
+    Args:
+        clock: Seconds, monotonic.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         super().__init__()
         self._clock = clock
-        self._kinds: dict[tuple[str, int], _Allowance] = {}
+        self._buckets: dict[tuple[str, int], _TokenBucket] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether the line is written."""
+        """Whether the line is written; appends `left_out` to its text."""
         now = self._clock()
-        allowance = self._kinds.setdefault((record.pathname, record.lineno), _Allowance(now))
-        if not allowance.take(now):
+        bucket = self._buckets.setdefault((record.pathname, record.lineno), _TokenBucket(now))
+        if not bucket.take_token(now):
             return False
-        if allowance.left_out:
-            record.msg = f"{record.msg} left_out={allowance.left_out}"
-            allowance.left_out = 0
+        if bucket.dropped:
+            record.msg = f"{record.msg} left_out={bucket.dropped}"
+            bucket.dropped = 0
         return True
 
 
-class _Allowance:
-    """A token bucket, and the lines that it held back since one last passed."""
+class _TokenBucket:
+    """The tokens of one call site, and the number of lines that were dropped since one last passed."""
 
-    __slots__ = ("left_out", "_tokens", "_filled_at")
+    __slots__ = ("dropped", "_tokens", "_filled_at")
 
     def __init__(self, now: float) -> None:
-        self.left_out = 0
+        self.dropped = 0
         self._tokens = float(BURST)
         self._filled_at = now
 
-    def take(self, now: float) -> bool:
+    def take_token(self, now: float) -> bool:
+        """Whether there was a token; counts a dropped line where there was none."""
         self._tokens = min(float(BURST), self._tokens + LINES_PER_S * (now - self._filled_at))
         self._filled_at = now
         if self._tokens < 1.0:
-            self.left_out += 1
+            self.dropped += 1
             return False
         self._tokens -= 1.0
         return True
 
 
 def configure(level: str = DEFAULT_LEVEL) -> None:
-    """Sets the process's logs up, once."""
+    """Sets up the process's logs on standard error. Called once."""
     handler = logging.StreamHandler()
     handler.setFormatter(logging.Formatter(LINE_FORMAT))
     handler.addFilter(RateLimit())
@@ -66,5 +73,5 @@
 
 
 def set_level(level: str) -> None:
-    """The least severe lines that are written from now on, one of LEVELS."""
+    """Sets the minimum level of the lines that are written from now on, one of LEVELS."""
     logging.getLogger().setLevel(level)
--- a/ochrespan/programs/settings.py
+++ b/ochrespan/programs/settings.py
@@ -114,7 +114,7 @@
     fault_tolerance: NotRequired[Annotated[FaultTolerance, typed(FaultTolerance)]]
     bounds: NotRequired[dict[str, Any]]
     peer_tls: NotRequired[Annotated[PeerTls | None, optional(typed(PeerTls))]]
-    decision_records: NotRequired[Annotated[float, number(largest=1.0)]]
+    decision_records: NotRequired[Annotated[float, number(maximum=1.0)]]
     log_level: NotRequired[Annotated[str, _log_level]]
 
 
--- a/tests/observability/test_observability.py
+++ b/tests/observability/test_observability.py
@@ -1,4 +1,4 @@
-"""Figures in the collectors' text format, and logs that stay bounded."""
+"""Metrics in the text exposition format, and logs of limited rate."""
 
 import logging
 
@@ -20,14 +20,14 @@
 
 
 @pytest.mark.parametrize("name", ["", "1st", "with space", "dash-ed", "é"])
-def test_a_name_that_collectors_cannot_read_is_refused(name):
+def test_an_invalid_name_is_rejected(name):
     with pytest.raises(ValueError, match="found .* allowed letters"):
         MetricsRegistry().counter(name, "Help.")
     with pytest.raises(ValueError, match="found .* allowed letters"):
         MetricsRegistry().counter("fine", "Help.", name)
 
 
-def test_a_name_stands_for_one_figure():
+def test_a_name_is_registered_once():
     registry = MetricsRegistry()
     registry.counter("once", "Help.")
     with pytest.raises(ValueError, match="already"):
@@ -38,17 +38,17 @@
     return logging.LogRecord("ochrespan", logging.INFO, "module.py", number, text, (1,), None)
 
 
-def test_lines_of_one_kind_are_bounded_and_what_was_left_out_is_told():
+def test_lines_of_one_call_site_are_limited_and_the_dropped_ones_counted():
     now = 100.0
     limit = RateLimit(lambda: now)
     assert sum(limit.filter(line(1)) for _ in range(BURST + 30)) == BURST
-    assert limit.filter(line(2))  # another kind
+    assert limit.filter(line(2))  # another call site
     now += 1.0 / LINES_PER_S
-    told = line(1)
-    assert limit.filter(told) and told.getMessage() == "event number=1 left_out=30"
+    passed = line(1)
+    assert limit.filter(passed) and passed.getMessage() == "event number=1 left_out=30"
     assert not limit.filter(line(1))
 
 
-def test_a_clock_that_stands_still_gives_nothing():
+def test_a_clock_that_stands_still_adds_no_tokens():
     limit = RateLimit(lambda: 0.0)
     assert sum(limit.filter(line(1)) for _ in range(10 * BURST)) == BURST
