--- a/ochrespan/common/validation.py
+++ b/ochrespan/common/validation.py
@@ -2,7 +2,7 @@
 
 A `Check` is a function that appends the faults of a value to a list of findings, and raises nothing. The functions here
 make checks: `text`, `integer` and `number` for bounds, `list_of`, `map_of` and `optional` from the check of an item,
-and `typed(SomeTypedDict)` from the annotations of a TypedDict, whose fields carry their checks as
+and `typed_dict(SomeTypedDict)` from the annotations of a TypedDict, whose fields carry their checks as
 `Annotated[type, check]`. Fields that a TypedDict doesn't name are allowed, as a newer version may send them.
 
 The texts of the findings are part of the control interface.
@@ -162,11 +162,11 @@
     return check
 
 
-def typed(typed_dict: type) -> Check:
+def typed_dict(dict_type: type) -> Check:
     """Checks for a JSON object with the required fields of a TypedDict, each of which passes the check it carries."""
     checks: dict[str, Check] = {}
     required: list[str] = []
-    for name, hint in get_type_hints(typed_dict, include_extras=True).items():
+    for name, hint in get_type_hints(dict_type, include_extras=True).items():
         if get_origin(hint) is NotRequired:
             hint = get_args(hint)[0]
         else:
--- a/ochrespan/control_plane/config/documents.py
+++ b/ochrespan/control_plane/config/documents.py
@@ -24,7 +24,7 @@
     optional,
     show,
     text,
-    typed,
+    typed_dict,
 )
 
 MAX_ID_CHARACTERS = 200
@@ -69,7 +69,7 @@
     target_latency_ms: NotRequired[Annotated[float | None, optional(_MILLISECONDS)]]
     priority: NotRequired[Annotated[int | None, optional(_COUNT)]]
     backend: NotRequired[Annotated[str | None, optional(_NAME)]]
-    traffic_split: NotRequired[Annotated[list[TrafficSplit] | None, optional(list_of(typed(TrafficSplit)))]]
+    traffic_split: NotRequired[Annotated[list[TrafficSplit] | None, optional(list_of(typed_dict(TrafficSplit)))]]
     max_retries: NotRequired[Annotated[int | None, optional(_COUNT)]]
     public: NotRequired[Annotated[bool | None, optional(flag)]]
     session_affinity: NotRequired[Annotated[bool | None, optional(flag)]]
@@ -109,7 +109,7 @@
     idle_timeout_ms: NotRequired[Annotated[float | None, optional(number(above=True))]]
 
 
-_check_route_fields = typed(RouteDocument)
+_check_route_fields = typed_dict(RouteDocument)
 
 
 def check_route(value: Any, where: str, findings: Findings) -> None:
@@ -151,9 +151,9 @@
 
 
 _ROUTES = _uniquely_named(check_route)
-_SERVICES = _uniquely_named(typed(ServiceDocument))
-_TENANTS = _uniquely_named(typed(TenantDocument))
-_LIMITS = typed(LimitsDocument)
+_SERVICES = _uniquely_named(typed_dict(ServiceDocument))
+_TENANTS = _uniquely_named(typed_dict(TenantDocument))
+_LIMITS = typed_dict(LimitsDocument)
 _NAMES = list_of(_NAME)
 
 
@@ -189,8 +189,8 @@
     """The body of `PATCH /api/config`."""
 
     generation: Annotated[int, integer()]
-    upsert: NotRequired[Annotated[Upserts | None, optional(typed(Upserts))]]
-    delete: NotRequired[Annotated[Deletions | None, optional(typed(Deletions))]]
+    upsert: NotRequired[Annotated[Upserts | None, optional(typed_dict(Upserts))]]
+    delete: NotRequired[Annotated[Deletions | None, optional(typed_dict(Deletions))]]
 
 
 class ModelDocument(TypedDict):
@@ -212,7 +212,7 @@
     capacity: NotRequired[Annotated[int | None, optional(_COUNT)]]
     cold_remaining_ms: NotRequired[Annotated[float | None, optional(_MILLISECONDS)]]
     phase: NotRequired[Annotated[str | None, optional(text(0))]]
-    models: NotRequired[Annotated[list[ModelDocument] | None, optional(list_of(typed(ModelDocument)))]]
+    models: NotRequired[Annotated[list[ModelDocument] | None, optional(list_of(typed_dict(ModelDocument)))]]
 
 
 class LeadershipDocument(TypedDict):
@@ -221,10 +221,10 @@
     decline_for_s: Annotated[float, number()]
 
 
-CHECK_CONFIGURATION = typed(ConfigurationDocument)
-CHECK_PATCH = typed(PatchDocument)
-CHECK_INSTANCE = typed(InstanceDocument)
-CHECK_LEADERSHIP = typed(LeadershipDocument)
+CHECK_CONFIGURATION = typed_dict(ConfigurationDocument)
+CHECK_PATCH = typed_dict(PatchDocument)
+CHECK_INSTANCE = typed_dict(InstanceDocument)
+CHECK_LEADERSHIP = typed_dict(LeadershipDocument)
 
 
 def _refuse_constant(constant: str) -> Any:
--- a/ochrespan/programs/settings.py
+++ b/ochrespan/programs/settings.py
@@ -25,7 +25,7 @@
     optional,
     show,
     text,
-    typed,
+    typed_dict,
 )
 from ochrespan.observability.logs import DEFAULT_LEVEL, LEVELS, set_level
 from ochrespan.transport.tcp import secure_connections
@@ -99,7 +99,7 @@
     zone: Annotated[str, text()]
     port_range: Annotated[list[int], _port_range]
     seeds: Annotated[list[str], list_of(_address)]
-    listen: Annotated[Listen, typed(Listen)]
+    listen: Annotated[Listen, typed_dict(Listen)]
     role: NotRequired[Annotated[str, text()]]
     machine_class: NotRequired[Annotated[str, text()]]
     serves: NotRequired[Annotated[list[str], list_of(text())]]
@@ -107,18 +107,18 @@
     zones: NotRequired[Annotated[dict[str, str], map_of(text(0))]]
     bootstrap: NotRequired[Annotated[bool, flag]]
     counts_for_quorum: NotRequired[Annotated[bool, flag]]
-    limits: NotRequired[Annotated[Limits, typed(Limits)]]
+    limits: NotRequired[Annotated[Limits, typed_dict(Limits)]]
     data_dir: NotRequired[Annotated[str | None, optional(text())]]
     heartbeat_ms: NotRequired[Annotated[float, number(above=True)]]
     contracts: NotRequired[Annotated[list[str], list_of(text())]]
-    fault_tolerance: NotRequired[Annotated[FaultTolerance, typed(FaultTolerance)]]
+    fault_tolerance: NotRequired[Annotated[FaultTolerance, typed_dict(FaultTolerance)]]
     bounds: NotRequired[dict[str, Any]]
-    peer_tls: NotRequired[Annotated[PeerTls | None, optional(typed(PeerTls))]]
+    peer_tls: NotRequired[Annotated[PeerTls | None, optional(typed_dict(PeerTls))]]
     decision_records: NotRequired[Annotated[float, number(maximum=1.0)]]
     log_level: NotRequired[Annotated[str, _log_level]]
 
 
-_check_settings = typed(Settings)
+_check_settings = typed_dict(Settings)
 
 
 def parse_settings(source: str, place: str) -> Settings:
