--- a/ochrespan/membership/protocol.py
+++ b/ochrespan/membership/protocol.py
@@ -300,9 +300,9 @@
             for address, record in records.items()
             if not record.is_alive_or_suspect and address not in unknown_seeds
         ]
-        asked_for_table = self._random.sample(unknown_seeds, min(1, len(unknown_seeds)))
+        sync_requested = self._random.sample(unknown_seeds, min(1, len(unknown_seeds)))
         for seed in unknown_seeds:
-            self._send(seed, Sync(seed in asked_for_table, [self.table.own_update()]))
+            self._send(seed, Sync(seed in sync_requested, [self.table.own_update()]))
         for address in self._random.sample(dead, min(1, len(dead))):
             self._send(address, Sync(True, [self.table.own_update()]))
 
--- a/ochrespan/transport/peer_connections.py
+++ b/ochrespan/transport/peer_connections.py
@@ -20,7 +20,7 @@
 log = logging.getLogger(__name__)
 
 DIAL_TIMEOUT_S = 0.5
-DIAL_PAUSE_S = 0.1  # after a failed attempt
+DIAL_BACKOFF_S = 0.1  # after a failed attempt
 QUEUED_MESSAGES = 32  # the newest ones, while the connection is being opened
 PEER_TIMEOUT_S = 0.9  # without a message from the peer; the connection to it is replaced then
 IDLE_CLOSE_S = 10.0
@@ -71,7 +71,7 @@
             connection = dial(self.address, DIAL_TIMEOUT_S)
         except OSError as error:
             log.debug("peer unreachable peer=%s error=%s", format_address(self.address), error)
-            self._dial_at = time.monotonic() + DIAL_PAUSE_S
+            self._dial_at = time.monotonic() + DIAL_BACKOFF_S
             return
         finally:
             self._is_dialing = False
--- a/tests/observability/test_observability.py
+++ b/tests/observability/test_observability.py
@@ -45,7 +45,8 @@
     assert limit.filter(line(2))  # another call site
     now += 1.0 / LINES_PER_S
     passed = line(1)
-    assert limit.filter(passed) and passed.getMessage() == "event number=1 left_out=30"
+    assert limit.filter(passed)
+    assert passed.getMessage() == "event number=1 left_out=30"
     assert not limit.filter(line(1))
 
 
--- a/tests/transport/test_tls.py
+++ b/tests/transport/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS between the processes of the fleet: who is let in, who is not, and keys that change in service."""
+"""Mutual TLS between the processes of the fleet: which peers are accepted, and certificates that change in service."""
 
 import contextlib
 import logging
@@ -61,7 +61,7 @@
     assert [call.get().text for call in calls] == [text * 2 for text in texts]
 
 
-def test_a_peer_without_tls_is_refused_with_a_line_in_the_log(tmp_path, authority, use, server, caplog):
+def test_a_peer_without_tls_is_rejected_and_logged(tmp_path, authority, use, server, caplog):
     plain = tcp.dial(server.address, 5.0)
     gevent.sleep(0)  # accepted while there was no TLS: it stays
     use(MutualTls(key_files(tmp_path, authority)))
@@ -76,7 +76,7 @@
     plain.close()
 
 
-def test_a_peer_with_a_certificate_of_another_authority_gets_no_answer(tmp_path, authority, use, server, caplog):
+def test_a_peer_with_a_certificate_of_another_authority_gets_no_response(tmp_path, authority, use, server):
     own, foreign = tmp_path / "own", tmp_path / "foreign"
     own.mkdir(), foreign.mkdir()
     security = MutualTls(key_files(own, authority))
@@ -92,7 +92,7 @@
     assert rpc.RpcClient(server.address).call(Secret("a"), 5.0) == Secret("aa")
 
 
-def test_keys_that_are_replaced_count_for_new_connections_and_old_ones_go_on(tmp_path, authority, use, server, caplog):
+def test_replaced_certificates_apply_to_new_connections_and_open_ones_stay(tmp_path, authority, use, server, caplog):
     caplog.set_level(logging.INFO)
     use(MutualTls(key_files(tmp_path, authority)))
     old = rpc.RpcClient(server.address)
@@ -103,7 +103,7 @@
     assert old.call(Secret("c"), 5.0) == Secret("cc")
 
 
-def test_while_the_authority_changes_certificates_of_both_are_taken(tmp_path, authority, use, server):
+def test_during_a_change_of_the_authority_certificates_of_both_are_accepted(tmp_path, authority, use, server):
     old, new, both = (tmp_path / name for name in ("old", "new", "both"))
     for folder in (old, new, both):
         folder.mkdir()
@@ -113,19 +113,17 @@
     authorities = (old / "authority.pem").read_text() + (new / "authority.pem").read_text()
     for folder in (old, new, both):
         (folder / "authority.pem").write_text(authorities)
-    not_changed = MutualTls(
-        CertificateFiles(*(str(old / f"{name}.pem") for name in ("certificate", "key", "authority")))
-    )
+    unchanged = MutualTls(CertificateFiles(*(str(old / f"{name}.pem") for name in ("certificate", "key", "authority"))))
 
     class TwoSides:
-        wrap_client, wrap_server = MutualTls(files).wrap_client, not_changed.wrap_server
+        wrap_client, wrap_server = MutualTls(files).wrap_client, unchanged.wrap_server
 
     use(TwoSides())
     assert rpc.RpcClient(server.address).call(Secret("a"), 5.0) == Secret("aa")
 
 
 @pytest.mark.parametrize("spoil", ["certificate", "key", "authority"])
-def test_new_keys_that_cannot_be_read_change_nothing(tmp_path, authority, use, server, spoil, caplog):
+def test_certificates_that_cannot_be_read_change_nothing(tmp_path, authority, use, server, spoil, caplog):
     use(MutualTls(key_files(tmp_path, authority)))
     (tmp_path / f"{spoil}.pem").write_text("spoilt")
     assert rpc.RpcClient(server.address).call(Secret("a"), 5.0) == Secret("aa")
@@ -134,7 +132,7 @@
     assert rpc.RpcClient(server.address).call(Secret("b"), 5.0) == Secret("bb")
 
 
-def test_replica_groups_form_and_hand_over_over_tls(tmp_path, authority, use):
+def test_raft_groups_bootstrap_and_transfer_leadership_over_tls(tmp_path, authority, use):
     use(MutualTls(key_files(tmp_path, authority)))
     port = free_port()
     hosts = [make_host(tmp_path, number, port) for number in (1, 2, 3)]
@@ -165,7 +163,7 @@
     return parse_settings(text, "node.yaml")
 
 
-def test_the_settings_turn_tls_on_and_name_what_is_wrong_with_it(tmp_path, authority, use):
+def test_the_settings_turn_tls_on_and_findings_name_their_faults(tmp_path, authority, use):
     secure_peers(settings())  # off where nothing asks for it
     assert tcp._security is None
     files = key_files(tmp_path, authority)
--- a/tests/transport/test_transport.py
+++ b/tests/transport/test_transport.py
@@ -1,4 +1,4 @@
-"""Typed messages: codec, framed connections, calls and datagrams over loopback."""
+"""Typed messages: codec, framed connections, RPC and datagrams over loopback."""
 
 from dataclasses import dataclass
 
@@ -18,11 +18,11 @@
     extra: int = 7
 
 
-def test_a_message_survives_the_way_there_and_back():
+def test_a_message_survives_encoding_and_decoding():
     assert codec.decode(codec.encode(Echo("a", 3))) == Echo("a", 3)
 
 
-def test_a_message_of_another_version_is_read_as_far_as_it_is_known():
+def test_missing_fields_take_their_defaults_and_unknown_ones_are_ignored():
     assert codec.decode(ormsgpack.packb(["test.echo", "a"])) == Echo("a", 7)
     assert codec.decode(ormsgpack.packb(["test.echo", "a", 1, "new field"])) == Echo("a", 1)
 
@@ -39,14 +39,16 @@
         ormsgpack.packb([["test.echo"]]),
     ],
 )
-def test_bytes_that_are_no_message_are_told_by_place_found_and_allowed(data):
+def test_bytes_that_are_no_message_raise_where_what_was_found_and_allowed(data):
     with pytest.raises(codec.MessageError) as caught:
         codec.decode(data)
-    assert caught.value.where and caught.value.found and caught.value.allowed
+    assert caught.value.where
+    assert caught.value.found
+    assert caught.value.allowed
 
 
 @pytest.mark.parametrize("text", ["", "10.0.0.1", "10.0.0.1:", ":80", "10.0.0.1:x", "10.0.0.1:70000"])
-def test_a_malformed_address_is_refused(text):
+def test_a_malformed_address_is_rejected(text):
     with pytest.raises(ValueError, match="IP:PORT"):
         parse_address(text)
 
@@ -59,24 +61,24 @@
     server.stop()
 
 
-def test_calls_under_way_at_once_get_their_own_replies(server):
-    held = {"first": Event(), "second": Event()}
+def test_concurrent_calls_get_their_own_responses(server):
+    released = {"first": Event(), "second": Event()}
 
-    def answer(request: Echo) -> Echo:
-        held[request.text].wait()
+    def handle(request: Echo) -> Echo:
+        released[request.text].wait()
         return Echo(request.text, 1)
 
-    server.on_request(Echo, answer)
+    server.on_request(Echo, handle)
     caller = rpc.RpcClient(server.address)
     first = gevent.spawn(caller.call, Echo("first"), 5.0)
     second = gevent.spawn(caller.call, Echo("second"), 5.0)
-    held["second"].set()
+    released["second"].set()
     assert second.get() == Echo("second", 1)
-    held["first"].set()
+    released["first"].set()
     assert first.get() == Echo("first", 1)
 
 
-def test_a_call_that_raises_fails_and_the_connection_goes_on(server):
+def test_a_handler_that_raises_fails_its_call_and_the_connection_stays_open(server):
     server.on_request(Echo, lambda request: Echo(str(1 // request.extra), 0))
     caller = rpc.RpcClient(server.address)
     with pytest.raises(rpc.RpcError, match="ZeroDivisionError"):
@@ -84,7 +86,7 @@
     assert caller.call(Echo("a", 1), 5.0) == Echo("1", 0)
 
 
-def test_a_call_without_an_answer_fails_when_its_time_is_up_or_its_connection_ends(server):
+def test_a_call_without_response_fails_at_its_timeout_or_when_its_connection_ends(server):
     connections = AsyncResult()
     server.on_push(Echo, lambda connection, _: connections.set(connection))
     server.on_request(Echo, lambda _: Event().wait())
@@ -99,7 +101,7 @@
         waiting.get()
 
 
-def test_a_frame_that_claims_to_be_huge_ends_its_connection_alone(server):
+def test_a_frame_with_a_too_large_length_ends_its_connection_alone(server):
     server.on_request(Echo, lambda request: request)
     raw = gevent.socket.create_connection(server.address)
     raw.sendall(b"\xff\xff\xff\xff")
@@ -107,7 +109,7 @@
     assert rpc.RpcClient(server.address).call(Echo("a"), 5.0) == Echo("a")
 
 
-def test_a_peer_that_does_not_read_is_cut_off_instead_of_filling_memory(monkeypatch):
+def test_the_connection_to_a_peer_that_does_not_read_is_closed_at_a_full_queue(monkeypatch):
     monkeypatch.setattr(tcp, "MAX_QUEUED_BYTES", 1000)
     accepted = AsyncResult()
     ended = Event()
@@ -129,33 +131,33 @@
     listener.stop()
 
 
-def test_datagrams_arrive_and_garbage_ends_nothing():
-    got = AsyncResult()
-    receiver = udp.DatagramEndpoint(("127.0.0.1", 0), lambda value, peer: got.set(value))
+def test_datagrams_arrive_after_malformed_and_too_large_ones():
+    received = AsyncResult()
+    receiver = udp.DatagramEndpoint(("127.0.0.1", 0), lambda value, _peer: received.set(value))
     receiver.start()
-    sender = udp.DatagramEndpoint(("127.0.0.1", 0), lambda value, peer: None)
+    sender = udp.DatagramEndpoint(("127.0.0.1", 0), lambda _value, _peer: None)
     sender.start()
     raw = gevent.socket.socket(type=gevent.socket.SOCK_DGRAM)
     raw.sendto(b"garbage", receiver.address)
     sender.send(Echo("x" * 2000), receiver.address)
     sender.send(Echo("a"), receiver.address)
-    assert got.get(timeout=5) == Echo("a")
+    assert received.get(timeout=5) == Echo("a")
     raw.close()
     receiver.stop()
     sender.stop()
 
 
-# Calls that go astray
+# Lost, late and misdirected responses
 
 
 def raw_server(serve):
-    """A listener that handles each connection's bytes by itself; its address and its connections."""
+    """A listener that runs `serve(connection)` for each connection, in place of an RpcServer."""
     listener = tcp.Listener(("127.0.0.1", 0), serve)
     listener.start()
     return listener
 
 
-def test_a_time_out_amid_a_frame_loses_no_byte_of_it():
+def test_a_timeout_within_a_frame_loses_no_byte_of_it():
     frame = codec.encode(Echo("whole"))
     half, go_on = Event(), Event()
 
@@ -178,8 +180,8 @@
     listener.stop()
 
 
-def test_a_reply_that_comes_after_its_call_was_given_up_meets_no_other_call():
-    """The server answers each call only when the next has come, always under the number of the one before."""
+def test_a_response_after_its_call_has_timed_out_completes_no_other_call():
+    """The server responds to each call only when the next has come, to the earlier one first."""
     numbers = []
 
     def serve(connection):
@@ -198,16 +200,16 @@
     listener.stop()
 
 
-def test_the_end_of_an_old_connection_fails_no_call_of_its_successor():
-    """The old one is read to its end only after a call has gone out over the new one."""
-    connections, answer = [], Event()
+def test_the_end_of_a_connection_fails_no_call_of_its_successor():
+    """The end of the old connection is seen only after a call has been sent over the new one."""
+    connections, respond = [], Event()
 
     def serve(connection):
         connections.append(connection)
         call = connection.receive()
         if len(connections) == 1:
             Event().wait()
-        answer.wait()
+        respond.wait()
         connection.send(rpc.RpcResponse(call.number, codec.encode(Echo("answered"))))
         connection.receive()
 
@@ -223,15 +225,15 @@
         gevent.sleep(0.001)
     old.close()
     gevent.sleep(0.01)
-    answer.set()
+    respond.set()
     assert second.get() == Echo("answered")
     with pytest.raises(rpc.RpcError):
         lost.get()
     listener.stop()
 
 
-def test_a_call_whose_connection_is_reset_after_it_was_read_is_sent_once(server):
-    """Whether it was carried out is not known: the caller is told, and decides."""
+def test_a_call_whose_connection_is_closed_after_it_was_read_is_sent_once(server):
+    """Whether it was carried out is not known: it is the caller that may repeat it."""
     seen = []
 
     def serve(connection):
@@ -247,8 +249,8 @@
     listener.stop()
 
 
-def test_a_reply_of_another_connection_is_not_taken():
-    """Numbers go on over connections, but only the one that carried a call may answer it."""
+def test_a_response_over_another_connection_is_ignored():
+    """Numbers continue over connections, but a response counts only on the connection that carried the request."""
     caller = rpc.RpcClient(("127.0.0.1", 1))
     carrier, other, result = object(), object(), AsyncResult()
     caller._pending_calls[7] = rpc._PendingCall(carrier, result)
