--- a/tests/membership/test_protocol.py
+++ b/tests/membership/test_protocol.py
@@ -20,14 +20,17 @@
 
 
 class Fleet:
-    """Processes with a queue of events; a process that is stalled gets neither ticks nor messages until it goes on."""
+    """Processes with a queue of events; a process that is stalled gets neither ticks nor messages until the stall ends."""
 
     def __init__(self, size: int, seed: int, loss: float = 0.0) -> None:
-        self.random, self.loss, self.now = random.Random(seed), loss, 0.0
+        self.random = random.Random(seed)
+        self.loss = loss
+        self.now = 0.0
         self.processes: dict[tuple[str, int], SwimProtocol] = {}
         self.stalled: set[tuple[str, int]] = set()
         self._events: list = []
         self._count = 0
+        # when, by whom and who was declared dead while it ran
         self.falsely_dead: list[tuple[float, tuple[str, int], tuple[str, int]]] = []
         for number in range(1, size + 1):
             self.start(number)
