--- a/ochrespan/transport/tcp.py
+++ b/ochrespan/transport/tcp.py
@@ -141,7 +141,7 @@
         return len(self._received) >= _length.size + length
 
     def set_idle_timeout(self, seconds: float) -> None:
-        """Ends the connection when `receive` waits for a byte, or the queue for room to send, for this long."""
+        """Ends the connection when no byte arrives for `receive`, or none of the queue can be sent, for this long."""
         self._socket.settimeout(seconds)
 
     def close(self) -> None:
--- a/tests/membership/test_protocol.py
+++ b/tests/membership/test_protocol.py
@@ -20,7 +20,7 @@
 
 
 class Fleet:
-    """Processes with a queue of events; a process that is stalled gets neither ticks nor messages until the stall ends."""
+    """Processes with a queue of events. A stalled process gets neither ticks nor messages until the stall ends."""
 
     def __init__(self, size: int, seed: int, loss: float = 0.0) -> None:
         self.random = random.Random(seed)
