--- a/ochrespan/control_plane/replication/running_replicas.py
+++ b/ochrespan/control_plane/replication/running_replicas.py
@@ -107,7 +107,7 @@
         except (ValueError, TypeError, IndexError) as error:
             log.warning("malformed raft message peer=%s:%s error=%r", batch.host, batch.port, error)
             return
-        self._peer_connections.heard(envelope.address)
+        self._peer_connections.record_contact(envelope.address)
         self._peers[connection] = envelope.address
         self.multi_raft.receive(time.monotonic(), envelope)
         self.wake()
--- a/tests/control_plane/replication/test_disk_writer.py
+++ b/tests/control_plane/replication/test_disk_writer.py
@@ -110,11 +110,11 @@
     harness.add(b"b")
     until(lambda: len(harness.batches) == 2, "write after it")
     found = harness.recovered()
-    assert (found.image, found.records) == (None, [record, b"b"])
+    assert (found.checkpoint, found.records) == (None, [record, b"b"])
     failing.clear()
     until(lambda: harness.writer.wake() or not harness.store.checkpoint_in_progress, "checkpoint")
     found = harness.recovered()
-    assert (found.image, found.records) == (b"image", [b"b"])
+    assert (found.checkpoint, found.records) == (b"image", [b"b"])
 
 
 def test_an_unexpected_error_does_not_stop_the_writer(harness):
