--- a/ochrespan/control_plane/replication/recovery.py
+++ b/ochrespan/control_plane/replication/recovery.py
@@ -37,6 +37,6 @@
         except OSError as error:
             log.error("disk not readable error=%s", error)
             gevent.sleep(RETRY_S)
-    checkpoint = unpack_checkpoint(stored.image) if stored.image is not None else []
+    checkpoint = unpack_checkpoint(stored.checkpoint) if stored.checkpoint is not None else []
     identity, states = replay([*checkpoint, *stored.records])
     return RecoveredReplicas(store, identity, states)
