--- a/benchmarks/core_times.py
+++ b/benchmarks/core_times.py
@@ -254,7 +254,7 @@
     new = world.add(len(world.seeds) + 1)
     new.start(world.seeds, bootstrap=False)
     while not all(
-        replica.core.is_voter and not replica.core.configuration.joint for replica in new.table.replicas.values()
+        replica.state.is_voter and not replica.state.configuration.joint for replica in new.table.replicas.values()
     ):
         world.run(STEP_S)
     return world.now - began
@@ -281,7 +281,7 @@
     """A planned end: the hand-over, and the end once another leads."""
     node.table.leave(node.world.now)
     node.pump()
-    while node.table.replicas[0].core.role is Role.LEADER:
+    while node.table.replicas[0].state.role is Role.LEADER:
         node.world.run(STEP_S)
 
 
--- a/ochrespan/control_plane/replication/host.py
+++ b/ochrespan/control_plane/replication/host.py
@@ -144,7 +144,7 @@
         """The addresses of the shard's voters as far as known here, those that are being replaced among them."""
         if self._table is None:
             return set()
-        members = self._table.replicas[shard].core.configuration.members()
+        members = self._table.replicas[shard].state.configuration.members()
         return {member.address for member in members.values()}
 
     def is_leader(self, shard: int) -> bool:
@@ -160,7 +160,7 @@
 
     def leader_since(self, shard: int) -> float | None:
         """By the steady clock, since when this process leads the shard."""
-        return self._table.replicas[shard].core.leader_since if self._table else None
+        return self._table.replicas[shard].state.leader_since if self._table else None
 
     def cluster(self) -> int:
         """The number of the founding that this process belongs to; 0 while it belongs to none."""
@@ -179,7 +179,7 @@
         return self._table.replicas[shard].lease_age_s(time.monotonic()) if self._table else float("inf")
 
     def applied_index(self, shard: int) -> int:
-        return self._table.replicas[shard].core.applied_index if self._table else 0
+        return self._table.replicas[shard].state.applied_index if self._table else 0
 
     # Start
 
@@ -275,7 +275,7 @@
         has_leaders = all(replica.leader is not None for replica in self._table.replicas.values())
         withholds_votes = self._eligibility.withholds_votes(now, disk_in_trouble, has_leaders)
         replica = next(iter(self._table.replicas.values()))
-        if withholds_votes != replica.core.withholding_votes:
+        if withholds_votes != replica.state.withholding_votes:
             self._table.withhold_votes(now, withholds_votes)
 
     def _note_bearable_losses(self, shard: int, replica: Replica) -> None:
@@ -288,13 +288,13 @@
                     "bearable losses shard=%d losses=%d voters=%d",
                     shard,
                     losses,
-                    len(replica.core.configuration.voters),
+                    len(replica.state.configuration.voters),
                 )
 
     def _note_leadership(self, shard: int, leads: bool) -> None:
         if leads != (shard in self._leading):
             (self._leading.add if leads else self._leading.discard)(shard)
-            log.info("leadership shard=%d leads=%s term=%d", shard, leads, self._table.replicas[shard].core.term)
+            log.info("leadership shard=%d leads=%s term=%d", shard, leads, self._table.replicas[shard].state.term)
             run_callback(self.on_leadership, shard, leads)
 
     # Disk
@@ -308,12 +308,12 @@
 
     def _image(self) -> bytes:
         for shard, replica in self._table.replicas.items():
-            if replica.core.applied_index > replica.core.log.snapshot.index:
+            if replica.state.applied_index > replica.state.log.snapshot.index:
                 replica.compact(self._applier.machines[shard].snapshot())
-        images = [replica.image() for replica in self._table.replicas.values()]
+        images = [replica.full_update() for replica in self._table.replicas.values()]
         return pack_checkpoint(self._table.bootstrap.identity, images)
 
     # Planned end
 
     def _leads_anything(self) -> bool:
-        return any(replica.core.role is Role.LEADER for replica in self._table.replicas.values())
+        return any(replica.state.role is Role.LEADER for replica in self._table.replicas.values())
--- a/ochrespan/raft/follower.py
+++ b/ochrespan/raft/follower.py
@@ -18,54 +18,58 @@
 class Follower:
     """Takes what the leader of the current term sends; the caller has checked term and sender."""
 
-    def __init__(self, core: ReplicaState) -> None:
-        self._core = core
+    def __init__(self, state: ReplicaState) -> None:
+        self._state = state
         self._chunks = bytearray()
         self._chunks_of: tuple[int, int] = (0, 0)  # term and index of the snapshot that is arriving
 
     def append(self, leader: int, message: AppendEntries) -> None:
-        core, log = self._core, self._core.log
+        state, log = self._state, self._state.log
         known_term = log.term_at(message.previous_index)
         if message.previous_index < log.first_index - 1:
-            core.send_when_durable(leader, AppendEntriesResponse(core.term, True, core.commit_index, message.stamp))
+            state.send_when_persisted(
+                leader, AppendEntriesResponse(state.term, True, state.commit_index, message.stamp)
+            )
             return
         if known_term != message.previous_term:
-            core.send(leader, AppendEntriesResponse(core.term, False, self._retry_index(message), message.stamp))
+            state.send(leader, AppendEntriesResponse(state.term, False, self._retry_index(message), message.stamp))
             return
         log.merge(message.previous_index, message.entries)
         last = message.previous_index + len(message.entries)
-        core.commit_index = max(core.commit_index, min(message.commit, last))
-        core.send_when_durable(leader, AppendEntriesResponse(core.term, True, last, message.stamp))
+        state.commit_index = max(state.commit_index, min(message.commit, last))
+        state.send_when_persisted(leader, AppendEntriesResponse(state.term, True, last, message.stamp))
 
     def heartbeat(self, leader: int, message: Heartbeat) -> None:
-        core = self._core
-        core.commit_index = max(core.commit_index, min(message.commit, core.log.last_index))
-        core.last_quorum_at = max(core.last_quorum_at, core.now - message.seconds_since_quorum)
-        core.send(leader, HeartbeatResponse(core.term, message.stamp, not core.withholding_votes))
+        state = self._state
+        state.commit_index = max(state.commit_index, min(message.commit, state.log.last_index))
+        state.last_quorum_at = max(state.last_quorum_at, state.now - message.seconds_since_quorum)
+        state.send(leader, HeartbeatResponse(state.term, message.stamp, not state.withholding_votes))
 
     def chunk(self, leader: int, message: InstallSnapshot) -> None:
-        core = self._core
-        if message.index <= core.commit_index:
-            core.send_when_durable(leader, AppendEntriesResponse(core.term, True, core.commit_index, message.stamp))
+        state = self._state
+        if message.index <= state.commit_index:
+            state.send_when_persisted(
+                leader, AppendEntriesResponse(state.term, True, state.commit_index, message.stamp)
+            )
             return
         if self._chunks_of != (message.term, message.index):
             self._chunks_of, self._chunks = (message.term, message.index), bytearray()
         if message.offset == len(self._chunks):
             self._chunks += message.data
         if len(self._chunks) < message.size:
-            core.send(leader, InstallSnapshotResponse(core.term, message.index, len(self._chunks), message.stamp))
+            state.send(leader, InstallSnapshotResponse(state.term, message.index, len(self._chunks), message.stamp))
             return
         data, self._chunks, self._chunks_of = bytes(self._chunks), bytearray(), (0, 0)
         configuration = MembershipConfig.from_bytes(message.configuration)
-        core.install(Snapshot(message.index, message.index_term, configuration, data))
-        core.send_when_durable(leader, AppendEntriesResponse(core.term, True, message.index, message.stamp))
+        state.install(Snapshot(message.index, message.index_term, configuration, data))
+        state.send_when_persisted(leader, AppendEntriesResponse(state.term, True, message.index, message.stamp))
 
     def _retry_index(self, message: AppendEntries) -> int:
         """Where the leader should try next: behind our end, or at the start of the term that differs."""
-        log = self._core.log
+        log = self._state.log
         if message.previous_index > log.last_index:
             return log.last_index + 1
         conflicting, index = log.term_at(message.previous_index), message.previous_index
-        while index > self._core.commit_index + 1 and log.term_at(index - 1) == conflicting:
+        while index > self._state.commit_index + 1 and log.term_at(index - 1) == conflicting:
             index -= 1
         return index
--- a/ochrespan/raft/leader.py
+++ b/ochrespan/raft/leader.py
@@ -45,10 +45,10 @@
     """What a leader knows of another replica."""
 
     member: Member
-    next: int
+    next_index: int
     last_contact_at: float  # when anything last came from it
     stable_since: float  # since when it has been heard without a long pause
-    match: int = 0
+    match_index: int = 0
     stamp: float = float("-inf")  # the newest stamp that it has repeated
     eligible: bool = True
     mode: ProgressMode = ProgressMode.PROBE
@@ -70,8 +70,8 @@
             self.snapshot_sent = self.snapshot_offset
             return
         self.mode = ProgressMode.PROBE
-        if self.match:
-            self.next = self.match + 1
+        if self.match_index:
+            self.next_index = self.match_index + 1
 
     def begin_transfer(self, snapshot: Snapshot) -> None:
         """The log doesn't reach back to what the follower has: it gets an image first."""
@@ -88,8 +88,8 @@
 class LeaderReplication:
     """Sends the log to voters and learners and moves the commit index."""
 
-    def __init__(self, core: ReplicaState) -> None:
-        self._core = core
+    def __init__(self, state: ReplicaState) -> None:
+        self._state = state
         self.progress: dict[int, Progress] = {}
         self.learners: dict[int, Member] = {}
         self.term_start_index = 0
@@ -98,35 +98,35 @@
 
     def start(self) -> None:
         """Begins a term of leadership by an entry that repeats the configuration; it commits what came before."""
-        core = self._core
+        state = self._state
         self.progress, self.learners = {}, {}
-        self.term_start_index = core.log.last_index + 1
-        self.append(EntryKind.CONFIGURATION, core.configuration.to_bytes())
+        self.term_start_index = state.log.last_index + 1
+        self.append(EntryKind.CONFIGURATION, state.configuration.to_bytes())
         self.broadcast_heartbeat()
 
     def append(self, kind: EntryKind, data: bytes) -> int:
-        index = self._core.log.append(Entry(self._core.term, kind, data))
+        index = self._state.log.append(Entry(self._state.term, kind, data))
         if kind == EntryKind.CONFIGURATION:
-            self.follow_members()
+            self.sync_progress()
         return index
 
-    def follow_members(self) -> None:
+    def sync_progress(self) -> None:
         """Keeps a progress for each voter and learner, and for nobody else."""
-        core = self._core
-        members = {**self.learners, **core.configuration.members()}
+        state = self._state
+        members = {**self.learners, **state.configuration.members()}
         for member_id, member in members.items():
-            if member_id != core.id and member_id not in self.progress:
-                self.progress[member_id] = Progress(member, core.log.last_index, core.now, core.now)
+            if member_id != state.id and member_id not in self.progress:
+                self.progress[member_id] = Progress(member, state.log.last_index, state.now, state.now)
         for member_id in [known for known in self.progress if known not in members]:
             del self.progress[member_id]
 
     def tick(self) -> None:
-        core = self._core
-        if core.now >= self._heartbeat_due:
+        state = self._state
+        if state.now >= self._heartbeat_due:
             self.broadcast_heartbeat()
         for progress in self.progress.values():
-            waited = core.now - progress.sent_at
-            if progress.in_flight and waited > progress.resend_after(core.timing.resend_s):
+            waited = state.now - progress.sent_at
+            if progress.in_flight and waited > progress.resend_after(state.timing.resend_s):
                 progress.resends += 1
                 progress.send_again()
 
@@ -135,7 +135,7 @@
         progress.resends = 0
         progress.send_again()
 
-    def forget_answers(self, address: Address) -> None:
+    def discard_acknowledgements(self, address: Address) -> None:
         """The connections with a process have ended: it counts as heard again with its next answer."""
         for progress in self.progress.values():
             if progress.member.address == address:
@@ -148,25 +148,28 @@
 
     def broadcast_heartbeat(self) -> None:
         """Heartbeats fall on multiples of their interval, so those of several groups travel together."""
-        core = self._core
-        self._heartbeat_due = (core.now // core.timing.heartbeat_s + 1) * core.timing.heartbeat_s
-        stamp, seconds_since_quorum = core.stamp(), core.now - core.last_quorum_at
+        state = self._state
+        self._heartbeat_due = (state.now // state.timing.heartbeat_s + 1) * state.timing.heartbeat_s
+        stamp, seconds_since_quorum = state.stamp(), state.now - state.last_quorum_at
         self.last_broadcast = stamp
         for member_id, progress in self.progress.items():
             self._send_heartbeat(member_id, progress, stamp, seconds_since_quorum)
 
     def send_commits(self) -> None:
         """Tells followers what they may apply now, so that a change need not wait for the next heartbeat."""
-        core = self._core
+        state = self._state
         for member_id, progress in self.progress.items():
-            is_news = min(core.commit_index, progress.match) > progress.commit_index_sent
-            if is_news and core.now - progress.commit_index_sent_at >= COMMIT_NOTICE_INTERVAL_S:
-                self._send_heartbeat(member_id, progress, core.stamp(), core.now - core.last_quorum_at)
+            is_news = min(state.commit_index, progress.match_index) > progress.commit_index_sent
+            if is_news and state.now - progress.commit_index_sent_at >= COMMIT_NOTICE_INTERVAL_S:
+                self._send_heartbeat(member_id, progress, state.stamp(), state.now - state.last_quorum_at)
 
     def _send_heartbeat(self, member_id: int, progress: Progress, stamp: float, seconds_since_quorum: float) -> None:
-        core = self._core
-        progress.commit_index_sent, progress.commit_index_sent_at = min(core.commit_index, progress.match), core.now
-        core.send(member_id, Heartbeat(core.term, progress.commit_index_sent, stamp, seconds_since_quorum))
+        state = self._state
+        progress.commit_index_sent, progress.commit_index_sent_at = (
+            min(state.commit_index, progress.match_index),
+            state.now,
+        )
+        state.send(member_id, Heartbeat(state.term, progress.commit_index_sent, stamp, seconds_since_quorum))
 
     def send_entries(self, receiving: set[Address]) -> None:
         """Sends to each replica what it lacks, as far as its mode allows.
@@ -191,12 +194,12 @@
             progress.in_flight -= 1
         if reply.accepted:
             progress.resends = 0
-            progress.match = max(progress.match, reply.index)
-            progress.next = max(progress.next, progress.match + 1)
+            progress.match_index = max(progress.match_index, reply.index)
+            progress.next_index = max(progress.next_index, progress.match_index + 1)
             progress.mode, progress.snapshot = ProgressMode.PIPELINE, None
             self.advance_commit()
         elif progress.mode is not ProgressMode.SNAPSHOT:
-            progress.next = max(progress.match + 1, min(reply.index, progress.next - 1))
+            progress.next_index = max(progress.match_index + 1, min(reply.index, progress.next_index - 1))
             progress.mode, progress.in_flight, progress.bytes_in_flight = ProgressMode.PROBE, 0, 0
 
     def chunk_arrived(self, member_id: int, reply: InstallSnapshotResponse) -> None:
@@ -217,80 +220,80 @@
             progress.send_again()
 
     def advance_commit(self) -> None:
-        core = self._core
-        index = int(core.configuration.majority_value(self._match))
-        if index > core.commit_index and core.log.term_at(index) == core.term:
-            core.commit_index = index
+        state = self._state
+        index = int(state.configuration.majority_value(self._match))
+        if index > state.commit_index and state.log.term_at(index) == state.term:
+            state.commit_index = index
 
     def quorum_stamp(self) -> float:
         """The newest stamp that a majority has repeated."""
-        return self._core.configuration.majority_value(self._stamp)
+        return self._state.configuration.majority_value(self._stamp)
 
     def voters_by_match(self) -> Iterator[tuple[int, Progress]]:
         """Other voters that were heard within the silence limit, the furthest first."""
-        core = self._core
-        ids = [member.id for member in core.configuration.voters if member.id in self.progress]
-        for member_id in sorted(ids, key=lambda voter: -self.progress[voter].match):
-            if core.now - self.progress[member_id].last_contact_at < core.timing.voter_timeout_s:
+        state = self._state
+        ids = [member.id for member in state.configuration.voters if member.id in self.progress]
+        for member_id in sorted(ids, key=lambda voter: -self.progress[voter].match_index):
+            if state.now - self.progress[member_id].last_contact_at < state.timing.voter_timeout_s:
                 yield member_id, self.progress[member_id]
 
     def _match(self, member_id: int) -> int:
-        return self._core.log.stable_index if member_id == self._core.id else self.progress[member_id].match
+        return self._state.log.persisted_index if member_id == self._state.id else self.progress[member_id].match_index
 
     def _stamp(self, member_id: int) -> float:
-        return self._core.stamp() if member_id == self._core.id else self.progress[member_id].stamp
+        return self._state.stamp() if member_id == self._state.id else self.progress[member_id].stamp
 
     def _may_send(self, progress: Progress) -> bool:
-        last_index = self._core.log.last_index
+        last_index = self._state.log.last_index
         match progress.mode:
             case ProgressMode.SNAPSHOT:
                 is_whole = progress.snapshot_sent >= len(progress.snapshot.data)
                 return progress.in_flight < MAX_CHUNKS_IN_FLIGHT and not (is_whole and progress.in_flight)
             case ProgressMode.PROBE:
-                return not progress.in_flight and (progress.next <= last_index or not progress.match)
+                return not progress.in_flight and (progress.next_index <= last_index or not progress.match_index)
             case _:
                 has_room = progress.bytes_in_flight < MAX_BYTES_IN_FLIGHT
-                return progress.next <= last_index and has_room and progress.in_flight < MAX_APPENDS_IN_FLIGHT
+                return progress.next_index <= last_index and has_room and progress.in_flight < MAX_APPENDS_IN_FLIGHT
 
     def _is_heard(self, progress: Progress) -> bool:
         """Whether a transfer goes on: a voter whose disk is gone must not hold up the one that has its address now."""
-        return self._core.now - progress.last_contact_at < self._core.timing.election_min_s
+        return self._state.now - progress.last_contact_at < self._state.timing.election_min_s
 
     def _needs_image(self, progress: Progress) -> bool:
         """Whether an image has to come first, since the log doesn't reach back far enough."""
-        return progress.mode is ProgressMode.SNAPSHOT or self._core.log.term_at(progress.next - 1) is None
+        return progress.mode is ProgressMode.SNAPSHOT or self._state.log.term_at(progress.next_index - 1) is None
 
     def _send_append(self, member_id: int, progress: Progress) -> None:
-        core, previous = self._core, progress.next - 1
-        entries = core.log.slice(progress.next, MAX_APPEND_ENTRIES, MAX_APPEND_BYTES)
+        state, previous = self._state, progress.next_index - 1
+        entries = state.log.slice(progress.next_index, MAX_APPEND_ENTRIES, MAX_APPEND_BYTES)
         stamp = self._note_sent(progress, sum(len(entry.data) for entry in entries))
-        core.send(
+        state.send(
             member_id,
             AppendEntries(
-                core.term,
+                state.term,
                 previous,
-                core.log.term_at(previous),
+                state.log.term_at(previous),
                 entries,
-                core.commit_index,
+                state.commit_index,
                 stamp,
             ),
         )
         if progress.mode is ProgressMode.PIPELINE:
-            progress.next += len(entries)
+            progress.next_index += len(entries)
 
     def _send_chunk(self, member_id: int, progress: Progress) -> None:
-        core = self._core
+        state = self._state
         if progress.mode is not ProgressMode.SNAPSHOT:
-            progress.begin_transfer(core.log.snapshot)
+            progress.begin_transfer(state.log.snapshot)
         snapshot, size = progress.snapshot, len(progress.snapshot.data)
         offset = progress.snapshot_sent if progress.snapshot_sent < size else max(0, size - SNAPSHOT_CHUNK_BYTES)
         piece = snapshot.data[offset : offset + SNAPSHOT_CHUNK_BYTES]
         progress.snapshot_sent = offset + len(piece)
         stamp = self._note_sent(progress, len(piece))
-        core.send(
+        state.send(
             member_id,
             InstallSnapshot(
-                core.term,
+                state.term,
                 snapshot.index,
                 snapshot.term,
                 snapshot.configuration.to_bytes(),
@@ -305,5 +308,5 @@
         """Counts a message as under way and gives its stamp."""
         progress.in_flight += 1
         progress.bytes_in_flight += size
-        progress.sent_at, progress.sent_stamp = self._core.now, self._core.stamp()
+        progress.sent_at, progress.sent_stamp = self._state.now, self._state.stamp()
         return progress.sent_stamp
--- a/ochrespan/raft/leadership_transfer.py
+++ b/ochrespan/raft/leadership_transfer.py
@@ -10,13 +10,13 @@
 class LeadershipTransfer:
     """One attempt at a time. While it is under way the leader takes no proposals; it ends after a while by itself."""
 
-    def __init__(self, core: ReplicaState, replication: LeaderReplication) -> None:
-        self._core, self._replication = core, replication
+    def __init__(self, state: ReplicaState, replication: LeaderReplication) -> None:
+        self._state, self._replication = state, replication
         self.reset()
 
     @property
     def under_way(self) -> bool:
-        return self._core.now < self._until
+        return self._state.now < self._until
 
     @property
     def is_given_away(self) -> bool:
@@ -44,12 +44,12 @@
         self._target = target if target in eligible else next(iter(eligible), 0)
         self._told = False
         if self._target:
-            self._until = self._core.now + self._core.timing.leadership_transfer_s
+            self._until = self._state.now + self._state.timing.leadership_transfer_s
             self.drive()
 
     def drive(self) -> None:
         """Tells the successor to campaign once it has the whole log."""
         progress = self._replication.progress.get(self._target)
-        if self.under_way and not self._told and progress and progress.match >= self._core.log.last_index:
+        if self.under_way and not self._told and progress and progress.match_index >= self._state.log.last_index:
             self._told = True
-            self._core.send(self._target, TimeoutNow(self._core.term))
+            self._state.send(self._target, TimeoutNow(self._state.term))
--- a/ochrespan/raft/log.py
+++ b/ochrespan/raft/log.py
@@ -33,7 +33,7 @@
         self._configurations: list[tuple[int, MembershipConfig]] = [(snapshot.index, snapshot.configuration)]
         for entry in entries or []:
             self._push(entry)
-        self.stable_index = self.last_index
+        self.persisted_index = self.last_index
         self._writing_to = self.last_index  # last index covered by the write that is under way
         self._written_to = self.last_index  # last index that was handed out for writing
 
@@ -109,16 +109,21 @@
         self.__init__(snapshot)
 
     def compact(
-        self, snapshot: Snapshot, keep: int, keep_bytes: int, retained_from: int | None = None, held_bytes: int = 0
+        self,
+        snapshot: Snapshot,
+        keep: int,
+        keep_bytes: int,
+        retained_from: int | None = None,
+        transfer_retained_bytes: int = 0,
     ) -> None:
         """Replaces entries up to `snapshot.index` by it, except the last `keep` of them or fewer, by their size.
 
-        Those behind `retained_from` stay too, up to `held_bytes`.
+        Those behind `retained_from` stay too, up to `transfer_retained_bytes`.
         """
-        start = min(snapshot.index, self.stable_index)
+        start = min(snapshot.index, self.persisted_index)
         oldest, most_bytes = snapshot.index - keep, keep_bytes
         if retained_from is not None and retained_from < oldest:
-            oldest, most_bytes = retained_from, held_bytes
+            oldest, most_bytes = retained_from, transfer_retained_bytes
         kept_bytes = 0
         while start > max(self._start, oldest):
             kept_bytes += len(self.entry(start).data)
@@ -143,7 +148,7 @@
 
     def persisted(self) -> None:
         """The write that was under way is durable."""
-        self.stable_index = max(self.stable_index, self._writing_to)
+        self.persisted_index = max(self.persisted_index, self._writing_to)
 
     def _push(self, entry: Entry) -> None:
         self._entries.append(entry)
@@ -154,6 +159,6 @@
         del self._entries[index - self._start - 1 :]
         while self._configurations[-1][0] >= index:
             self._configurations.pop()
-        self.stable_index = min(self.stable_index, index - 1)
+        self.persisted_index = min(self.persisted_index, index - 1)
         self._writing_to = min(self._writing_to, index - 1)
         self._written_to = min(self._written_to, index - 1)
--- a/ochrespan/raft/multi_raft.py
+++ b/ochrespan/raft/multi_raft.py
@@ -103,7 +103,7 @@
             leader = replica.leader
             if leader and leader.id != self.id:
                 self._send_process(leader.address, leader.id, LeaveNotice())
-            elif replica.core.role is Role.LEADER:
+            elif replica.state.role is Role.LEADER:
                 replica.leave(now, self.id)
                 if now >= self._transfer_at or not replica.reconfiguration.spares():
                     replica.transfer_leadership(now)
@@ -203,16 +203,16 @@
     @property
     def _is_blank(self) -> bool:
         """No log has an entry: nothing that this disk holds can have been acknowledged."""
-        return all(not replica.core.log.last_index for replica in self.replicas.values())
+        return all(not replica.state.log.last_index for replica in self.replicas.values())
 
     @property
     def _has_voted(self) -> bool:
-        return any(replica.core.term for replica in self.replicas.values())
+        return any(replica.state.term for replica in self.replicas.values())
 
     @property
     def _is_settled(self) -> bool:
         """A group is known to have commitments."""
-        return any(replica.core.commit_index for replica in self.replicas.values())
+        return any(replica.state.commit_index for replica in self.replicas.values())
 
     def _joins(self, now: float, envelope: Envelope, message: JoinRequest) -> None:
         contacts: set[Address] = set()
@@ -221,7 +221,7 @@
             for group in message.groups:
                 if replica := self.replicas.get(group):
                     replica.join(now, member)
-                    contacts.update(member.address for member in replica.core.configuration.members().values())
+                    contacts.update(member.address for member in replica.state.configuration.members().values())
         contacts.discard(envelope.address)
         self._send_process(envelope.address, envelope.sender, self._join_reply(now, sorted(contacts)))
 
@@ -251,7 +251,7 @@
         """The first members, as long as their groups have no entry here."""
         if self.bootstrap.empty or not self._is_blank:
             return ()
-        return next(iter(self.replicas.values())).core.configuration.voters
+        return next(iter(self.replicas.values())).state.configuration.voters
 
     def _announce_bootstrap(self, now: float, founding: tuple[Member, ...]) -> None:
         """Until there is an entry, the other founders may not have heard, or may be in a founding that crossed."""
@@ -273,7 +273,7 @@
     @staticmethod
     def _lacks_leader(now: float, replica: Replica) -> bool:
         """Whether a replica should ask to be taken in."""
-        core = replica.core
+        core = replica.state
         if core.role is Role.LEADER:
             return False
         return now - core.last_leader_contact_at > LEADER_TIMEOUT_S
@@ -282,7 +282,7 @@
         """Begins every group with the founding members."""
         configuration = self.bootstrap.accept(now, message)
         for replica in self.replicas.values():
-            replica.found(now, configuration)
+            replica.bootstrap(now, configuration)
         log.info("groups formed replica=%d members=%d", self.id, len(configuration.voters))
 
     def _abandon_bootstrap(self, now: float) -> None:
@@ -296,26 +296,26 @@
 
     def _members(self) -> list[Member]:
         return [
-            member for replica in self.replicas.values() for member in replica.core.configuration.members().values()
+            member for replica in self.replicas.values() for member in replica.state.configuration.members().values()
         ]
 
     def _balance(self, now: float) -> None:
         """Hands one group to the voter that should lead it, once that voter has been steady for a while."""
         for replica in self.replicas.values():
-            core = replica.core
+            core = replica.state
             voters = core.configuration.voters
-            if not replica.is_leader or core.preferred or core.configuration.joint or not voters:
+            if not replica.is_leader or core.is_preferred_leader or core.configuration.joint or not voters:
                 continue
             wanted = replica.replication.progress.get(voters[core.group % len(voters)].id)
             since = max(core.leader_since or now, wanted.stable_since if wanted else now)
-            if wanted and wanted.eligible and now - since > MIN_STABLE_S and wanted.match >= core.commit_index:
+            if wanted and wanted.eligible and now - since > MIN_STABLE_S and wanted.match_index >= core.commit_index:
                 replica.transfer_leadership(now, wanted.member.id)
                 return
 
     def _address_of(self, replica: Replica, member_id: int) -> Address | None:
         if progress := replica.replication.progress.get(member_id):
             return progress.member.address
-        member = replica.core.configuration.members().get(member_id)
+        member = replica.state.configuration.members().get(member_id)
         return member.address if member else self.addresses.get(member_id)
 
     def _send_process(self, address: Address, to: int, message: Any) -> None:
--- a/ochrespan/raft/reconfiguration.py
+++ b/ochrespan/raft/reconfiguration.py
@@ -74,7 +74,7 @@
                 del replication.learners[known_id]
         if not core.configuration.is_voter(member.id):
             replication.learners[member.id] = member
-            replication.follow_members()
+            replication.sync_progress()
             replication.progress[member.id].last_contact_at = core.now
 
     def tick(self) -> None:
@@ -96,7 +96,7 @@
         """Learners that may become voters, the furthest first."""
         progress = self._replication.progress
         spares = [member for member in self._replication.learners.values() if self._has_caught_up(member.id)]
-        return tuple(sorted(spares, key=lambda member: -progress[member.id].match))
+        return tuple(sorted(spares, key=lambda member: -progress[member.id].match_index))
 
     def _standing(self) -> GroupHealth:
         core, progress = self._core, self._replication.progress
@@ -144,7 +144,7 @@
     def _has_caught_up(self, member_id: int) -> bool:
         progress = self._replication.progress[member_id]
         recent = self._core.now - progress.last_contact_at < self._core.timing.election_min_s
-        lacking = self._core.log.last_index - progress.match
+        lacking = self._core.log.last_index - progress.match_index
         follows = progress.mode is ProgressMode.PIPELINE and lacking <= CAUGHT_UP_ENTRIES
         return recent and follows and not self._is_leaving(member_id)
 
@@ -155,4 +155,4 @@
         for member_id in silent:
             del replication.learners[member_id]
         if silent:
-            replication.follow_members()
+            replication.sync_progress()
--- a/ochrespan/raft/replica.py
+++ b/ochrespan/raft/replica.py
@@ -54,18 +54,18 @@
         min_voters: int,
         now: float,
     ) -> None:
-        self.core = ReplicaState(group, replica_id, timing, durable, source)
-        self.core.now = now
-        self.core.on_step_down = self._stepped_down
-        self.replication = LeaderReplication(self.core)
-        self.reconfiguration = Reconfiguration(self.core, self.replication, min_voters)
-        self._election = Election(self.core, self._elected)
-        self._follower = Follower(self.core)
+        self.state = ReplicaState(group, replica_id, timing, durable, source)
+        self.state.now = now
+        self.state.on_step_down = self._stepped_down
+        self.replication = LeaderReplication(self.state)
+        self.reconfiguration = Reconfiguration(self.state, self.replication, min_voters)
+        self._election = Election(self.state, self._elected)
+        self._follower = Follower(self.state)
         self._reads: list[tuple[float, int, Any]] = []  # stamp, index that has to be applied, token
         self.failed_reads: list[Any] = []
         self._lease_from = float("-inf")
-        self._leadership_transfer = LeadershipTransfer(self.core, self.replication)
-        self.core.set_first_deadline()
+        self._leadership_transfer = LeadershipTransfer(self.state, self.replication)
+        self.state.set_first_deadline()
 
     # What the caller asks
 
@@ -75,17 +75,17 @@
 
         Not once another was told to campaign: that one is elected however lately a majority was heard here.
         """
-        core = self.core
-        has_begun = core.role is Role.LEADER and core.commit_index >= self.replication.term_start_index
+        state = self.state
+        has_begun = state.role is Role.LEADER and state.commit_index >= self.replication.term_start_index
         return has_begun and not self._leadership_transfer.is_given_away
 
     @property
     def leader(self) -> Member | None:
-        return self.core.configuration.members().get(self.core.leader_id)
+        return self.state.configuration.members().get(self.state.leader_id)
 
     @property
     def accepts_proposals(self) -> bool:
-        return self.core.role is Role.LEADER and not self.is_transferring_leadership and not self._awaits_members
+        return self.state.role is Role.LEADER and not self.is_transferring_leadership and not self._awaits_members
 
     @property
     def _awaits_members(self) -> bool:
@@ -93,8 +93,8 @@
 
         What a majority of a group that is too small, or on its way to another, has acknowledged could go with them.
         """
-        core = self.core
-        if core.log.has_commands or core.now - (core.leader_since or core.now) >= MEMBERS_WAIT_S:
+        state = self.state
+        if state.log.has_commands or state.now - (state.leader_since or state.now) >= MEMBERS_WAIT_S:
             return False
         return not self.reconfiguration.is_whole()
 
@@ -109,7 +109,7 @@
 
     def seconds_since_quorum(self, now: float) -> float:
         """Seconds since this replica knew that the group has a majority."""
-        return now - self.core.last_quorum_at
+        return now - self.state.last_quorum_at
 
     def lease_age_s(self, now: float) -> float:
         """Seconds since a majority answered this leader over connections that have not ended; infinite for others.
@@ -120,24 +120,24 @@
 
     # Events
 
-    def found(self, now: float, configuration: MembershipConfig) -> None:
+    def bootstrap(self, now: float, configuration: MembershipConfig) -> None:
         """The group begins with these members, in place of a founding that has no entry here."""
-        core = self.core
-        core.now = now
-        core.install(Snapshot(0, 0, configuration, b""))
-        core.restored = None
-        core.set_bootstrap_deadline()
+        state = self.state
+        state.now = now
+        state.install(Snapshot(0, 0, configuration, b""))
+        state.restored = None
+        state.set_bootstrap_deadline()
         self.tick(now)
 
     def tick(self, now: float) -> None:
-        self.core.now = now
-        if self.core.role is Role.LEADER:
+        self.state.now = now
+        if self.state.role is Role.LEADER:
             self._lead()
         self._election.tick()
         self._deliver_own()
 
     def receive(self, now: float, sender: int, message: Message) -> None:
-        self.core.now = now
+        self.state.now = now
         match message:
             case RequestVote():
                 self._election.answer(sender, message)
@@ -153,22 +153,22 @@
 
     def propose(self, now: float, command: bytes) -> tuple[int, int] | None:
         """Index and term of the new entry; None where this replica doesn't lead."""
-        self.core.now = now
+        self.state.now = now
         if not self.accepts_proposals:
             return None
-        return self.replication.append(EntryKind.COMMAND, command), self.core.term
+        return self.replication.append(EntryKind.COMMAND, command), self.state.term
 
     def read(self, now: float, token: Any) -> bool:
         """Asks for a confirmed read; the token comes out of `take_reads` or of `failed_reads`."""
-        self.core.now = now
+        self.state.now = now
         if not self.is_leader:
             return False
-        self._reads.append((self.core.stamp(), self.core.commit_index, token))
+        self._reads.append((self.state.stamp(), self.state.commit_index, token))
         return True
 
     def join(self, now: float, member: Member) -> None:
-        self.core.now = now
-        if self.core.role is Role.LEADER:
+        self.state.now = now
+        if self.state.role is Role.LEADER:
             self.reconfiguration.join(member)
 
     def peer_disconnected(self, now: float, address: Address) -> None:
@@ -176,29 +176,29 @@
 
         What it answered before is no sign of a majority any more.
         """
-        core = self.core
-        core.now = now
+        state = self.state
+        state.now = now
         leader = self.leader
-        if leader is not None and leader.id != core.id and leader.address == address:
-            core.suspect_leader()
-        if core.role is Role.LEADER:
-            self.replication.forget_answers(address)
+        if leader is not None and leader.id != state.id and leader.address == address:
+            state.suspect_leader()
+        if state.role is Role.LEADER:
+            self.replication.discard_acknowledgements(address)
             self._lease_from = self.replication.quorum_stamp()
 
     def leave(self, now: float, member_id: int) -> None:
         """A voter announces its planned end: a spare should take its place."""
-        self.core.now = now
+        self.state.now = now
         self.reconfiguration.leave(member_id)
 
     def transfer_leadership(self, now: float, target: int = 0) -> None:
         """Begins to hand leadership to `target`, or to the voter that has most of the log."""
-        self.core.now = now
-        if self.core.role is Role.LEADER:
+        self.state.now = now
+        if self.state.role is Role.LEADER:
             self._leadership_transfer.begin(target)
 
     def withhold_votes(self, now: float, withholding_votes: bool) -> None:
         """The disk doesn't keep up, or does again: while it doesn't, this replica neither leads nor wants to."""
-        self.core.withholding_votes = withholding_votes
+        self.state.withholding_votes = withholding_votes
         if withholding_votes:
             self.transfer_leadership(now)
         else:
@@ -206,11 +206,11 @@
 
     def compact(self, data: bytes) -> None:
         """The state machine's state as applied now takes the place of the entries before it."""
-        core = self.core
-        index, term = core.applied_index, core.log.term_at(core.applied_index)
-        if index > core.log.snapshot.index and term is not None:
-            snapshot = Snapshot(index, term, core.log.configuration_at(index), data)
-            core.log.compact(
+        state = self.state
+        index, term = state.applied_index, state.log.term_at(state.applied_index)
+        if index > state.log.snapshot.index and term is not None:
+            snapshot = Snapshot(index, term, state.log.configuration_at(index), data)
+            state.log.compact(
                 snapshot,
                 RETAINED_ENTRIES,
                 RETAINED_BYTES,
@@ -218,42 +218,42 @@
                 MAX_TRANSFER_RETAINED_BYTES,
             )
 
-    def image(self) -> PersistentUpdate:
+    def full_update(self) -> PersistentUpdate:
         """All that a disk needs to know of this replica."""
-        core, log = self.core, self.core.log
+        state, log = self.state, self.state.log
         first = log.snapshot.index + 1
         entries = log.slice(first, log.last_index, sys.maxsize)
-        return PersistentUpdate(core.group, core.term, core.vote, log.snapshot, first, entries)
+        return PersistentUpdate(state.group, state.term, state.vote, log.snapshot, first, entries)
 
     # Output
 
     def take_messages(self, receiving: set[Address] | None = None) -> list[tuple[int, Message]]:
         """`receiving`: processes that other groups of this one send an image to; this group's are added."""
-        if self.core.role is Role.LEADER:
+        if self.state.role is Role.LEADER:
             self._flush(set() if receiving is None else receiving)
-        messages, self.core.outbox = self.core.outbox, []
+        messages, self.state.outbox = self.state.outbox, []
         return messages
 
     def take_update(self) -> PersistentUpdate | None:
-        return self.core.take_update()
+        return self.state.take_update()
 
     def persisted(self, now: float) -> None:
-        self.core.now = now
-        self.core.persisted()
-        if self.core.role is Role.LEADER:
+        self.state.now = now
+        self.state.persisted()
+        if self.state.role is Role.LEADER:
             self.replication.advance_commit()
         self._deliver_own()
 
     def take_restored(self) -> Snapshot | None:
-        restored, self.core.restored = self.core.restored, None
+        restored, self.state.restored = self.state.restored, None
         return restored
 
     def take_committed(self) -> list[tuple[int, Entry]]:
         """Committed entries that the state machine hasn't got, in order."""
-        core = self.core
-        first = core.applied_index + 1
-        committed = [(index, core.log.entry(index)) for index in range(first, core.commit_index + 1)]
-        core.applied_index = max(core.applied_index, core.commit_index)
+        state = self.state
+        first = state.applied_index + 1
+        committed = [(index, state.log.entry(index)) for index in range(first, state.commit_index + 1)]
+        state.applied_index = max(state.applied_index, state.commit_index)
         return committed
 
     def take_reads(self) -> list[Any]:
@@ -264,7 +264,7 @@
         ready, waiting = [], []
         for read in self._reads:
             stamp, index, token = read
-            if stamp <= confirmed and index <= self.core.applied_index:
+            if stamp <= confirmed and index <= self.state.applied_index:
                 ready.append(token)
             else:
                 waiting.append(read)
@@ -274,15 +274,15 @@
     # Inside
 
     def _lead(self) -> None:
-        core, timing = self.core, self.core.timing
+        state, timing = self.state, self.state.timing
         self._note_quorum()
-        if core.now - max(core.last_quorum_at, core.leader_since or 0.0) > timing.election_max_s:
-            core.become_follower(core.term, leader_id=0)
+        if state.now - max(state.last_quorum_at, state.leader_since or 0.0) > timing.election_max_s:
+            state.become_follower(state.term, leader_id=0)
             return
-        removed = not core.is_voter and core.commit_index >= core.log.configuration_index
-        if (removed or core.withholding_votes) and not self.is_transferring_leadership:
+        removed = not state.is_voter and state.commit_index >= state.log.configuration_index
+        if (removed or state.withholding_votes) and not self.is_transferring_leadership:
             if self._leadership_transfer.tried:
-                core.become_follower(core.term, leader_id=0)
+                state.become_follower(state.term, leader_id=0)
                 return
             self._leadership_transfer.begin()
         if self.is_transferring_leadership:
@@ -295,26 +295,26 @@
         """When a majority last answered."""
         stamp = self.replication.quorum_stamp()
         self._lease_from = max(self._lease_from, stamp)
-        self.core.last_quorum_at = max(self.core.last_quorum_at, stamp)
+        self.state.last_quorum_at = max(self.state.last_quorum_at, stamp)
 
     def _flush(self, receiving: set[Address]) -> None:
         replication = self.replication
         if self._reads and self._reads[-1][0] > replication.last_broadcast:
             answered = replication.quorum_stamp() >= replication.last_broadcast
-            if answered or self.core.now - replication.last_broadcast > READ_HEARTBEAT_INTERVAL_S:
+            if answered or self.state.now - replication.last_broadcast > READ_HEARTBEAT_INTERVAL_S:
                 replication.broadcast_heartbeat()
         replication.send_entries(receiving)
         replication.send_commits()
 
     def _from_leader(self, sender: int, message: AppendEntries | Heartbeat | InstallSnapshot) -> None:
-        core = self.core
-        if message.term < core.term:
-            core.send(sender, HeartbeatResponse(core.term, message.stamp, not core.withholding_votes))
+        state = self.state
+        if message.term < state.term:
+            state.send(sender, HeartbeatResponse(state.term, message.stamp, not state.withholding_votes))
             return
-        if message.term > core.term or core.role is not Role.FOLLOWER:
-            core.become_follower(message.term, sender)
-        core.leader_id, core.last_leader_contact_at = sender, core.now
-        core.reset_election_deadline()
+        if message.term > state.term or state.role is not Role.FOLLOWER:
+            state.become_follower(message.term, sender)
+        state.leader_id, state.last_leader_contact_at = sender, state.now
+        state.reset_election_deadline()
         match message:
             case AppendEntries():
                 self._follower.append(sender, message)
@@ -326,17 +326,17 @@
     def _from_follower(
         self, sender: int, message: AppendEntriesResponse | HeartbeatResponse | InstallSnapshotResponse
     ) -> None:
-        core = self.core
-        if message.term > core.term:
-            core.become_follower(message.term, leader_id=0)
+        state = self.state
+        if message.term > state.term:
+            state.become_follower(message.term, leader_id=0)
             return
         progress = self.replication.progress.get(sender)
-        if core.role is not Role.LEADER or message.term < core.term or progress is None:
+        if state.role is not Role.LEADER or message.term < state.term or progress is None:
             return
-        if core.now - progress.last_contact_at > core.timing.election_min_s:
-            progress.stable_since = core.now
+        if state.now - progress.last_contact_at > state.timing.election_min_s:
+            progress.stable_since = state.now
             self.replication.returned(progress)
-        progress.last_contact_at = core.now
+        progress.last_contact_at = state.now
         progress.stamp = max(progress.stamp, message.stamp)
         self._note_quorum()
         match message:
@@ -349,8 +349,8 @@
                 progress.eligible = message.eligible
 
     def _elected(self) -> None:
-        core = self.core
-        core.role, core.leader_id, core.leader_since = Role.LEADER, core.id, core.now
+        state = self.state
+        state.role, state.leader_id, state.leader_since = Role.LEADER, state.id, state.now
         self._lease_from = float("-inf")
         self._leadership_transfer.reset()
         self.replication.start()
@@ -362,8 +362,8 @@
 
     def _deliver_own(self) -> None:
         """A candidate's vote for itself counts when it has become durable."""
-        own = [message for to, message in self.core.outbox if to == self.core.id]
+        own = [message for to, message in self.state.outbox if to == self.state.id]
         if own:
-            self.core.outbox = [pair for pair in self.core.outbox if pair[0] != self.core.id]
+            self.state.outbox = [pair for pair in self.state.outbox if pair[0] != self.state.id]
             for message in own:
-                self._election.count(self.core.id, message)
+                self._election.count(self.state.id, message)
--- a/ochrespan/raft/state.py
+++ b/ochrespan/raft/state.py
@@ -81,8 +81,8 @@
         self.on_step_down: Callable[[], None] = lambda: None
         self._pending_messages: list[tuple[int, int, Message]] = []  # number of the write that has to be durable first
         self._last_stamp = 0.0
-        self._writes_begun = 0
-        self._writes_done = 0
+        self._writes_started = 0
+        self._writes_completed = 0
         self._state_dirty = False
         self._snapshot_dirty = False
 
@@ -100,7 +100,7 @@
         return self._last_stamp
 
     @property
-    def preferred(self) -> bool:
+    def is_preferred_leader(self) -> bool:
         """Whether this replica should lead, so that the leaders of many groups spread over the voters."""
         voters = self.configuration.voters
         return bool(voters) and voters[self.group % len(voters)].id == self.id
@@ -109,26 +109,26 @@
         """A leader was heard: the preferred successor waits the shortest span, the others longer."""
         shortest, longest = self.timing.election_min_s, self.timing.election_max_s
         middle = shortest + (longest - shortest) / 4
-        span = (shortest, middle) if self.preferred else (middle, longest)
+        span = (shortest, middle) if self.is_preferred_leader else (middle, longest)
         self.election_deadline = self.now + self.random.uniform(*span)
 
     def suspect_leader(self) -> None:
         """The leader's process may have ended: it is given up unless it is heard within a few heartbeats."""
         self.last_leader_contact_at = float("-inf")
-        shortest = self.timing.disconnect_timeout_s * (1.0 if self.preferred else 1.25)
+        shortest = self.timing.disconnect_timeout_s * (1.0 if self.is_preferred_leader else 1.25)
         deadline = self.now + self.random.uniform(shortest, self.timing.disconnect_timeout_s * 1.75)
         self.election_deadline = min(self.election_deadline, deadline)
 
     def set_first_deadline(self) -> None:
         """The process has just started: no leader need be awaited, as pre-votes are refused where one lives."""
         shortest = self.timing.election_min_s
-        span = (shortest / 12, shortest / 6) if self.preferred else (shortest / 5, shortest / 2)
+        span = (shortest / 12, shortest / 6) if self.is_preferred_leader else (shortest / 5, shortest / 2)
         self.election_deadline = self.now + self.random.uniform(*span)
 
     def set_bootstrap_deadline(self) -> None:
         """The group has just been formed: there is no leader yet, and the other members hear of it in these moments."""
         shortest = self.timing.election_min_s
-        span = (0.0, 0.0) if self.preferred else (shortest / 10, shortest / 3)
+        span = (0.0, 0.0) if self.is_preferred_leader else (shortest / 10, shortest / 3)
         self.election_deadline = self.now + self.random.uniform(*span)
 
     def reset_pre_vote_deadline(self) -> None:
@@ -144,10 +144,10 @@
     def send(self, to: int, message: Message) -> None:
         self.outbox.append((to, message))
 
-    def send_when_durable(self, to: int, message: Message) -> None:
+    def send_when_persisted(self, to: int, message: Message) -> None:
         """Holds a message until all that stands in memory now has been written."""
-        needed = self._writes_begun + self.needs_write()
-        if needed > self._writes_done:
+        needed = self._writes_started + self.needs_write()
+        if needed > self._writes_completed:
             self._pending_messages.append((needed, to, message))
         else:
             self.outbox.append((to, message))
@@ -189,7 +189,7 @@
         """What is to be written now; `persisted` tells when it is durable. One write is under way at a time."""
         if not self.needs_write():
             return None
-        self._writes_begun += 1
+        self._writes_started += 1
         snapshot = self.log.snapshot if self._snapshot_dirty else None
         first_index, entries = self.log.take_unpersisted()
         self._state_dirty = self._snapshot_dirty = False
@@ -197,7 +197,9 @@
 
     def persisted(self) -> None:
         """The write that `take_update` began is durable: what waited for it may be sent."""
-        self._writes_done = self._writes_begun
+        self._writes_completed = self._writes_started
         self.log.persisted()
-        self.outbox += [(to, message) for needed, to, message in self._pending_messages if needed <= self._writes_done]
-        self._pending_messages = [held for held in self._pending_messages if held[0] > self._writes_done]
+        self.outbox += [
+            (to, message) for needed, to, message in self._pending_messages if needed <= self._writes_completed
+        ]
+        self._pending_messages = [held for held in self._pending_messages if held[0] > self._writes_completed]
--- a/tests/control_plane/replication/test_host.py
+++ b/tests/control_plane/replication/test_host.py
@@ -107,7 +107,7 @@
         host.decline_leadership(600.0)
     until(
         lambda: all(
-            replica.core.withholding_votes or host.declines_leadership_for() == 0.0
+            replica.state.withholding_votes or host.declines_leadership_for() == 0.0
             for host in hosts.values()
             for replica in host._table.replicas.values()
         ),
--- a/tests/golden/make_disks.py
+++ b/tests/golden/make_disks.py
@@ -75,9 +75,9 @@
         """Begins the next log, and returns the image that its slot is to hold."""
         self._store.begin_checkpoint()
         for shard, replica in self._table.replicas.items():
-            if replica.core.applied_index > replica.core.log.snapshot.index:
+            if replica.state.applied_index > replica.state.log.snapshot.index:
                 replica.compact(self._machines[shard].snapshot())
-        images = [replica.image() for replica in self._table.replicas.values()]
+        images = [replica.full_update() for replica in self._table.replicas.values()]
         return pack_checkpoint(self._table.bootstrap.identity, images)
 
     def checkpoint(self) -> None:
--- a/tests/raft/test_bootstrap.py
+++ b/tests/raft/test_bootstrap.py
@@ -41,7 +41,7 @@
 
 
 def machines_of(world: World, shard: int = 0) -> list[Address]:
-    configuration = world.leader(shard).table.replicas[shard].core.configuration
+    configuration = world.leader(shard).table.replicas[shard].state.configuration
     return sorted(member.address for member in configuration.voters)
 
 
@@ -138,7 +138,7 @@
         node.wipe()
         node.start(world.seeds, bootstrap=True)
     world.run(MAX_START_SPREAD_S)  # from here on the word of most is not enough for the two
-    assert founder.table.replicas[0].core.log.last_index == 0
+    assert founder.table.replicas[0].state.log.last_index == 0
     world.cuts.clear()
     world.run(ABANDON_AFTER_S + 4.0)
     assert ordered(world)
@@ -306,7 +306,7 @@
         own = [table.id, *table.settings.address]
         ids = [own if at == table.settings.address else [other + position, *at] for position, at in enumerate(seeds)]
         table._start_groups(0.0, BootstrapProposal(ids, True))
-        table.replicas[0].core.enter_term(1)
+        table.replicas[0].state.enter_term(1)
     second._ask(1.0)
     for to, envelope in second.take_envelopes():
         if to == first.settings.address:
--- a/tests/raft/test_history_checkers.py
+++ b/tests/raft/test_history_checkers.py
@@ -30,7 +30,7 @@
 
 
 def test_an_acknowledgement_before_the_sync_is_caught_as_a_lost_order(monkeypatch):
-    monkeypatch.setattr(ReplicaState, "send_when_durable", ReplicaState.send)
+    monkeypatch.setattr(ReplicaState, "send_when_persisted", ReplicaState.send)
     caught({"lost order", "two histories"}, ("power_all", "slow_disk"))
 
 
@@ -93,7 +93,7 @@
 
 
 def test_an_owner_that_counts_on_answers_over_connections_that_ended_is_caught(monkeypatch):
-    monkeypatch.setattr(LeaderReplication, "forget_answers", lambda self, address: None)
+    monkeypatch.setattr(LeaderReplication, "discard_acknowledgements", lambda self, address: None)
     caught({"two owners"}, ("cut_reset",))
 
 
@@ -107,8 +107,8 @@
 
 def test_a_leader_that_counts_what_is_not_durable_is_caught(monkeypatch):
     def in_memory(self, member_id):
-        core = self._core
-        return core.log.last_index if member_id == core.id else self.progress[member_id].match
+        core = self._state
+        return core.log.last_index if member_id == core.id else self.progress[member_id].match_index
 
     monkeypatch.setattr(LeaderReplication, "_match", in_memory)
     caught({"lost order", "two histories"}, ("final", "power_all", "slow_disk"), gap_s=0.4)
--- a/tests/raft/test_raft_behaviour.py
+++ b/tests/raft/test_raft_behaviour.py
@@ -21,7 +21,7 @@
 
 def voters(world: World, shard: int = 0) -> set[int]:
     """Last part of the address of each voter, as the leader has it."""
-    configuration = world.leader(shard).table.replicas[shard].core.configuration
+    configuration = world.leader(shard).table.replicas[shard].state.configuration
     return {int(member.address[0].rsplit(".", 1)[1]) for member in configuration.voters}
 
 
@@ -36,7 +36,7 @@
     world.run(1.0)
     assert voters(world) == {1, 2, 3}
     assert world.leader(0).table.replicas[0].replication.learners.keys() == {new.table.id}
-    assert new.table.replicas[0].core.commit_index > 0
+    assert new.table.replicas[0].state.commit_index > 0
 
 
 def test_five_machines_whose_seeds_name_three_become_a_group_of_five():
@@ -122,7 +122,7 @@
     wiped.wipe()
     wiped.start(world.seeds, bootstrap=False)
     world.run(0.8)
-    configuration = world.leader(0).table.replicas[0].core.configuration
+    configuration = world.leader(0).table.replicas[0].state.configuration
     assert wiped.table.id != old_id
     assert {member.id for member in configuration.voters} >= {wiped.table.id}
     assert not configuration.is_voter(old_id)
@@ -161,7 +161,7 @@
     assert world.leader(0) not in (None, leader)
     assert len(world.checks.acked[0]) == 3
     world.run(5.0)
-    assert not leader.table.replicas[0].core.withholding_votes
+    assert not leader.table.replicas[0].state.withholding_votes
 
 
 @pytest.mark.parametrize("told", [True, False])
@@ -230,7 +230,7 @@
     world.cuts.clear()
     member.start(world.seeds, bootstrap=False)
     world.run(4.0)
-    assert member.table.replicas[0].core.is_voter is mended
+    assert member.table.replicas[0].state.is_voter is mended
 
 
 def test_entries_behind_a_snapshot_are_bounded_by_count_and_bytes(monkeypatch):
@@ -239,7 +239,7 @@
     for size, kept in [(10, 10), (300, 3)]:
         log = ReplicaLog(entries=[Entry(1, EntryKind.COMMAND, bytes(size)) for _ in range(50)])
         replica = replica_module.Replica(0, 1, PersistentState(1, 0, log), random.Random(1), Timing(), 3, 0.0)
-        replica.core.commit_index = replica.core.applied_index = 40
+        replica.state.commit_index = replica.state.applied_index = 40
         replica.compact(b"state")
         assert (log.first_index, log.last_index) == (41 - kept, 50)
 
@@ -265,7 +265,7 @@
         member.start(world.seeds, bootstrap=False)
     world.run(2.0)
     assert len(member.machines[0].commands) >= acknowledged
-    assert member.table.replicas[0].core.is_voter
+    assert member.table.replicas[0].state.is_voter
     gone = world.leader(0)
     gone.lose_power()
     world.run(2.0)
@@ -287,7 +287,7 @@
     member.start(world.seeds, bootstrap=False)
     bound_s = 1.5 + 1.3 * image_bytes / world.bytes_per_s[member.address]
     began = world.now
-    while not all(replica.core.is_voter for replica in member.table.replicas.values()):
+    while not all(replica.state.is_voter for replica in member.table.replicas.values()):
         before = len(world.checks.acked[0])
         world.order(0)
         world.run(0.1)
@@ -322,14 +322,14 @@
     world = World(3)
     world.run(8.0)  # the leaders are where they belong
     leaders = {shard: world.leader(shard) for shard in world.shards}
-    terms = {shard: leader.table.replicas[shard].core.term for shard, leader in leaders.items()}
+    terms = {shard: leader.table.replicas[shard].state.term for shard, leader in leaders.items()}
     other = next(node for node in world.nodes.values() if node not in leaders.values())
     other.lose_power()
     world.run(0.5)
     other.start(world.seeds, bootstrap=False)
     world.run(3.0)
     assert {shard: world.leader(shard) for shard in world.shards} == leaders
-    assert {shard: leader.table.replicas[shard].core.term for shard, leader in leaders.items()} == terms
+    assert {shard: leader.table.replicas[shard].state.term for shard, leader in leaders.items()} == terms
 
 
 # Commitment at followers
@@ -345,7 +345,7 @@
         world.order(0)
         replicas = [node.table.replicas[0] for node in world.nodes.values()]
         while any(
-            replica.core.applied_index < world.leader(0).table.replicas[0].core.log.last_index for replica in replicas
+            replica.state.applied_index < world.leader(0).table.replicas[0].state.log.last_index for replica in replicas
         ):
             world.run(0.001)
         spans.append(world.now - began)
--- a/tests/raft/test_snapshot_transfer.py
+++ b/tests/raft/test_snapshot_transfer.py
@@ -43,7 +43,7 @@
         self.carried = 0
         self.longest_behind = 0.0  # that a heartbeat waited behind other messages
         self.lose_next = 0
-        while self.leader.core.role is not Role.LEADER:
+        while self.leader.state.role is not Role.LEADER:
             self.step()
         self.leader.join(self.now, Member(LEARNER, ("10.0.0.2", 1)))
 
@@ -70,13 +70,13 @@
         while self._waiting and self._waiting[0][0] <= self.now:
             arrival, receiver, message = self._waiting.pop(0)
             sender = LEADER if receiver == LEARNER else LEARNER
-            self.replicas[receiver].receive(max(arrival, self.replicas[receiver].core.now), sender, message)
+            self.replicas[receiver].receive(max(arrival, self.replicas[receiver].state.now), sender, message)
             self._exchange()
 
     def _exchange(self) -> None:
         for number, replica in self.replicas.items():
             if replica.take_update() is not None:
-                replica.persisted(replica.core.now)
+                replica.persisted(replica.state.now)
             replica.take_committed()
             replica.take_restored()
             for receiver, message in replica.take_messages():
@@ -86,7 +86,7 @@
         if receiver not in self.replicas:
             return
         size = 60 + len(getattr(message, "data", b"")) + sum(len(each.data) for each in getattr(message, "entries", ()))
-        now = self.replicas[sender].core.now
+        now = self.replicas[sender].state.now
         if isinstance(message, Heartbeat):
             self.longest_behind = max(self.longest_behind, self._free_at[sender] - now)
         self._free_at[sender] = max(self._free_at[sender], now) + size / self.rate
@@ -101,7 +101,7 @@
         assert self.leader.propose(self.now, random.Random(3).randbytes(size))
 
     def take_image(self, image_bytes: int) -> None:
-        self.leader.compact(random.Random(self.leader.core.applied_index).randbytes(image_bytes))
+        self.leader.compact(random.Random(self.leader.state.applied_index).randbytes(image_bytes))
 
     def until_caught_up(self, limit_s: float, image_every_s: float | None = None, image_bytes: int = 0) -> float:
         """Seconds until the learner could be a voter, with orders all along."""
@@ -196,8 +196,8 @@
     original = LeaderReplication._send_chunk
 
     def newest(self, member_id, progress):
-        if progress.snapshot is not None and progress.snapshot.index != self._core.log.snapshot.index:
-            progress.begin_transfer(self._core.log.snapshot)
+        if progress.snapshot is not None and progress.snapshot.index != self._state.log.snapshot.index:
+            progress.begin_transfer(self._state.log.snapshot)
         original(self, member_id, progress)
 
     monkeypatch.setattr(LeaderReplication, "_send_chunk", newest)
@@ -214,7 +214,13 @@
 
 def test_a_log_keeps_what_a_transfer_needs_up_to_a_bound():
     entries = [Entry(1, EntryKind.COMMAND, bytes(100)) for _ in range(50)]
-    for held_bytes, first in [(10_000, 11), (1_000, 31)]:
+    for transfer_retained_bytes, first in [(10_000, 11), (1_000, 31)]:
         log = ReplicaLog(entries=list(entries))
-        log.compact(Snapshot(40, 1, MembershipConfig(), b""), 2, 10_000, retained_from=10, held_bytes=held_bytes)
+        log.compact(
+            Snapshot(40, 1, MembershipConfig(), b""),
+            2,
+            10_000,
+            retained_from=10,
+            transfer_retained_bytes=transfer_retained_bytes,
+        )
         assert log.first_index == first
--- a/tests/support/raft_simulation/checks.py
+++ b/tests/support/raft_simulation/checks.py
@@ -74,7 +74,7 @@
     def observe(self, node: Node) -> None:
         """After each step of a process."""
         for shard, replica in node.table.replicas.items():
-            core = replica.core
+            core = replica.state
             key = (node.address[0], node.life, shard)
             if core.applied_index < self._applied.get(key, 0):
                 raise Violation("version going back", f"{key} from {self._applied[key]} to {core.applied_index}")
@@ -88,9 +88,9 @@
     def _owns(self, node: Node, shard: int) -> None:
         """What is answered by the lease, without a round of messages, has one author at a time."""
         replica = node.table.replicas[shard]
-        newest = self._newest_led[shard] = max(self._newest_led.get(shard, 0), replica.core.term)
-        if replica.core.term < newest and replica.lease_age_s(self._world.now) <= LEASE_DURATION_S:
-            raise Violation("two owners", f"{node.address[0]} in term {replica.core.term} of {newest}, shard {shard}")
+        newest = self._newest_led[shard] = max(self._newest_led.get(shard, 0), replica.state.term)
+        if replica.state.term < newest and replica.lease_age_s(self._world.now) <= LEASE_DURATION_S:
+            raise Violation("two owners", f"{node.address[0]} in term {replica.state.term} of {newest}, shard {shard}")
 
     def vote(self, replica_id: int, address: str, shard: int, term: int, candidate: int) -> None:
         """An id votes once in a term; that it has one disk is checked when a process starts."""
@@ -112,7 +112,7 @@
         """Cheap form: the commands a current leader has applied are no fewer than those acknowledged by it before."""
         replica = node.table.replicas[shard]
         newest_term = max(term for group, term in self._leaders if group == shard)
-        if replica.core.term < newest_term:
+        if replica.state.term < newest_term:
             return
         lacking = len(self.acked[shard]) - len(node.machines[shard].commands)
         if lacking > 0:
--- a/tests/support/raft_simulation/node.py
+++ b/tests/support/raft_simulation/node.py
@@ -162,7 +162,7 @@
 
     def _tick(self) -> None:
         slow = self._write_began is not None and self.world.now - self._write_began > SLOW_DISK_S
-        if slow != next(iter(self.table.replicas.values())).core.withholding_votes:
+        if slow != next(iter(self.table.replicas.values())).state.withholding_votes:
             self.table.withhold_votes(self.world.now, slow)
         self.table.tick(self.world.now)
         self.pump()
@@ -206,7 +206,7 @@
         for shard, replica in self.table.replicas.items():
             replica.compact(self.machines[shard].snapshot())
         return pack_checkpoint(
-            self.table.bootstrap.identity, [replica.image() for replica in self.table.replicas.values()]
+            self.table.bootstrap.identity, [replica.full_update() for replica in self.table.replicas.values()]
         )
 
     def _latency(self) -> float:
--- a/tests/support/raft_simulation/search.py
+++ b/tests/support/raft_simulation/search.py
@@ -82,7 +82,7 @@
             if messages:
                 yield ("deliver", pair)
         for replica_id, replica in self.replicas.items():
-            core = replica.core
+            core = replica.state
             if core.needs_write():
                 yield ("write", replica_id)
             may_campaign = core.role is not Role.LEADER and core.is_voter and (self.campaigned or replica_id == 1)
@@ -106,7 +106,7 @@
         getattr(self, f"_{kind}")(subject)
         for replica_id, replica in self.replicas.items():
             may_end = self.budget.crashes or self.budget.wipes or self.budget.power
-            if replica.core.needs_write() and not (may_end and replica.core.role is Role.LEADER):
+            if replica.state.needs_write() and not (may_end and replica.state.role is Role.LEADER):
                 self._write(replica_id)
             self._collect(replica_id, replica)
         self._check()
@@ -132,12 +132,12 @@
         self.campaigned = True
         self.now += LONG_S
         replica = self.replicas[replica_id]
-        replica.core.election_deadline = self.now
+        replica.state.election_deadline = self.now
         replica.tick(self.now)
 
     def _order(self, replica_id: int) -> None:
         replica = self.replicas[replica_id]
-        replica.core.leader_since = self.now - LONG_S  # however long a new group waits for its members
+        replica.state.leader_since = self.now - LONG_S  # however long a new group waits for its members
         replica.propose(self.now, b"order %d" % self.budget.orders)
         self._spend(orders=1)
 
@@ -155,7 +155,7 @@
 
     def _restart(self, replica_id: int) -> None:
         self._lose_messages_to(replica_id)
-        first = State.first(self.budget).replicas[replica_id].core if replica_id <= 3 else None
+        first = State.first(self.budget).replicas[replica_id].state if replica_id <= 3 else None
         durable = replay(self.disks[replica_id])[1].get(0, PersistentState())
         if first is not None and not durable.log.configuration.voters:
             durable.log = ReplicaLog(first.log.snapshot, durable.log.slice(1, 99, 9999))
@@ -179,7 +179,7 @@
             if other > 10:
                 replica.join(self.now, Member(other, ("10.0.0.1", place)))
         self.now += SHORT_S
-        replica.core.now = self.now
+        replica.state.now = self.now
         replica.reconfiguration.tick()
 
     def _cut(self, pair: tuple[int, int]) -> None:
@@ -210,7 +210,7 @@
 
     def _check(self) -> None:
         for replica_id, replica in self.replicas.items():
-            core = replica.core
+            core = replica.state
             for index, entry in replica.take_committed():
                 known = self.committed.setdefault(index, (entry.term, entry.data))
                 if known != (entry.term, entry.data):
@@ -219,7 +219,7 @@
                 self._check_leader(replica_id, replica)
 
     def _check_leader(self, replica_id: int, replica: Replica) -> None:
-        core = replica.core
+        core = replica.state
         if self.leaders.setdefault(core.term, replica_id) != replica_id:
             raise Violation("two leaders of one term", f"term {core.term}")
         if core.term < max(self.leaders):
@@ -242,14 +242,14 @@
         )
 
     def _replica_key(self, replica: Replica) -> tuple:
-        core, log = replica.core, replica.core.log
+        core, log = replica.state, replica.state.log
         entries = tuple((entry.term, entry.data) for entry in log.slice(1, 99, 9999))
         progress = (
             tuple(
                 (
                     other,
-                    known.match,
-                    known.next,
+                    known.match_index,
+                    known.next_index,
                     known.mode,
                     known.in_flight,
                     self.now - known.last_contact_at < SHORT_S,
@@ -261,7 +261,7 @@
         )
         granted = frozenset(replica._election._granted) if core.role is not Role.FOLLOWER else frozenset()
         held = tuple(
-            (needed - core._writes_begun, to, _plain(message)) for needed, to, message in core._pending_messages
+            (needed - core._writes_started, to, _plain(message)) for needed, to, message in core._pending_messages
         )
         return (
             core.term,
@@ -269,7 +269,7 @@
             core.role,
             core.leader_id,
             entries,
-            log.stable_index,
+            log.persisted_index,
             core.commit_index,
             core.needs_write(),
             self.now - core.last_leader_contact_at < SHORT_S,
@@ -283,7 +283,7 @@
 
 def _matters(replica: Replica, message) -> bool:
     """Whether the receiver, now or after what it may still receive, could heed a message."""
-    core = replica.core
+    core = replica.state
     if isinstance(message, RequestVoteResponse):
         if message.pre_vote and message.granted:
             return core.role is Role.PRE_CANDIDATE and message.term == core.term + 1
--- a/tests/support/raft_simulation/world.py
+++ b/tests/support/raft_simulation/world.py
@@ -149,4 +149,4 @@
 
     def leader(self, shard: int) -> Node | None:
         leaders = [node for node in self.running() if node.table.replicas[shard].is_leader]
-        return max(leaders, key=lambda node: node.table.replicas[shard].core.term, default=None)
+        return max(leaders, key=lambda node: node.table.replicas[shard].state.term, default=None)
--- a/tests/support/replica_hosts.py
+++ b/tests/support/replica_hosts.py
@@ -85,10 +85,10 @@
     """What a failed wait needs to be understood."""
     if host._table is None:
         return f"{host.settings.node} hasn't read its disk"
-    core = host._table.replicas[shard].core
+    core = host._table.replicas[shard].state
     return (
         f"{host.settings.node} {core.role.value} term={core.term} vote={core.vote} leader={core.leader_id} "
-        f"last={core.log.last_index} stable={core.log.stable_index} commit={core.commit_index} "
+        f"last={core.log.last_index} stable={core.log.persisted_index} commit={core.commit_index} "
         f"abstaining={core.withholding_votes} heard={core.now - core.last_leader_contact_at:.2f} "
         f"deadline={core.election_deadline - core.now:.2f} writing={host._disk.pending_for:.2f} "
         f"failed={host._disk.failed} voters={[member.id for member in core.configuration.voters]} id={core.id}"
