--- a/ochrespan/raft/election.py
+++ b/ochrespan/raft/election.py
@@ -1,4 +1,7 @@
-"""Elections of one replica: pre-vote, votes that are counted once durable, hand-over by the leader."""
+"""Elections of one replica: pre-vote, votes that count once they are persisted, and TimeoutNow of a leader.
+
+Source: Ongaro, "Consensus: Bridging Theory and Practice", sections 3.4, 3.10 and 9.6.
+"""
 
 from __future__ import annotations
 
@@ -9,35 +12,38 @@
 
 
 class Election:
-    """Campaigns when no leader is heard, and answers the campaigns of others."""
+    """Campaigns when no leader is heard from, and responds to the campaigns of others."""
 
     def __init__(self, state: ReplicaState, on_elected: Callable[[], None]) -> None:
-        self._state, self._on_elected = state, on_elected
-        self._granted: set[int] = set()
+        self._state = state
+        self._on_elected = on_elected
+        self._granted: set[int] = set()  # replicas that have granted the vote, or pre-vote, of this campaign
 
     def tick(self) -> None:
+        """Asks for pre-votes once the election deadline has passed."""
         state = self._state
         if state.role is not Role.LEADER and state.now >= state.election_deadline:
             state.reset_pre_vote_deadline()
             if state.is_voter and not state.withholding_votes:
-                self._begin(pre_vote=True, leadership_transfer=False)
+                self._campaign(pre_vote=True, leadership_transfer=False)
             elif state.role is not Role.FOLLOWER:
                 state.role = Role.FOLLOWER
 
-    def campaign_now(self, message: TimeoutNow) -> None:
-        """The leader hands over: no pre-vote, and the leader's lease is no reason to refuse."""
+    def handle_timeout_now(self, message: TimeoutNow) -> None:
+        """The leader transfers its leadership: no pre-vote, and the leader's lease is no reason to reject."""
         state = self._state
-        if (
-            message.term == state.term
-            and state.role is Role.FOLLOWER
-            and state.is_voter
-            and not state.withholding_votes
-        ):
-            self._begin(pre_vote=False, leadership_transfer=True)
+        is_current = message.term == state.term and state.role is Role.FOLLOWER
+        if is_current and state.is_voter and not state.withholding_votes:
+            self._campaign(pre_vote=False, leadership_transfer=True)
+
+    def handle_vote_request(self, candidate: int, request: RequestVote) -> None:
+        """Grants or rejects a vote, or a pre-vote.
 
-    def answer(self, candidate: int, request: RequestVote) -> None:
+        While a leader is alive both are rejected, so that a replica that was cut off cannot depose it when it returns;
+        an election that the leader itself has requested is the exception.
+        """
         state = self._state
-        if request.term < state.term or self._has_leader() and not request.leadership_transfer:
+        if request.term < state.term or (self._has_leader() and not request.leadership_transfer):
             state.send(candidate, RequestVoteResponse(state.term, False, request.pre_vote))
             return
         up_to_date = (request.last_term, request.last_index) >= (state.log.last_term, state.log.last_index)
@@ -54,44 +60,48 @@
             state.reset_election_deadline()
         state.send_when_persisted(candidate, RequestVoteResponse(state.term, granted, False))
 
-    def count(self, voter: int, reply: RequestVoteResponse) -> None:
+    def handle_vote_response(self, voter: int, response: RequestVoteResponse) -> None:
+        """Counts a vote or pre-vote, unless it belongs to another campaign than the present one."""
         state = self._state
-        if reply.term > state.term and not reply.granted:
-            state.become_follower(reply.term, leader_id=0)
+        if response.term > state.term and not response.granted:
+            state.become_follower(response.term, leader_id=0)
             return
-        wanted = Role.PRE_CANDIDATE if reply.pre_vote else Role.CANDIDATE
-        asked_term = state.term + 1 if reply.pre_vote else state.term
-        if reply.granted and state.role is wanted and reply.term == asked_term:
+        role = Role.PRE_CANDIDATE if response.pre_vote else Role.CANDIDATE
+        requested_term = state.term + 1 if response.pre_vote else state.term
+        if response.granted and state.role is role and response.term == requested_term:
             self._granted.add(voter)
-            self._decide()
+            self._count_votes()
 
     def _has_leader(self) -> bool:
         state = self._state
         return state.role is Role.LEADER or state.now - state.last_leader_contact_at < state.timing.election_min_s
 
-    def _begin(self, pre_vote: bool, leadership_transfer: bool) -> None:
+    def _campaign(self, pre_vote: bool, leadership_transfer: bool) -> None:
+        """Requests votes of all members, of both configurations while a change of members is in progress."""
         state = self._state
-        state.role, state.leader_id = (Role.PRE_CANDIDATE if pre_vote else Role.CANDIDATE), 0
+        state.role = Role.PRE_CANDIDATE if pre_vote else Role.CANDIDATE
+        state.leader_id = 0
         self._granted = set()
         if not pre_vote:
             state.enter_term(state.term + 1, vote=state.id)
             state.reset_campaign_deadline()
-        asked_term = state.term + 1 if pre_vote else state.term
-        request = RequestVote(asked_term, state.log.last_index, state.log.last_term, pre_vote, leadership_transfer)
+        requested_term = state.term + 1 if pre_vote else state.term
+        request = RequestVote(requested_term, state.log.last_index, state.log.last_term, pre_vote, leadership_transfer)
+        send = state.send if pre_vote else state.send_when_persisted
         for member_id in state.configuration.members():
             if member_id != state.id:
-                state.send(member_id, request) if pre_vote else state.send_when_persisted(member_id, request)
+                send(member_id, request)
         if pre_vote:
             self._granted.add(state.id)
-            self._decide()
-        else:
+            self._count_votes()
+        else:  # the vote for itself counts as any other: once it is persisted
             state.send_when_persisted(state.id, RequestVoteResponse(state.term, True, False))
 
-    def _decide(self) -> None:
+    def _count_votes(self) -> None:
         state = self._state
         if not state.configuration.has_majority(self._granted.__contains__):
             return
         if state.role is Role.PRE_CANDIDATE:
-            self._begin(pre_vote=False, leadership_transfer=False)
+            self._campaign(pre_vote=False, leadership_transfer=False)
         else:
             self._on_elected()
--- a/ochrespan/raft/follower.py
+++ b/ochrespan/raft/follower.py
@@ -1,4 +1,4 @@
-"""A follower's side of replication: appends, heartbeats and snapshots of the group's leader."""
+"""A follower's side of replication: entries, heartbeats and snapshots of the group's leader."""
 
 from __future__ import annotations
 
@@ -20,13 +20,16 @@
 
     def __init__(self, state: ReplicaState) -> None:
         self._state = state
-        self._chunks = bytearray()
-        self._chunks_of: tuple[int, int] = (0, 0)  # term and index of the snapshot that is arriving
+        self._received = bytearray()  # chunks of the snapshot that is arriving, without a gap
+        self._snapshot_key: tuple[int, int] = (0, 0)  # its term and index
 
-    def append(self, leader: int, message: AppendEntries) -> None:
-        state, log = self._state, self._state.log
+    def receive_entries(self, leader: int, message: AppendEntries) -> None:
+        """Adds entries that follow what is here; else tells the leader which index to try next."""
+        state = self._state
+        log = state.log
         known_term = log.term_at(message.previous_index)
         if message.previous_index < log.first_index - 1:
+            # Compacted here, so committed: the leader may go on behind the commit index.
             state.send_when_persisted(
                 leader, AppendEntriesResponse(state.term, True, state.commit_index, message.stamp)
             )
@@ -39,27 +42,36 @@
         state.commit_index = max(state.commit_index, min(message.commit, last))
         state.send_when_persisted(leader, AppendEntriesResponse(state.term, True, last, message.stamp))
 
-    def heartbeat(self, leader: int, message: Heartbeat) -> None:
+    def receive_heartbeat(self, leader: int, message: Heartbeat) -> None:
+        """Moves the commit index, which the leader has bounded by what it knows to match here."""
         state = self._state
         state.commit_index = max(state.commit_index, min(message.commit, state.log.last_index))
         state.last_quorum_at = max(state.last_quorum_at, state.now - message.seconds_since_quorum)
         state.send(leader, HeartbeatResponse(state.term, message.stamp, not state.withholding_votes))
 
-    def chunk(self, leader: int, message: InstallSnapshot) -> None:
+    def receive_snapshot_chunk(self, leader: int, message: InstallSnapshot) -> None:
+        """Collects a snapshot's chunks and installs it when it is complete.
+
+        A chunk behind a gap is dropped; the response tells the offset from which the leader has to send again. The
+        snapshot is acknowledged as entries are, once it is persisted.
+        """
         state = self._state
         if message.index <= state.commit_index:
             state.send_when_persisted(
                 leader, AppendEntriesResponse(state.term, True, state.commit_index, message.stamp)
             )
             return
-        if self._chunks_of != (message.term, message.index):
-            self._chunks_of, self._chunks = (message.term, message.index), bytearray()
-        if message.offset == len(self._chunks):
-            self._chunks += message.data
-        if len(self._chunks) < message.size:
-            state.send(leader, InstallSnapshotResponse(state.term, message.index, len(self._chunks), message.stamp))
+        if self._snapshot_key != (message.term, message.index):
+            self._snapshot_key = (message.term, message.index)
+            self._received = bytearray()
+        if message.offset == len(self._received):
+            self._received += message.data
+        if len(self._received) < message.size:
+            state.send(leader, InstallSnapshotResponse(state.term, message.index, len(self._received), message.stamp))
             return
-        data, self._chunks, self._chunks_of = bytes(self._chunks), bytearray(), (0, 0)
+        data = bytes(self._received)
+        self._received = bytearray()
+        self._snapshot_key = (0, 0)
         configuration = MembershipConfig.from_bytes(message.configuration)
         state.install(Snapshot(message.index, message.index_term, configuration, data))
         state.send_when_persisted(leader, AppendEntriesResponse(state.term, True, message.index, message.stamp))
@@ -69,7 +81,8 @@
         log = self._state.log
         if message.previous_index > log.last_index:
             return log.last_index + 1
-        conflicting, index = log.term_at(message.previous_index), message.previous_index
-        while index > self._state.commit_index + 1 and log.term_at(index - 1) == conflicting:
+        index = message.previous_index
+        conflicting_term = log.term_at(index)
+        while index > self._state.commit_index + 1 and log.term_at(index - 1) == conflicting_term:
             index -= 1
         return index
--- a/ochrespan/raft/log.py
+++ b/ochrespan/raft/log.py
@@ -1,4 +1,4 @@
-"""The log of one replica in memory: a snapshot and the entries after it, and how much of it is durable."""
+"""The log of one replica in memory: a snapshot, the entries after it, and how much of it is persisted."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """A state machine's state after `index`, with the group's configuration there. Index 0 is the founding."""
+    """A state machine's state after `index`, with the group's configuration there. Index 0 is the bootstrap."""
 
     index: int
     term: int
@@ -22,39 +22,52 @@
 
 
 class ReplicaLog:
-    """Entries from `first_index` on. A configuration is in force as soon as its entry is in the log."""
+    """Entries from `first_index` on. A configuration is in force as soon as its entry is in the log.
+
+    Three positions tell how far the disk is: up to `persisted_index` entries are on it, up to `_write_end` a write is
+    in flight, and up to `_taken_index` they were handed out for writing. The last two differ only where entries were
+    truncated or appended since.
+    """
 
     def __init__(self, snapshot: Snapshot = EMPTY_SNAPSHOT, entries: list[Entry] | None = None) -> None:
+        self._load(snapshot, entries or [])
+
+    def _load(self, snapshot: Snapshot, entries: list[Entry]) -> None:
         self.snapshot = snapshot
-        self._start = snapshot.index  # index of the last entry that is no longer kept
+        self._start = snapshot.index  # index of the last entry that is no longer retained
         self._start_term = snapshot.term
         self._entries: list[Entry] = []
         self._has_commands = False
         self._configurations: list[tuple[int, MembershipConfig]] = [(snapshot.index, snapshot.configuration)]
-        for entry in entries or []:
+        for entry in entries:
             self._push(entry)
         self.persisted_index = self.last_index
-        self._writing_to = self.last_index  # last index covered by the write that is under way
-        self._written_to = self.last_index  # last index that was handed out for writing
+        self._write_end = self.last_index  # last index covered by the write in flight
+        self._taken_index = self.last_index  # last index that was handed out for writing
 
     @property
     def first_index(self) -> int:
+        """Index of the oldest entry that is retained."""
         return self._start + 1
 
     @property
     def last_index(self) -> int:
+        """Index of the newest entry."""
         return self._start + len(self._entries)
 
     @property
     def last_term(self) -> int:
+        """Term of the newest entry."""
         return self._entries[-1].term if self._entries else self._start_term
 
     @property
     def configuration(self) -> MembershipConfig:
+        """The newest configuration, committed or not."""
         return self._configurations[-1][1]
 
     @property
     def configuration_index(self) -> int:
+        """Index of the entry that holds `configuration`."""
         return self._configurations[-1][0]
 
     @property
@@ -65,6 +78,7 @@
         return self._has_commands
 
     def configuration_at(self, index: int) -> MembershipConfig:
+        """The configuration in force after `index`."""
         return next(configuration for at, configuration in reversed(self._configurations) if at <= index)
 
     def term_at(self, index: int) -> int | None:
@@ -76,13 +90,15 @@
         return None
 
     def entry(self, index: int) -> Entry:
+        """The entry at `index`, which has to be retained."""
         return self._entries[index - self._start - 1]
 
     def slice(self, first: int, max_entries: int, max_bytes: int) -> list[Entry]:
-        """Entries from `first` on, at least one if there is one."""
-        chosen, size = [], 0
-        at = first - self._start - 1
-        for entry in self._entries[at : at + max_entries]:
+        """Entries from `first` on within both limits, but at least one if there is one."""
+        chosen: list[Entry] = []
+        size = 0
+        offset = first - self._start - 1
+        for entry in self._entries[offset : offset + max_entries]:
             size += len(entry.data)
             if chosen and size > max_bytes:
                 break
@@ -90,11 +106,12 @@
         return chosen
 
     def append(self, entry: Entry) -> int:
+        """Adds an entry at the end and returns its index."""
         self._push(entry)
         return self.last_index
 
     def merge(self, previous_index: int, entries: list[Entry]) -> None:
-        """Takes a leader's entries: what conflicts is dropped, what is there stays."""
+        """Takes a leader's entries: those that match stay, and the log is truncated at the first conflict."""
         for index, entry in enumerate(entries, previous_index + 1):
             if index <= self._start:
                 continue
@@ -105,50 +122,60 @@
             self._push(entry)
 
     def reset(self, snapshot: Snapshot) -> None:
-        """Replaces everything by a snapshot, which is durable only after the next write."""
-        self.__init__(snapshot)
+        """Replaces everything by a snapshot, which is persisted only with the next write."""
+        self._load(snapshot, [])
 
     def compact(
         self,
         snapshot: Snapshot,
-        keep: int,
-        keep_bytes: int,
-        retained_from: int | None = None,
+        retained_entries: int,
+        retained_bytes: int,
+        *,
+        transfer_index: int | None = None,
         transfer_retained_bytes: int = 0,
     ) -> None:
-        """Replaces entries up to `snapshot.index` by it, except the last `keep` of them or fewer, by their size.
-
-        Those behind `retained_from` stay too, up to `transfer_retained_bytes`.
+        """Replaces entries up to `snapshot.index` by it, except the newest of them, for followers that lag a little.
+
+        Args:
+            snapshot: The state after an applied index.
+            retained_entries: Number of entries before `snapshot.index` to retain.
+            retained_bytes: Limit of their size.
+            transfer_index: Index of the oldest snapshot that is being transferred to a follower, which needs the
+                entries after it next; None without a transfer.
+            transfer_retained_bytes: Limit in place of `retained_bytes` for entries that a transfer needs.
         """
         start = min(snapshot.index, self.persisted_index)
-        oldest, most_bytes = snapshot.index - keep, keep_bytes
-        if retained_from is not None and retained_from < oldest:
-            oldest, most_bytes = retained_from, transfer_retained_bytes
-        kept_bytes = 0
+        oldest = snapshot.index - retained_entries
+        max_bytes = retained_bytes
+        if transfer_index is not None and transfer_index < oldest:
+            oldest = transfer_index
+            max_bytes = transfer_retained_bytes
+        total_bytes = 0
         while start > max(self._start, oldest):
-            kept_bytes += len(self.entry(start).data)
-            if kept_bytes > most_bytes:
+            total_bytes += len(self.entry(start).data)
+            if total_bytes > max_bytes:
                 break
             start -= 1
         self._start_term = self.term_at(start) or 0
         del self._entries[: start - self._start]
         self._start = start
         self.snapshot = snapshot
-        kept = [pair for pair in self._configurations if pair[0] > start]
-        self._configurations = [(start, self.configuration_at(start)), *kept]
+        later = [pair for pair in self._configurations if pair[0] > start]
+        self._configurations = [(start, self.configuration_at(start)), *later]
 
     def take_unpersisted(self) -> tuple[int, list[Entry]]:
         """The first index and the entries that no write has covered; the next `persisted` is about them."""
-        first = self._written_to + 1
-        self._written_to = self._writing_to = self.last_index
+        first = self._taken_index + 1
+        self._taken_index = self._write_end = self.last_index
         return first, self._entries[first - self._start - 1 :]
 
     def has_unpersisted(self) -> bool:
-        return self._written_to < self.last_index
+        """Whether there are entries that no write has covered."""
+        return self._taken_index < self.last_index
 
     def persisted(self) -> None:
-        """The write that was under way is durable."""
-        self.persisted_index = max(self.persisted_index, self._writing_to)
+        """The write that was in flight is on the disk."""
+        self.persisted_index = max(self.persisted_index, self._write_end)
 
     def _push(self, entry: Entry) -> None:
         self._entries.append(entry)
@@ -156,9 +183,10 @@
             self._configurations.append((self.last_index, MembershipConfig.from_bytes(entry.data)))
 
     def _truncate(self, index: int) -> None:
+        """Drops the entries from `index` on; a write in flight no longer says anything about them."""
         del self._entries[index - self._start - 1 :]
         while self._configurations[-1][0] >= index:
             self._configurations.pop()
         self.persisted_index = min(self.persisted_index, index - 1)
-        self._writing_to = min(self._writing_to, index - 1)
-        self._written_to = min(self._written_to, index - 1)
+        self._write_end = min(self._write_end, index - 1)
+        self._taken_index = min(self._taken_index, index - 1)
--- a/ochrespan/raft/messages.py
+++ b/ochrespan/raft/messages.py
@@ -1,7 +1,13 @@
-"""Messages between the replicas of one group. Plain data: how they are encoded is the transport's business.
+"""Messages between the replicas of one group (Raft's RPCs, each request and each response a message of its own).
 
-`stamp` is a strictly increasing reading of the sending leader's steady clock; replies repeat it, so a leader knows how
-recent the agreement of its majority is without any clock but its own.
+They are plain data: `ochrespan.control_plane.replication.raft_wire` gives them their form on the wire.
+
+`stamp` is a strictly increasing reading, in seconds, of the sending leader's steady clock. A response repeats the stamp
+of the message that it responds to, so a leader knows how recent the agreement of its majority is without any clock but
+its own.
+
+Source: Ongaro, "Consensus: Bridging Theory and Practice", figure 3.1 (AppendEntries, RequestVote), 3.10 (TimeoutNow),
+5.3 (InstallSnapshot) and 9.6 (pre-vote). Heartbeats are messages of their own here instead of empty appends.
 """
 
 from __future__ import annotations
@@ -19,7 +25,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """One entry of a group's log; its index follows from its place."""
+    """One entry of a group's log; its index follows from its position."""
 
     term: int
     kind: int
@@ -28,17 +34,22 @@
 
 @dataclass(slots=True)
 class RequestVote:
-    """Asks for a vote. `pre_vote` asks only whether a vote would be given and changes nothing at the receiver."""
+    """A candidate's request for a vote in `term`.
+
+    With `pre_vote` it only asks whether the vote would be granted, and changes nothing at the receiver.
+    """
 
     term: int
     last_index: int
     last_term: int
     pre_vote: bool
-    leadership_transfer: bool  # the leader itself asked for this election, so its lease doesn't stand in the way
+    leadership_transfer: bool  # the leader itself has requested this election, so its lease is no reason to reject
 
 
 @dataclass(slots=True)
 class RequestVoteResponse:
+    """Whether the vote, or the pre-vote, is granted."""
+
     term: int
     granted: bool
     pre_vote: bool
@@ -52,13 +63,13 @@
     previous_index: int
     previous_term: int
     entries: list[Entry]
-    commit: int
+    commit: int  # the leader's commit index
     stamp: float
 
 
 @dataclass(slots=True)
 class AppendEntriesResponse:
-    """`index`: where accepted, the last index that is now durable here; where refused, where to try next."""
+    """`index`: where accepted, the last index that is now persisted here; where rejected, the index to try next."""
 
     term: int
     accepted: bool
@@ -68,14 +79,18 @@
 
 @dataclass(slots=True)
 class Heartbeat:
+    """The leader is alive, and `commit` may be applied; the receiver's log is known to match up to there."""
+
     term: int
     commit: int
     stamp: float
-    seconds_since_quorum: float  # seconds since the leader knew that it had a majority
+    seconds_since_quorum: float  # seconds since the leader last knew that it had a majority
 
 
 @dataclass(slots=True)
 class HeartbeatResponse:
+    """The follower is alive; also what a leader of an older term gets, with the newer term."""
+
     term: int
     stamp: float
     eligible: bool  # whether it would lead: its disk keeps up
@@ -83,7 +98,7 @@
 
 @dataclass(slots=True)
 class InstallSnapshot:
-    """A piece of the leader's snapshot up to `index`, at `offset` of `size` bytes."""
+    """A chunk of the leader's snapshot up to `index`, at `offset` of `size` bytes."""
 
     term: int
     index: int
@@ -97,7 +112,7 @@
 
 @dataclass(slots=True)
 class InstallSnapshotResponse:
-    """`offset`: bytes of the snapshot at `index` that have arrived."""
+    """`offset`: bytes of the snapshot at `index` that have arrived without a gap."""
 
     term: int
     index: int
@@ -107,7 +122,7 @@
 
 @dataclass(slots=True)
 class TimeoutNow:
-    """The leader hands its leadership over to the receiver."""
+    """The leader transfers its leadership to the receiver, which campaigns at once."""
 
     term: int
 
--- a/ochrespan/raft/multi_raft.py
+++ b/ochrespan/raft/multi_raft.py
@@ -15,7 +15,7 @@
 from .membership_config import Member
 from .messages import AppendEntries, Heartbeat, InstallSnapshot
 from .replica import Replica
-from .state import PersistentState, PersistentUpdate, Role, Timing
+from .state import PersistentState, PersistentUpdate, ReplicaSettings, Role, Timing
 
 log = logging.getLogger(__name__)
 
@@ -292,7 +292,8 @@
 
     def _replica(self, group: int, durable: PersistentState, now: float) -> Replica:
         min_voters = 2 * self.settings.fault_tolerance + 1
-        return Replica(group, self.id, durable, self._random, self.timing, min_voters, now)
+        settings = ReplicaSettings(group, self.id, min_voters, self.timing)
+        return Replica(settings, durable, self._random, now)
 
     def _members(self) -> list[Member]:
         return [
--- /dev/null
+++ b/ochrespan/raft/reads.py
@@ -0,0 +1,67 @@
+"""Confirmed reads: a leader answers a read once a majority has confirmed its leadership since the read began.
+
+Source: Ongaro, "Consensus: Bridging Theory and Practice", section 6.4 (ReadIndex).
+"""
+
+from __future__ import annotations
+
+from typing import Any, NamedTuple
+
+from .leader import LeaderReplication
+from .state import ReplicaState
+
+# A read begins no further round of heartbeats sooner than this after one that is not yet confirmed.
+READ_HEARTBEAT_INTERVAL_S = 0.02
+
+
+class PendingRead(NamedTuple):
+    """A read that waits for its confirmation."""
+
+    stamp: float  # of the leader's clock when the read began: a majority has to repeat this one or a later one
+    commit_index: int  # at that time; it has to be applied
+    token: Any  # the caller's
+
+
+class ConfirmedReads:
+    """The reads of one leader that wait for a majority, in the order in which they began."""
+
+    def __init__(self, state: ReplicaState, replication: LeaderReplication) -> None:
+        self._state = state
+        self._replication = replication
+        self._pending: list[PendingRead] = []
+
+    def add(self, token: Any) -> None:
+        """Begins a read; the caller has checked that this replica leads."""
+        self._pending.append(PendingRead(self._state.stamp(), self._state.commit_index, token))
+
+    def take_all(self) -> list[Any]:
+        """Tokens of all reads that wait: the leadership has ended, so they will not be confirmed here."""
+        tokens = [read.token for read in self._pending]
+        self._pending = []
+        return tokens
+
+    def take_confirmed(self) -> list[Any]:
+        """Tokens of reads that a majority has confirmed and whose state is applied."""
+        if not self._pending:
+            return []
+        confirmed_stamp = self._replication.quorum_stamp()
+        applied_index = self._state.applied_index
+        ready: list[Any] = []
+        pending: list[PendingRead] = []
+        for read in self._pending:
+            if read.stamp <= confirmed_stamp and read.commit_index <= applied_index:
+                ready.append(read.token)
+            else:
+                pending.append(read)
+        self._pending = pending
+        return ready
+
+    def request_confirmation(self) -> None:
+        """Sends a round of heartbeats if the newest read is not covered by the last one."""
+        replication = self._replication
+        if not self._pending or self._pending[-1].stamp <= replication.last_broadcast_stamp:
+            return
+        is_confirmed = replication.quorum_stamp() >= replication.last_broadcast_stamp
+        waited_s = self._state.now - replication.last_broadcast_stamp
+        if is_confirmed or waited_s > READ_HEARTBEAT_INTERVAL_S:
+            replication.broadcast_heartbeat()
--- a/ochrespan/raft/replica.py
+++ b/ochrespan/raft/replica.py
@@ -1,7 +1,7 @@
 """One replica of one group: Raft with pre-vote, check-quorum, learners and confirmed reads, without any I/O.
 
-The caller passes the time and received messages in, and takes messages to send, changes to write and committed entries
-to apply out. One write is under way at a time; `persisted` ends it.
+The caller passes the time (seconds of a steady clock) and received messages in, and takes messages to send, updates to
+write and committed entries to apply out. One write is in flight at a time; `persisted` ends it.
 """
 
 from __future__ import annotations
@@ -32,42 +32,38 @@
     RequestVoteResponse,
     TimeoutNow,
 )
+from .reads import ConfirmedReads
 from .reconfiguration import Reconfiguration
-from .state import PersistentState, PersistentUpdate, ReplicaState, Role, Timing
+from .state import PersistentState, PersistentUpdate, ReplicaSettings, ReplicaState, Role
 
-# a read doesn't begin another round of heartbeats sooner than this after one without an answer
-READ_HEARTBEAT_INTERVAL_S = 0.02
-MEMBERS_WAIT_S = 0.6
+MEMBERS_WAIT_S = 0.6  # how long a new leader of a new group waits for enough members before its first command
 RETAINED_ENTRIES = 500  # entries kept behind a snapshot, so that followers who lag a little need no snapshot
 RETAINED_BYTES = 1024 * 1024
-MAX_TRANSFER_RETAINED_BYTES = 16 * 1024 * 1024  # the same behind an image that is being sent to a follower
+MAX_TRANSFER_RETAINED_BYTES = 16 * 1024 * 1024  # the same behind a snapshot that is being transferred to a follower
 
 
 class Replica:
+    """Routes events to the parts of a replica (election, leader, follower, reads) and collects their output."""
+
     def __init__(
-        self,
-        group: int,
-        replica_id: int,
-        durable: PersistentState,
-        source: random.Random,
-        timing: Timing,
-        min_voters: int,
-        now: float,
+        self, settings: ReplicaSettings, persistent: PersistentState, random_source: random.Random, now: float
     ) -> None:
-        self.state = ReplicaState(group, replica_id, timing, durable, source)
+        self.state = ReplicaState(settings, persistent, random_source)
         self.state.now = now
         self.state.on_step_down = self._stepped_down
         self.replication = LeaderReplication(self.state)
-        self.reconfiguration = Reconfiguration(self.state, self.replication, min_voters)
+        self.reconfiguration = Reconfiguration(self.state, self.replication, settings.min_voters)
+        self.failed_reads: list[
+            Any
+        ] = []  # tokens of reads that waited when the leadership ended; the caller empties it
         self._election = Election(self.state, self._elected)
         self._follower = Follower(self.state)
-        self._reads: list[tuple[float, int, Any]] = []  # stamp, index that has to be applied, token
-        self.failed_reads: list[Any] = []
-        self._lease_from = float("-inf")
+        self._reads = ConfirmedReads(self.state, self.replication)
         self._leadership_transfer = LeadershipTransfer(self.state, self.replication)
-        self.state.set_first_deadline()
+        self._lease_start = float("-inf")
+        self.state.set_startup_deadline()
 
-    # What the caller asks
+    # Queries
 
     @property
     def is_leader(self) -> bool:
@@ -76,22 +72,26 @@
         Not once another was told to campaign: that one is elected however lately a majority was heard here.
         """
         state = self.state
-        has_begun = state.role is Role.LEADER and state.commit_index >= self.replication.term_start_index
-        return has_begun and not self._leadership_transfer.is_given_away
+        has_started = state.role is Role.LEADER and state.commit_index >= self.replication.term_start_index
+        return has_started and not self._leadership_transfer.is_successor_notified
 
     @property
     def leader(self) -> Member | None:
+        """The group's leader as far as known here."""
         return self.state.configuration.members().get(self.state.leader_id)
 
     @property
     def accepts_proposals(self) -> bool:
-        return self.state.role is Role.LEADER and not self.is_transferring_leadership and not self._awaits_members
+        """Whether `propose` takes a command now."""
+        is_available = self.state.role is Role.LEADER and not self.is_transferring_leadership
+        return is_available and not self._awaits_members
 
     @property
     def _awaits_members(self) -> bool:
-        """Before its first command a group waits a while until it bears as many losses as it has to.
+        """Before its first command a group waits a while until it tolerates as many failures as it has to.
 
-        What a majority of a group that is too small, or on its way to another, has acknowledged could go with them.
+        What a majority of a group that is too small, or amid a change of members, has acknowledged could be lost with
+        them.
         """
         state = self.state
         if state.log.has_commands or state.now - (state.leader_since or state.now) >= MEMBERS_WAIT_S:
@@ -100,28 +100,29 @@
 
     @property
     def failures_tolerated(self) -> int | None:
-        """How many more voters may be lost now while the others can decide; None where this replica doesn't lead."""
+        """How many more voters may fail now while the others can decide; None where this replica doesn't lead."""
         return self.reconfiguration.failures_tolerated() if self.is_leader else None
 
     @property
     def is_transferring_leadership(self) -> bool:
-        return self._leadership_transfer.under_way
+        """Whether a transfer of leadership is in progress."""
+        return self._leadership_transfer.in_progress
 
     def seconds_since_quorum(self, now: float) -> float:
         """Seconds since this replica knew that the group has a majority."""
         return now - self.state.last_quorum_at
 
     def lease_age_s(self, now: float) -> float:
-        """Seconds since a majority answered this leader over connections that have not ended; infinite for others.
+        """Seconds since a majority responded to this leader over connections that have not ended; infinite for others.
 
         While it is shorter than the shortest election time-out, no other leader can have been elected.
         """
-        return now - self._lease_from if self.is_leader else float("inf")
+        return now - self._lease_start if self.is_leader else float("inf")
 
     # Events
 
     def bootstrap(self, now: float, configuration: MembershipConfig) -> None:
-        """The group begins with these members, in place of a founding that has no entry here."""
+        """The group begins with these members, in place of a bootstrap that has left no entry here."""
         state = self.state
         state.now = now
         state.install(Snapshot(0, 0, configuration, b""))
@@ -130,51 +131,58 @@
         self.tick(now)
 
     def tick(self, now: float) -> None:
+        """Time has passed: heartbeats, time-outs, elections and changes of members that are due."""
         self.state.now = now
         if self.state.role is Role.LEADER:
             self._lead()
         self._election.tick()
-        self._deliver_own()
+        self._deliver_own_votes()
 
     def receive(self, now: float, sender: int, message: Message) -> None:
+        """A message of another replica of this group has arrived."""
         self.state.now = now
         match message:
             case RequestVote():
-                self._election.answer(sender, message)
+                self._election.handle_vote_request(sender, message)
             case RequestVoteResponse():
-                self._election.count(sender, message)
+                self._election.handle_vote_response(sender, message)
             case TimeoutNow():
-                self._election.campaign_now(message)
+                self._election.handle_timeout_now(message)
             case AppendEntries() | Heartbeat() | InstallSnapshot():
                 self._from_leader(sender, message)
             case AppendEntriesResponse() | HeartbeatResponse() | InstallSnapshotResponse():
                 self._from_follower(sender, message)
-        self._deliver_own()
+        self._deliver_own_votes()
 
     def propose(self, now: float, command: bytes) -> tuple[int, int] | None:
-        """Index and term of the new entry; None where this replica doesn't lead."""
+        """Index and term of the new entry; None where this replica doesn't accept proposals."""
         self.state.now = now
         if not self.accepts_proposals:
             return None
         return self.replication.append(EntryKind.COMMAND, command), self.state.term
 
     def read(self, now: float, token: Any) -> bool:
-        """Asks for a confirmed read; the token comes out of `take_reads` or of `failed_reads`."""
+        """Begins a confirmed read; the token comes out of `take_reads` or of `failed_reads`.
+
+        Returns:
+            False where this replica doesn't lead: nothing was begun.
+        """
         self.state.now = now
         if not self.is_leader:
             return False
-        self._reads.append((self.state.stamp(), self.state.commit_index, token))
+        self._reads.add(token)
         return True
 
     def join(self, now: float, member: Member) -> None:
+        """A replica that is no voter requests to be a learner."""
         self.state.now = now
         if self.state.role is Role.LEADER:
             self.reconfiguration.join(member)
 
     def peer_disconnected(self, now: float, address: Address) -> None:
-        """The connections with a process have ended: its replica may elect another leader sooner than by silence.
+        """The connections with a process have ended: its replica may elect another leader sooner than by time-out.
 
-        What it answered before is no sign of a majority any more.
+        What it acknowledged before is no sign of a majority any more.
         """
         state = self.state
         state.now = now
@@ -183,44 +191,45 @@
             state.suspect_leader()
         if state.role is Role.LEADER:
             self.replication.discard_acknowledgements(address)
-            self._lease_from = self.replication.quorum_stamp()
+            self._lease_start = self.replication.quorum_stamp()
 
     def leave(self, now: float, member_id: int) -> None:
-        """A voter announces its planned end: a spare should take its place."""
+        """A voter announces its planned shutdown: a standby should replace it."""
         self.state.now = now
         self.reconfiguration.leave(member_id)
 
     def transfer_leadership(self, now: float, target: int = 0) -> None:
-        """Begins to hand leadership to `target`, or to the voter that has most of the log."""
+        """Begins to transfer leadership to `target`, or to the voter that has most of the log."""
         self.state.now = now
         if self.state.role is Role.LEADER:
-            self._leadership_transfer.begin(target)
+            self._leadership_transfer.start(target)
 
     def withhold_votes(self, now: float, withholding_votes: bool) -> None:
-        """The disk doesn't keep up, or does again: while it doesn't, this replica neither leads nor wants to."""
+        """The disk doesn't keep up, or does again: while it doesn't, this replica neither leads nor campaigns."""
         self.state.withholding_votes = withholding_votes
         if withholding_votes:
             self.transfer_leadership(now)
         else:
-            self._leadership_transfer.forget()
+            self._leadership_transfer.clear_attempt()
 
     def compact(self, data: bytes) -> None:
-        """The state machine's state as applied now takes the place of the entries before it."""
+        """Replaces the entries that are applied by the state machine's state after them."""
         state = self.state
-        index, term = state.applied_index, state.log.term_at(state.applied_index)
+        index = state.applied_index
+        term = state.log.term_at(index)
         if index > state.log.snapshot.index and term is not None:
-            snapshot = Snapshot(index, term, state.log.configuration_at(index), data)
             state.log.compact(
-                snapshot,
+                Snapshot(index, term, state.log.configuration_at(index), data),
                 RETAINED_ENTRIES,
                 RETAINED_BYTES,
-                self.replication.retained_from(),
-                MAX_TRANSFER_RETAINED_BYTES,
+                transfer_index=self.replication.transfer_index(),
+                transfer_retained_bytes=MAX_TRANSFER_RETAINED_BYTES,
             )
 
     def full_update(self) -> PersistentUpdate:
-        """All that a disk needs to know of this replica."""
-        state, log = self.state, self.state.log
+        """All that a disk needs to know of this replica, for a checkpoint."""
+        state = self.state
+        log = state.log
         first = log.snapshot.index + 1
         entries = log.slice(first, log.last_index, sys.maxsize)
         return PersistentUpdate(state.group, state.term, state.vote, log.snapshot, first, entries)
@@ -228,28 +237,37 @@
     # Output
 
     def take_messages(self, receiving: set[Address] | None = None) -> list[tuple[int, Message]]:
-        """`receiving`: processes that other groups of this one send an image to; this group's are added."""
+        """Messages to send, each with its receiver's replica id.
+
+        Args:
+            receiving: Processes to which other groups of this process transfer a snapshot; this group's are added.
+        """
         if self.state.role is Role.LEADER:
             self._flush(set() if receiving is None else receiving)
-        messages, self.state.outbox = self.state.outbox, []
+        messages = self.state.outbox
+        self.state.outbox = []
         return messages
 
     def take_update(self) -> PersistentUpdate | None:
+        """What is to be written now, if anything; call `persisted` when it is on the disk."""
         return self.state.take_update()
 
     def persisted(self, now: float) -> None:
+        """The write that `take_update` started is on the disk."""
         self.state.now = now
         self.state.persisted()
         if self.state.role is Role.LEADER:
             self.replication.advance_commit()
-        self._deliver_own()
+        self._deliver_own_votes()
 
     def take_restored(self) -> Snapshot | None:
-        restored, self.state.restored = self.state.restored, None
+        """A snapshot that the state machine has to load before it applies further entries."""
+        restored = self.state.restored
+        self.state.restored = None
         return restored
 
     def take_committed(self) -> list[tuple[int, Entry]]:
-        """Committed entries that the state machine hasn't got, in order."""
+        """Committed entries that the state machine hasn't got, in order, each with its index."""
         state = self.state
         first = state.applied_index + 1
         committed = [(index, state.log.entry(index)) for index in range(first, state.commit_index + 1)]
@@ -258,70 +276,39 @@
 
     def take_reads(self) -> list[Any]:
         """Tokens of reads that a majority has confirmed and whose state is applied."""
-        if not self._reads:
-            return []
-        confirmed = self.replication.quorum_stamp()
-        ready, waiting = [], []
-        for read in self._reads:
-            stamp, index, token = read
-            if stamp <= confirmed and index <= self.state.applied_index:
-                ready.append(token)
-            else:
-                waiting.append(read)
-        self._reads = waiting
-        return ready
-
-    # Inside
+        return self._reads.take_confirmed()
+
+    # Leader
 
     def _lead(self) -> None:
-        state, timing = self.state, self.state.timing
-        self._note_quorum()
-        if state.now - max(state.last_quorum_at, state.leader_since or 0.0) > timing.election_max_s:
+        """One tick of a leader, which steps down without a majority, or when it may not lead and nobody takes over."""
+        state = self.state
+        self._record_quorum()
+        if state.now - max(state.last_quorum_at, state.leader_since or 0.0) > state.timing.election_max_s:
             state.become_follower(state.term, leader_id=0)
             return
-        removed = not state.is_voter and state.commit_index >= state.log.configuration_index
-        if (removed or state.withholding_votes) and not self.is_transferring_leadership:
-            if self._leadership_transfer.tried:
+        is_removed = not state.is_voter and state.commit_index >= state.log.configuration_index
+        if (is_removed or state.withholding_votes) and not self.is_transferring_leadership:
+            if self._leadership_transfer.was_attempted:
                 state.become_follower(state.term, leader_id=0)
                 return
-            self._leadership_transfer.begin()
+            self._leadership_transfer.start()
         if self.is_transferring_leadership:
-            self._leadership_transfer.drive()
+            self._leadership_transfer.advance()
         else:
             self.reconfiguration.tick()
         self.replication.tick()
 
-    def _note_quorum(self) -> None:
-        """When a majority last answered."""
+    def _record_quorum(self) -> None:
+        """Notes when a majority last responded."""
         stamp = self.replication.quorum_stamp()
-        self._lease_from = max(self._lease_from, stamp)
+        self._lease_start = max(self._lease_start, stamp)
         self.state.last_quorum_at = max(self.state.last_quorum_at, stamp)
 
     def _flush(self, receiving: set[Address]) -> None:
-        replication = self.replication
-        if self._reads and self._reads[-1][0] > replication.last_broadcast:
-            answered = replication.quorum_stamp() >= replication.last_broadcast
-            if answered or self.state.now - replication.last_broadcast > READ_HEARTBEAT_INTERVAL_S:
-                replication.broadcast_heartbeat()
-        replication.send_entries(receiving)
-        replication.send_commits()
-
-    def _from_leader(self, sender: int, message: AppendEntries | Heartbeat | InstallSnapshot) -> None:
-        state = self.state
-        if message.term < state.term:
-            state.send(sender, HeartbeatResponse(state.term, message.stamp, not state.withholding_votes))
-            return
-        if message.term > state.term or state.role is not Role.FOLLOWER:
-            state.become_follower(message.term, sender)
-        state.leader_id, state.last_leader_contact_at = sender, state.now
-        state.reset_election_deadline()
-        match message:
-            case AppendEntries():
-                self._follower.append(sender, message)
-            case Heartbeat():
-                self._follower.heartbeat(sender, message)
-            case InstallSnapshot():
-                self._follower.chunk(sender, message)
+        self._reads.request_confirmation()
+        self.replication.send_entries(receiving)
+        self.replication.send_commit_index()
 
     def _from_follower(
         self, sender: int, message: AppendEntriesResponse | HeartbeatResponse | InstallSnapshotResponse
@@ -335,35 +322,60 @@
             return
         if state.now - progress.last_contact_at > state.timing.election_min_s:
             progress.stable_since = state.now
-            self.replication.returned(progress)
+            self.replication.resume(progress)
         progress.last_contact_at = state.now
         progress.stamp = max(progress.stamp, message.stamp)
-        self._note_quorum()
+        self._record_quorum()
         match message:
             case AppendEntriesResponse():
-                self.replication.accepted(sender, message)
-                self._leadership_transfer.drive()
+                self.replication.handle_append_response(sender, message)
+                self._leadership_transfer.advance()
             case InstallSnapshotResponse():
-                self.replication.chunk_arrived(sender, message)
+                self.replication.handle_snapshot_response(sender, message)
             case HeartbeatResponse():
                 progress.eligible = message.eligible
 
     def _elected(self) -> None:
         state = self.state
-        state.role, state.leader_id, state.leader_since = Role.LEADER, state.id, state.now
-        self._lease_from = float("-inf")
+        state.role = Role.LEADER
+        state.leader_id = state.id
+        state.leader_since = state.now
+        self._lease_start = float("-inf")
         self._leadership_transfer.reset()
         self.replication.start()
 
     def _stepped_down(self) -> None:
-        self.failed_reads += [token for _, _, token in self._reads]
-        self._reads = []
+        self.failed_reads += self._reads.take_all()
         self._leadership_transfer.reset()
 
-    def _deliver_own(self) -> None:
-        """A candidate's vote for itself counts when it has become durable."""
-        own = [message for to, message in self.state.outbox if to == self.state.id]
+    # Follower
+
+    def _from_leader(self, sender: int, message: AppendEntries | Heartbeat | InstallSnapshot) -> None:
+        state = self.state
+        if message.term < state.term:
+            state.send(sender, HeartbeatResponse(state.term, message.stamp, not state.withholding_votes))
+            return
+        if message.term > state.term or state.role is not Role.FOLLOWER:
+            state.become_follower(message.term, sender)
+        state.leader_id = sender
+        state.last_leader_contact_at = state.now
+        state.reset_election_deadline()
+        match message:
+            case AppendEntries():
+                self._follower.receive_entries(sender, message)
+            case Heartbeat():
+                self._follower.receive_heartbeat(sender, message)
+            case InstallSnapshot():
+                self._follower.receive_snapshot_chunk(sender, message)
+
+    # Candidate
+
+    def _deliver_own_votes(self) -> None:
+        """A candidate's vote for itself counts when it has been persisted."""
+        state = self.state
+        own = [message for to, message in state.outbox if to == state.id]
         if own:
-            self.state.outbox = [pair for pair in self.state.outbox if pair[0] != self.state.id]
+            state.outbox = [pair for pair in state.outbox if pair[0] != state.id]
             for message in own:
-                self._election.count(self.state.id, message)
+                assert isinstance(message, RequestVoteResponse)
+                self._election.handle_vote_response(state.id, message)
--- a/ochrespan/raft/state.py
+++ b/ochrespan/raft/state.py
@@ -6,6 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from enum import Enum
+from typing import NamedTuple
 
 from .log import ReplicaLog, Snapshot
 from .membership_config import MembershipConfig
@@ -13,6 +14,8 @@
 
 
 class Role(Enum):
+    """Raft's roles, with the state of one that asks for pre-votes."""
+
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
     CANDIDATE = "candidate"
@@ -29,11 +32,21 @@
     resend_s: float = 0.3
     voter_timeout_s: float = 1.0
     replaced_voter_timeout_s: float = 0.3  # the same for a voter whose address another id has taken
-    disconnect_timeout_s: float = 0.2  # how long a leader whose connection has ended may take to be heard again
+    disconnect_timeout_s: float = 0.2  # after its connection has ended, the time in which a leader has to be back
     learner_timeout_s: float = 3.0
     leadership_transfer_s: float = 0.6
 
 
+@dataclass(frozen=True, slots=True)
+class ReplicaSettings:
+    """What a replica is told at its start and keeps."""
+
+    group: int
+    replica_id: int
+    min_voters: int
+    timing: Timing = field(default_factory=Timing)
+
+
 @dataclass(slots=True)
 class PersistentState:
     """What a replica needs from its disk when it starts."""
@@ -58,15 +71,30 @@
     entries: list[Entry]
 
 
+class PendingMessage(NamedTuple):
+    """A message that may be sent once a write has been persisted."""
+
+    write: int  # number of that write, counted from 1
+    to: int
+    message: Message
+
+
 class ReplicaState:
-    """State of one replica of one group. `now` is set by the caller before each step."""
+    """State of one replica of one group. `now` is set by the caller before each step.
+
+    A replica must not promise what a loss of power can undo: votes and acknowledgements of entries go out through
+    `send_when_persisted`. Writes are numbered in the order of `take_update`, and one is in flight at a time.
+    """
 
-    def __init__(
-        self, group: int, replica_id: int, timing: Timing, durable: PersistentState, source: random.Random
-    ) -> None:
-        self.group, self.id, self.timing, self.random = group, replica_id, timing, source
+    def __init__(self, settings: ReplicaSettings, persistent: PersistentState, random_source: random.Random) -> None:
+        self.group = settings.group
+        self.id = settings.replica_id
+        self.timing = settings.timing
+        self.random = random_source
         self.now = 0.0
-        self.term, self.vote, self.log = durable.term, durable.vote, durable.log
+        self.term = persistent.term
+        self.vote = persistent.vote
+        self.log = persistent.log
         self.role = Role.FOLLOWER
         self.leader_id = 0
         self.leader_since: float | None = None
@@ -76,10 +104,10 @@
         self.withholding_votes = False
         self.commit_index = self.log.snapshot.index
         self.applied_index = self.log.snapshot.index
-        self.restored: Snapshot | None = None
+        self.restored: Snapshot | None = None  # a snapshot that the state machine has to load
         self.outbox: list[tuple[int, Message]] = []
         self.on_step_down: Callable[[], None] = lambda: None
-        self._pending_messages: list[tuple[int, int, Message]] = []  # number of the write that has to be durable first
+        self._pending_messages: list[PendingMessage] = []
         self._last_stamp = 0.0
         self._writes_started = 0
         self._writes_completed = 0
@@ -88,10 +116,12 @@
 
     @property
     def configuration(self) -> MembershipConfig:
+        """The newest configuration in the log."""
         return self.log.configuration
 
     @property
     def is_voter(self) -> bool:
+        """Whether this replica votes in the newest configuration, or in the one that it replaces."""
         return self.configuration.is_voter(self.id)
 
     def stamp(self) -> float:
@@ -105,73 +135,93 @@
         voters = self.configuration.voters
         return bool(voters) and voters[self.group % len(voters)].id == self.id
 
+    # Election deadlines. Each is drawn at random; the preferred leader's span comes first, so that it usually wins.
+
     def reset_election_deadline(self) -> None:
-        """A leader was heard: the preferred successor waits the shortest span, the others longer."""
-        shortest, longest = self.timing.election_min_s, self.timing.election_max_s
-        middle = shortest + (longest - shortest) / 4
-        span = (shortest, middle) if self.is_preferred_leader else (middle, longest)
+        """A leader was heard from: the preferred successor waits the shortest span, the others longer."""
+        min_s = self.timing.election_min_s
+        max_s = self.timing.election_max_s
+        middle_s = min_s + (max_s - min_s) / 4
+        span = (min_s, middle_s) if self.is_preferred_leader else (middle_s, max_s)
         self.election_deadline = self.now + self.random.uniform(*span)
 
     def suspect_leader(self) -> None:
-        """The leader's process may have ended: it is given up unless it is heard within a few heartbeats."""
+        """The leader's connection has ended: its process may be gone, or may connect again within a few heartbeats.
+
+        Until it is heard from again this replica also grants votes, which a live leader's lease would rule out.
+        """
         self.last_leader_contact_at = float("-inf")
-        shortest = self.timing.disconnect_timeout_s * (1.0 if self.is_preferred_leader else 1.25)
-        deadline = self.now + self.random.uniform(shortest, self.timing.disconnect_timeout_s * 1.75)
+        min_s = self.timing.disconnect_timeout_s * (1.0 if self.is_preferred_leader else 1.25)
+        deadline = self.now + self.random.uniform(min_s, self.timing.disconnect_timeout_s * 1.75)
         self.election_deadline = min(self.election_deadline, deadline)
 
-    def set_first_deadline(self) -> None:
-        """The process has just started: no leader need be awaited, as pre-votes are refused where one lives."""
-        shortest = self.timing.election_min_s
-        span = (shortest / 12, shortest / 6) if self.is_preferred_leader else (shortest / 5, shortest / 2)
+    def set_startup_deadline(self) -> None:
+        """The process has just started: no leader need be awaited, as pre-votes are rejected where one is alive."""
+        min_s = self.timing.election_min_s
+        span = (min_s / 12, min_s / 6) if self.is_preferred_leader else (min_s / 5, min_s / 2)
         self.election_deadline = self.now + self.random.uniform(*span)
 
     def set_bootstrap_deadline(self) -> None:
-        """The group has just been formed: there is no leader yet, and the other members hear of it in these moments."""
-        shortest = self.timing.election_min_s
-        span = (0.0, 0.0) if self.is_preferred_leader else (shortest / 10, shortest / 3)
+        """The group has just been bootstrapped: there is no leader yet, and the other members learn of it now."""
+        min_s = self.timing.election_min_s
+        span = (0.0, 0.0) if self.is_preferred_leader else (min_s / 10, min_s / 3)
         self.election_deadline = self.now + self.random.uniform(*span)
 
     def reset_pre_vote_deadline(self) -> None:
-        """A pre-vote has been asked for: it changes nothing at the others, so it is soon asked for again."""
-        shortest = self.timing.election_min_s
-        self.election_deadline = self.now + self.random.uniform(shortest / 8, shortest / 3)
+        """A pre-vote has been requested: it changes nothing at the others, so it is soon requested again."""
+        min_s = self.timing.election_min_s
+        self.election_deadline = self.now + self.random.uniform(min_s / 8, min_s / 3)
 
     def reset_campaign_deadline(self) -> None:
-        """A campaign has begun: it is tried again sooner than a leader's silence is believed."""
-        shortest = self.timing.election_min_s
-        self.election_deadline = self.now + self.random.uniform(shortest / 4, shortest)
+        """A campaign has begun: the next attempt comes sooner than a leader would be timed out."""
+        min_s = self.timing.election_min_s
+        self.election_deadline = self.now + self.random.uniform(min_s / 4, min_s)
+
+    # Messages
 
     def send(self, to: int, message: Message) -> None:
+        """Queues a message that promises nothing that has to be persisted."""
         self.outbox.append((to, message))
 
     def send_when_persisted(self, to: int, message: Message) -> None:
-        """Holds a message until all that stands in memory now has been written."""
-        needed = self._writes_started + self.needs_write()
-        if needed > self._writes_completed:
-            self._pending_messages.append((needed, to, message))
+        """Holds a message back until all that is in memory now has been written."""
+        write = self._writes_started + self.needs_write()
+        if write > self._writes_completed:
+            self._pending_messages.append(PendingMessage(write, to, message))
         else:
             self.outbox.append((to, message))
 
+    # Term, vote and role
+
     def enter_term(self, term: int, vote: int = 0) -> None:
-        self.term, self.vote = term, vote
+        """Moves to a newer term, with a vote in it if one is given."""
+        self.term = term
+        self.vote = vote
         self._state_dirty = True
 
     def cast_vote(self, candidate: int) -> None:
+        """Votes for a candidate in the current term."""
         self.vote = candidate
         self._state_dirty = True
 
     def become_follower(self, term: int, leader_id: int) -> None:
-        led = self.role is Role.LEADER
+        """Follows `leader_id` (0: not known) in `term`, which is the current one or a newer one.
+
+        Acknowledgements of another term that still wait for a write are dropped: their leader is no longer one.
+        """
+        was_leader = self.role is Role.LEADER
         if term > self.term:
             self.enter_term(term)
         self._pending_messages = [
-            held
-            for held in self._pending_messages
-            if not isinstance(held[2], AppendEntriesResponse) or held[2].term == term
+            pending
+            for pending in self._pending_messages
+            if not isinstance(pending.message, AppendEntriesResponse) or pending.message.term == term
         ]
-        self.role, self.leader_id, self.leader_since = Role.FOLLOWER, leader_id, None
+        self.role = Role.FOLLOWER
+        self.leader_id = leader_id
+        self.leader_since = None
         self.reset_election_deadline()
-        if led:
+        if was_leader:
             self.on_step_down()
 
     def install(self, snapshot: Snapshot) -> None:
@@ -182,24 +232,26 @@
         self.applied_index = snapshot.index
         self.restored = snapshot
 
+    # Writes
+
     def needs_write(self) -> bool:
+        """Whether anything is in memory that no write has covered."""
         return self._state_dirty or self._snapshot_dirty or self.log.has_unpersisted()
 
     def take_update(self) -> PersistentUpdate | None:
-        """What is to be written now; `persisted` tells when it is durable. One write is under way at a time."""
+        """What is to be written now; `persisted` follows when it is on the disk. One write is in flight at a time."""
         if not self.needs_write():
             return None
         self._writes_started += 1
         snapshot = self.log.snapshot if self._snapshot_dirty else None
         first_index, entries = self.log.take_unpersisted()
-        self._state_dirty = self._snapshot_dirty = False
+        self._state_dirty = False
+        self._snapshot_dirty = False
         return PersistentUpdate(self.group, self.term, self.vote, snapshot, first_index, entries)
 
     def persisted(self) -> None:
-        """The write that `take_update` began is durable: what waited for it may be sent."""
-        self._writes_completed = self._writes_started
+        """The write that `take_update` started is on the disk: what waited for it may be sent."""
+        completed = self._writes_completed = self._writes_started
         self.log.persisted()
-        self.outbox += [
-            (to, message) for needed, to, message in self._pending_messages if needed <= self._writes_completed
-        ]
-        self._pending_messages = [held for held in self._pending_messages if held[0] > self._writes_completed]
+        self.outbox += [(to, message) for write, to, message in self._pending_messages if write <= completed]
+        self._pending_messages = [pending for pending in self._pending_messages if pending.write > completed]
--- a/tests/raft/test_history_checkers.py
+++ b/tests/raft/test_history_checkers.py
@@ -79,11 +79,7 @@
 
 
 def test_a_read_without_a_confirmed_majority_is_caught_as_stale(monkeypatch):
-    def unconfirmed(self):
-        ready, self._reads = [token for _, _, token in self._reads], []
-        return ready
-
-    monkeypatch.setattr(Replica, "take_reads", unconfirmed)
+    monkeypatch.setattr(Replica, "take_reads", lambda self: self._reads.take_all())
     caught({"stale read"}, ("isolate",))
 
 
@@ -110,5 +106,5 @@
         core = self._state
         return core.log.last_index if member_id == core.id else self.progress[member_id].match_index
 
-    monkeypatch.setattr(LeaderReplication, "_match", in_memory)
+    monkeypatch.setattr(LeaderReplication, "_match_index", in_memory)
     caught({"lost order", "two histories"}, ("final", "power_all", "slow_disk"), gap_s=0.4)
--- a/tests/raft/test_raft_behaviour.py
+++ b/tests/raft/test_raft_behaviour.py
@@ -11,7 +11,7 @@
 from ochrespan.raft.membership_config import Member, MembershipConfig
 from ochrespan.raft.messages import Entry, EntryKind
 from ochrespan.raft.reconfiguration import GroupHealth, next_voters
-from ochrespan.raft.state import PersistentState, Timing
+from ochrespan.raft.state import PersistentState, ReplicaSettings, Timing
 from tests.support.raft_simulation.checks import Violation
 from tests.support.raft_simulation.troubles import play
 from tests.support.raft_simulation.world import World, address
@@ -168,7 +168,7 @@
 def test_a_leader_that_told_another_to_campaign_owns_nothing_any_more(told, monkeypatch):
     """However lately it heard a majority: the successor is elected at once, and no word of that need come through."""
     if not told:
-        monkeypatch.setattr(LeadershipTransfer, "is_given_away", False)
+        monkeypatch.setattr(LeadershipTransfer, "is_successor_notified", False)
     world = World(6)
     world.run(5.0)
     leader = world.leader(0)
@@ -215,7 +215,7 @@
     monkeypatch.setattr(replication, "SNAPSHOT_CHUNK_BYTES", 40)
     monkeypatch.setattr(replica_module, "RETAINED_ENTRIES", 5)
     if not mended:
-        monkeypatch.setattr(replication.LeaderReplication, "_is_heard", lambda self, progress: True)
+        monkeypatch.setattr(replication.LeaderReplication, "_is_alive", lambda self, progress: True)
     world = World(3)
     world.run(6.0)
     member = next(node for node in world.nodes.values() if node is not world.leader(0))
@@ -238,7 +238,7 @@
     monkeypatch.setattr(replica_module, "RETAINED_BYTES", 1000)
     for size, kept in [(10, 10), (300, 3)]:
         log = ReplicaLog(entries=[Entry(1, EntryKind.COMMAND, bytes(size)) for _ in range(50)])
-        replica = replica_module.Replica(0, 1, PersistentState(1, 0, log), random.Random(1), Timing(), 3, 0.0)
+        replica = replica_module.Replica(ReplicaSettings(0, 1, 3), PersistentState(1, 0, log), random.Random(1), 0.0)
         replica.state.commit_index = replica.state.applied_index = 40
         replica.compact(b"state")
         assert (log.first_index, log.last_index) == (41 - kept, 50)
--- a/tests/raft/test_snapshot_transfer.py
+++ b/tests/raft/test_snapshot_transfer.py
@@ -15,7 +15,7 @@
 from ochrespan.raft.membership_config import Member, MembershipConfig
 from ochrespan.raft.messages import Entry, EntryKind, Heartbeat, InstallSnapshot
 from ochrespan.raft.replica import Replica
-from ochrespan.raft.state import PersistentState, Role, Timing
+from ochrespan.raft.state import PersistentState, ReplicaSettings, Role, Timing
 
 MEGABYTE = 1024 * 1024
 LEADER, LEARNER = 1, 2
@@ -34,9 +34,9 @@
         self.now, self.rate = 100.0, mbit_per_s * 1e6 / 8
         self.replicas = {
             LEADER: Replica(
-                0, LEADER, PersistentState(1, 0, ReplicaLog(image)), random.Random(1), Timing(), 1, self.now
+                ReplicaSettings(0, LEADER, 1), PersistentState(1, 0, ReplicaLog(image)), random.Random(1), self.now
             ),
-            LEARNER: Replica(0, LEARNER, PersistentState(), random.Random(2), Timing(), 1, self.now),
+            LEARNER: Replica(ReplicaSettings(0, LEARNER, 1), PersistentState(), random.Random(2), self.now),
         }
         self._waiting: list = []  # arrival, receiver, message
         self._free_at = dict.fromkeys(self.replicas, self.now)
@@ -177,7 +177,7 @@
     link = Link(MEGABYTE, 50)
     while link.progress.snapshot_offset < MEGABYTE // 2:
         link.step()
-    link.replicas[LEARNER] = Replica(0, LEARNER, PersistentState(), random.Random(2), Timing(), 1, link.now)
+    link.replicas[LEARNER] = Replica(ReplicaSettings(0, LEARNER, 1), PersistentState(), random.Random(2), link.now)
     assert link.until_caught_up(10.0) < 3.0
 
 
@@ -206,7 +206,7 @@
 
 
 def test_entries_that_are_dropped_behind_a_transfer_are_caught_beyond_the_bound(monkeypatch):
-    monkeypatch.setattr(LeaderReplication, "retained_from", lambda self: None)
+    monkeypatch.setattr(LeaderReplication, "transfer_index", lambda self: None)
     monkeypatch.setattr("ochrespan.raft.replica.RETAINED_ENTRIES", 20)
     link = Link(4 * MEGABYTE, 50)
     assert link.until_caught_up(10.0, 0.6, 4 * MEGABYTE) > bound_s(4 * MEGABYTE, 50)
@@ -220,7 +220,7 @@
             Snapshot(40, 1, MembershipConfig(), b""),
             2,
             10_000,
-            retained_from=10,
+            transfer_index=10,
             transfer_retained_bytes=transfer_retained_bytes,
         )
         assert log.first_index == first
--- a/tests/support/raft_simulation/search.py
+++ b/tests/support/raft_simulation/search.py
@@ -20,7 +20,7 @@
 from ochrespan.raft.membership_config import Member, MembershipConfig
 from ochrespan.raft.messages import AppendEntriesResponse, Heartbeat, HeartbeatResponse, RequestVoteResponse
 from ochrespan.raft.replica import Replica
-from ochrespan.raft.state import PersistentState, Role, Timing
+from ochrespan.raft.state import PersistentState, ReplicaSettings, Role
 
 from .checks import Violation
 
@@ -71,7 +71,7 @@
         return state
 
     def _replica(self, replica_id: int, durable: PersistentState) -> Replica:
-        return Replica(0, replica_id, durable, Middle, Timing(), 3, self.now)
+        return Replica(ReplicaSettings(0, replica_id, 3), durable, Middle, self.now)
 
     # Steps
 
