--- a/tests/raft/test_bootstrap.py
+++ b/tests/raft/test_bootstrap.py
@@ -262,11 +262,11 @@
     """All were lost before their first sync: the settings say once more that the whole system starts."""
     world = World(1)
     for node in world.nodes.values():
-        node.latency_x = 1e6
+        node.latency_factor = 1e6
     world.run(0.5)
     for node in world.nodes.values():
         node.wipe()
-        node.latency_x = 1.0
+        node.latency_factor = 1.0
         node.start(world.seeds, bootstrap=False)
     world.run(2 * ABANDON_AFTER_S)
     assert world.leader(0) is None
@@ -418,7 +418,7 @@
         lambda node: end(node, "kill"),
         lambda node: end(node, "lose_power"),
         lambda node: setattr(node, "frozen_until", world.now + 0.5),
-        lambda node: setattr(node, "latency_x", draw.choice([1.0, 30.0, 150.0])),
+        lambda node: setattr(node, "latency_factor", draw.choice([1.0, 30.0, 150.0])),
     ]
     for _ in range(draw.randint(1, 6)):
         action, node = draw.choice(actions), draw.choice(nodes)
@@ -437,7 +437,7 @@
     world.run(4.0)
     world.cuts.clear()
     for node in world.nodes.values():
-        node.latency_x = 1.0
+        node.latency_factor = 1.0
         if not node.running:
             node.start(world.seeds, bootstrap=False)
     world.run(10.0)
