--- a/ochrespan/raft/reads.py
+++ b/ochrespan/raft/reads.py
@@ -1,4 +1,4 @@
-"""Confirmed reads: a leader answers a read once a majority has confirmed its leadership since the read began.
+"""Confirmed reads: a leader serves a read once a majority has confirmed its leadership since the read began.
 
 Source: Ongaro, "Consensus: Bridging Theory and Practice", section 6.4 (ReadIndex).
 """
--- a/ochrespan/raft/replica.py
+++ b/ochrespan/raft/replica.py
@@ -243,7 +243,9 @@
             receiving: Processes to which other groups of this process transfer a snapshot; this group's are added.
         """
         if self.state.role is Role.LEADER:
-            self._flush(set() if receiving is None else receiving)
+            self._reads.request_confirmation()
+            self.replication.send_entries(set() if receiving is None else receiving)
+            self.replication.send_commit_index()
         messages = self.state.outbox
         self.state.outbox = []
         return messages
@@ -305,11 +307,6 @@
         self._lease_start = max(self._lease_start, stamp)
         self.state.last_quorum_at = max(self.state.last_quorum_at, stamp)
 
-    def _flush(self, receiving: set[Address]) -> None:
-        self._reads.request_confirmation()
-        self.replication.send_entries(receiving)
-        self.replication.send_commit_index()
-
     def _from_follower(
         self, sender: int, message: AppendEntriesResponse | HeartbeatResponse | InstallSnapshotResponse
     ) -> None:
--- a/ochrespan/raft/state.py
+++ b/ochrespan/raft/state.py
@@ -6,7 +6,6 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from enum import Enum
-from typing import NamedTuple
 
 from .log import ReplicaLog, Snapshot
 from .membership_config import MembershipConfig
@@ -71,12 +70,9 @@
     entries: list[Entry]
 
 
-class PendingMessage(NamedTuple):
-    """A message that may be sent once a write has been persisted."""
-
-    write: int  # number of that write, counted from 1
-    to: int
-    message: Message
+# A message that may be sent once a write is persisted: number of that write (from 1), receiver, message. One is made
+# for each acknowledgement, so it is a plain tuple.
+PendingMessage = tuple[int, int, Message]
 
 
 class ReplicaState:
@@ -187,7 +183,7 @@
         """Holds a message back until all that is in memory now has been written."""
         write = self._writes_started + self.needs_write()
         if write > self._writes_completed:
-            self._pending_messages.append(PendingMessage(write, to, message))
+            self._pending_messages.append((write, to, message))
         else:
             self.outbox.append((to, message))
 
@@ -213,9 +209,9 @@
         if term > self.term:
             self.enter_term(term)
         self._pending_messages = [
-            pending
-            for pending in self._pending_messages
-            if not isinstance(pending.message, AppendEntriesResponse) or pending.message.term == term
+            (write, to, message)
+            for write, to, message in self._pending_messages
+            if not isinstance(message, AppendEntriesResponse) or message.term == term
         ]
         self.role = Role.FOLLOWER
         self.leader_id = leader_id
@@ -254,4 +250,4 @@
         completed = self._writes_completed = self._writes_started
         self.log.persisted()
         self.outbox += [(to, message) for write, to, message in self._pending_messages if write <= completed]
-        self._pending_messages = [pending for pending in self._pending_messages if pending.write > completed]
+        self._pending_messages = [pending for pending in self._pending_messages if pending[0] > completed]
