--- a/tests/raft/test_history_checkers.py
+++ b/tests/raft/test_history_checkers.py
@@ -89,7 +89,7 @@
 
 
 def test_a_lease_from_responses_over_ended_connections_is_caught(monkeypatch):
-    monkeypatch.setattr(LeaderReplication, "discard_acknowledgements", lambda self, address: None)
+    monkeypatch.setattr(LeaderReplication, "discard_acknowledgements", lambda _self, _address: None)
     caught({"two owners"}, ("cut_reset",))
 
 
--- a/tests/raft/test_raft_behaviour.py
+++ b/tests/raft/test_raft_behaviour.py
@@ -216,7 +216,7 @@
     monkeypatch.setattr(replication, "SNAPSHOT_CHUNK_BYTES", 40)
     monkeypatch.setattr(replica_module, "RETAINED_ENTRIES", 5)
     if not checks_alive:
-        monkeypatch.setattr(replication.LeaderReplication, "_is_alive", lambda self, progress: True)
+        monkeypatch.setattr(replication.LeaderReplication, "_is_alive", lambda _self, _progress: True)
     world = World(3)
     world.run(6.0)
     member = next(node for node in world.nodes.values() if node is not world.leader(0))
--- a/tests/raft/test_snapshot_transfer.py
+++ b/tests/raft/test_snapshot_transfer.py
@@ -49,17 +49,21 @@
 
     @property
     def leader(self) -> Replica:
+        """The only voter."""
         return self.replicas[LEADER]
 
     @property
     def learner(self) -> Replica:
+        """The replica that catches up."""
         return self.replicas[LEARNER]
 
     @property
     def progress(self):
+        """What the leader knows of the learner."""
         return self.leader.replication.progress[LEARNER]
 
     def step(self) -> None:
+        """Lets `STEP_S` pass."""
         self.now += STEP_S
         self._deliver()
         for replica in self.replicas.values():
@@ -98,13 +102,15 @@
         self._waiting.sort(key=lambda item: item[0])
 
     def propose(self, size: int = 500) -> None:
+        """Proposes a command of `size` bytes."""
         assert self.leader.propose(self.now, random.Random(3).randbytes(size))
 
     def compact(self, snapshot_bytes: int) -> None:
+        """Replaces the leader's snapshot by a newer one."""
         self.leader.compact(random.Random(self.leader.state.applied_index).randbytes(snapshot_bytes))
 
     def until_caught_up(self, limit_s: float, compact_every_s: float | None = None, snapshot_bytes: int = 0) -> float:
-        """Seconds until the learner could be a voter, with commands all along."""
+        """Seconds until the learner could be a voter, with commands all along; `limit_s` if it takes longer."""
         began, compact_at = self.now, self.now + (compact_every_s or 0.0)
         while not self.leader.reconfiguration.spares() and self.now - began < limit_s:
             self.propose()
@@ -187,7 +193,7 @@
 def test_a_fixed_resend_timeout_is_caught_beyond_the_bound(monkeypatch):
     """Everything counts as lost after 0.3 s, with chunks that a slow link carries for longer."""
     monkeypatch.setattr("ochrespan.raft.leader.SNAPSHOT_CHUNK_BYTES", 256 * 1024)
-    monkeypatch.setattr("ochrespan.raft.leader.Progress.resend_after", lambda self, resend_s: resend_s)
+    monkeypatch.setattr("ochrespan.raft.leader.Progress.resend_after", lambda _self, resend_s: resend_s)
     link = Link(MEGABYTE, 5)
     assert link.until_caught_up(10.0) > bound_s(MEGABYTE, 5)
 
@@ -206,7 +212,7 @@
 
 
 def test_entries_that_are_dropped_during_a_transfer_are_caught_beyond_the_bound(monkeypatch):
-    monkeypatch.setattr(LeaderReplication, "transfer_index", lambda self: None)
+    monkeypatch.setattr(LeaderReplication, "transfer_index", lambda _self: None)
     monkeypatch.setattr("ochrespan.raft.replica.RETAINED_ENTRIES", 20)
     link = Link(4 * MEGABYTE, 50)
     assert link.until_caught_up(10.0, 0.6, 4 * MEGABYTE) > bound_s(4 * MEGABYTE, 50)
--- a/tests/raft/test_state_search.py
+++ b/tests/raft/test_state_search.py
@@ -69,6 +69,6 @@
 def test_the_search_finds_an_acknowledgement_before_the_write(monkeypatch):
     """A follower ends between its acknowledgement and its write, and then elects a leader without the command."""
     monkeypatch.setattr(ReplicaState, "send_when_persisted", ReplicaState.send)
-    monkeypatch.setattr(ReplicaState, "needs_write", lambda self: False)
+    monkeypatch.setattr(ReplicaState, "needs_write", lambda _self: False)
     with pytest.raises(Violation):
         search(Budget(timeouts=2, orders=0, crashes=1), max_states=20_000)
