--- a/ochrespan/control_plane/replication/host.py
+++ b/ochrespan/control_plane/replication/host.py
@@ -212,7 +212,7 @@
         replica = self._replica(shard)
         if replica is None:
             return set()
-        return {member.address for member in replica.core.configuration.members().values()}
+        return {member.address for member in replica.state.configuration.members().values()}
 
     def failures_tolerated(self, shard: int) -> int | None:
         """How many more voters may fail now, of a shard that is led here; None of another."""
@@ -227,7 +227,7 @@
     def applied_index(self, shard: int) -> int:
         """Index of the last log entry that is applied here; 0 before recovery."""
         replica = self._replica(shard)
-        return replica.core.applied_index if replica is not None else 0
+        return replica.state.applied_index if replica is not None else 0
 
     def _replica(self, shard: int) -> Replica | None:
         """The shard's replica now, None before recovery; an abandoned bootstrap replaces the replicas by others."""
--- a/ochrespan/control_plane/replication/leadership_reporter.py
+++ b/ochrespan/control_plane/replication/leadership_reporter.py
@@ -33,7 +33,7 @@
             self._led_shards.add(shard)
         else:
             self._led_shards.discard(shard)
-        log.info("leadership changed shard=%d leads=%s term=%d", shard, leads, replica.core.term)
+        log.info("leadership changed shard=%d leads=%s term=%d", shard, leads, replica.state.term)
         run_callback(self.on_leadership, shard, leads)
 
     def report_failures_tolerated(self, shard: int, replica: Replica) -> None:
@@ -47,5 +47,5 @@
                 "failures tolerated changed shard=%d failures_tolerated=%d voters=%d",
                 shard,
                 tolerated,
-                len(replica.core.configuration.voters),
+                len(replica.state.configuration.voters),
             )
--- a/ochrespan/control_plane/replication/running_replicas.py
+++ b/ochrespan/control_plane/replication/running_replicas.py
@@ -153,7 +153,7 @@
             self.multi_raft.withhold_votes(now, withholds_votes)
 
     def _leads_any_shard(self) -> bool:
-        return any(replica.core.role is Role.LEADER for replica in self.multi_raft.replicas.values())
+        return any(replica.state.role is Role.LEADER for replica in self.multi_raft.replicas.values())
 
     # For the disk writer
 
@@ -167,9 +167,9 @@
     def _make_checkpoint(self) -> bytes:
         """Compacts each log up to what is applied, and packs the identity and the groups' states."""
         for shard, replica in self.multi_raft.replicas.items():
-            if replica.core.applied_index > replica.core.log.snapshot.index:
+            if replica.state.applied_index > replica.state.log.snapshot.index:
                 replica.compact(self._applier.machines[shard].snapshot())
-        states = [replica.image() for replica in self.multi_raft.replicas.values()]
+        states = [replica.full_update() for replica in self.multi_raft.replicas.values()]
         return pack_checkpoint(self.multi_raft.bootstrap.identity, states)
 
 
--- a/tests/control_plane/config/test_commands_under_loss.py
+++ b/tests/control_plane/config/test_commands_under_loss.py
@@ -5,24 +5,24 @@
 from ochrespan.control_plane.config import state_machine
 from ochrespan.control_plane.config.state_machine import ConfigurationStateMachine
 from tests.support.raft_simulation.checks import Violation
-from tests.support.raft_simulation.operators import Operator, OrderBook, OrderMachine
-from tests.support.raft_simulation.troubles import SETTLE_S, HarshTroubles
+from tests.support.raft_simulation.faults import SETTLE_S, HarshFaultInjector
+from tests.support.raft_simulation.operators import ConfigMachine, Operator, ResponseLog
 from tests.support.raft_simulation.world import World
 
 SECONDS = 25.0
 
 
-def run_operators(seed: int, size: int = 3, tolerated: int = 1, gap_s: float = 0.8) -> tuple[World, OrderBook]:
-    world, book = World(seed, size, tolerated), OrderBook()
-    world.machine_type = OrderMachine
+def run_operators(seed: int, size: int = 3, tolerated: int = 1, gap_s: float = 0.8) -> tuple[World, ResponseLog]:
+    world, book = World(seed, size, tolerated), ResponseLog()
+    world.machine_type = ConfigMachine
     world.run(3.0)
     operators = [Operator(world, book, name) for name in "ab"]
-    troubles = HarshTroubles(world)
-    troubles.begin(gap_s, world.now + SECONDS)
+    faults = HarshFaultInjector(world)
+    faults.begin(gap_s, world.now + SECONDS)
     world.run(SECONDS)
-    troubles.end()
+    faults.end()
     world.run(SETTLE_S)
-    assert min(operator.answers for operator in operators) > 5
+    assert min(operator.responses for operator in operators) > 5
     newest = max(
         (node.machines[0].configuration for node in world.nodes.values()), key=lambda machine: machine.current.version
     )
@@ -37,8 +37,8 @@
 def test_one_of_two_operators_wins_and_no_accepted_command_is_rejected(size, tolerated, seed):
     _, book = run_operators(seed, size, tolerated)
     assert len(book.confirmed) > 10
-    assert book.refused
-    assert book.repeats
+    assert book.rejected
+    assert book.retries_confirmed
 
 
 def assert_detected(rules: set[str]) -> None:
@@ -61,7 +61,7 @@
         self._accepted_versions = {}
 
     monkeypatch.setattr(ConfigurationStateMachine, "restore", forgetting)
-    assert_detected({"a repeat refused", "a confirmed order is not in force"})
+    assert_detected({"a retry rejected", "a confirmed command is not in force"})
 
 
 def test_commands_that_build_on_any_version_are_detected(monkeypatch):
@@ -72,15 +72,15 @@
         return original(self, command)
 
     monkeypatch.setattr(ConfigurationStateMachine, "_evaluate", on_any_version)
-    assert_detected({"two orders on one version"})
+    assert_detected({"two commands on one version"})
 
 
 def test_a_command_that_is_too_old_gets_no_outcome_instead_of_a_rejection(monkeypatch):
     monkeypatch.setattr(state_machine, "MAX_REMEMBERED_COMMANDS", 2)
     for seed in range(4):
-        world, book = World(seed), OrderBook()
-        world.machine_type = OrderMachine
+        world, book = World(seed), ResponseLog()
+        world.machine_type = ConfigMachine
         world.run(3.0)
         operator = Operator(world, book, "a")
         world.run(20.0)
-        assert operator.answers > 5
+        assert operator.responses > 5
--- a/tests/raft/test_history_checkers.py
+++ b/tests/raft/test_history_checkers.py
@@ -1,4 +1,4 @@
-"""Each checker of the simulation catches the fault that it is for; only these tests switch the faults in."""
+"""Each checker of the simulation catches the fault that it is for; only these tests plant the faults."""
 
 import dataclasses
 
@@ -10,7 +10,7 @@
 from ochrespan.raft.replica import Replica
 from ochrespan.raft.state import ReplicaState
 from tests.support.raft_simulation.checks import Violation
-from tests.support.raft_simulation.troubles import play
+from tests.support.raft_simulation.faults import play
 from tests.support.raft_simulation.world import World
 
 SEEDS = 60
@@ -30,7 +30,7 @@
 
 
 def test_an_acknowledgement_before_the_sync_is_caught_as_a_lost_order(monkeypatch):
-    monkeypatch.setattr(ReplicaState, "send_when_durable", ReplicaState.send)
+    monkeypatch.setattr(ReplicaState, "send_when_persisted", ReplicaState.send)
     caught({"lost order", "two histories"}, ("power_all", "slow_disk"))
 
 
@@ -53,7 +53,7 @@
     caught({"two votes of one term", "two leaders of one term"}, ("kill_all", "cut_one_way", "cut"))
 
 
-def test_a_state_that_goes_back_is_caught(monkeypatch):
+def test_a_state_machine_that_goes_back_is_caught(monkeypatch):
     original = ReplicaState.become_follower
 
     def forget_applied(self, term, leader_id):
@@ -79,21 +79,17 @@
 
 
 def test_a_read_without_a_confirmed_majority_is_caught_as_stale(monkeypatch):
-    def unconfirmed(self):
-        ready, self._reads = [token for _, _, token in self._reads], []
-        return ready
-
-    monkeypatch.setattr(Replica, "take_reads", unconfirmed)
+    monkeypatch.setattr(Replica, "take_reads", lambda self: self._reads.take_all())
     caught({"stale read"}, ("isolate",))
 
 
-def test_an_owner_that_counts_on_a_majority_for_too_long_is_caught_as_two_owners(monkeypatch):
+def test_a_lease_that_lasts_too_long_is_caught_as_two_owners(monkeypatch):
     monkeypatch.setattr("tests.support.raft_simulation.checks.LEASE_DURATION_S", 1.0)
     caught({"two owners"}, ("isolate", "freeze"))
 
 
-def test_an_owner_that_counts_on_answers_over_connections_that_ended_is_caught(monkeypatch):
-    monkeypatch.setattr(LeaderReplication, "forget_answers", lambda self, address: None)
+def test_a_lease_from_responses_over_ended_connections_is_caught(monkeypatch):
+    monkeypatch.setattr(LeaderReplication, "discard_acknowledgements", lambda _self, _address: None)
     caught({"two owners"}, ("cut_reset",))
 
 
@@ -105,10 +101,10 @@
     caught({"two leaders of one term", "two histories", "lost order"}, ("isolate", "kill_all"))
 
 
-def test_a_leader_that_counts_what_is_not_durable_is_caught(monkeypatch):
+def test_a_leader_that_commits_what_it_has_not_persisted_is_caught(monkeypatch):
     def in_memory(self, member_id):
-        core = self._core
-        return core.log.last_index if member_id == core.id else self.progress[member_id].match
+        core = self._state
+        return core.log.last_index if member_id == core.id else self.progress[member_id].match_index
 
-    monkeypatch.setattr(LeaderReplication, "_match", in_memory)
+    monkeypatch.setattr(LeaderReplication, "_match_index", in_memory)
     caught({"lost order", "two histories"}, ("final", "power_all", "slow_disk"), gap_s=0.4)
--- a/tests/support/raft_simulation/search.py
+++ b/tests/support/raft_simulation/search.py
@@ -20,24 +20,29 @@
 from ochrespan.raft.membership_config import Member, MembershipConfig
 from ochrespan.raft.messages import AppendEntriesResponse, Heartbeat, HeartbeatResponse, RequestVoteResponse
 from ochrespan.raft.replica import Replica
-from ochrespan.raft.state import PersistentState, Role, Timing
+from ochrespan.raft.state import PersistentState, ReplicaSettings, Role
 
 from .checks import Violation
 
-LONG_S = 10.0  # a time-out: no leader was heard for long
-SHORT_S = 0.4  # enough for a replaced voter to be given up
+MACHINES = 3
+REPLACEMENT_ID_OFFSET = 10  # a wiped machine comes back under its id plus this
+LONG_S = 10.0  # a time-out: no leader was heard from for long
+SHORT_S = 0.4  # enough for a replaced voter to time out
 
 
-class Middle:
-    """In place of chance: the middle of each span."""
+class MiddleOfRange:
+    """In place of a random source: the middle of each range."""
 
     @staticmethod
     def uniform(low: float, high: float) -> float:
+        """The middle."""
         return (low + high) / 2
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
+    """How often each event may happen in a schedule."""
+
     timeouts: int = 2
     orders: int = 2
     crashes: int = 1
@@ -49,8 +54,10 @@
 
 @dataclass(slots=True)
 class State:
+    """Three replicas, their disks and the messages between them, and what has happened as far as rules need it."""
+
     replicas: dict[int, Replica]
-    places: dict[int, int]  # replica id by machine
+    machines: dict[int, int]  # number of the machine by replica id
     disks: dict[int, list[bytes]]
     channels: dict[tuple[int, int], list]
     budget: Budget
@@ -62,16 +69,17 @@
 
     @classmethod
     def first(cls, budget: Budget) -> State:
+        """Three members of a new group that have had no message yet."""
         members = [Member(number, ("10.0.0.1", number)) for number in (1, 2, 3)]
         state = cls({}, {}, {}, {}, budget)
         for member in members:
             log = ReplicaLog(Snapshot(0, 0, MembershipConfig.of(members), b""))
-            state.places[member.id], state.disks[member.id] = member.id, []
+            state.machines[member.id], state.disks[member.id] = member.id, []
             state.replicas[member.id] = state._replica(member.id, PersistentState(0, 0, log))
         return state
 
     def _replica(self, replica_id: int, durable: PersistentState) -> Replica:
-        return Replica(0, replica_id, durable, Middle, Timing(), 3, self.now)
+        return Replica(ReplicaSettings(0, replica_id, 3), durable, MiddleOfRange, self.now)
 
     # Steps
 
@@ -82,31 +90,38 @@
             if messages:
                 yield ("deliver", pair)
         for replica_id, replica in self.replicas.items():
-            core = replica.core
-            if core.needs_write():
-                yield ("write", replica_id)
-            may_campaign = core.role is not Role.LEADER and core.is_voter and (self.campaigned or replica_id == 1)
-            if budget.timeouts and may_campaign:
-                yield ("timeout", replica_id)
-            if core.role is Role.LEADER and budget.orders:
-                yield ("order", replica_id)
-            if core.role is Role.LEADER and budget.changes:
-                yield ("change", replica_id)
-            if budget.crashes:
-                yield ("crash", replica_id)
-            if budget.wipes and replica_id <= 3:
-                yield ("wipe", replica_id)
+            yield from self._steps_of(replica_id, replica)
         if budget.power:
             yield ("power", 0)
         if budget.cuts and self.cut is None:
             yield from (("cut", pair) for pair in ((1, 2), (1, 3), (2, 3)))
 
+    def _steps_of(self, replica_id: int, replica: Replica) -> Iterator[tuple]:
+        budget = self.budget
+        raft_state = replica.state
+        if raft_state.needs_write():
+            yield ("write", replica_id)
+        may_campaign = (
+            raft_state.role is not Role.LEADER and raft_state.is_voter and (self.campaigned or replica_id == 1)
+        )
+        if budget.timeouts and may_campaign:
+            yield ("timeout", replica_id)
+        if raft_state.role is Role.LEADER and budget.orders:
+            yield ("order", replica_id)
+        if raft_state.role is Role.LEADER and budget.changes:
+            yield ("change", replica_id)
+        if budget.crashes:
+            yield ("crash", replica_id)
+        if budget.wipes and replica_id <= MACHINES:
+            yield ("wipe", replica_id)
+
     def take(self, step: tuple) -> None:
+        """Takes one of `steps`, then what can't be told apart from coming at once."""
         kind, subject = step
         getattr(self, f"_{kind}")(subject)
         for replica_id, replica in self.replicas.items():
             may_end = self.budget.crashes or self.budget.wipes or self.budget.power
-            if replica.core.needs_write() and not (may_end and replica.core.role is Role.LEADER):
+            if replica.state.needs_write() and not (may_end and replica.state.role is Role.LEADER):
                 self._write(replica_id)
             self._collect(replica_id, replica)
         self._check()
@@ -132,12 +147,12 @@
         self.campaigned = True
         self.now += LONG_S
         replica = self.replicas[replica_id]
-        replica.core.election_deadline = self.now
+        replica.state.election_deadline = self.now
         replica.tick(self.now)
 
     def _order(self, replica_id: int) -> None:
         replica = self.replicas[replica_id]
-        replica.core.leader_since = self.now - LONG_S  # however long a new group waits for its members
+        replica.state.leader_since = self.now - LONG_S  # however long a new group waits for its members
         replica.propose(self.now, b"order %d" % self.budget.orders)
         self._spend(orders=1)
 
@@ -155,7 +170,7 @@
 
     def _restart(self, replica_id: int) -> None:
         self._lose_messages_to(replica_id)
-        first = State.first(self.budget).replicas[replica_id].core if replica_id <= 3 else None
+        first = State.first(self.budget).replicas[replica_id].state if replica_id <= MACHINES else None
         durable = replay(self.disks[replica_id])[1].get(0, PersistentState())
         if first is not None and not durable.log.configuration.voters:
             durable.log = ReplicaLog(first.log.snapshot, durable.log.slice(1, 99, 9999))
@@ -166,8 +181,8 @@
         self._spend(wipes=1)
         self._lose_messages_to(replica_id)
         del self.replicas[replica_id], self.disks[replica_id]
-        new_id = replica_id + 10
-        self.places[new_id] = self.places.pop(replica_id)
+        new_id = replica_id + REPLACEMENT_ID_OFFSET
+        self.machines[new_id] = self.machines.pop(replica_id)
         self.disks[new_id] = []
         self.replicas[new_id] = self._replica(new_id, PersistentState())
 
@@ -175,11 +190,11 @@
         """The leader hears the wiped machine ask, and makes the next change of members if one is due."""
         self._spend(changes=1)
         replica = self.replicas[replica_id]
-        for other, place in self.places.items():
-            if other > 10:
-                replica.join(self.now, Member(other, ("10.0.0.1", place)))
+        for other, machine in self.machines.items():
+            if other > REPLACEMENT_ID_OFFSET:
+                replica.join(self.now, Member(other, ("10.0.0.1", machine)))
         self.now += SHORT_S
-        replica.core.now = self.now
+        replica.state.now = self.now
         replica.reconfiguration.tick()
 
     def _cut(self, pair: tuple[int, int]) -> None:
@@ -210,23 +225,23 @@
 
     def _check(self) -> None:
         for replica_id, replica in self.replicas.items():
-            core = replica.core
+            raft_state = replica.state
             for index, entry in replica.take_committed():
                 known = self.committed.setdefault(index, (entry.term, entry.data))
                 if known != (entry.term, entry.data):
                     raise Violation("two histories", f"index {index} at {replica_id}")
-            if core.role is Role.LEADER:
+            if raft_state.role is Role.LEADER:
                 self._check_leader(replica_id, replica)
 
     def _check_leader(self, replica_id: int, replica: Replica) -> None:
-        core = replica.core
-        if self.leaders.setdefault(core.term, replica_id) != replica_id:
-            raise Violation("two leaders of one term", f"term {core.term}")
-        if core.term < max(self.leaders):
+        raft_state = replica.state
+        if self.leaders.setdefault(raft_state.term, replica_id) != replica_id:
+            raise Violation("two leaders of one term", f"term {raft_state.term}")
+        if raft_state.term < max(self.leaders):
             return
         for index, (term, data) in self.committed.items():
-            if core.log.term_at(index) != term or core.log.entry(index).data != data:
-                raise Violation("lost order", f"index {index} isn't at leader {replica_id} of term {core.term}")
+            if raft_state.log.term_at(index) != term or raft_state.log.entry(index).data != data:
+                raise Violation("lost order", f"index {index} isn't at leader {replica_id} of term {raft_state.term}")
 
     # Identity
 
@@ -242,39 +257,43 @@
         )
 
     def _replica_key(self, replica: Replica) -> tuple:
-        core, log = replica.core, replica.core.log
+        """All that decides how a replica goes on, inner state included."""
+        raft_state, log = replica.state, replica.state.log
         entries = tuple((entry.term, entry.data) for entry in log.slice(1, 99, 9999))
         progress = (
             tuple(
                 (
                     other,
-                    known.match,
-                    known.next,
+                    known.match_index,
+                    known.next_index,
                     known.mode,
                     known.in_flight,
                     self.now - known.last_contact_at < SHORT_S,
                 )
                 for other, known in sorted(replica.replication.progress.items())
             )
-            if core.role is Role.LEADER
+            if raft_state.role is Role.LEADER
             else ()
         )
-        granted = frozenset(replica._election._granted) if core.role is not Role.FOLLOWER else frozenset()
-        held = tuple(
-            (needed - core._writes_begun, to, _plain(message)) for needed, to, message in core._pending_messages
+        granted = frozenset(replica._election._granted)  # noqa: SLF001 - inner state tells states apart
+        if raft_state.role is Role.FOLLOWER:
+            granted = frozenset()
+        pending = tuple(
+            (needed - raft_state._writes_started, to, _plain(message))  # noqa: SLF001 - as above
+            for needed, to, message in raft_state._pending_messages  # noqa: SLF001 - as above
         )
         return (
-            core.term,
-            core.vote,
-            core.role,
-            core.leader_id,
+            raft_state.term,
+            raft_state.vote,
+            raft_state.role,
+            raft_state.leader_id,
             entries,
-            log.stable_index,
-            core.commit_index,
-            core.needs_write(),
-            self.now - core.last_leader_contact_at < SHORT_S,
+            log.persisted_index,
+            raft_state.commit_index,
+            raft_state.needs_write(),
+            self.now - raft_state.last_leader_contact_at < SHORT_S,
             granted,
-            held,
+            pending,
             progress,
             tuple(replica.replication.learners),
             replica.replication.term_start_index,
@@ -283,13 +302,18 @@
 
 def _matters(replica: Replica, message) -> bool:
     """Whether the receiver, now or after what it may still receive, could heed a message."""
-    core = replica.core
+    raft_state = replica.state
     if isinstance(message, RequestVoteResponse):
         if message.pre_vote and message.granted:
-            return core.role is Role.PRE_CANDIDATE and message.term == core.term + 1
-        return message.term > core.term or message.granted and core.role is Role.CANDIDATE and message.term == core.term
+            return raft_state.role is Role.PRE_CANDIDATE and message.term == raft_state.term + 1
+        return (
+            message.term > raft_state.term
+            or message.granted
+            and raft_state.role is Role.CANDIDATE
+            and message.term == raft_state.term
+        )
     if isinstance(message, AppendEntriesResponse):
-        return message.term > core.term or core.role is Role.LEADER and message.term == core.term
+        return message.term > raft_state.term or raft_state.role is Role.LEADER and message.term == raft_state.term
     return True
 
 
@@ -300,23 +324,23 @@
 
 
 @dataclass(slots=True)
-class Found:
+class SearchResult:
     """What a search saw."""
 
     states: int
     complete: bool
-    leaders: int  # most terms that had a leader in one state
-    committed: int  # most entries committed in one state
+    leaders: int  # highest number of terms that had a leader in one state
+    committed: int  # highest number of entries committed in one state
 
 
-def search(budget: Budget, most_states: int) -> Found:
+def search(budget: Budget, max_states: int) -> SearchResult:
     """Visits each state once, nearest first; raises Violation at the first that breaks a rule."""
     first = State.first(budget)
     seen = {hash(first.key())}
     waiting = [pickle.dumps(first)]
-    found = Found(1, True, 0, 0)
+    found = SearchResult(1, True, 0, 0)
     while waiting:
-        following: list[bytes] = []
+        next_states: list[bytes] = []
         for packed in waiting:
             for step in list(pickle.loads(packed).steps()):
                 state = pickle.loads(packed)
@@ -328,9 +352,9 @@
                 found.states += 1
                 found.leaders = max(found.leaders, len(state.leaders))
                 found.committed = max(found.committed, len(state.committed))
-                following.append(pickle.dumps(state))
-                if found.states >= most_states:
+                next_states.append(pickle.dumps(state))
+                if found.states >= max_states:
                     found.complete = False
                     return found
-        waiting = following
+        waiting = next_states
     return found
--- a/tests/support/replica_hosts.py
+++ b/tests/support/replica_hosts.py
@@ -93,13 +93,13 @@
     running = host._running
     if running is None:
         return f"{host.settings.node} hasn't read its disk"
-    core = running.multi_raft.replicas[shard].core
+    state = running.multi_raft.replicas[shard].state
     return (
-        f"{host.settings.node} {core.role.value} term={core.term} vote={core.vote} leader={core.leader_id} "
-        f"last={core.log.last_index} stable={core.log.stable_index} commit={core.commit_index} "
-        f"withholding_votes={core.withholding_votes} leader_contact={core.now - core.last_leader_contact_at:.2f} "
-        f"deadline={core.election_deadline - core.now:.2f} writing={running.disk.pending_for:.2f} "
-        f"failed={running.disk.has_failed} voters={[member.id for member in core.configuration.voters]} id={core.id}"
+        f"{host.settings.node} {state.role.value} term={state.term} vote={state.vote} leader={state.leader_id} "
+        f"last={state.log.last_index} stable={state.log.persisted_index} commit={state.commit_index} "
+        f"withholding_votes={state.withholding_votes} leader_contact={state.now - state.last_leader_contact_at:.2f} "
+        f"deadline={state.election_deadline - state.now:.2f} writing={running.disk.pending_for:.2f} "
+        f"failed={running.disk.has_failed} voters={[member.id for member in state.configuration.voters]} id={state.id}"
     )
 
 
