--- a/benchmarks/core_times.py
+++ b/benchmarks/core_times.py
@@ -254,7 +254,7 @@
     new = world.add(len(world.seeds) + 1)
     new.start(world.seeds, bootstrap=False)
     while not all(
-        replica.core.is_voter and not replica.core.configuration.joint for replica in new.table.replicas.values()
+        replica.core.is_voter and not replica.core.configuration.is_joint for replica in new.table.replicas.values()
     ):
         world.run(STEP_S)
     return world.now - began
--- a/ochrespan/control_plane/replication/host.py
+++ b/ochrespan/control_plane/replication/host.py
@@ -164,7 +164,7 @@
 
     def cluster(self) -> int:
         """The number of the founding that this process belongs to; 0 while it belongs to none."""
-        return self._table.bootstrap.identity.cluster if self._table is not None else 0
+        return self._table.bootstrap.identity.cluster_id if self._table is not None else 0
 
     def failures_tolerated(self, shard: int) -> int | None:
         """How many more voters of a shard that is led here may be lost now; None where it is led elsewhere."""
--- a/ochrespan/control_plane/replication/persistent_records.py
+++ b/ochrespan/control_plane/replication/persistent_records.py
@@ -24,7 +24,7 @@
 
 def pack_record(change: Identity | PersistentUpdate) -> bytes:
     if isinstance(change, Identity):
-        return ormsgpack.packb([_IDENTITY, change.replica_id, change.cluster, change.initial_members])
+        return ormsgpack.packb([_IDENTITY, change.replica_id, change.cluster_id, change.initial_members])
     return ormsgpack.packb(
         [
             _UPDATE,
@@ -76,7 +76,7 @@
         kind, *fields = ormsgpack.unpackb(packed)
         if kind == _IDENTITY:
             following = _unpack_identity(*fields)
-            if identity is not None and identity.cluster not in (0, following.cluster):
+            if identity is not None and identity.cluster_id not in (0, following.cluster_id):
                 groups = {}  # a founding was given up: what its groups wrote holds no more
             identity = following
             continue
--- a/ochrespan/control_plane/replication/raft_wire.py
+++ b/ochrespan/control_plane/replication/raft_wire.py
@@ -6,10 +6,11 @@
 from dataclasses import dataclass
 from typing import Any
 
+from ochrespan.common.addresses import Address
 from ochrespan.raft.cluster_messages import BootstrapProposal, JoinRequest, JoinResponse, LeaveNotice
 from ochrespan.raft.envelope import Envelope
 from ochrespan.raft.log import Snapshot
-from ochrespan.raft.membership_config import MembershipConfig
+from ochrespan.raft.membership_config import Member, MembershipConfig
 from ochrespan.raft.messages import (
     AppendEntries,
     AppendEntriesResponse,
@@ -46,6 +47,13 @@
 }
 _APPEND = _numbers[AppendEntries]
 _ENTRIES_FIELD = _fields[AppendEntries].index("entries")
+_PROPOSAL = _numbers[BootstrapProposal]
+_MEMBERS_FIELD = _fields[BootstrapProposal].index("members")
+# Fields that hold addresses, by number of the message's type: an address is host and port on the wire.
+_ADDRESS_FIELDS = {
+    _numbers[JoinRequest]: (_fields[JoinRequest].index("initial_members"),),
+    _numbers[JoinResponse]: (_fields[JoinResponse].index("contacts"), _fields[JoinResponse].index("initial_members")),
+}
 
 
 @message("raft")
@@ -63,7 +71,7 @@
 
 def pack_envelope(envelope: Envelope) -> RaftBatch:
     frames = [[group, *_pack_message(value)] for group, value in envelope.frames]
-    return RaftBatch(envelope.cluster, envelope.sender, *envelope.address, envelope.to, frames)
+    return RaftBatch(envelope.cluster_id, envelope.sender, *envelope.address, envelope.to, frames)
 
 
 def unpack_envelope(batch: RaftBatch) -> Envelope:
@@ -77,6 +85,8 @@
     fields = [getattr(value, name) for name in _fields[message_type]]
     if message_type is AppendEntries:
         fields[_ENTRIES_FIELD] = pack_entries(value.entries)
+    elif message_type is BootstrapProposal:
+        fields[_MEMBERS_FIELD] = [[member.id, *member.address] for member in value.members]
     return [_numbers[message_type], *fields]
 
 
@@ -85,9 +95,21 @@
     fields = fields[: len(_fields[message_type])]
     if number == _APPEND:
         fields[_ENTRIES_FIELD] = unpack_entries(fields[_ENTRIES_FIELD])
+    elif number == _PROPOSAL:
+        fields[_MEMBERS_FIELD] = tuple(
+            Member(replica_id, (host, port)) for replica_id, host, port in fields[_MEMBERS_FIELD]
+        )
+    elif number in _ADDRESS_FIELDS:
+        for position in _ADDRESS_FIELDS[number]:
+            if position < len(fields):  # an earlier version may lack it
+                fields[position] = _unpack_addresses(fields[position])
     return message_type(*fields)
 
 
+def _unpack_addresses(packed: list[list[Any]]) -> tuple[Address, ...]:
+    return tuple((host, port) for host, port in packed)
+
+
 def pack_entries(entries: list[Entry]) -> list[list]:
     return [[entry.term, int(entry.kind), entry.data] for entry in entries]
 
--- a/ochrespan/raft/bootstrap.py
+++ b/ochrespan/raft/bootstrap.py
@@ -1,79 +1,76 @@
-"""How the groups of a deployment come to be, and how a replica with an empty disk finds them.
-
-An id is drawn at random with an empty disk and ends with that disk, so it never comes back with another one. With
-`bootstrap: true` the seeds are the founders. A founder marks its disk with their addresses, asks the others what they
-hold, and the groups are formed in one of two ways:
-
-- every founder says under its first address that its disk is empty, and most disks have the mark. An acknowledged
-  order has entries on most disks, so more than may be lost would have to be empty;
-- most founders are in the very first start of their disks and began within `MAX_START_SPREAD_S` of each other, and
-  nobody knows of a group. This lets a first start go on without a founder that is late. One that began when a group
-  might already have lived beside it, or that starts a second time, waits for the word of all.
-
-A process without the mark forms nothing: that all whom it knows are empty does not prove that no fleet lives elsewhere.
-
-Foundings that cross are settled by what their members hold. Entries of a log bind a process to its groups for good;
-before the first entry it may go over to another founding, and gives its own up where another has commitments.
+"""Which disks may form the groups of a new deployment: the rules, without messages and without replicas.
+
+A replica id is generated with an empty disk and lost with it, so an id never comes back with another disk. With
+`bootstrap: true` the seeds are the initial members of the deployment. Each of them records the addresses of all initial
+members on its disk, then queries the others for the state of theirs (`JoinRequest`, `JoinResponse`). The initial member
+with the lowest address among those that can take part proposes the voters of the first groups
+(`BootstrapProposal`) when one of two conditions holds:
+
+- every initial member reports from its address that its disk belongs to no cluster, and a majority of the disks have
+  the initial members recorded. A committed entry is on a majority of the disks, so if there were one, more disks would
+  have been lost than the deployment tolerates;
+- a majority of the initial members run for the first time with their disks, started within `MAX_START_SPREAD_S` of each
+  other, and none of them knows of a group with entries. This lets a first start proceed without an initial member that
+  is late. One that started at a time when a group might already have existed, or that was started before with
+  this disk, waits for the reports of all.
+
+A process without recorded initial members proposes nothing: that all processes that it knows have empty disks does not
+show that there is no cluster elsewhere.
+
+Several initial members may propose at the same time, with different members, if messages between them are lost or late.
+`bootstrap_protocol` describes how such bootstraps are reduced to one.
 """
 
 from __future__ import annotations
 
 import random
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 
 from ochrespan.common.addresses import Address
 
-from .cluster_messages import (
-    NOT_FIRST_START,
-    BootstrapProposal,
-    JoinRequest,
-    JoinResponse,
-    cluster_id_of,
-    proposed_members,
-)
+from .cluster_messages import NOT_FIRST_START, BootstrapProposal, JoinRequest, JoinResponse, cluster_id_of
 from .membership_config import Member, MembershipConfig
 
 QUERY_INTERVAL_S = 0.25
-BOOTSTRAP_QUERY_INTERVAL_S = 0.05  # while the groups are to be formed
-MAX_START_SPREAD_S = 0.4  # founders of a first start begin within this time of each other
-ALL_MEMBERS_WAIT_S = 0.1  # how long a founder waits for the word of all before that of most is enough
-# how long all founders have to be without an entry before a founding that led to nothing is given up
+BOOTSTRAP_QUERY_INTERVAL_S = 0.05  # while the groups are still to be formed
+MAX_START_SPREAD_S = 0.4  # initial members of a first start begin within this time of each other
+ALL_MEMBERS_WAIT_S = 0.1  # an initial member waits this long for the reports of all before those of a majority suffice
+# a bootstrap without progress is abandoned when no initial member has had an entry for this long
 ABANDON_AFTER_S = 1.5
-# the same in a first start, where most founders are there and too few of them in this founding
+# the same in a first start where a majority of the initial members is there, but no majority of the bootstrap's voters
 ABANDON_FIRST_START_AFTER_S = 0.5
-MAX_REPORT_AGE_S = 1.0  # an answer older than this says nothing
+MAX_REPORT_AGE_S = 1.0  # a report older than this is not considered
 
 
 @dataclass(slots=True)
 class Identity:
-    """Who a process is in the groups: drawn with an empty disk, kept with it.
-
-    Cluster 0: not taken in yet. `initial_members` is the mark of a first start.
-    """
+    """Who a process is in the groups: generated with an empty disk, kept on it."""
 
     replica_id: int
-    cluster: int = 0
-    initial_members: tuple[Address, ...] = ()
+    cluster_id: int = 0  # 0: not a member of a cluster yet
+    initial_members: tuple[Address, ...] = ()  # recorded when an initial member first starts; empty for other processes
 
 
 @dataclass(frozen=True, slots=True)
 class BootstrapSettings:
-    address: Address
+    """What the deployment says about a process's part in the groups."""
+
+    address: Address  # of this process
     seeds: tuple[Address, ...]
-    bootstrap: bool
+    bootstrap: bool  # the seeds are the initial members of a new deployment
     fault_tolerance: int  # machines that may be lost at once
 
 
 @dataclass(frozen=True, slots=True)
 class PeerReport:
-    """What a process has last said of itself."""
+    """The latest report of a process about its own disk."""
 
     replica_id: int
-    empty: bool
-    blank: bool
+    is_unbootstrapped: bool
+    has_no_entries: bool
     initial_members: tuple[Address, ...]
-    began_at: float | None  # by the receiver's clock, where it is in the first life of its disk
+    first_started_at: float | None  # by the receiver's clock; None if the process was started before with its disk
     last_contact_at: float
 
 
@@ -83,156 +80,198 @@
 
 
 class Bootstrap:
-    """A process's part in the forming of the groups, and what it knows of the others' disks."""
+    """The identity of a process, the reports of its peers, and what they allow it to propose, accept or abandon."""
 
     def __init__(
-        self, settings: BootstrapSettings, identity: Identity, source: random.Random, began_at: float | None
+        self, settings: BootstrapSettings, identity: Identity, source: random.Random, first_started_at: float | None
     ) -> None:
-        self.settings, self.identity = settings, identity
+        self.settings = settings
+        self.identity = identity
         self._random = source
-        self._began_at = began_at  # None: this is not the first life of the disk
-        self._holdings: dict[Address, PeerReport] = {}
-        self._group_known = False
-        self._formed_at = 0.0
-        self._blank_since: float | None = None
+        self._first_started_at = first_started_at  # None: this process was started before with its disk
+        self._reports: dict[Address, PeerReport] = {}
+        self._knows_existing_group = False
+        self._bootstrapped_at = 0.0
+        self._all_without_entries_since: float | None = None
 
     @classmethod
     def begin(cls, settings: BootstrapSettings, known: Identity | None, source: random.Random, now: float) -> Bootstrap:
-        """Continues as `known`, or draws a new id; a founder's disk gets its mark."""
+        """Starts with the identity on the disk, or generates one; an initial member's gets the recorded addresses.
+
+        Args:
+            settings: what the deployment says.
+            known: the identity on the disk; None for an empty disk.
+            source: for replica ids.
+            now: seconds of the steady clock.
+        """
         initial_members = tuple(sorted(set(settings.seeds)))
         is_initial_member = settings.bootstrap and settings.address in initial_members
         if known is None:
-            return cls(
-                settings,
-                Identity(generate_replica_id(source), 0, initial_members if is_initial_member else ()),
-                source,
-                now,
-            )
-        if is_initial_member and not known.cluster and not known.initial_members:
-            known = Identity(known.replica_id, 0, initial_members)
+            recorded = initial_members if is_initial_member else ()
+            return cls(settings, Identity(generate_replica_id(source), 0, recorded), source, now)
+        if is_initial_member and not known.cluster_id and not known.initial_members:
+            known = replace(known, initial_members=initial_members)
         return cls(settings, known, source, None)
 
     @property
-    def empty(self) -> bool:
-        return self.identity.cluster == 0
+    def is_unbootstrapped(self) -> bool:
+        """Whether the disk has never belonged to a cluster."""
+        return self.identity.cluster_id == 0
 
     @property
-    def is_initial_member(self) -> bool:
-        """Whether this process still has to see the groups formed."""
-        return self.empty and bool(self.identity.initial_members)
-
-    def age(self, now: float) -> float:
-        """Seconds since the disk was first used; NOT_FIRST_START where a group is known, so that no other counts it."""
-        return NOT_FIRST_START if self._began_at is None or self._group_known else now - self._began_at
+    def awaits_bootstrap(self) -> bool:
+        """Whether this is an initial member that belongs to no cluster yet."""
+        return self.is_unbootstrapped and bool(self.identity.initial_members)
 
-    def leader_seen(self) -> None:
-        """A leader asks for another id at this address: a group lives, and this disk is not the first here."""
-        self._group_known = True
+    def first_start_age(self, now: float) -> float:
+        """Seconds since the first start with this disk.
 
-    def heard(self, now: float, replica_id: int, address: Address, message: JoinRequest | JoinResponse) -> None:
-        """A process has said what it holds."""
-        initial_members = tuple((host, port) for host, port in message.initial_members)
-        began_at = None if message.age_s < 0 else now - message.age_s
-        self._holdings[address] = PeerReport(replica_id, message.empty, message.blank, initial_members, began_at, now)
-        self._group_known |= not message.empty and not message.blank
+        NOT_FIRST_START if the process was started before with it, or knows of an existing group: its peers then don't
+        count it among the processes of a first start.
+        """
+        if self._first_started_at is None or self._knows_existing_group:
+            return NOT_FIRST_START
+        return now - self._first_started_at
+
+    def record_existing_group(self) -> None:
+        """A leader has sent to another replica id at this address: a group exists, and had another disk here."""
+        self._knows_existing_group = True
+
+    def record_report(self, now: float, replica_id: int, address: Address, message: JoinRequest | JoinResponse) -> None:
+        """Keeps what a process reports about its disk."""
+        first_started_at = None if message.age_s < 0 else now - message.age_s
+        self._reports[address] = PeerReport(
+            replica_id,
+            message.is_unbootstrapped,
+            message.has_no_entries,
+            message.initial_members,
+            first_started_at,
+            now,
+        )
+        self._knows_existing_group |= not message.is_unbootstrapped and not message.has_no_entries
 
     def proposal(self, now: float) -> BootstrapProposal | None:
-        """The members of the first groups, if they may be formed now and this founder has the lowest address here."""
-        initial_members, own = self.identity.initial_members, self.settings.address
-        if not self.empty or own not in initial_members:
+        """The voters of the first groups, if they may be formed now and this process is the one to propose them.
+
+        Initial members that have not reported get a new id, under which nobody answers: they take part as learners
+        later.
+        """
+        initial_members = self.identity.initial_members
+        own_address = self.settings.address
+        if not self.is_unbootstrapped or own_address not in initial_members:
             return None
-        empty = {
-            address: holding
-            for address, holding in self._fresh(now).items()
-            if holding.empty and holding.initial_members in ((), initial_members)
+        candidates = {
+            address: report
+            for address, report in self._recent_reports(now).items()
+            if report.is_unbootstrapped and report.initial_members in ((), initial_members)
         }
-        empty[own] = PeerReport(self.identity.replica_id, True, True, initial_members, self._began_at, now)
-        proposer = min(address for address, holding in empty.items() if holding.initial_members)
-        if own != proposer or not (self._is_word_of_all(empty) or self._enough_for_first_start(now, empty)):
+        candidates[own_address] = self._own_report(now, is_unbootstrapped=True)
+        proposer = min(address for address, report in candidates.items() if report.initial_members)
+        if own_address != proposer:
             return None
-        ids = {
-            address: empty[address].replica_id if address in empty else generate_replica_id(self._random)
-            for address in initial_members
-        }
-        return BootstrapProposal([[ids[address], *address] for address in initial_members])
+        if not self._all_initial_members_in(candidates) and not self._is_majority_in_first_start(now, candidates):
+            return None
+        return BootstrapProposal(
+            tuple(
+                Member(
+                    candidates[address].replica_id if address in candidates else generate_replica_id(self._random),
+                    address,
+                )
+                for address in initial_members
+            )
+        )
 
     def accepts(self, message: BootstrapProposal) -> bool:
-        """Whether an empty process has its part in a founding."""
-        return self.empty and any(replica_id == self.identity.replica_id for replica_id, _, _ in message.members)
+        """Whether this process belongs to no cluster and is named, under its current id, in a proposal."""
+        return self.is_unbootstrapped and any(member.id == self.identity.replica_id for member in message.members)
 
     def accept(self, now: float, message: BootstrapProposal) -> MembershipConfig:
-        """Becomes a member of the groups that begin."""
-        members = proposed_members(message)
-        self._formed_at = now
-        self.identity = Identity(self.identity.replica_id, cluster_id_of(members), self.identity.initial_members)
-        self._blank_since = None
-        return MembershipConfig.of(members)
-
-    def has_stalled(self, now: float, founding: Iterable[Member]) -> bool:
-        """Whether a founding may be given up: to be asked by a member whose logs have no entry, while no leader comes.
-
-        Either every founder has long been without an entry, or this is a first start whose founders are enough for
-        another founding, while too few of the members of this one are there.
+        """Takes the identity of a member of the proposed cluster.
+
+        Returns:
+            The configuration with which each group begins.
         """
-        own = self.settings.address
-        if own not in self.identity.initial_members:
+        self._bootstrapped_at = now
+        self.identity = replace(self.identity, cluster_id=cluster_id_of(message.members))
+        self._all_without_entries_since = None
+        return MembershipConfig.of(message.members)
+
+    def has_stalled(self, now: float, voters: Iterable[Member]) -> bool:
+        """Whether a bootstrap with these voters may be abandoned, as it will not come to an elected leader.
+
+        To be called only while the logs here have no entry. Either no initial member has had an entry for
+        ABANDON_AFTER_S; or this is a first start with a majority of the initial members, which is enough for another
+        bootstrap, while no majority of the voters of this one answers.
+        """
+        own_address = self.settings.address
+        if own_address not in self.identity.initial_members:
             return False
-        blank = {address: holding for address, holding in self._fresh(now).items() if holding.blank}
-        blank[own] = PeerReport(
-            self.identity.replica_id, False, True, self.identity.initial_members, self._began_at, now
-        )
-        if not self._is_word_of_all(blank):
-            self._blank_since = None
-        elif self._blank_since is None:
-            self._blank_since = now
-        if self._blank_since is not None and now - self._blank_since >= ABANDON_AFTER_S:
+        without_entries = {
+            address: report for address, report in self._recent_reports(now).items() if report.has_no_entries
+        }
+        without_entries[own_address] = self._own_report(now, is_unbootstrapped=False)
+        if not self._all_initial_members_in(without_entries):
+            self._all_without_entries_since = None
+        elif self._all_without_entries_since is None:
+            self._all_without_entries_since = now
+        if self._all_without_entries_since is not None and now - self._all_without_entries_since >= ABANDON_AFTER_S:
             return True
-        members = list(founding)
-        there = [member for member in members if self._is_there(now, blank.get(member.address), member)]
-        is_stalled = now - self._formed_at >= ABANDON_FIRST_START_AFTER_S and 2 * len(there) <= len(members)
-        return is_stalled and self._enough_for_first_start(now, blank)
+        voters = list(voters)
+        reachable = [voter for voter in voters if self._is_reachable(now, without_entries.get(voter.address), voter)]
+        lacks_majority = 2 * len(reachable) <= len(voters)
+        is_overdue = now - self._bootstrapped_at >= ABANDON_FIRST_START_AFTER_S
+        return is_overdue and lacks_majority and self._is_majority_in_first_start(now, without_entries)
+
+    def abandon(self) -> None:
+        """Leaves a cluster without entries: unbootstrapped again under a new id; the recorded addresses stay."""
+        self.identity = Identity(generate_replica_id(self._random), 0, self.identity.initial_members)
+        self._all_without_entries_since = None
 
     @staticmethod
-    def _is_there(now: float, holding: PeerReport | None, member: Member) -> bool:
-        """Whether a member of a founding was heard under its id a moment ago."""
+    def _is_reachable(now: float, report: PeerReport | None, voter: Member) -> bool:
+        """Whether a voter of a bootstrap has just reported, under the id that it has there."""
         return (
-            holding is not None
-            and holding.replica_id == member.id
-            and now - holding.last_contact_at < ABANDON_FIRST_START_AFTER_S
+            report is not None
+            and report.replica_id == voter.id
+            and now - report.last_contact_at < ABANDON_FIRST_START_AFTER_S
         )
 
-    def abandon(self) -> None:
-        """Leaves a founding that led to nothing, under a new id; the mark stays."""
-        self.identity = Identity(generate_replica_id(self._random), 0, self.identity.initial_members)
-        self._blank_since = None
+    def _own_report(self, now: float, *, is_unbootstrapped: bool) -> PeerReport:
+        """This process beside its peers; to be used while its logs have no entry."""
+        identity = self.identity
+        return PeerReport(
+            identity.replica_id, is_unbootstrapped, True, identity.initial_members, self._first_started_at, now
+        )
 
-    def _fresh(self, now: float) -> dict[Address, PeerReport]:
-        """What the other founders have said lately."""
+    def _recent_reports(self, now: float) -> dict[Address, PeerReport]:
+        """The reports of the other initial members that are recent enough."""
         return {
-            address: holding
-            for address, holding in self._holdings.items()
-            if address in self.identity.initial_members and now - holding.last_contact_at < MAX_REPORT_AGE_S
+            address: report
+            for address, report in self._reports.items()
+            if address in self.identity.initial_members and now - report.last_contact_at < MAX_REPORT_AGE_S
         }
 
-    def _is_word_of_all(self, holdings: Mapping[Address, PeerReport]) -> bool:
-        """Whether every founder is among these, and most of them have the mark.
+    def _all_initial_members_in(self, reports: Mapping[Address, PeerReport]) -> bool:
+        """Whether every initial member is among these, and a majority of their disks have the recorded addresses.
 
-        One without it may have been killed before its first sync; several are machines that lost their disks, after
-        others may have taken their places.
+        A single disk without them may belong to a process that was killed before its first sync. Several are machines
+        that lost their disks, perhaps after standbys had replaced them as voters elsewhere.
         """
         initial_members = self.identity.initial_members
-        marked = sum(bool(holding.initial_members) for holding in holdings.values())
-        return len(holdings) == len(initial_members) and 2 * marked > len(initial_members)
+        recorded = sum(bool(report.initial_members) for report in reports.values())
+        return len(reports) == len(initial_members) and 2 * recorded > len(initial_members)
 
-    def _enough_for_first_start(self, now: float, blank: Mapping[Address, PeerReport]) -> bool:
-        """Whether most founders are here in a first start, and nobody knows of a group with entries."""
+    def _is_majority_in_first_start(self, now: float, reports: Mapping[Address, PeerReport]) -> bool:
+        """Whether these are a majority of the initial members in a first start, and none knows of a group."""
         if (
-            self._group_known
-            or self.age(now) < ALL_MEMBERS_WAIT_S
-            or 2 * len(blank) <= len(self.identity.initial_members)
+            self._knows_existing_group
+            or self.first_start_age(now) < ALL_MEMBERS_WAIT_S
+            or 2 * len(reports) <= len(self.identity.initial_members)
         ):
             return False
-        began = [holding.began_at for holding in blank.values()]
-        if any(began_at is None for began_at in began):
-            return False
-        return max(began) - min(began) <= MAX_START_SPREAD_S
+        started_at: list[float] = []
+        for report in reports.values():
+            if report.first_started_at is None:
+                return False
+            started_at.append(report.first_started_at)
+        return max(started_at) - min(started_at) <= MAX_START_SPREAD_S
--- /dev/null
+++ b/ochrespan/raft/bootstrap_protocol.py
@@ -0,0 +1,137 @@
+"""How initial members agree on one bootstrap: proposals, and what becomes of bootstraps that crossed.
+
+In a first start two initial members may each send a `BootstrapProposal` before the other's arrives. An example with
+initial members A, B and C, where A and B cannot reach each other for a moment: A takes B for late and proposes A, C and
+a new id in B's place, B proposes B, C and a new id in A's place. C takes the proposal that arrives first and belongs to
+that cluster. The process of the other proposal is alone in a cluster of its own, whose id is computed from the member
+ids and so differs. Nothing is lost by leaving a cluster whose logs have no entry, as nothing in it was acknowledged.
+These rules lead to a single cluster:
+
+- A process with an entry in a log never leaves its cluster.
+- A member of a cluster without entries sends its proposal to all voters again at each query, also to those in another
+  cluster. A receiver without entries that has entered no term (so it has voted for nobody), and that is named under its
+  current id, changes over to the proposal that ranks first: those of senders that have voted go before those of
+  senders that haven't, then those of the lower cluster id. All processes compare alike, so none goes back and forth.
+- A process in another cluster with committed entries responds to `JoinRequest` and `BootstrapProposal` with a
+  `JoinResponse` that says so (`has_commits`). A receiver without entries abandons its own bootstrap: it gets a new
+  id and empty replicas, and asks to join.
+- A bootstrap without progress is abandoned as `Bootstrap.has_stalled` decides: for example, if the id in the place
+  of a late member answers nobody and one of the others was lost.
+
+All other messages of another cluster are ignored: two deployments may have been given each other's addresses.
+"""
+
+from __future__ import annotations
+
+import logging
+
+from ochrespan.common.addresses import Address
+
+from .bootstrap import BOOTSTRAP_QUERY_INTERVAL_S, QUERY_INTERVAL_S
+from .cluster_messages import BootstrapProposal, JoinRequest, JoinResponse, cluster_id_of
+from .envelope import PROCESS_GROUP, Envelope
+from .joining import build_join_response
+from .local_groups import LocalGroups
+from .membership_config import Member
+
+log = logging.getLogger(__name__)
+
+
+class BootstrapProtocol:
+    """Sends and receives the proposals of a process, and abandons a bootstrap where another has won."""
+
+    def __init__(self, local: LocalGroups, now: float) -> None:
+        self._local = local
+        self.next_query_at = now
+        self._reported_clusters: set[Address] = set()  # processes of other clusters that a log line has named
+
+    def schedule_query(self, now: float) -> None:
+        """Sets the time of the next query: soon, while this initial member waits for the groups to be formed."""
+        awaits_bootstrap = self._local.bootstrap.awaits_bootstrap
+        self.next_query_at = now + (BOOTSTRAP_QUERY_INTERVAL_S if awaits_bootstrap else QUERY_INTERVAL_S)
+
+    def tick(self, now: float) -> None:
+        """Proposes a bootstrap if that is allowed by now, and repeats one whose groups have no entry yet."""
+        self.propose(now)
+        if voters := self._voters_without_entries():
+            self._announce(now, voters)
+
+    def propose(self, now: float) -> None:
+        """Forms the groups here and proposes them to the others, if the reports received allow it."""
+        if proposal := self._local.bootstrap.proposal(now):
+            self._start_groups(now, proposal)
+            self._announce(now, self._voters_without_entries())
+
+    def receive_report(self, now: float, envelope: Envelope, message: JoinRequest | JoinResponse) -> None:
+        """Keeps what a process of this cluster, or of none, reports of its disk."""
+        self._local.bootstrap.record_report(now, envelope.sender, envelope.address, message)
+
+    def receive_proposal(self, now: float, message: BootstrapProposal) -> None:
+        """Takes the proposal of a process of this cluster, or of none, if this process is unbootstrapped."""
+        if self._local.bootstrap.accepts(message):
+            self._start_groups(now, message)
+
+    def receive_from_other_cluster(self, now: float, envelope: Envelope) -> None:
+        """Handles what processes of bootstraps that crossed send each other; see the head of this module."""
+        local = self._local
+        for group, message in envelope.frames:
+            if group != PROCESS_GROUP:
+                continue
+            if isinstance(message, JoinResponse) and message.has_commits and local.has_no_entries:
+                log.warning("bootstrap abandoned: a peer has committed entries peer=%s:%d", *envelope.address)
+                local.abandon_bootstrap(now)
+                return
+            if isinstance(message, BootstrapProposal) and self._prefers(message):
+                self._start_groups(now, message)
+                return
+            if isinstance(message, JoinRequest):
+                self.receive_report(now, envelope, message)
+            if isinstance(message, JoinRequest | BootstrapProposal) and local.has_commits:
+                local.send(envelope.address, 0, build_join_response(local, now, ()))
+        if envelope.address not in self._reported_clusters:
+            self._reported_clusters.add(envelope.address)
+            log.warning(
+                "message of another cluster ignored peer=%s:%d cluster=%d own_cluster=%d",
+                *envelope.address,
+                envelope.cluster_id,
+                local.bootstrap.identity.cluster_id,
+            )
+
+    def _prefers(self, message: BootstrapProposal) -> bool:
+        """Whether the bootstrap of another cluster takes the place of this process's own."""
+        local = self._local
+        own_id = local.bootstrap.identity.replica_id
+        if not local.has_no_entries or local.has_voted or all(member.id != own_id for member in message.members):
+            return False
+        return (not message.has_voted, cluster_id_of(message.members)) < (True, local.bootstrap.identity.cluster_id)
+
+    def _voters_without_entries(self) -> tuple[Member, ...]:
+        """The initial voters, as long as their groups have no entry here; else none."""
+        local = self._local
+        if local.bootstrap.is_unbootstrapped or not local.has_no_entries:
+            return ()
+        return next(iter(local.replicas.values())).core.configuration.voters
+
+    def _announce(self, now: float, voters: tuple[Member, ...]) -> None:
+        """Sends the bootstrap to its voters, or abandons it if it has stalled.
+
+        Until there is an entry, a voter may not have received the proposal, or may be in a bootstrap that crossed it.
+        """
+        local = self._local
+        if local.bootstrap.has_stalled(now, voters):
+            log.warning("bootstrap abandoned: no progress replica=%d", local.bootstrap.identity.replica_id)
+            local.abandon_bootstrap(now)
+            self.next_query_at = now
+            return
+        message = BootstrapProposal(voters, local.has_voted)
+        for member in voters:
+            local.send(member.address, 0, message)
+
+    def _start_groups(self, now: float, message: BootstrapProposal) -> None:
+        """Begins every group with the proposed voters."""
+        local = self._local
+        configuration = local.bootstrap.accept(now, message)
+        for replica in local.replicas.values():
+            replica.found(now, configuration)
+        replica_id = local.bootstrap.identity.replica_id
+        log.info("bootstrap completed replica=%d voters=%d", replica_id, len(configuration.voters))
--- a/ochrespan/raft/cluster_messages.py
+++ b/ochrespan/raft/cluster_messages.py
@@ -1,56 +1,61 @@
-"""Messages between processes that concern all of their groups: bootstrap, joining and planned leave."""
+"""Messages between processes that concern all of their groups: bootstrap, joining and planned leave.
+
+Their form on the wire is the business of the driver (`control_plane.replication.raft_wire`).
+"""
 
 from __future__ import annotations
 
 import hashlib
 from collections.abc import Iterable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
+
+from ochrespan.common.addresses import Address
 
 from .membership_config import Member
 
-NOT_FIRST_START = -1.0  # in place of an age: the process is not in the first life of its disk
+NOT_FIRST_START = -1.0  # in place of an age: the process has been started before with the disk that it uses
 
 
 @dataclass(slots=True)
 class JoinRequest:
-    """A replica asks whoever it reaches to be taken in as a learner of `groups`, and says what it holds."""
+    """A replica asks a process to add it as a learner to `groups`, and reports the state of its disk."""
 
     groups: list[int]
-    empty: bool  # it has never belonged to a group
-    blank: bool = False  # its logs have no entry
-    initial_members: list[list] = field(default_factory=list)  # host and port of each, where its disk has the mark
-    age_s: float = NOT_FIRST_START
+    is_unbootstrapped: bool  # the disk has never belonged to a cluster
+    has_no_entries: bool = False  # the logs of all groups are empty
+    initial_members: tuple[Address, ...] = ()  # as recorded on the disk; empty where none are recorded
+    age_s: float = NOT_FIRST_START  # seconds since the first start with this disk
 
 
 @dataclass(slots=True)
 class JoinResponse:
-    empty: bool
-    contacts: list[list]  # host and port of leaders and members
-    blank: bool = False
-    initial_members: list[list] = field(default_factory=list)
+    """The receiver of a `JoinRequest` names further processes to contact and reports the state of its own disk."""
+
+    is_unbootstrapped: bool
+    contacts: tuple[Address, ...]  # members of the groups that the sender asked for
+    has_no_entries: bool = False
+    initial_members: tuple[Address, ...] = ()
     age_s: float = NOT_FIRST_START
-    settled: bool = False  # a group of the sender has commitments
+    has_commits: bool = False  # a group of the responder has a commit index above 0
 
 
 @dataclass(slots=True)
 class BootstrapProposal:
-    """The groups begin with these members (id, host, port)."""
+    """Every group of the deployment begins with these voters."""
 
-    members: list[list]
-    voted: bool = False  # the sender has taken part in an election among them
+    members: tuple[Member, ...]
+    has_voted: bool = False  # the sender has entered a term, so it may have voted in an election of these groups
 
 
 @dataclass(slots=True)
 class LeaveNotice:
-    """The sender's process has begun its planned end."""
+    """The sender's process has begun its planned shutdown."""
 
 
 def cluster_id_of(members: Iterable[Member]) -> int:
-    """A number that tells the groups of one founding from those of another."""
+    """The id of the cluster that these initial members form: never 0, and 63 bits at most.
+
+    It depends on the replica ids alone, in any order, so each member computes the same.
+    """
     listed = ",".join(str(member_id) for member_id in sorted(member.id for member in members))
     return int.from_bytes(hashlib.sha256(listed.encode()).digest()[:8], "big") >> 1 or 1
-
-
-def proposed_members(message: BootstrapProposal) -> tuple[Member, ...]:
-    """The members that a founding names."""
-    return tuple(Member(replica_id, (host, port)) for replica_id, host, port in message.members)
--- a/ochrespan/raft/envelope.py
+++ b/ochrespan/raft/envelope.py
@@ -12,10 +12,10 @@
 
 @dataclass(slots=True)
 class Envelope:
-    """All that one process has for another at a moment. `to`: the receiver's replica id, 0 if it isn't known."""
+    """All messages that one process sends to another in one step."""
 
-    cluster: int
-    sender: int
-    address: Address
-    to: int
-    frames: list[tuple[int, Any]] = field(default_factory=list)
+    cluster_id: int  # 0: the sender belongs to no cluster yet
+    sender: int  # replica id
+    address: Address  # of the sender
+    to: int  # replica id of the receiver; 0 if the sender doesn't know it
+    frames: list[tuple[int, Any]] = field(default_factory=list)  # group (or PROCESS_GROUP) and message
--- /dev/null
+++ b/ochrespan/raft/joining.py
@@ -0,0 +1,78 @@
+"""How a replica without a leader asks to be added to its groups as a learner, and what it is told in response."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from ochrespan.common.addresses import Address
+
+from .cluster_messages import JoinRequest, JoinResponse
+from .envelope import Envelope
+from .local_groups import LocalGroups
+from .membership_config import Member
+from .replica import Replica
+from .state import Role
+
+LEADER_TIMEOUT_S = 0.5  # a replica that has had no contact with a leader for this long asks to be added
+
+
+class Joining:
+    """Sends join requests to all known processes, and answers those of others."""
+
+    def __init__(self, local: LocalGroups, contacts: Iterable[Address]) -> None:
+        self._local = local
+        self.contacts: set[Address] = set(contacts)  # processes that may know the groups
+
+    def send_requests(self, now: float) -> None:
+        """Asks every known process to add the replicas that have no leader."""
+        request = build_join_request(self._local, now, every_group=False)
+        if request.groups:
+            for address in sorted(self.contacts | {member.address for member in self._local.members()}):
+                self._local.send(address, 0, request)
+
+    def receive_request(self, now: float, envelope: Envelope, request: JoinRequest) -> None:
+        """Adds the sender as a learner where this process leads, and tells it whom else to contact."""
+        local = self._local
+        contacts: set[Address] = set()
+        if not local.bootstrap.is_unbootstrapped:
+            member = Member(envelope.sender, envelope.address)
+            for group in request.groups:
+                if replica := local.replicas.get(group):
+                    replica.join(now, member)
+                    contacts.update(member.address for member in replica.core.configuration.members().values())
+        contacts.discard(envelope.address)
+        local.send(envelope.address, envelope.sender, build_join_response(local, now, tuple(sorted(contacts))))
+
+    def receive_response(self, response: JoinResponse) -> None:
+        """Keeps the processes that a response names."""
+        self.contacts.update(response.contacts)
+
+
+def build_join_request(local: LocalGroups, now: float, *, every_group: bool) -> JoinRequest:
+    """A request for all groups, or for those whose replica here has no leader."""
+    bootstrap = local.bootstrap
+    return JoinRequest(
+        [group for group, replica in local.replicas.items() if every_group or _lacks_leader(now, replica)],
+        bootstrap.is_unbootstrapped,
+        local.has_no_entries,
+        bootstrap.identity.initial_members,
+        bootstrap.first_start_age(now),
+    )
+
+
+def build_join_response(local: LocalGroups, now: float, contacts: tuple[Address, ...]) -> JoinResponse:
+    """A response that names `contacts` and reports the state of this disk."""
+    bootstrap = local.bootstrap
+    return JoinResponse(
+        bootstrap.is_unbootstrapped,
+        contacts,
+        local.has_no_entries,
+        bootstrap.identity.initial_members,
+        bootstrap.first_start_age(now),
+        local.has_commits,
+    )
+
+
+def _lacks_leader(now: float, replica: Replica) -> bool:
+    core = replica.core
+    return core.role is not Role.LEADER and now - core.last_leader_contact_at > LEADER_TIMEOUT_S
--- /dev/null
+++ b/ochrespan/raft/local_groups.py
@@ -0,0 +1,71 @@
+"""The replicas of a process and its identity: the state that the protocols between processes share."""
+
+from __future__ import annotations
+
+import random
+from typing import Any
+
+from ochrespan.common.addresses import Address
+
+from .bootstrap import Bootstrap
+from .membership_config import Member
+from .replica import Replica
+from .state import PersistentState, Timing
+
+
+class LocalGroups:
+    """One replica of each group, the identity they share, and the messages for other processes."""
+
+    def __init__(
+        self,
+        groups: tuple[int, ...],
+        bootstrap: Bootstrap,
+        durable: dict[int, PersistentState],
+        source: random.Random,
+        timing: Timing,
+        now: float,
+    ) -> None:
+        self.bootstrap = bootstrap
+        self.timing = timing
+        self.outbox: list[tuple[Address, int, Any]] = []  # address, replica id (0: unknown), message
+        self._random = source
+        self.replicas = {
+            group: self._create_replica(group, durable.get(group) or PersistentState(), now) for group in groups
+        }
+
+    @property
+    def has_no_entries(self) -> bool:
+        """Whether no log has an entry: nothing that was acknowledged to a client can be on this disk alone."""
+        return all(not replica.core.log.last_index for replica in self.replicas.values())
+
+    @property
+    def has_voted(self) -> bool:
+        """Whether a replica has entered a term, and with it may have voted."""
+        return any(replica.core.term for replica in self.replicas.values())
+
+    @property
+    def has_commits(self) -> bool:
+        """Whether a group is known to have committed entries."""
+        return any(replica.core.commit_index for replica in self.replicas.values())
+
+    def members(self) -> list[Member]:
+        """The voters of all groups; one appears once for each group."""
+        return [
+            member for replica in self.replicas.values() for member in replica.core.configuration.members().values()
+        ]
+
+    def send(self, address: Address, to: int, message: Any) -> None:
+        """Queues a message for another process; `to` is its replica id, 0 if unknown."""
+        if address != self.bootstrap.settings.address:
+            self.outbox.append((address, to, message))
+
+    def abandon_bootstrap(self, now: float) -> None:
+        """Leaves a cluster whose groups have no entry here: continues with empty replicas under a new id."""
+        self.bootstrap.abandon()
+        for group in self.replicas:
+            self.replicas[group] = self._create_replica(group, PersistentState(), now)
+
+    def _create_replica(self, group: int, durable: PersistentState, now: float) -> Replica:
+        min_voters = 2 * self.bootstrap.settings.fault_tolerance + 1
+        replica_id = self.bootstrap.identity.replica_id
+        return Replica(group, replica_id, durable, self._random, self.timing, min_voters, now)
--- a/ochrespan/raft/membership_config.py
+++ b/ochrespan/raft/membership_config.py
@@ -1,22 +1,23 @@
 """The members of a group, and what a majority of them is.
 
-A change passes through a joint configuration: while `outgoing` is not empty, agreement takes a majority of `voters` and
-a majority of `outgoing`. An exchange of one dead voter for a caught-up replica then needs no other replica than the
-living voters, and at no moment do two majorities exist that don't intersect.
+A change passes through a joint configuration (Ongaro, "Consensus: Bridging Theory and Practice", section 4.3): while
+`outgoing` is not empty, agreement takes a majority of `voters` and a majority of `outgoing`. A failed voter can then be
+replaced by a caught-up replica with no other replicas than the alive voters, and at no moment do two majorities exist
+that don't intersect.
 """
 
 from __future__ import annotations
 
 import json
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
 from ochrespan.common.addresses import Address
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A replica: an id that is drawn anew with each empty disk, and the address of its process."""
+    """A replica: an id that is generated with each empty disk, and the address of its process."""
 
     id: int
     address: Address
@@ -26,15 +27,17 @@
 class MembershipConfig:
     """The voters of a group, and those of the configuration being left, if a change is under way."""
 
-    voters: tuple[Member, ...] = ()
-    outgoing: tuple[Member, ...] = field(default=())
+    voters: tuple[Member, ...] = ()  # in the order of their ids
+    outgoing: tuple[Member, ...] = ()  # empty unless a change is under way
 
     @classmethod
     def of(cls, members: Iterable[Member]) -> MembershipConfig:
+        """The configuration with these voters, and no change under way."""
         return cls(tuple(sorted(members, key=lambda member: member.id)))
 
     @property
-    def joint(self) -> bool:
+    def is_joint(self) -> bool:
+        """Whether a change is under way."""
         return bool(self.outgoing)
 
     def members(self) -> dict[int, Member]:
@@ -42,6 +45,7 @@
         return {member.id: member for member in (*self.outgoing, *self.voters)}
 
     def is_voter(self, replica_id: int) -> bool:
+        """Whether a replica is a voter of either side."""
         return any(member.id == replica_id for member in (*self.voters, *self.outgoing))
 
     def has_majority(self, agreeing: Callable[[int], bool]) -> bool:
@@ -51,7 +55,7 @@
         )
 
     def majority_value(self, value_of: Callable[[int], float]) -> float:
-        """The largest value that a majority has reached."""
+        """The largest value that a majority has reached; of both sides, while a change is under way."""
         reached = []
         for side in (self.voters, self.outgoing):
             if side:
@@ -59,20 +63,27 @@
                 reached.append(values[len(side) // 2])
         return min(reached)
 
-    def towards(self, voters: Iterable[Member]) -> MembershipConfig:
-        """The joint configuration that leads from this one to `voters`."""
+    def enter_joint(self, voters: Iterable[Member]) -> MembershipConfig:
+        """The joint configuration between this one and that of `voters`."""
         return MembershipConfig(MembershipConfig.of(voters).voters, self.voters)
 
-    def settled(self) -> MembershipConfig:
-        """The configuration after a change has ended."""
+    def leave_joint(self) -> MembershipConfig:
+        """The configuration that follows this joint one."""
         return MembershipConfig(self.voters)
 
     def to_bytes(self) -> bytes:
+        """The content of a configuration entry: JSON, both sides as lists of id, host and port."""
         sides = [[[member.id, *member.address] for member in side] for side in (self.voters, self.outgoing)]
         return json.dumps(sides, separators=(",", ":")).encode()
 
     @classmethod
     def from_bytes(cls, data: bytes) -> MembershipConfig:
+        """Reads what `to_bytes` gives.
+
+        Raises:
+            ValueError: the content is not of that form.
+            TypeError: a part of it is not a list.
+        """
         voters, outgoing = (
             tuple(Member(replica_id, (host, port)) for replica_id, host, port in side) for side in json.loads(data)
         )
--- a/ochrespan/raft/reconfiguration.py
+++ b/ochrespan/raft/reconfiguration.py
@@ -11,40 +11,45 @@
 from .state import ReplicaState
 
 CAUGHT_UP_ENTRIES = 64  # a learner that lacks no more than this may become a voter
-MAX_GROUP_SIZE = 7
-LEAVE_TIMEOUT_S = 1.5
+MAX_GROUP_SIZE = 7  # voters
+LEAVE_TIMEOUT_S = 1.5  # a notice of a planned shutdown counts for this long
+VOTERS_ADDED_TO_ODD_GROUP = 2
 
 
 @dataclass(frozen=True, slots=True)
 class GroupHealth:
-    """What a leader knows of the candidates for a change."""
+    """What a leader knows of the voters and of the candidates to replace them."""
 
-    spares: tuple[Member, ...]  # learners that have caught up
-    lost: tuple[int, ...]  # voters that are silent, leave, or came back under another id; the longest lost first
-    dead: frozenset[int] = frozenset()  # those of them whose disk is gone: another id has their address
-    all_heard: bool = True  # every voter has lately answered this leader
+    standbys: tuple[Member, ...]  # learners that have caught up
+    lost: tuple[int, ...]  # voters that timed out, leave, or came back under another id; the longest lost first
+    replaced: frozenset[int] = frozenset()  # those of them whose disk is gone: another id has their address
+    has_contact_with_all: bool = True  # every voter has lately responded to this leader
 
 
-def next_voters(configuration: MembershipConfig, standing: GroupHealth, min_voters: int) -> tuple[Member, ...] | None:
-    """The voters that should follow, or None if the group is as it should be.
+def next_voters(configuration: MembershipConfig, health: GroupHealth, min_voters: int) -> tuple[Member, ...] | None:
+    """The voters that a group should change to, or None if it should stay as it is.
 
-    A lost voter is exchanged for a spare. Above `min_voters`, a lost voter of an even group is dropped, and a dead one
-    of any group. Only a group that is whole grows: else the ids of lost disks could stay in it for good. An even group
-    gains one spare, an odd one two, since one more voter would bear no further loss.
+    A lost voter is replaced by a standby. Above `min_voters`, a lost voter of a group of even size is removed, and one
+    whose disk is gone from a group of any size. A group grows only while all its voters respond, or the ids of lost
+    disks could stay in it for good. A group of even size gains one standby, a group of odd size two, since a single one
+    would not raise the number of failures that it tolerates.
     """
-    voters, spares = configuration.voters, standing.spares
-    if standing.lost and spares:
-        return (*_without(voters, standing.lost[0]), spares[0])
-    even = len(voters) % 2 == 0
-    if standing.lost and len(voters) > min_voters and (even or standing.lost[0] in standing.dead):
-        return _without(voters, standing.lost[0])
-    if not standing.all_heard:
+    voters = configuration.voters
+    standbys = health.standbys
+    has_even_size = len(voters) % 2 == 0
+    if health.lost:
+        first_lost = health.lost[0]
+        if standbys:
+            return (*_without(voters, first_lost), standbys[0])
+        if len(voters) > min_voters and (has_even_size or first_lost in health.replaced):
+            return _without(voters, first_lost)
+    if not health.has_contact_with_all:
         return None
-    if even and spares:
-        return (*voters, spares[0])
-    if not even and len(spares) >= 2 and len(voters) + 2 <= MAX_GROUP_SIZE:
-        return (*voters, *spares[:2])
-    return None
+    if has_even_size and standbys:
+        return (*voters, standbys[0])
+    added = standbys[:VOTERS_ADDED_TO_ODD_GROUP]
+    may_gain_two = len(added) == VOTERS_ADDED_TO_ODD_GROUP and len(voters) + len(added) <= MAX_GROUP_SIZE
+    return (*voters, *added) if not has_even_size and may_gain_two else None
 
 
 def _without(voters: tuple[Member, ...], member_id: int) -> tuple[Member, ...]:
@@ -52,20 +57,23 @@
 
 
 class Reconfiguration:
-    """The leader's part in changes of members."""
+    """A leader's changes of the voters: one at a time, each through a joint configuration."""
 
     def __init__(self, core: ReplicaState, replication: LeaderReplication, min_voters: int) -> None:
-        self._core, self._replication, self.min_voters = core, replication, min_voters
+        self._core = core
+        self._replication = replication
+        self.min_voters = min_voters
         self._replaced: set[int] = set()  # voters whose address another id has taken
-        self._leaving: dict[int, float] = {}  # voters that have announced their planned end, and until when that counts
+        self._leaving_until: dict[int, float] = {}  # voters that announced a planned shutdown, and until when it counts
 
     def leave(self, member_id: int) -> None:
-        """A voter is about to end; it comes back as any other, so this is forgotten after a while."""
-        self._leaving[member_id] = self._core.now + LEAVE_TIMEOUT_S
+        """A voter is about to shut down; as it may come back under the same id, this expires."""
+        self._leaving_until[member_id] = self._core.now + LEAVE_TIMEOUT_S
 
     def join(self, member: Member) -> None:
-        """A replica that is no voter asks to follow the group as a learner."""
-        core, replication = self._core, self._replication
+        """A replica asks to be added: as a learner, unless it is a voter already."""
+        core = self._core
+        replication = self._replication
         for known_id, known in core.configuration.members().items():
             if known.address == member.address and known_id != member.id:
                 self._replaced.add(known_id)
@@ -78,81 +86,87 @@
             replication.progress[member.id].last_contact_at = core.now
 
     def tick(self) -> None:
+        """Appends the next configuration, if the latest one and an entry of this term are committed."""
         core = self._core
-        self._forget_silent_learners()
+        self._remove_expired_learners()
         if core.commit_index < max(core.log.configuration_index, self._replication.term_start_index):
             return
-        if core.configuration.joint:
-            self._change_to(core.configuration.settled())
-        elif voters := next_voters(core.configuration, self._standing(), self.min_voters):
-            self._change_to(core.configuration.towards(voters))
+        if core.configuration.is_joint:
+            self._change_to(core.configuration.leave_joint())
+        elif voters := next_voters(core.configuration, self._health(), self.min_voters):
+            self._change_to(core.configuration.enter_joint(voters))
 
     def _change_to(self, configuration: MembershipConfig) -> None:
         self._replication.append(EntryKind.CONFIGURATION, configuration.to_bytes())
         for member in configuration.voters:
             self._replication.learners.pop(member.id, None)
 
-    def spares(self) -> tuple[Member, ...]:
-        """Learners that may become voters, the furthest first."""
+    def standbys(self) -> tuple[Member, ...]:
+        """Learners that may become voters, the one with the longest log first."""
         progress = self._replication.progress
-        spares = [member for member in self._replication.learners.values() if self._has_caught_up(member.id)]
-        return tuple(sorted(spares, key=lambda member: -progress[member.id].match))
+        standbys = [member for member in self._replication.learners.values() if self._has_caught_up(member.id)]
+        return tuple(sorted(standbys, key=lambda member: -progress[member.id].match))
 
-    def _standing(self) -> GroupHealth:
-        core, progress = self._core, self._replication.progress
+    def _health(self) -> GroupHealth:
+        core = self._core
+        progress = self._replication.progress
         others = [member for member in core.configuration.voters if member.id in progress]
         lost = [member.id for member in others if self._is_lost(member.id)]
         lost.sort(key=lambda member_id: (member_id not in self._replaced, progress[member_id].last_contact_at))
         if self._is_leaving(core.id):
             lost.append(core.id)
-        dead = frozenset(member_id for member_id in lost if member_id in self._replaced)
-        all_heard = not lost and all(self._is_heard(member.id) for member in others)
-        return GroupHealth(self.spares(), tuple(lost), dead, all_heard)
+        replaced = frozenset(member_id for member_id in lost if member_id in self._replaced)
+        has_contact_with_all = not lost and all(self._is_in_contact(member.id) for member in others)
+        return GroupHealth(self.standbys(), tuple(lost), replaced, has_contact_with_all)
 
     def failures_tolerated(self) -> int:
-        """How many more voters may be lost at this moment while the others can still decide; below 0: too few can."""
+        """How many more voters may fail while the others are still a majority; below 0: they are none now."""
         configuration = self._core.configuration
         sides = (side for side in (configuration.voters, configuration.outgoing) if side)
-        return min(self._count_heard(side) - (len(side) // 2 + 1) for side in sides)
+        return min(self._count_in_contact(side) - (len(side) // 2 + 1) for side in sides)
 
-    def is_whole(self) -> bool:
-        """Whether no change is under way and the group bears all the losses that it is made for."""
+    def meets_fault_tolerance(self) -> bool:
+        """Whether no change is under way and the group tolerates as many failures as the deployment asks for."""
         core = self._core
-        is_settled = not core.configuration.joint and core.commit_index >= core.log.configuration_index
-        return is_settled and self.failures_tolerated() >= self.min_voters // 2
+        is_committed = core.commit_index >= core.log.configuration_index
+        return not core.configuration.is_joint and is_committed and self.failures_tolerated() >= self.min_voters // 2
 
-    def _count_heard(self, voters: Iterable[Member]) -> int:
-        return sum(member.id == self._core.id or self._is_heard(member.id) for member in voters)
+    def _count_in_contact(self, voters: Iterable[Member]) -> int:
+        return sum(member.id == self._core.id or self._is_in_contact(member.id) for member in voters)
 
-    def _is_heard(self, member_id: int) -> bool:
-        """Whether a voter has answered in this term, and not long ago."""
+    def _is_in_contact(self, member_id: int) -> bool:
+        """Whether a voter has responded in this term, and lately."""
         progress = self._replication.progress.get(member_id)
         if progress is None or progress.stamp == float("-inf"):
             return False
         return self._core.now - progress.last_contact_at < self._core.timing.replaced_voter_timeout_s
 
     def _is_leaving(self, member_id: int) -> bool:
-        return self._core.now < self._leaving.get(member_id, float("-inf"))
+        return self._core.now < self._leaving_until.get(member_id, float("-inf"))
 
     def _is_lost(self, member_id: int) -> bool:
-        timing, progress = self._core.timing, self._replication.progress[member_id]
-        silent_for = self._core.now - progress.last_contact_at
+        timing = self._core.timing
+        progress = self._replication.progress[member_id]
+        since_contact_s = self._core.now - progress.last_contact_at
         if member_id in self._replaced:
-            return silent_for >= timing.replaced_voter_timeout_s or progress.stamp == float("-inf")
-        return self._is_leaving(member_id) or silent_for >= timing.voter_timeout_s
+            return since_contact_s >= timing.replaced_voter_timeout_s or progress.stamp == float("-inf")
+        return self._is_leaving(member_id) or since_contact_s >= timing.voter_timeout_s
 
     def _has_caught_up(self, member_id: int) -> bool:
         progress = self._replication.progress[member_id]
-        recent = self._core.now - progress.last_contact_at < self._core.timing.election_min_s
-        lacking = self._core.log.last_index - progress.match
-        follows = progress.mode is ProgressMode.PIPELINE and lacking <= CAUGHT_UP_ENTRIES
-        return recent and follows and not self._is_leaving(member_id)
+        is_in_contact = self._core.now - progress.last_contact_at < self._core.timing.election_min_s
+        missing_entries = self._core.log.last_index - progress.match
+        is_close = progress.mode is ProgressMode.PIPELINE and missing_entries <= CAUGHT_UP_ENTRIES
+        return is_in_contact and is_close and not self._is_leaving(member_id)
 
-    def _forget_silent_learners(self) -> None:
-        core, replication = self._core, self._replication
+    def _remove_expired_learners(self) -> None:
+        core = self._core
+        replication = self._replication
         oldest = core.now - core.timing.learner_timeout_s
-        silent = [known for known in replication.learners if replication.progress[known].last_contact_at < oldest]
-        for member_id in silent:
+        expired = [
+            learner for learner in replication.learners if replication.progress[learner].last_contact_at < oldest
+        ]
+        for member_id in expired:
             del replication.learners[member_id]
-        if silent:
+        if expired:
             replication.follow_members()
--- a/ochrespan/raft/replica.py
+++ b/ochrespan/raft/replica.py
@@ -96,7 +96,7 @@
         core = self.core
         if core.log.has_commands or core.now - (core.leader_since or core.now) >= MEMBERS_WAIT_S:
             return False
-        return not self.reconfiguration.is_whole()
+        return not self.reconfiguration.meets_fault_tolerance()
 
     @property
     def failures_tolerated(self) -> int | None:
--- a/tests/golden/make_disks.py
+++ b/tests/golden/make_disks.py
@@ -249,7 +249,7 @@
     """One of three voters: entries that a later leader replaced, a snapshot that it sent, members under change."""
     own, second, third, fourth = (Member(100 + number, (f"10.0.9.{number}", 17500)) for number in range(1, 5))
     members = MembershipConfig.of([own, second, third])
-    joint = members.towards([own, second, fourth])
+    joint = members.enter_joint([own, second, fourth])
     orders, judges = first_orders(), shard_of(SERVICES[0])
     initial_members = tuple(member.address for member in (own, second, third))
     reports = _reports_of(judges, first_reports())
--- a/tests/golden/stored_state.py
+++ b/tests/golden/stored_state.py
@@ -75,7 +75,7 @@
     if identity is None:
         return None
     initial_members = [list(address) for address in identity.initial_members]
-    return {"replica_id": identity.replica_id, "cluster": identity.cluster, "founders": initial_members}
+    return {"replica_id": identity.replica_id, "cluster": identity.cluster_id, "founders": initial_members}
 
 
 def _raft_fields(state: PersistentState) -> dict[str, Any]:
--- a/tests/golden/wire_samples.py
+++ b/tests/golden/wire_samples.py
@@ -257,7 +257,7 @@
     Entry(term=7, kind=EntryKind.CONFIGURATION, data=b'[[[1,"10.0.0.1",8000]],[]]'),
     Entry(term=7, kind=EntryKind.COMMAND, data=b""),
 ]
-FOUNDERS = [["10.0.0.1", 8000], ["10.0.0.2", 8010]]
+INITIAL_MEMBERS = (("10.0.0.1", 8000), ("10.0.0.2", 8010))
 
 # A sample of each Raft message, the place in this list being its number on the wire, with the defaults of its last
 # fields.
@@ -289,22 +289,30 @@
     (messages.InstallSnapshotResponse(term=7, index=300, offset=65_538, stamp=STAMP), ()),
     (messages.TimeoutNow(term=7), ()),
     (
-        cluster_messages.JoinRequest(groups=[0, 1, 4], empty=False, blank=True, initial_members=FOUNDERS, age_s=0.375),
-        (False, [], -1.0),
+        cluster_messages.JoinRequest(
+            groups=[0, 1, 4],
+            is_unbootstrapped=False,
+            has_no_entries=True,
+            initial_members=INITIAL_MEMBERS,
+            age_s=0.375,
+        ),
+        (False, (), -1.0),
     ),
     (
         cluster_messages.JoinResponse(
-            empty=False,
-            contacts=[["10.0.0.4", 8000]],
-            blank=True,
-            initial_members=FOUNDERS,
+            is_unbootstrapped=False,
+            contacts=(("10.0.0.4", 8000),),
+            has_no_entries=True,
+            initial_members=INITIAL_MEMBERS,
             age_s=0.375,
-            settled=True,
+            has_commits=True,
         ),
-        (False, [], -1.0, False),
+        (False, (), -1.0, False),
     ),
     (
-        cluster_messages.BootstrapProposal(members=[[LARGE_ID, "10.0.0.1", 8000], [2, "10.0.0.2", 8010]], voted=True),
+        cluster_messages.BootstrapProposal(
+            members=(Member(LARGE_ID, ("10.0.0.1", 8000)), Member(2, ("10.0.0.2", 8010))), has_voted=True
+        ),
         (False,),
     ),
     (cluster_messages.LeaveNotice(), ()),
@@ -315,7 +323,7 @@
 def envelope_of(*values: Any) -> Envelope:
     """An envelope with the values as messages of one group."""
     frames = [(RAFT_GROUP, value) for value in values]
-    return Envelope(cluster=LARGE_CLUSTER, sender=LARGE_ID, address=("10.0.0.1", 8000), to=2, frames=frames)
+    return Envelope(cluster_id=LARGE_CLUSTER, sender=LARGE_ID, address=("10.0.0.1", 8000), to=2, frames=frames)
 
 
 def encode_envelope(envelope: Envelope) -> bytes:
@@ -398,7 +406,7 @@
 # Members of a group
 
 SETTLED = MembershipConfig.of([Member(LARGE_ID, ("10.0.0.1", 8000)), Member(2, ("10.0.0.2", 8010))])
-JOINT = SETTLED.towards([Member(3, ("10.0.0.3", 8020)), Member(2, ("10.0.0.2", 8010))])
+JOINT = SETTLED.enter_joint([Member(3, ("10.0.0.3", 8020)), Member(2, ("10.0.0.2", 8010))])
 MEMBERS_CASES = [
     WireCase(f"members/{name}", value, MembershipConfig.to_bytes, MembershipConfig.from_bytes)
     for name, value in (("empty", MembershipConfig()), ("settled", SETTLED), ("joint", JOINT))
@@ -408,7 +416,7 @@
 # Records of the store
 
 IDENTITY = Identity(
-    replica_id=LARGE_ID, cluster=LARGE_CLUSTER, initial_members=(("10.0.0.1", 8000), ("10.0.0.2", 8010))
+    replica_id=LARGE_ID, cluster_id=LARGE_CLUSTER, initial_members=(("10.0.0.1", 8000), ("10.0.0.2", 8010))
 )
 UNMARKED_IDENTITY = Identity(replica_id=5)
 STORED_SNAPSHOT = Snapshot(index=300, term=6, configuration=JOINT, data=b"\x00\x92\x90\x90")
--- a/tests/raft/test_bootstrap.py
+++ b/tests/raft/test_bootstrap.py
@@ -11,9 +11,9 @@
     BootstrapProposal,
     JoinRequest,
     cluster_id_of,
-    proposed_members,
 )
 from ochrespan.raft.envelope import Envelope
+from ochrespan.raft.membership_config import Member
 from ochrespan.raft.messages import Heartbeat
 from ochrespan.raft.multi_raft import MultiRaft
 from tests.support.raft_simulation.checks import Violation
@@ -37,7 +37,7 @@
 
 
 def clusters(world: World) -> set[int]:
-    return {node.table.bootstrap.identity.cluster for node in world.running()}
+    return {node.table.bootstrap.identity.cluster_id for node in world.running()}
 
 
 def machines_of(world: World, shard: int = 0) -> list[Address]:
@@ -104,11 +104,11 @@
     for seeds in [tuple(map(address, (1, 2, 3))), tuple(map(address, (3, 1, 2)))]:
         bootstrap = Bootstrap.begin(BootstrapSettings(address(1), seeds, True, 1), None, random.Random(1), 0.0)
         for number in (2, 3):
-            mark = [list(at) for at in sorted(seeds)]
-            bootstrap.heard(0.1, number, address(number), JoinRequest([0], True, True, mark, 0.1))
+            recorded = tuple(sorted(seeds))
+            bootstrap.record_report(0.1, number, address(number), JoinRequest([0], True, True, recorded, 0.1))
         foundings.append(bootstrap.proposal(0.1))
     assert foundings[0] == foundings[1]
-    assert [member.address for member in proposed_members(foundings[0])] == list(map(address, (1, 2, 3)))
+    assert [member.address for member in foundings[0].members] == list(map(address, (1, 2, 3)))
 
 
 # Foundings that cross, and foundings that lead to nothing
@@ -131,7 +131,7 @@
     """None of the three has an entry: nothing can have been acknowledged."""
     world = world_of(2, {1: 0.0, 2: 0.0, 3: 0.0})
     founder, *others = world.nodes.values()
-    while not founder.running or founder.table.bootstrap.empty:
+    while not founder.running or founder.table.bootstrap.is_unbootstrapped:
         world.run(0.001)
     isolate(world, founder)
     for node in others:
@@ -184,7 +184,7 @@
     isolate(world, leader)
     world.cuts -= {(wiped.address, lagging.address), (lagging.address, wiped.address)}
     world.run(20.0)
-    assert wiped.table.bootstrap.empty
+    assert wiped.table.bootstrap.is_unbootstrapped
     assert world.leader(0) is None
     world.cuts.clear()
     world.run(5.0)
@@ -192,7 +192,7 @@
     # what was acknowledged stays on the one disk that has it, and nobody answers in its stead.
     assert not ordered(world)
     assert leader.machines[0].commands[:1] == world.checks.acked[0]
-    assert {node.table.bootstrap.empty for node in (wiped, lagging)} == {True}
+    assert {node.table.bootstrap.is_unbootstrapped for node in (wiped, lagging)} == {True}
 
 
 def test_two_new_machines_whose_seeds_name_just_these_two_found_nothing():
@@ -203,7 +203,7 @@
     for number in (4, 5):
         world.add(number).start(world.seeds, bootstrap=False)
     world.run(30.0)
-    assert all(world.nodes[address(number)].table.bootstrap.empty for number in (4, 5))
+    assert all(world.nodes[address(number)].table.bootstrap.is_unbootstrapped for number in (4, 5))
     assert not world.nodes[address(4)].propose(0, "0:beside")
 
 
@@ -218,7 +218,7 @@
         node.wipe()
         node.start(world.seeds, bootstrap=False)
     world.run(30.0)
-    assert all(node.table.bootstrap.empty for node in others)
+    assert all(node.table.bootstrap.is_unbootstrapped for node in others)
 
 
 def test_processes_killed_before_their_first_entry_form_the_groups_again():
@@ -255,7 +255,7 @@
         node.start(world.seeds, bootstrap=False)
     world.run(20.0)
     assert world.leader(0) is None
-    assert all(node.table.bootstrap.empty for node in wiped)
+    assert all(node.table.bootstrap.is_unbootstrapped for node in wiped)
 
 
 def test_disks_without_a_mark_are_founded_by_the_operators_word_alone():
@@ -290,9 +290,11 @@
     """It lost its disk before its first sync and was counted in by the others: its id may be needed."""
     seeds = tuple(map(address, (1, 2, 3)))
     bootstrap = Bootstrap.begin(BootstrapSettings(address(3), seeds, False, 1), None, random.Random(1), 0.0)
-    founding = BootstrapProposal([[1, *address(1)], [2, *address(2)], [bootstrap.identity.replica_id, *address(3)]])
+    founding = BootstrapProposal(
+        (Member(1, address(1)), Member(2, address(2)), Member(bootstrap.identity.replica_id, address(3)))
+    )
     bootstrap.accept(0.1, founding)
-    assert not bootstrap.has_stalled(10.0, proposed_members(founding))
+    assert not bootstrap.has_stalled(10.0, founding.members)
 
 
 def test_members_of_foundings_that_crossed_hear_that_the_others_have_no_entry():
@@ -303,15 +305,17 @@
         tables.append(MultiRaft(settings, (0,), None, {}, random.Random(number), 0.0))
     first, second = tables
     for table, other in ((first, 11), (second, 12)):
-        own = [table.id, *table.settings.address]
-        ids = [own if at == table.settings.address else [other + position, *at] for position, at in enumerate(seeds)]
-        table._start_groups(0.0, BootstrapProposal(ids, True))
+        members = tuple(
+            Member(table.id if at == table.settings.address else other + position, at)
+            for position, at in enumerate(seeds)
+        )
+        table._bootstrap_protocol._start_groups(0.0, BootstrapProposal(members, True))
         table.replicas[0].core.enter_term(1)
-    second._ask(1.0)
+    second._query(1.0)
     for to, envelope in second.take_envelopes():
         if to == first.settings.address:
             first.receive(1.0, envelope)
-    assert first.bootstrap._holdings[second.settings.address].blank
+    assert first.bootstrap._reports[second.settings.address].has_no_entries
 
 
 # The word of most
@@ -330,40 +334,37 @@
 def test_the_word_of_most_founders_is_enough_in_their_first_start_alone(ages, group_known, may):
     seeds = tuple(map(address, (1, 2, 3)))
     bootstrap = Bootstrap.begin(BootstrapSettings(address(1), seeds, True, 1), None, random.Random(1), 10.0)
-    mark = [list(at) for at in seeds]
+    recorded = seeds
     for number, age in ages.items():
-        bootstrap.heard(10.25, number, address(number), JoinRequest([0], True, True, mark, age))
+        bootstrap.record_report(10.25, number, address(number), JoinRequest([0], True, True, recorded, age))
     if group_known:
-        bootstrap.heard(10.2, 9, address(9), JoinRequest([0], False, False))
+        bootstrap.record_report(10.2, 9, address(9), JoinRequest([0], False, False))
     found = bootstrap.proposal(10.25)
     assert (found is not None) is may
     if found:
-        assert [tuple(member[1:]) for member in found.members] == list(seeds)
+        assert [member.address for member in found.members] == list(seeds)
 
 
 def test_a_founder_that_a_leader_takes_for_another_id_counts_for_no_first_start():
     """A leader speaks to the place of a machine that was late, or that has just lost its disk."""
     seeds = tuple(map(address, (1, 2, 3)))
     table = MultiRaft(BootstrapSettings(address(2), seeds, True, 1), (0,), None, {}, random.Random(1), 10.0)
-    assert table.bootstrap.age(10.2) >= 0
+    assert table.bootstrap.first_start_age(10.2) >= 0
     envelope = Envelope(7, 99, address(3), table.id + 1, [(0, Heartbeat(1, 0, 5.0, 0.0))])
     table.receive(10.1, envelope)
-    assert table.bootstrap.age(10.2) == NOT_FIRST_START
-    table.bootstrap.heard(10.2, 5, address(1), JoinRequest([0], True, True, [list(at) for at in seeds], 0.1))
+    assert table.bootstrap.first_start_age(10.2) == NOT_FIRST_START
+    table.bootstrap.record_report(10.2, 5, address(1), JoinRequest([0], True, True, seeds, 0.1))
     assert table.bootstrap.proposal(10.3) is None
 
 
 def test_a_founding_that_names_another_id_at_this_address_is_not_taken():
     seeds = tuple(map(address, (1, 2, 3)))
     bootstrap = Bootstrap.begin(BootstrapSettings(address(1), seeds, True, 1), None, random.Random(1), 0.0)
-    assert not bootstrap.accepts(BootstrapProposal([[number, *address(number)] for number in (1, 2, 3)]))
+    assert not bootstrap.accepts(BootstrapProposal(tuple(Member(number, address(number)) for number in (1, 2, 3))))
 
 
 def test_clusters_differ_by_their_members():
-    first, second = (
-        proposed_members(BootstrapProposal([[number, *address(number)] for number in numbers]))
-        for numbers in ((1, 2), (1, 3))
-    )
+    first, second = (tuple(Member(number, address(number)) for number in numbers) for numbers in ((1, 2), (1, 3)))
     assert cluster_id_of(first) != cluster_id_of(second)
     assert cluster_id_of(first) == cluster_id_of(first[::-1])
 
@@ -372,7 +373,7 @@
 
 
 def test_founding_on_the_word_of_the_empty_alone_is_caught(monkeypatch):
-    monkeypatch.setattr(Bootstrap, "_enough_for_first_start", lambda self, now, empty: len(empty) > 1)
+    monkeypatch.setattr(Bootstrap, "_is_majority_in_first_start", lambda self, now, empty: len(empty) > 1)
     world = World(1)
     lagging = world.nodes[address(3)]
     isolate(world, lagging)
--- a/tests/raft/test_snapshot_transfer.py
+++ b/tests/raft/test_snapshot_transfer.py
@@ -106,7 +106,7 @@
     def until_caught_up(self, limit_s: float, image_every_s: float | None = None, image_bytes: int = 0) -> float:
         """Seconds until the learner could be a voter, with orders all along."""
         began, image_at = self.now, self.now + (image_every_s or 0.0)
-        while not self.leader.reconfiguration.spares() and self.now - began < limit_s:
+        while not self.leader.reconfiguration.standbys() and self.now - began < limit_s:
             self.order()
             if image_every_s and self.now >= image_at:
                 self.take_image(image_bytes)
--- a/tests/support/raft_simulation/checks.py
+++ b/tests/support/raft_simulation/checks.py
@@ -58,7 +58,7 @@
 
     def acknowledged(self, node: Node, shard: int, command: str) -> None:
         """One fleet answers the operators, whomever they ask."""
-        cluster = node.table.bootstrap.identity.cluster
+        cluster = node.table.bootstrap.identity.cluster_id
         if self._clusters.setdefault(shard, cluster) != cluster:
             raise Violation("two clusters", f"{node.address[0]} acknowledges {command} beside another fleet")
         self.acked[shard].append(command)
