--- a/ochrespan/raft/local_groups.py
+++ b/ochrespan/raft/local_groups.py
@@ -18,7 +18,6 @@
 
     def __init__(
         self,
-        groups: tuple[int, ...],
         bootstrap: Bootstrap,
         durable: dict[int, PersistentState],
         source: random.Random,
@@ -29,9 +28,7 @@
         self.timing = timing
         self.outbox: list[tuple[Address, int, Any]] = []  # address, replica id (0: unknown), message
         self._random = source
-        self.replicas = {
-            group: self._create_replica(group, durable.get(group) or PersistentState(), now) for group in groups
-        }
+        self.replicas = {group: self._create_replica(group, state, now) for group, state in durable.items()}
 
     @property
     def has_no_entries(self) -> bool:
--- a/ochrespan/raft/multi_raft.py
+++ b/ochrespan/raft/multi_raft.py
@@ -47,7 +47,8 @@
         self.settings = settings
         self.bootstrap = Bootstrap.begin(settings, known, source, now)
         self.addresses: dict[int, Address] = {}  # by replica id, of processes that have sent to this one
-        self._local = LocalGroups(groups, self.bootstrap, durable, source, timing or Timing(), now)
+        states = {group: durable.get(group) or PersistentState() for group in groups}
+        self._local = LocalGroups(self.bootstrap, states, source, timing or Timing(), now)
         self.replicas = self._local.replicas
         self._bootstrap_protocol = BootstrapProtocol(self._local, now)
         self._joining = Joining(self._local, settings.seeds)
--- a/tests/raft/test_bootstrap.py
+++ b/tests/raft/test_bootstrap.py
@@ -1,4 +1,4 @@
-"""How groups come to be: first starts in any order, foundings that cross, and what must never found a second fleet."""
+"""How groups are formed: first starts in any order, bootstraps that cross, and what must never form a second fleet."""
 
 import random
 
@@ -45,8 +45,8 @@
     return sorted(member.address for member in configuration.voters)
 
 
-def ordered(world: World, shard: int = 0, within_s: float = 2.0) -> bool:
-    """Whether a new order is acknowledged in this time, sent again and again as an operator would."""
+def is_command_acknowledged(world: World, shard: int = 0, within_s: float = 2.0) -> bool:
+    """Whether a new command is acknowledged in this time, sent repeatedly as an operator would."""
     before, until = len(world.checks.acked[shard]), world.now + within_s
     while world.now < until and len(world.checks.acked[shard]) == before:
         world.order(shard)
@@ -62,16 +62,16 @@
     world = World(seed)
     world.run(0.3 + FIRST_LEADER_S)
     assert len(clusters(world)) == 1
-    assert ordered(world)
+    assert is_command_acknowledged(world)
     assert machines_of(world) == list(world.seeds)
 
 
 @pytest.mark.parametrize("absent", [1, 2, 3])
 @pytest.mark.parametrize("seed", range(4))
-def test_a_first_start_goes_on_without_a_seed_that_is_late_and_takes_it_in_later(seed, absent):
+def test_a_first_start_proceeds_without_a_late_seed_and_adds_it_later(seed, absent):
     there = [number for number in (1, 2, 3) if number != absent]
     world = world_of(seed, {there[0]: 0.0, there[1]: 0.25})
-    assert ordered(world, within_s=1.5)
+    assert is_command_acknowledged(world, within_s=1.5)
     world.nodes[address(absent)].start(world.seeds, bootstrap=True)
     world.run(4.0)
     assert machines_of(world) == list(world.seeds)
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_seed_that_is_killed_before_its_first_sync_holds_up_nobody(seed):
+def test_a_seed_killed_before_its_first_sync_does_not_delay_the_others(seed):
     world = world_of(seed, {1: 0.0, 2: 0.1, 3: 0.1})
     killed = world.nodes[address(1 + seed % 3)]
     killed.hung_until = world.now + 60.0
@@ -88,34 +88,34 @@
     killed.hung_until = 0.0
     world.later(0.6, None, lambda: killed.start(world.seeds, bootstrap=False))
     world.run(FIRST_LEADER_S)
-    assert ordered(world)
+    assert is_command_acknowledged(world)
     world.run(4.0)
     assert machines_of(world) == list(world.seeds)
 
 
-def test_one_seed_alone_is_a_group():
+def test_a_single_seed_forms_a_group():
     world = world_of(1, {1: 0.0}, size=1, fault_tolerance=0, seeds=(1,))
     world.run(1.0)
-    assert ordered(world)
+    assert is_command_acknowledged(world)
 
 
-def test_the_members_follow_from_the_word_of_all_whatever_the_order_of_the_seeds():
-    foundings = []
+def test_the_members_do_not_depend_on_the_order_of_the_seeds():
+    proposals = []
     for seeds in [tuple(map(address, (1, 2, 3))), tuple(map(address, (3, 1, 2)))]:
         bootstrap = Bootstrap.begin(BootstrapSettings(address(1), seeds, True, 1), None, random.Random(1), 0.0)
         for number in (2, 3):
             recorded = tuple(sorted(seeds))
             bootstrap.record_report(0.1, number, address(number), JoinRequest([0], True, True, recorded, 0.1))
-        foundings.append(bootstrap.proposal(0.1))
-    assert foundings[0] == foundings[1]
-    assert [member.address for member in foundings[0].members] == list(map(address, (1, 2, 3)))
+        proposals.append(bootstrap.proposal(0.1))
+    assert proposals[0] == proposals[1]
+    assert [member.address for member in proposals[0].members] == list(map(address, (1, 2, 3)))
 
 
-# Foundings that cross, and foundings that lead to nothing
+# Bootstraps that cross, and bootstraps without progress
 
 
-def test_foundings_that_cross_end_in_one():
-    """Machine 1 hears machine 3 alone, and machine 2 too: each pair may found without the other."""
+def test_crossed_bootstraps_end_in_one_cluster():
+    """Machines 1 and 2 reach machine 3, but not each other: each pair may propose without the other."""
     for seed in range(30):
         world = world_of(seed, {1: 0.0, 2: 0.05, 3: 0.1})
         world.cuts |= {(address(1), address(2)), (address(2), address(1))}
@@ -123,25 +123,25 @@
         world.cuts.clear()
         world.run(6.0)
         assert len(clusters(world)) == 1, seed
-        assert ordered(world), seed
+        assert is_command_acknowledged(world), seed
         assert machines_of(world) == list(world.seeds), seed
 
 
-def test_a_founding_whose_other_members_lost_their_disks_at_once_is_given_up():
+def test_a_bootstrap_whose_other_members_lost_their_disks_is_abandoned():
     """None of the three has an entry: nothing can have been acknowledged."""
     world = world_of(2, {1: 0.0, 2: 0.0, 3: 0.0})
-    founder, *others = world.nodes.values()
-    while not founder.running or founder.table.bootstrap.is_unbootstrapped:
+    initial_member, *others = world.nodes.values()
+    while not initial_member.running or initial_member.table.bootstrap.is_unbootstrapped:
         world.run(0.001)
-    isolate(world, founder)
+    isolate(world, initial_member)
     for node in others:
         node.wipe()
         node.start(world.seeds, bootstrap=True)
-    world.run(MAX_START_SPREAD_S)  # from here on the word of most is not enough for the two
-    assert founder.table.replicas[0].core.log.last_index == 0
+    world.run(MAX_START_SPREAD_S)  # from here on the reports of a majority are not enough for the two
+    assert initial_member.table.replicas[0].core.log.last_index == 0
     world.cuts.clear()
     world.run(ABANDON_AFTER_S + 4.0)
-    assert ordered(world)
+    assert is_command_acknowledged(world)
     assert len(clusters(world)) == 1
 
 
@@ -149,14 +149,14 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_a_wiped_founder_with_the_settings_of_its_first_start_neither_votes_nor_founds(seed):
-    """The one that lags, and the wiped one, would lead without the order that the other two acknowledged."""
+def test_a_wiped_initial_member_with_the_settings_of_its_first_start_neither_votes_nor_bootstraps(seed):
+    """The lagging one and the wiped one would elect a leader without the command that the other two acknowledged."""
     world = World(seed)
     world.run(3.0)
     leader = world.leader(0)
     third, lagging = (node for node in world.nodes.values() if node is not leader)
     isolate(world, lagging)
-    assert ordered(world)
+    assert is_command_acknowledged(world)
     third.wipe()
     third.start(world.seeds, bootstrap=True)
     isolate(world, leader)
@@ -165,18 +165,18 @@
     assert world.leader(0) is None
     world.cuts.clear()
     world.run(5.0)
-    assert ordered(world)
+    assert is_command_acknowledged(world)
     world.run(0.5)
     world.checks.at_the_end(list(world.nodes.values()))
 
 
 @pytest.mark.parametrize("bootstrap", [True, False])
-def test_a_wiped_founder_and_one_that_was_cut_off_from_the_beginning_do_not_found_beside_the_living(bootstrap):
+def test_a_wiped_initial_member_and_one_that_was_never_reachable_form_no_second_cluster(bootstrap):
     world = World(4)
     lagging = world.nodes[address(3)]
     isolate(world, lagging)
     world.run(2.0)
-    assert ordered(world)
+    assert is_command_acknowledged(world)
     wiped = next(node for node in world.nodes.values() if node not in (lagging, world.leader(0)))
     leader = world.leader(0)
     wiped.wipe()
@@ -188,17 +188,17 @@
     assert world.leader(0) is None
     world.cuts.clear()
     world.run(5.0)
-    # The founding left a place for the machine that was cut off, and the second disk went before that was filled:
-    # what was acknowledged stays on the one disk that has it, and nobody answers in its stead.
-    assert not ordered(world)
+    # The bootstrap counted the unreachable machine as a voter under a new id, and the second disk was lost before a
+    # replica replaced that voter: what was acknowledged is on one disk of three, which is no majority.
+    assert not is_command_acknowledged(world)
     assert leader.machines[0].commands[:1] == world.checks.acked[0]
     assert {node.table.bootstrap.is_unbootstrapped for node in (wiped, lagging)} == {True}
 
 
-def test_two_new_machines_whose_seeds_name_just_these_two_found_nothing():
+def test_two_new_machines_whose_seeds_are_just_these_two_form_no_cluster():
     world = World(1)
     world.run(3.0)
-    assert ordered(world)
+    assert is_command_acknowledged(world)
     world.seeds = (address(4), address(5))
     for number in (4, 5):
         world.add(number).start(world.seeds, bootstrap=False)
@@ -207,11 +207,11 @@
     assert not world.nodes[address(4)].propose(0, "0:beside")
 
 
-def test_empty_replicas_wait_while_a_founder_is_silent():
-    """The silent one may hold all that was acknowledged."""
+def test_empty_replicas_wait_while_an_initial_member_is_unreachable():
+    """The unreachable one may have all that was acknowledged."""
     world = World(1)
     world.run(3.0)
-    assert ordered(world)
+    assert is_command_acknowledged(world)
     keeper, *others = world.nodes.values()
     keeper.lose_power()
     for node in others:
@@ -222,7 +222,7 @@
 
 
 def test_processes_killed_before_their_first_entry_form_the_groups_again():
-    """Their disks have the mark of the first start and nothing else."""
+    """Their disks have the recorded initial members and nothing else."""
     world = World(1)
     world.cuts |= {(first, second) for first in world.nodes for second in world.nodes}
     world.run(0.5)
@@ -232,17 +232,17 @@
     for node in world.nodes.values():
         node.start(world.seeds, bootstrap=False)
     world.run(2.0)
-    assert ordered(world)
+    assert is_command_acknowledged(world)
     assert machines_of(world) == list(world.seeds)
 
 
-def test_a_founder_that_never_heard_of_the_group_does_not_found_with_two_wiped_ones():
-    """A spare took the place of the first that lost its disk; it has what was acknowledged, and is out of reach."""
+def test_an_initial_member_that_never_joined_does_not_bootstrap_with_two_wiped_ones():
+    """A standby replaced the first that lost its disk; it has what was acknowledged, and is unreachable."""
     world = World(4, size=4)
-    unheard = world.nodes[address(3)]
-    isolate(world, unheard)
+    never_joined = world.nodes[address(3)]
+    isolate(world, never_joined)
     world.run(3.0)
-    assert ordered(world)
+    assert is_command_acknowledged(world)
     wiped = []
     for number in (1, 2):
         world.run(5.0)
@@ -258,7 +258,7 @@
     assert all(node.table.bootstrap.is_unbootstrapped for node in wiped)
 
 
-def test_disks_without_a_mark_are_founded_by_the_operators_word_alone():
+def test_disks_without_recorded_initial_members_bootstrap_only_if_the_settings_say_so():
     """All were lost before their first sync: the settings say once more that the whole system starts."""
     world = World(1)
     for node in world.nodes.values():
@@ -274,7 +274,7 @@
         node.kill()
         node.start(world.seeds, bootstrap=True)
     world.run(3.0)
-    assert ordered(world)
+    assert is_command_acknowledged(world)
     assert machines_of(world) == list(world.seeds)
 
 
@@ -286,18 +286,18 @@
     assert len(ids) == 3
 
 
-def test_a_member_without_the_mark_stays_in_its_founding():
-    """It lost its disk before its first sync and was counted in by the others: its id may be needed."""
+def test_a_member_without_recorded_initial_members_stays_in_its_cluster():
+    """It lost its disk before its first sync and the others count it as a voter: its vote may be needed."""
     seeds = tuple(map(address, (1, 2, 3)))
     bootstrap = Bootstrap.begin(BootstrapSettings(address(3), seeds, False, 1), None, random.Random(1), 0.0)
-    founding = BootstrapProposal(
+    proposal = BootstrapProposal(
         (Member(1, address(1)), Member(2, address(2)), Member(bootstrap.identity.replica_id, address(3)))
     )
-    bootstrap.accept(0.1, founding)
-    assert not bootstrap.has_stalled(10.0, founding.members)
+    bootstrap.accept(0.1, proposal)
+    assert not bootstrap.has_stalled(10.0, proposal.members)
 
 
-def test_members_of_foundings_that_crossed_hear_that_the_others_have_no_entry():
+def test_members_of_crossed_bootstraps_report_that_they_have_no_entry():
     seeds = tuple(map(address, (1, 2, 3)))
     tables = []
     for number in (1, 2):
@@ -318,35 +318,35 @@
     assert first.bootstrap._reports[second.settings.address].has_no_entries
 
 
-# The word of most
+# Reports of a majority
 
 
 @pytest.mark.parametrize(
-    ("ages", "group_known", "may"),
+    ("ages", "knows_group", "may_propose"),
     [
         ({2: 0.1}, False, True),
-        ({2: MAX_START_SPREAD_S + 0.3}, False, False),  # it has waited since long before: a group may live beside it
-        ({2: -1.0}, False, False),  # it starts for the second time
+        ({2: MAX_START_SPREAD_S + 0.3}, False, False),  # it started long before: a group may exist that it doesn't know
+        ({2: -1.0}, False, False),  # it was started before with its disk
         ({2: 0.1}, True, False),
         ({}, False, False),
     ],
 )
-def test_the_word_of_most_founders_is_enough_in_their_first_start_alone(ages, group_known, may):
+def test_reports_of_a_majority_are_enough_in_a_first_start_alone(ages, knows_group, may_propose):
     seeds = tuple(map(address, (1, 2, 3)))
     bootstrap = Bootstrap.begin(BootstrapSettings(address(1), seeds, True, 1), None, random.Random(1), 10.0)
     recorded = seeds
     for number, age in ages.items():
         bootstrap.record_report(10.25, number, address(number), JoinRequest([0], True, True, recorded, age))
-    if group_known:
+    if knows_group:
         bootstrap.record_report(10.2, 9, address(9), JoinRequest([0], False, False))
-    found = bootstrap.proposal(10.25)
-    assert (found is not None) is may
-    if found:
-        assert [member.address for member in found.members] == list(seeds)
+    proposal = bootstrap.proposal(10.25)
+    assert (proposal is not None) is may_propose
+    if proposal:
+        assert [member.address for member in proposal.members] == list(seeds)
 
 
-def test_a_founder_that_a_leader_takes_for_another_id_counts_for_no_first_start():
-    """A leader speaks to the place of a machine that was late, or that has just lost its disk."""
+def test_an_initial_member_that_a_leader_knows_under_another_id_is_in_no_first_start():
+    """A leader sends to the id of a machine that was late, or that has just lost its disk."""
     seeds = tuple(map(address, (1, 2, 3)))
     table = MultiRaft(BootstrapSettings(address(2), seeds, True, 1), (0,), None, {}, random.Random(1), 10.0)
     assert table.bootstrap.first_start_age(10.2) >= 0
@@ -357,28 +357,28 @@
     assert table.bootstrap.proposal(10.3) is None
 
 
-def test_a_founding_that_names_another_id_at_this_address_is_not_taken():
+def test_a_proposal_with_another_id_at_this_address_is_not_accepted():
     seeds = tuple(map(address, (1, 2, 3)))
     bootstrap = Bootstrap.begin(BootstrapSettings(address(1), seeds, True, 1), None, random.Random(1), 0.0)
     assert not bootstrap.accepts(BootstrapProposal(tuple(Member(number, address(number)) for number in (1, 2, 3))))
 
 
-def test_clusters_differ_by_their_members():
+def test_cluster_ids_depend_on_the_members():
     first, second = (tuple(Member(number, address(number)) for number in numbers) for numbers in ((1, 2), (1, 3)))
     assert cluster_id_of(first) != cluster_id_of(second)
     assert cluster_id_of(first) == cluster_id_of(first[::-1])
 
 
-# The checkers catch the faults that these are for
+# The checkers catch the faults that they are for
 
 
-def test_founding_on_the_word_of_the_empty_alone_is_caught(monkeypatch):
-    monkeypatch.setattr(Bootstrap, "_is_majority_in_first_start", lambda self, now, empty: len(empty) > 1)
+def test_a_bootstrap_on_the_reports_of_empty_disks_alone_is_caught(monkeypatch):
+    monkeypatch.setattr(Bootstrap, "_is_majority_in_first_start", lambda self, now, reports: len(reports) > 1)
     world = World(1)
     lagging = world.nodes[address(3)]
     isolate(world, lagging)
     world.run(2.0)
-    assert ordered(world)
+    assert is_command_acknowledged(world)
     leader = world.leader(0)
     wiped = next(node for node in world.nodes.values() if node not in (lagging, leader))
     wiped.wipe()
@@ -387,14 +387,14 @@
     world.cuts -= {(wiped.address, lagging.address), (lagging.address, wiped.address)}
     with pytest.raises(Violation, match="two clusters|lost order|two leaders of one term"):
         world.run(3.0)
-        ordered(world)
+        is_command_acknowledged(world)
 
 
-# First starts amid troubles
+# First starts with faults
 
 
-def trouble_first_start(world: World, wipes: bool) -> None:
-    """Kills, losses of power, cuts, freezes and slow disks in the first two seconds, and a lost disk if wanted."""
+def schedule_faults(world: World, wipes: bool) -> None:
+    """Kills, power losses, partitions, freezes and slow disks in the first two seconds; a lost disk if `wipes`."""
     draw = world.random
     nodes = list(world.nodes.values())
 
@@ -410,14 +410,14 @@
         world.cuts.update(links)
         world.later(draw.choice([0.1, 0.5, 2.0]), None, lambda: world.cuts.difference_update(links))
 
-    def end(node: Node, how: str) -> None:
+    def stop(node: Node, how: str) -> None:
         getattr(node, how)()
         world.later(draw.uniform(0.05, 0.8), None, lambda: restart(node))
 
     actions = [
         cut,
-        lambda node: end(node, "kill"),
-        lambda node: end(node, "lose_power"),
+        lambda node: stop(node, "kill"),
+        lambda node: stop(node, "lose_power"),
         lambda node: setattr(node, "frozen_until", world.now + 0.5),
         lambda node: setattr(node, "latency_x", draw.choice([1.0, 30.0, 150.0])),
     ]
@@ -425,16 +425,16 @@
         action, node = draw.choice(actions), draw.choice(nodes)
         world.later(draw.uniform(0.0, 2.0), None, lambda action=action, node=node: action(node))
     if wipes:
-        world.later(draw.uniform(0.1, 2.0), None, lambda: end(draw.choice(nodes), "wipe"))
+        world.later(draw.uniform(0.1, 2.0), None, lambda: stop(draw.choice(nodes), "wipe"))
 
 
 @pytest.mark.parametrize("wipes", [False, True])
 @pytest.mark.parametrize("seed", range(40))
-def test_one_fleet_comes_of_a_first_start_amid_troubles(seed, wipes):
-    """Whatever was acknowledged stays; without a lost disk orders are taken in the end."""
+def test_a_first_start_with_faults_forms_one_fleet(seed, wipes):
+    """Whatever was acknowledged stays; without a lost disk commands are acknowledged in the end."""
     world = World(1000 + seed)
     world.traffic(0.05, world.now + 12.0)
-    trouble_first_start(world, wipes)
+    schedule_faults(world, wipes)
     world.run(4.0)
     world.cuts.clear()
     for node in world.nodes.values():
@@ -443,6 +443,6 @@
             node.start(world.seeds, bootstrap=False)
     world.run(10.0)
     if not wipes:
-        assert ordered(world, within_s=5.0)
+        assert is_command_acknowledged(world, within_s=5.0)
         assert machines_of(world) == list(world.seeds)
         assert len(clusters(world)) == 1
--- a/tests/raft/test_planned_shutdown.py
+++ b/tests/raft/test_planned_shutdown.py
@@ -1,4 +1,4 @@
-"""As many disks as may be lost are lost while all other machines lose power, at every step of a change of members."""
+"""At each step of a change of voters, the tolerated number of disks is lost while all other machines lose power."""
 
 import itertools
 
@@ -13,51 +13,51 @@
 SIZES = [(3, 1), (4, 1), (5, 2)]
 
 
-def order(world: World) -> None:
-    """A new order is acknowledged within five seconds, sent again and again as an operator would."""
+def send_command(world: World) -> None:
+    """Sends a new command repeatedly, as an operator would; fails if none is acknowledged within five seconds."""
     before = len(world.checks.acked[0])
     for _ in range(100):
         world.order(0)
         world.run(0.05)
         if len(world.checks.acked[0]) > before:
             return
-    raise AssertionError("no order is acknowledged")
+    raise AssertionError("no command is acknowledged")
 
 
-def close(world: World, wiped: list[Node]) -> None:
-    """Disks are lost, everybody else loses power, all come back: nothing acknowledged is missing, and orders go on."""
+def lose_disks_and_power(world: World, wiped: list[Node]) -> None:
+    """Some lose their disks, the others power; all restart: no acknowledged command is missing, new ones succeed."""
     for node in world.nodes.values():
         node.wipe() if node in wiped else node.lose_power()
     world.run(DOWN_S)
     for node in world.nodes.values():
         node.start(world.seeds, bootstrap=False)
     world.run(RECOVERY_S)
-    order(world)
+    send_command(world)
     world.run(0.5)
     world.checks.at_the_end(list(world.nodes.values()))
 
 
-def every_loss(size: int, tolerated: int):
+def possible_losses(size: int, tolerated: int):
     return list(itertools.combinations(range(1, size + 1), tolerated))
 
 
-CASES = [(size, tolerated, lost) for size, tolerated in SIZES for lost in every_loss(size, tolerated)]
+CASES = [(size, tolerated, lost) for size, tolerated in SIZES for lost in possible_losses(size, tolerated)]
 
 
 @pytest.mark.parametrize(("size", "tolerated", "lost"), CASES)
-def test_right_after_the_first_order_of_a_first_start(size, tolerated, lost):
+def test_disks_lost_right_after_the_first_command(size, tolerated, lost):
     world = World(sum(lost), size, tolerated)
     while not world.checks.acked[0]:
         world.order(0)
         world.run(0.01)
-    close(world, [world.nodes[address(number)] for number in lost])
+    lose_disks_and_power(world, [world.nodes[address(number)] for number in lost])
 
 
 @pytest.mark.parametrize("delay", [0.02, 0.1, 0.2, 0.4, 0.8, 1.5])
 @pytest.mark.parametrize(("size", "tolerated"), SIZES)
-def test_while_a_group_grows(size, tolerated, delay):
-    """Orders come from the beginning; before the first of them is acknowledged nothing is owed."""
-    for seed, lost in enumerate(every_loss(size, tolerated)):
+def test_disks_lost_while_a_group_grows(size, tolerated, delay):
+    """Commands are sent from the beginning; before the first is acknowledged, nothing can be lost."""
+    for seed, lost in enumerate(possible_losses(size, tolerated)):
         world = World(seed, size, tolerated)
         while not world.checks.acked[0]:
             world.order(0)
@@ -66,18 +66,18 @@
         while world.now < until:
             world.order(0)
             world.run(0.02)
-        close(world, [world.nodes[address(number)] for number in lost])
+        lose_disks_and_power(world, [world.nodes[address(number)] for number in lost])
 
 
 @pytest.mark.parametrize("extra", [0.0, 0.1, 1.0])
 @pytest.mark.parametrize("kind", ["replaced", "wiped"])
 @pytest.mark.parametrize(("size", "tolerated"), SIZES)
-def test_at_the_instant_at_which_the_time_to_catch_up_ends(size, tolerated, kind, extra):
-    """A loss has been repaired: as many disks may go again, the new ones among them or not."""
+def test_disks_lost_as_soon_as_a_replacement_has_caught_up(size, tolerated, kind, extra):
+    """The first loss has been repaired: the tolerated number may be lost again, of old or new replicas."""
     for seed in range(6):
         world = World(seed, size, tolerated)
         world.run(5.0)
-        order(world)
+        send_command(world)
         first = world.random.sample(list(world.nodes.values()), tolerated)
         for position, node in enumerate(first):
             if kind == "wiped":
@@ -90,14 +90,14 @@
         for node in first:
             node.start(world.seeds, bootstrap=False)
         world.run(CATCH_UP_S + extra)
-        order(world)
+        send_command(world)
         second = world.random.sample(list(world.nodes.values()), tolerated)
-        close(world, second)
+        lose_disks_and_power(world, second)
 
 
 @pytest.mark.parametrize("delay", [0.0, 0.01, 0.05, 0.1, 0.2, 0.4])
-def test_a_leaving_member_takes_nothing_with_it(delay):
-    """It begins its planned end with an entry that nobody else has, and its disk is lost on the way."""
+def test_a_member_that_leaves_and_loses_its_disk_loses_no_command(delay):
+    """It begins its planned shutdown with an entry that nobody else has, and its disk is lost during it."""
     for seed in range(8):
         world = World(seed, size=4)
         world.run(6.0)
@@ -106,33 +106,33 @@
         leaving.table.leave(world.now)
         leaving.pump()
         world.run(delay)
-        close(world, [leaving])
+        lose_disks_and_power(world, [leaving])
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_two_replacements_in_a_row_and_the_old_pair_back_with_an_old_configuration(seed):
-    """The two that were replaced know a group in which they are a majority: they must not decide by themselves."""
+def test_two_replaced_voters_that_come_back_with_an_old_configuration_elect_no_leader(seed):
+    """In the configuration that the two replaced voters know, they are a majority: they must not commit anything."""
     world = World(seed)
     world.run(5.0)
-    order(world)
-    gone = []
+    send_command(world)
+    replaced = []
     for number in (4, 5):
         old = world.random.choice([node for node in world.nodes.values() if node.address < address(4)])
         old.lose_power()
-        gone.append(world.nodes.pop(old.address))
+        replaced.append(world.nodes.pop(old.address))
         world.run(0.5)
         world.add(number).start(world.seeds, bootstrap=False)
         world.run(CATCH_UP_S + 1.0)
-        order(world)
-    living = list(world.nodes.values())
-    for node in gone:
+        send_command(world)
+    alive = list(world.nodes.values())
+    for node in replaced:
         world.nodes[node.address] = node
         node.start(world.seeds, bootstrap=False)
-    world.cuts |= {(old.address, new.address) for old in gone for new in living}
-    world.cuts |= {(new.address, old.address) for old in gone for new in living}
+    world.cuts |= {(old.address, new.address) for old in replaced for new in alive}
+    world.cuts |= {(new.address, old.address) for old in replaced for new in alive}
     world.run(10.0)
-    order(world)
-    assert not any(node.table.replicas[0].is_leader for node in gone)
+    send_command(world)
+    assert not any(node.table.replicas[0].is_leader for node in replaced)
     world.cuts.clear()
     world.run(3.0)
-    close(world, [living[seed % 3]])
+    lose_disks_and_power(world, [alive[seed % 3]])
