--- a/examples/embed_coordination.py
+++ b/examples/embed_coordination.py
@@ -17,7 +17,7 @@
 
 from ochrespan.raft.bootstrap import BootstrapSettings
 from ochrespan.raft.messages import EntryKind
-from ochrespan.raft.multi_raft import MultiRaft
+from ochrespan.raft.multi_raft import MultiRaft, RecoveredState
 
 GROUP = 0
 TICK_S = 0.06
@@ -40,7 +40,7 @@
         self.tables = {}
         for seed in SEEDS:
             settings = BootstrapSettings(seed, SEEDS, bootstrap=True, fault_tolerance=1)
-            self.tables[seed] = MultiRaft(settings, (GROUP,), None, {}, chance, self.now)
+            self.tables[seed] = MultiRaft(settings, RecoveredState.of_groups((GROUP,), None, {}), chance, self.now)
 
     def run(self, seconds: float) -> None:
         end = self.now + seconds
--- a/ochrespan/control_plane/replication/host.py
+++ b/ochrespan/control_plane/replication/host.py
@@ -13,7 +13,7 @@
 
 from ochrespan.common.addresses import Address
 from ochrespan.raft.bootstrap import BootstrapSettings
-from ochrespan.raft.multi_raft import MultiRaft
+from ochrespan.raft.multi_raft import MultiRaft, RecoveredState
 from ochrespan.raft.replica import Replica
 from ochrespan.raft.state import Role
 from ochrespan.storage.files import PosixDirectory
@@ -200,9 +200,8 @@
         for shard, state in durable.items():
             if state.log.snapshot.index and shard in self._applier.machines:
                 self._applier.restore(shard, state.log.snapshot.index, state.log.snapshot.data)
-        self._table = MultiRaft(
-            bootstrap, tuple(self._applier.machines), identity, durable, random.SystemRandom(), time.monotonic()
-        )
+        own_state = RecoveredState.of_groups(self._applier.machines, identity, durable)
+        self._table = MultiRaft(bootstrap, own_state, random.SystemRandom(), time.monotonic())
         log.info(
             "replica host started node=%s replica=%d empty=%s bootstrap=%s",
             settings.node,
--- a/ochrespan/raft/multi_raft.py
+++ b/ochrespan/raft/multi_raft.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass
 from typing import Any
 
 from ochrespan.common.addresses import Address
@@ -21,14 +22,27 @@
 from .state import PersistentState, PersistentUpdate, Timing
 
 
+@dataclass(frozen=True, slots=True)
+class RecoveredState:
+    """What a process knows from its disk when it starts."""
+
+    identity: Identity | None  # None: the disk is empty
+    replicas: dict[int, PersistentState]  # by group, one for each group that the process has a replica of
+
+    @classmethod
+    def of_groups(
+        cls, groups: Iterable[int], identity: Identity | None, stored: Mapping[int, PersistentState]
+    ) -> RecoveredState:
+        """The state of just these groups; those that have none on the disk begin without a term and entries."""
+        return cls(identity, {group: stored.get(group) or PersistentState() for group in groups})
+
+
 class MultiRaft:
     """Routes messages to the replicas and collects what they send and write.
 
     Args:
         settings: what the deployment says of this process.
-        groups: numbers of the groups that the process has a replica of.
-        known: the identity on the disk; None for an empty disk.
-        durable: state of the replicas on the disk, by group.
+        recovered: what is on the disk; its groups are those that the process takes part in.
         source: for replica ids and election time-outs.
         now: seconds of the steady clock, as in all methods.
         timing: of elections and replication.
@@ -37,24 +51,21 @@
     def __init__(
         self,
         settings: BootstrapSettings,
-        groups: tuple[int, ...],
-        known: Identity | None,
-        durable: dict[int, PersistentState],
+        recovered: RecoveredState,
         source: random.Random,
         now: float,
         timing: Timing | None = None,
     ) -> None:
         self.settings = settings
-        self.bootstrap = Bootstrap.begin(settings, known, source, now)
+        self.bootstrap = Bootstrap.begin(settings, recovered.identity, source, now)
         self.addresses: dict[int, Address] = {}  # by replica id, of processes that have sent to this one
-        states = {group: durable.get(group) or PersistentState() for group in groups}
-        self._local = LocalGroups(self.bootstrap, states, source, timing or Timing(), now)
+        self._local = LocalGroups(self.bootstrap, recovered.replicas, source, timing or Timing(), now)
         self.replicas = self._local.replicas
         self._bootstrap_protocol = BootstrapProtocol(self._local, now)
         self._joining = Joining(self._local, settings.seeds)
         self._planned_leave = PlannedLeave(self._local)
         self._leader_balancer = LeaderBalancer(self._local, now)
-        self._identity_taken = known  # what `take_updates` last gave out
+        self._identity_taken = recovered.identity  # what `take_updates` last gave out
 
     @property
     def id(self) -> int:
--- a/tests/golden/make_disks.py
+++ b/tests/golden/make_disks.py
@@ -28,7 +28,7 @@
 from ochrespan.raft.log import Snapshot
 from ochrespan.raft.membership_config import Member, MembershipConfig
 from ochrespan.raft.messages import Entry, EntryKind
-from ochrespan.raft.multi_raft import MultiRaft
+from ochrespan.raft.multi_raft import MultiRaft, RecoveredState
 from ochrespan.raft.state import PersistentUpdate
 from ochrespan.storage.files import PosixDirectory
 from ochrespan.storage.snapshot_store import LOG_NAMES, SnapshotStore
@@ -59,7 +59,7 @@
         self._now = 0.0
         settings = BootstrapSettings(OWN_ADDRESS, (OWN_ADDRESS,), True, 0)
         source = random.Random(SEED)
-        self._table = MultiRaft(settings, tuple(self._machines), None, {}, source, self._now)
+        self._table = MultiRaft(settings, RecoveredState.of_groups(self._machines, None, {}), source, self._now)
         for _ in range(PATIENCE_STEPS):
             self._step()
         if not all(replica.is_leader for replica in self._table.replicas.values()):
--- a/tests/raft/test_bootstrap.py
+++ b/tests/raft/test_bootstrap.py
@@ -15,7 +15,7 @@
 from ochrespan.raft.envelope import Envelope
 from ochrespan.raft.membership_config import Member
 from ochrespan.raft.messages import Heartbeat
-from ochrespan.raft.multi_raft import MultiRaft
+from ochrespan.raft.multi_raft import MultiRaft, RecoveredState
 from tests.support.raft_simulation.checks import Violation
 from tests.support.raft_simulation.node import Node
 from tests.support.raft_simulation.world import World, address
@@ -302,7 +302,7 @@
     tables = []
     for number in (1, 2):
         settings = BootstrapSettings(address(number), seeds, True, 1)
-        tables.append(MultiRaft(settings, (0,), None, {}, random.Random(number), 0.0))
+        tables.append(MultiRaft(settings, RecoveredState.of_groups((0,), None, {}), random.Random(number), 0.0))
     first, second = tables
     for table, other in ((first, 11), (second, 12)):
         members = tuple(
@@ -348,7 +348,8 @@
 def test_an_initial_member_that_a_leader_knows_under_another_id_is_in_no_first_start():
     """A leader sends to the id of a machine that was late, or that has just lost its disk."""
     seeds = tuple(map(address, (1, 2, 3)))
-    table = MultiRaft(BootstrapSettings(address(2), seeds, True, 1), (0,), None, {}, random.Random(1), 10.0)
+    settings = BootstrapSettings(address(2), seeds, True, 1)
+    table = MultiRaft(settings, RecoveredState.of_groups((0,), None, {}), random.Random(1), 10.0)
     assert table.bootstrap.first_start_age(10.2) >= 0
     envelope = Envelope(7, 99, address(3), table.id + 1, [(0, Heartbeat(1, 0, 5.0, 0.0))])
     table.receive(10.1, envelope)
--- a/tests/support/raft_simulation/world.py
+++ b/tests/support/raft_simulation/world.py
@@ -9,7 +9,7 @@
 from ochrespan.common.addresses import Address
 from ochrespan.control_plane.replication.raft_wire import pack_envelope
 from ochrespan.raft.messages import RequestVoteResponse
-from ochrespan.raft.multi_raft import MultiRaft
+from ochrespan.raft.multi_raft import MultiRaft, RecoveredState
 from ochrespan.transport.codec import encode
 
 from .checks import Checks, Read
@@ -51,7 +51,8 @@
         self.later(delay, None, lambda: node.start(self.seeds, True))
 
     def make_table(self, settings, identity, durable) -> MultiRaft:
-        return self.table_type(settings, tuple(self.shards), identity, durable, self.random, self.now)
+        recovered = RecoveredState.of_groups(self.shards, identity, durable)
+        return self.table_type(settings, recovered, self.random, self.now)
 
     # Events
 
