--- a/benchmarks/core_times.py
+++ b/benchmarks/core_times.py
@@ -267,7 +267,8 @@
     new = world.add(len(world.seeds) + 1)
     new.start(world.seeds, bootstrap=False)
     while not all(
-        replica.state.is_voter and not replica.state.configuration.joint for replica in new.multi_raft.replicas.values()
+        replica.state.is_voter and not replica.state.configuration.is_joint
+        for replica in new.multi_raft.replicas.values()
     ):
         world.run(STEP_S)
     return world.now - began
--- a/examples/embed_coordination.py
+++ b/examples/embed_coordination.py
@@ -17,7 +17,7 @@
 
 from ochrespan.raft.bootstrap import BootstrapSettings
 from ochrespan.raft.messages import EntryKind
-from ochrespan.raft.multi_raft import MultiRaft
+from ochrespan.raft.multi_raft import MultiRaft, RecoveredGroups
 
 GROUP = 0
 TICK_S = 0.06
@@ -40,7 +40,8 @@
         self.processes = {}
         for seed in SEEDS:
             settings = BootstrapSettings(seed, SEEDS, bootstrap=True, fault_tolerance=1)
-            self.processes[seed] = MultiRaft(settings, (GROUP,), None, {}, random_source, self.now)
+            recovered = RecoveredGroups.of_groups((GROUP,), None, {})
+            self.processes[seed] = MultiRaft(settings, recovered, random_source, self.now)
 
     def run(self, seconds: float) -> None:
         """Lets time pass, in ticks."""
--- a/ochrespan/control_plane/replication/host.py
+++ b/ochrespan/control_plane/replication/host.py
@@ -205,7 +205,7 @@
 
     def cluster(self) -> int:
         """Number of the cluster that this process belongs to; 0 while it belongs to none."""
-        return self._running.multi_raft.bootstrap.identity.cluster if self._running is not None else 0
+        return self._running.multi_raft.bootstrap.identity.cluster_id if self._running is not None else 0
 
     def voters(self, shard: int) -> set[Address]:
         """Addresses of the shard's voters as far as known here; in a change of members, the old and the new ones."""
--- a/ochrespan/control_plane/replication/persistent_records.py
+++ b/ochrespan/control_plane/replication/persistent_records.py
@@ -26,7 +26,7 @@
 def pack_record(value: Identity | PersistentUpdate) -> bytes:
     """The record of an identity or of an update of a group."""
     if isinstance(value, Identity):
-        return ormsgpack.packb([_IDENTITY, value.replica_id, value.cluster, value.initial_members])
+        return ormsgpack.packb([_IDENTITY, value.replica_id, value.cluster_id, value.initial_members])
     return ormsgpack.packb(
         [
             _UPDATE,
@@ -86,7 +86,7 @@
         kind, *fields = ormsgpack.unpackb(packed)
         if kind == _IDENTITY:
             next_identity = _unpack_identity(*fields)
-            if identity is not None and identity.cluster not in (0, next_identity.cluster):
+            if identity is not None and identity.cluster_id not in (0, next_identity.cluster_id):
                 # A bootstrap was abandoned for that of another cluster: what its groups wrote is void
                 groups = {}
             identity = next_identity
--- a/ochrespan/control_plane/replication/raft_wire.py
+++ b/ochrespan/control_plane/replication/raft_wire.py
@@ -6,10 +6,11 @@
 from dataclasses import dataclass
 from typing import Any
 
+from ochrespan.common.addresses import Address
 from ochrespan.raft.cluster_messages import BootstrapProposal, JoinRequest, JoinResponse, LeaveNotice
 from ochrespan.raft.envelope import Envelope
 from ochrespan.raft.log import Snapshot
-from ochrespan.raft.membership_config import MembershipConfig
+from ochrespan.raft.membership_config import Member, MembershipConfig
 from ochrespan.raft.messages import (
     AppendEntries,
     AppendEntriesResponse,
@@ -46,6 +47,16 @@
 }
 _APPEND_ENTRIES = _TYPE_NUMBERS[AppendEntries]
 _ENTRIES_INDEX = _FIELD_NAMES[AppendEntries].index("entries")
+_PROPOSAL = _TYPE_NUMBERS[BootstrapProposal]
+_MEMBERS_INDEX = _FIELD_NAMES[BootstrapProposal].index("members")
+# Indices of the fields that hold addresses, by type number: an address is host and port on the wire.
+_ADDRESS_INDICES = {
+    _TYPE_NUMBERS[JoinRequest]: (_FIELD_NAMES[JoinRequest].index("initial_members"),),
+    _TYPE_NUMBERS[JoinResponse]: (
+        _FIELD_NAMES[JoinResponse].index("contacts"),
+        _FIELD_NAMES[JoinResponse].index("initial_members"),
+    ),
+}
 
 
 @message("raft")
@@ -64,7 +75,7 @@
 def pack_envelope(envelope: Envelope) -> RaftBatch:
     """The wire form of an envelope."""
     frames = [[group, *_pack_message(value)] for group, value in envelope.frames]
-    return RaftBatch(envelope.cluster, envelope.sender, *envelope.address, envelope.to, frames)
+    return RaftBatch(envelope.cluster_id, envelope.sender, *envelope.address, envelope.to, frames)
 
 
 def unpack_envelope(batch: RaftBatch) -> Envelope:
@@ -84,6 +95,8 @@
     fields = [getattr(value, name) for name in _FIELD_NAMES[message_type]]
     if message_type is AppendEntries:
         fields[_ENTRIES_INDEX] = pack_entries(value.entries)
+    elif message_type is BootstrapProposal:
+        fields[_MEMBERS_INDEX] = [[member.id, *member.address] for member in value.members]
     return [_TYPE_NUMBERS[message_type], *fields]
 
 
@@ -93,9 +106,21 @@
     fields = fields[: len(_FIELD_NAMES[message_type])]
     if number == _APPEND_ENTRIES:
         fields[_ENTRIES_INDEX] = unpack_entries(fields[_ENTRIES_INDEX])
+    elif number == _PROPOSAL:
+        fields[_MEMBERS_INDEX] = tuple(
+            Member(replica_id, (host, port)) for replica_id, host, port in fields[_MEMBERS_INDEX]
+        )
+    elif number in _ADDRESS_INDICES:
+        for index in _ADDRESS_INDICES[number]:
+            if index < len(fields):  # an earlier version may lack it
+                fields[index] = _unpack_addresses(fields[index])
     return message_type(*fields)
 
 
+def _unpack_addresses(packed: list[list[Any]]) -> tuple[Address, ...]:
+    return tuple((host, port) for host, port in packed)
+
+
 def pack_entries(entries: list[Entry]) -> list[list[Any]]:
     """The wire form of log entries: term, kind and data of each."""
     return [[entry.term, int(entry.kind), entry.data] for entry in entries]
--- a/ochrespan/control_plane/replication/running_replicas.py
+++ b/ochrespan/control_plane/replication/running_replicas.py
@@ -13,7 +13,7 @@
 
 from ochrespan.common.addresses import Address
 from ochrespan.raft.bootstrap import BootstrapSettings
-from ochrespan.raft.multi_raft import MultiRaft
+from ochrespan.raft.multi_raft import MultiRaft, RecoveredGroups
 from ochrespan.raft.state import Role
 from ochrespan.transport.peer_connections import PeerConnections
 from ochrespan.transport.tcp import Connection
@@ -63,10 +63,8 @@
         self._eligibility = collaborators.eligibility
         self._reporter = collaborators.reporter
         bootstrap = BootstrapSettings(settings.address, settings.seeds, settings.bootstrap, settings.fault_tolerance)
-        shards = tuple(self._applier.machines)
-        self.multi_raft = MultiRaft(
-            bootstrap, shards, found.identity, found.states, random.SystemRandom(), time.monotonic()
-        )
+        recovered = RecoveredGroups.of_groups(self._applier.machines, found.identity, found.states)
+        self.multi_raft = MultiRaft(bootstrap, recovered, random.SystemRandom(), time.monotonic())
         disk_bytes = settings.disk_mb * BYTES_PER_MB
         self.disk = DiskWriter(found.store, disk_bytes, self._take_records, self._on_persisted, self._make_checkpoint)
         self._peer_connections = PeerConnections()
@@ -149,7 +147,7 @@
         has_leaders = all(replica.leader is not None for replica in replicas)
         withholds_votes = self._eligibility.withholds_votes(now, is_disk_slow, has_leaders)
         # All replicas of a process withhold their votes, or none does
-        if withholds_votes != next(iter(replicas)).core.withholding_votes:
+        if withholds_votes != next(iter(replicas)).state.withholding_votes:
             self.multi_raft.withhold_votes(now, withholds_votes)
 
     def _leads_any_shard(self) -> bool:
--- a/ochrespan/raft/replica.py
+++ b/ochrespan/raft/replica.py
@@ -96,7 +96,7 @@
         state = self.state
         if state.log.has_commands or state.now - (state.leader_since or state.now) >= MEMBERS_WAIT_S:
             return False
-        return not self.reconfiguration.is_whole()
+        return not self.reconfiguration.meets_fault_tolerance()
 
     @property
     def failures_tolerated(self) -> int | None:
--- a/tests/control_plane/replication/test_leadership_reporter.py
+++ b/tests/control_plane/replication/test_leadership_reporter.py
@@ -7,7 +7,7 @@
 
 def replica(is_leader: bool, failures_tolerated: int | None = None) -> SimpleNamespace:
     core = SimpleNamespace(term=7, configuration=SimpleNamespace(voters=("a", "b", "c")))
-    return SimpleNamespace(is_leader=is_leader, failures_tolerated=failures_tolerated, core=core)
+    return SimpleNamespace(is_leader=is_leader, failures_tolerated=failures_tolerated, state=core)
 
 
 def test_each_change_of_leadership_is_reported_once(caplog):
--- a/tests/raft/test_snapshot_transfer.py
+++ b/tests/raft/test_snapshot_transfer.py
@@ -112,7 +112,7 @@
     def until_caught_up(self, limit_s: float, compact_every_s: float | None = None, snapshot_bytes: int = 0) -> float:
         """Seconds until the learner could be a voter, with commands all along; `limit_s` if it takes longer."""
         began, compact_at = self.now, self.now + (compact_every_s or 0.0)
-        while not self.leader.reconfiguration.spares() and self.now - began < limit_s:
+        while not self.leader.reconfiguration.standbys() and self.now - began < limit_s:
             self.propose()
             if compact_every_s and self.now >= compact_at:
                 self.compact(snapshot_bytes)
--- a/tests/support/raft_simulation/checks.py
+++ b/tests/support/raft_simulation/checks.py
@@ -62,7 +62,7 @@
 
     def acknowledged(self, node: Node, shard: int, command: str) -> None:
         """One cluster acknowledges commands, whichever machine gets them."""
-        cluster = node.multi_raft.bootstrap.identity.cluster
+        cluster = node.multi_raft.bootstrap.identity.cluster_id
         if self._clusters.setdefault(shard, cluster) != cluster:
             raise Violation("two clusters", f"{node.address[0]} acknowledges {command} beside another fleet")
         self.acked[shard].append(command)
--- a/tests/support/raft_simulation/world.py
+++ b/tests/support/raft_simulation/world.py
@@ -9,7 +9,7 @@
 from ochrespan.common.addresses import Address
 from ochrespan.control_plane.replication.raft_wire import pack_envelope
 from ochrespan.raft.messages import RequestVoteResponse
-from ochrespan.raft.multi_raft import MultiRaft
+from ochrespan.raft.multi_raft import MultiRaft, RecoveredGroups
 from ochrespan.transport.codec import encode
 
 from .checks import Checks, Read
@@ -64,7 +64,8 @@
 
     def make_multi_raft(self, settings, identity, durable) -> MultiRaft:
         """The replicas of a process that starts from what its disk holds."""
-        return self.multi_raft_type(settings, tuple(self.shards), identity, durable, self.random, self.now)
+        recovered = RecoveredGroups.of_groups(self.shards, identity, durable)
+        return self.multi_raft_type(settings, recovered, self.random, self.now)
 
     # Events
 
