--- a/tests/test_docs_names.py
+++ b/tests/test_docs_names.py
@@ -48,9 +48,7 @@
 def unknown_names(text: str) -> list[str]:
     """The names in a quoted text that the code does not define."""
     unknown = [name for name in (*CLASS_NAME.findall(text), *CONSTANT.findall(text)) if name not in DEFINED]
-    for member in re.findall(r"[A-Z]\w+\.([a-z_]+)\b", text):
-        if member not in DEFINED:
-            unknown.append(member)
+    unknown += [member for member in re.findall(r"[A-Z]\w+\.([a-z_]+)\b", text) if member not in DEFINED]
     dotted = re.fullmatch(r"(?:ochrespan\.)?([a-z0-9_]+(?:\.[a-z0-9_]+)+)(?:\.[A-Z]\w*(?:\.\w+)?)?", text)
     if dotted and dotted[1].split(".")[0] in PACKAGES:
         module, last = dotted[1], dotted[1].rsplit(".", 1)
