--- a/tests/test_docs_names.py
+++ b/tests/test_docs_names.py
@@ -57,7 +57,7 @@
     return unknown
 
 
-def test_an_unknown_class_member_constant_or_module_is_found():
+def test_an_unknown_class_member_constant_or_module_is_found() -> None:
     assert unknown_names("NoSuchClass") == ["NoSuchClass"]
     assert unknown_names("ReplicaHost.no_such_member") == ["no_such_member"]
     assert unknown_names("NO_SUCH_CONSTANT") == ["NO_SUCH_CONSTANT"]
@@ -68,6 +68,6 @@
 
 
 @pytest.mark.parametrize("page", PAGES)
-def test_the_names_of_a_page_exist_in_the_code(page):
+def test_the_names_of_a_page_exist_in_the_code(page: str) -> None:
     unknown = {text: names for text in quoted_names(page) if (names := unknown_names(text))}
     assert not unknown
--- a/tests/test_operator_docs.py
+++ b/tests/test_operator_docs.py
@@ -97,7 +97,7 @@
 """
 
 
-def test_log_calls_are_found_with_both_texts_of_a_conditional_one():
+def test_log_calls_are_found_with_both_texts_of_a_conditional_one() -> None:
     found = list(log_calls(SAMPLE, "m"))
     assert found == [
         LogCall("m:3", "warning", "peer lost peer=%s"),
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("path", modules(), ids=module_name)
-def test_a_modules_loggers_are_kept_under_simple_names_where_their_calls_are_found(path):
+def test_a_modules_loggers_are_kept_under_simple_names_where_their_calls_are_found(path: Path) -> None:
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Assign) and is_logger(node.value):
             assert all(isinstance(target, ast.Name) for target in node.targets), path
@@ -117,7 +117,7 @@
             assert "log" not in {alias.name for alias in node.names}, f"{path}: a logger of another module"
 
 
-def test_the_fleet_writes_warnings_in_its_main_packages():
+def test_the_fleet_writes_warnings_in_its_main_packages() -> None:
     assert {call.where.split("/")[1] for call in FLEET_LOG_CALLS} >= {
         "control_plane",
         "data_plane",
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize("call", FLEET_LOG_CALLS, ids=lambda call: f"{call.where}-{call.event}")
-def test_every_line_of_warning_and_above_stands_in_the_operators_page(call):
+def test_every_line_of_warning_and_above_stands_in_the_operators_page(call: LogCall) -> None:
     assert call.event is not None, f"{call.where}: the event has to be a fixed text"
     assert "%" not in call.event, f"{call.where}: the event {call.event!r} has to be fixed, values follow as key=value"
     assert call.event in documented_events(), f"{call.where}: {call.event!r} is not in {module_name(PAGE)}"
