--- a/ochrespan/data_plane/dispatcher.py
+++ b/ochrespan/data_plane/dispatcher.py
@@ -10,7 +10,7 @@
 
 from .deadlines import Deadline, DeadlineHeap
 from .decisions import Action, Outcome, Request, Server
-from .router_figures import RouterFigures
+from .router_metrics import RouterFigures
 
 EARLIEST_TICK_S = 0.001
 
--- a/ochrespan/data_plane/exchange.py
+++ b/ochrespan/data_plane/exchange.py
@@ -14,7 +14,7 @@
 from .dispatcher import Dispatcher
 from .event_stream import EventStream
 from .own_answers import OwnAnswer, StartResponse, answer_for, over_quota
-from .quota_ticket import QuotaTicket
+from .quota_admission import QuotaTicket
 from .request_head import ClientGone
 from .server_answer import MISDIRECTED, ServerAnswer
 from .server_pools import ServerPools
--- a/ochrespan/data_plane/flows.py
+++ b/ochrespan/data_plane/flows.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from math import inf
 
+from ..flow_state import Share
 from ..policy.arr import KAPPA, ROUND, end_round
-from ..share import Share
 from .decisions import Request
 from .urgency import Ranks
 
--- a/ochrespan/data_plane/front.py
+++ b/ochrespan/data_plane/front.py
@@ -21,7 +21,7 @@
 from .exchange import Exchange, ExchangeTools
 from .own_answers import OwnAnswer, StartResponse, over_quota
 from .placement import shared_prefix
-from .quota_ticket import Quotas, QuotaTicket, TicketDesk
+from .quota_admission import Quotas, QuotaTicket, TicketDesk
 from .request_head import BAD_REQUEST, ClientGone, RequestHead, RequestRefused
 from .routing_table import RouteEntry, RoutingTable
 from .server_request import ServerRequest
--- a/ochrespan/data_plane/placement.py
+++ b/ochrespan/data_plane/placement.py
@@ -14,7 +14,7 @@
 from heapq import nlargest
 
 from .decision_record import ANY, HOME, MOVED
-from .reading_times import ReadingTimes, token_cost
+from .prefill_times import ReadingTimes, token_cost
 from .server_state import ServerState
 
 MOVE_COST = 10.0  # multiple of the time for reading shared parts at another server: its neighbours wait as well
--- a/ochrespan/data_plane/retry_budget.py
+++ b/ochrespan/data_plane/retry_budget.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from ..recent import Recent
+from ..sliding_sum import Recent
 
 SAFETY = 0.85  # part of the budget that is used: routers that were killed have spent theirs, counts may lag
 
--- a/ochrespan/data_plane/router_node.py
+++ b/ochrespan/data_plane/router_node.py
@@ -21,9 +21,9 @@
 from .exchange import ExchangeTools
 from .front import Front, Homes
 from .ingress import IngressServer
-from .quota_ticket import Quotas
+from .quota_admission import Quotas
 from .readiness import ReadinessServer
-from .router_figures import RouterFigures
+from .router_metrics import RouterFigures
 from .routing_table import RoutingTable
 from .server_pools import ServerPools
 
--- a/ochrespan/data_plane/server_state.py
+++ b/ochrespan/data_plane/server_state.py
@@ -27,7 +27,7 @@
 
     sent_at: float
     route: str
-    cost: float  # of reading its prompt, as `reading_times.token_cost` has it
+    cost: float  # of reading its prompt, as `prefill_times.token_cost` has it
     expected: float  # s to the first piece, once the server has turned to it
     wait: float  # s that it was expected to wait before
     answered: bool = False
--- a/ochrespan/policy/arr.py
+++ b/ochrespan/policy/arr.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..share import Share
+from ..flow_state import Share
 
 KAPPA = 1.0  # gain a flow starts with
 GAMMA = 0.5  # gain added after a round in which the flow's mean latency missed its aim
--- a/ochrespan/policy/front.py
+++ b/ochrespan/policy/front.py
@@ -16,7 +16,7 @@
 from .. import interface as api
 from ..asking import Asking
 from ..interface import Effect, Group, ListKind, Status
-from ..recent import Recent
+from ..sliding_sum import Recent
 from ..state import Flow, Job, Lane, Node, NodeTable, Queues, Store, Turns, Volume
 from .arr import KAPPA, ROUND, end_round, rank
 from .gating import is_gated, lift_lagging, upper_threshold
--- a/ochrespan/policy/gating.py
+++ b/ochrespan/policy/gating.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Sequence
 from math import ceil
 
-from ..share import Share
+from ..flow_state import Share
 
 LEXAS_MAX = 50.0  # summed deficit of the flows under T_max, in units over weight
 LEXAS_MIN = 100.0  # summed gap of the flows over T_min to the top eta, likewise
--- a/ochrespan/state.py
+++ b/ochrespan/state.py
@@ -8,8 +8,8 @@
 from math import inf
 
 from . import interface as api
-from .recent import Recent
-from .share import Share
+from .flow_state import Share
+from .sliding_sum import Recent
 
 
 @dataclass(slots=True)
--- a/tests/golden/test_metric_names.py
+++ b/tests/golden/test_metric_names.py
@@ -9,7 +9,7 @@
 from io import StringIO
 
 from ochrespan.data_plane.decisions import Fail, Outcome, Refuse, Send
-from ochrespan.data_plane.router_figures import RouterFigures
+from ochrespan.data_plane.router_metrics import RouterFigures
 from ochrespan.data_plane.router_node import DrainTimes, MachineLimits, RouterNode
 from ochrespan.data_plane.scheduler import Scheduler
 from ochrespan.observability import logs
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ochrespan.data_plane.reading_times import ReadingTimes, token_cost
+from ochrespan.data_plane.prefill_times import ReadingTimes, token_cost
 from ochrespan.data_plane.scheduler import Outcome
 from ochrespan.data_plane.urgency import Ranks, server_priority
 
