--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -70,7 +70,11 @@
 
 def _counted_as_kept(placed: placement.Placement, now: float, server: ServerState, prompt: placement.Prompt) -> bool:
     """As if every home had read what it keeps."""
-    return not prompt.shared or server.keeps(prompt.key, now) or placed.choice(prompt, server) == HOME
+    return (
+        not prompt.shared_tokens
+        or server.has_cached(prompt.prefix_key, now)
+        or placed.choice_label(prompt, server) == HOME
+    )
 
 
 def _not_dealt(model: FleetModel, parts: object) -> tuple[str, bool]:
@@ -88,24 +92,24 @@
 SWITCHES = (
     Switch("LexAS, upper threshold", ((flow_queues, "upper_threshold", lambda flows: inf),)),
     Switch("LexAS, lower threshold", ((flow_queues, "lift_lagging", _nothing),)),
-    Switch("ARR, gains on misses", ((arr, "GAMMA", 0.0),)),
+    Switch("ARR, gains on misses", ((arr, "GAIN_STEP", 0.0),)),
     Switch("ARR, pick by (a + 1) / delta", ((flow_queues, "rank", _zero),)),
-    Switch("weights by urgency", ((flows, "URGENCY", 1.0),)),
+    Switch("weights by urgency", ((flows, "WEIGHT_RATIO", 1.0),)),
     Switch("window, narrowing", ((server_state, "narrowed", _same),)),
     Switch("window, cap under the capacity", ((server_state, "HEADROOM", 1e9),)),
-    Switch("Priority by size", ((urgency, "MOST_SIZE", 0),)),
-    Switch("Priority by rank", ((urgency, "STEPS", 0),)),
+    Switch("Priority by size", ((urgency, "MAX_SIZE_STEP", 0),)),
+    Switch("Priority by rank", ((urgency, "RANK_STEPS", 0),)),
     Switch("homes dealt by their owner", ((FleetModel, "_home", _not_dealt),)),
-    Switch("first readings count whole", ((placement.Placement, "is_kept", _counted_as_kept),)),
-    Switch("leaving a home", ((placement, "WORTH_MOVING", 0.0),)),
-    Switch("staying at a home", ((placement, "MOVE_COST", 1.0),)),
-    Switch("refusal by hopeless waits", ((scheduler, "HOPELESS", inf),)),
-    Switch("sending beyond the window", ((scheduler.Scheduler, "_send_late", lambda *_: False),)),
-    Switch("ejection", ((service_pool.Pool, "may_eject", _never),)),
-    Switch("judging silence", ((service_pool.Pool, "judge_silence", _nothing),)),
-    Switch("price of new connections", ((placement, "NEW_CONNECTION", 0.0),)),
-    Switch("price of other zones", ((placement, "OTHER_ZONE", 0.0),)),
-    Switch("price of requests out", ((placement, "SLOT_COST", 0.0),)),
+    Switch("first readings count whole", ((placement.Placement, "is_prefix_cached", _counted_as_kept),)),
+    Switch("leaving a home", ((placement, "MAX_WAIT_FRACTION", 0.0),)),
+    Switch("staying at a home", ((placement, "CACHE_MISS_FACTOR", 1.0),)),
+    Switch("refusal by hopeless waits", ((scheduler, "MAX_SERVER_WAIT_RATIO", inf),)),
+    Switch("sending beyond the window", ((scheduler.Scheduler, "_send_overdue", lambda *_: False),)),
+    Switch("ejection", ((service_pool.ServicePool, "can_eject", _never),)),
+    Switch("judging silence", ((service_pool.ServicePool, "record_abandoned", _nothing),)),
+    Switch("price of new connections", ((placement, "NEW_CONNECTION_FRACTION", 0.0),)),
+    Switch("price of other zones", ((placement, "CROSS_ZONE_COST_S", 0.0),)),
+    Switch("price of requests out", ((placement, "IN_FLIGHT_COST_S", 0.0),)),
 )
 
 
--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -171,10 +171,10 @@
         home, is_new = self._home(parts) if self.deals_homes else ("", False)
         return Request(
             id=name, service="llm", tenant=f"t{self.lot.randrange(self.tenants)}", route=kind.name,
-            priority=kind.priority, safe=False, resumable=kind.safe, streaming=True, aim=kind.aim,
+            priority=kind.priority, safe=False, resumable=kind.safe, streaming=True, latency_target_s=kind.aim,
             deadline=self.now + kind.timeout, max_servers=1, tokens_in=sum(tokens for _, tokens in parts),
-            tokens_out=log_normal(self.lot, *kind.out), prefix=tuple(parts), arrived=self.now, home=home,
-            is_unread=is_new,
+            tokens_out=log_normal(self.lot, *kind.out), prefix=tuple(parts), arrived_at=self.now,
+            affinity_server_id=home, is_prefix_uncached=is_new,
         )  # fmt: skip
 
     def _home(self, parts: list[tuple[str, int]]) -> tuple[str, bool]:
@@ -264,7 +264,7 @@
         if request_id in self.over:
             return
         self.begun.add(request_id)
-        result, wait = self.results[kind.name], self.now - request.arrived
+        result, wait = self.results[kind.name], self.now - request.arrived_at
         result.waits.append(wait)
         if wait <= kind.aim:
             result.in_aim += 1
--- a/ochrespan/data_plane/deadlines.py
+++ b/ochrespan/data_plane/deadlines.py
@@ -29,27 +29,27 @@
         self._loop = loop
         self._clock = clock
         self._heap: list[tuple[float, int, Deadline]] = []
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
         self._timer: Any = None
-        self._armed_for = float("inf")
+        self._timer_due_at = float("inf")
 
     def schedule(self, at: float, callback: Callable[[], None]) -> Deadline:
         """`callback` runs in the event loop, where it must not block, soon after `at`."""
         deadline = Deadline(at, callback)
-        heapq.heappush(self._heap, (at, next(self._numbers), deadline))
-        if at < self._armed_for:
+        heapq.heappush(self._heap, (at, next(self._sequence), deadline))
+        if at < self._timer_due_at:
             self._arm(at)
         return deadline
 
     def _arm(self, at: float) -> None:
         if self._timer is not None:
             self._timer.close()
-        self._armed_for = at
+        self._timer_due_at = at
         self._timer = self._loop.timer(max(0.0, at - self._clock()))
         self._timer.start(self._run_due)
 
     def _run_due(self) -> None:
-        self._armed_for = float("inf")
+        self._timer_due_at = float("inf")
         now = self._clock()
         heap = self._heap
         while heap and (heap[0][2].callback is None or heap[0][0] <= now):
@@ -57,5 +57,5 @@
             callback, deadline.callback = deadline.callback, None
             if callback is not None:
                 callback()
-        if heap and heap[0][0] < self._armed_for:
+        if heap and heap[0][0] < self._timer_due_at:
             self._arm(heap[0][0])
--- a/ochrespan/data_plane/decision_record.py
+++ b/ochrespan/data_plane/decision_record.py
@@ -15,8 +15,8 @@
 from dataclasses import asdict, dataclass, field
 from json import dumps
 
-_HASH_STEPS = 1 << 32
-_MS = 1000.0
+_HASH_RANGE = 1 << 32
+_MS_PER_S = 1000.0
 
 HOME = "home"  # the server that keeps the prompt's shared parts
 MOVED = "moved"  # another one, since the wait at the home was worth more than reading the shared parts again
@@ -66,7 +66,7 @@
     retry_after: float | None = None  # s, where the answer named it
     ended: float = 0.0  # since the arrival
 
-    def passed_on(self, since_arrival: float) -> None:
+    def record_forwarded(self, since_arrival: float) -> None:
         """Events of a stream leave now."""
         now = milliseconds(since_arrival)
         if self.last_event:
@@ -79,19 +79,19 @@
 
     def __init__(
         self,
-        share: float = 0.0,
+        sample_rate: float = 0.0,
         write: Callable[[str], object] | None = None,
         clock: Callable[[], float] = time.monotonic,
         time_of_day: Callable[[], float] = time.time,
     ) -> None:
-        self.share = share
+        self.sample_rate = sample_rate
         self._write = write or _logger().info
         self._clock = clock
         self._time_of_day = time_of_day
 
     def begin(self, request_id: str, arrived: float) -> DecisionRecord | None:
         """A record for a request that arrived at this time of the steady clock; None where it is not sampled."""
-        if self.share <= 0.0 or zlib.crc32(request_id.encode("latin-1")) >= self.share * _HASH_STEPS:
+        if self.sample_rate <= 0.0 or zlib.crc32(request_id.encode("latin-1")) >= self.sample_rate * _HASH_RANGE:
             return None
         return DecisionRecord(request_id, self._time_of_day() - (self._clock() - arrived))
 
@@ -104,7 +104,7 @@
 
 def milliseconds(seconds: float) -> float:
     """To the microsecond, which keeps the lines short."""
-    return round(seconds * _MS, 3)
+    return round(seconds * _MS_PER_S, 3)
 
 
 def _logger() -> logging.Logger:
--- a/ochrespan/data_plane/decisions.py
+++ b/ochrespan/data_plane/decisions.py
@@ -20,15 +20,15 @@
     safe: bool  # may run more than once
     resumable: bool  # a stream that may be taken up at another server
     streaming: bool
-    aim: float  # s from arrival to the first piece
+    latency_target_s: float  # s from arrival to the first piece
     deadline: float  # on the steady clock: the client's, or the end of the route's timeout if that is sooner
     max_servers: int  # the most servers that this try may be sent to
     tokens_in: int = 0  # 0 where the request has no tokens
     tokens_out: int = 0
     prefix: tuple[tuple[str, int], ...] = ()  # parts of the prompt in order: id and tokens
-    arrived: float = 0.0
-    home: str = ""  # the server that keeps the shared parts, where that is known
-    is_unread: bool = False  # no server is known to have read the shared parts
+    arrived_at: float = 0.0
+    affinity_server_id: str = ""  # the server that keeps the shared parts, where that is known
+    is_prefix_uncached: bool = False  # no server is known to have read the shared parts
     record: DecisionRecord | None = None  # where its decisions are recorded
 
     @property
@@ -77,7 +77,7 @@
     server_id: str
     attempt: int  # counts from 1
     priority: int  # for the `Priority` header, 0 to 9
-    send_within: float
+    timeout_s: float
 
 
 @dataclass(frozen=True, slots=True)
--- a/ochrespan/data_plane/dispatcher.py
+++ b/ochrespan/data_plane/dispatcher.py
@@ -10,7 +10,7 @@
 
 from .deadlines import Deadline, DeadlineHeap
 from .decisions import Action, Outcome, Request, Server
-from .router_metrics import RouterFigures
+from .router_metrics import RouterMetrics
 
 EARLIEST_TICK_S = 0.001
 
@@ -39,10 +39,10 @@
 class Dispatcher:
     """Owns the scheduler. Each request is known here from `submit` to `close`."""
 
-    def __init__(self, scheduler: SchedulerLike, deadlines: DeadlineHeap, figures: RouterFigures | None = None) -> None:
+    def __init__(self, scheduler: SchedulerLike, deadlines: DeadlineHeap, figures: RouterMetrics | None = None) -> None:
         self._scheduler = scheduler
         self._deadlines = deadlines
-        self._figures = figures or RouterFigures(MetricsRegistry())
+        self._figures = figures or RouterMetrics(MetricsRegistry())
         self._takers: dict[str, DecisionTaker] = {}
         self._tick: Deadline | None = None
         self._tick_at = float("inf")
@@ -68,7 +68,7 @@
         self._scheduler.first_event(time.monotonic(), request_id, latency_s)
 
     def ended(self, request_id: str, outcome: Outcome) -> None:
-        self._figures.ended(outcome)
+        self._figures.record_attempt_end(outcome)
         now = time.monotonic()
         self._apply(now, self._scheduler.ended(now, request_id, outcome))
 
@@ -89,7 +89,7 @@
 
     def _apply(self, now: float, actions: Iterable[Action]) -> None:
         for action in actions:
-            self._figures.decided(action)
+            self._figures.record_decision(action)
             if taker := self._takers.get(action.request_id):
                 taker.decide(action)
         self._plan_tick(now)
--- a/ochrespan/data_plane/exchange.py
+++ b/ochrespan/data_plane/exchange.py
@@ -14,7 +14,7 @@
 from .dispatcher import Dispatcher
 from .event_stream import EventStream
 from .own_answers import OwnAnswer, StartResponse, answer_for, over_quota
-from .quota_admission import QuotaTicket
+from .quota_admission import QuotaReservation
 from .request_head import ClientGone
 from .server_answer import MISDIRECTED, ServerAnswer
 from .server_pools import ServerPools
@@ -49,7 +49,7 @@
         client: ClientConnection,
         request: Request,
         server_request: ServerRequest,
-        ticket: QuotaTicket | None = None,
+        ticket: QuotaReservation | None = None,
     ) -> None:
         self._dispatcher = tools.dispatcher
         self._pools = tools.pools
@@ -224,7 +224,7 @@
             if self._ready:
                 ready, self._ready = self._ready, b""
                 if self._request.record is not None:
-                    self._request.record.passed_on(time.monotonic() - self._request.arrived)
+                    self._request.record.record_forwarded(time.monotonic() - self._request.arrived_at)
                 yield ready
             if whole:
                 return
@@ -284,7 +284,7 @@
         if self._request.record is not None:
             status = self._given.status if self._given is not None else 0
             retry_after = self._given.retry_after if isinstance(self._given, OwnAnswer) else None
-            self._decision_log.finish(self._request.record, self._request.arrived, status, retry_after)
+            self._decision_log.finish(self._request.record, self._request.arrived_at, status, retry_after)
 
 
 class _Closing:
--- a/ochrespan/data_plane/flow_queues.py
+++ b/ochrespan/data_plane/flow_queues.py
@@ -14,7 +14,7 @@
 from .placement import Prompt
 from .server_state import ServerState
 
-SCANNED = 4  # requests of a flow that are looked at: one whose server is full does not hold up the others
+MAX_SCANNED = 4  # requests of a flow that are looked at: one whose server is full does not hold up the others
 
 
 @dataclass(slots=True, eq=False)
@@ -25,15 +25,15 @@
     flow: Flow
     units: float
     prompt: Prompt
-    promoted: bool = False
+    is_promoted: bool = False
     promoted_at: float = 0.0
-    held: bool = True  # waits for a send
-    done: bool = False
+    is_waiting: bool = True  # waits for a send
+    is_done: bool = False
     attempts: int = 0
-    servers: int = 0  # that it reached, as far as they may have seen it
+    servers_reached: int = 0  # that it reached, as far as they may have seen it
     may_have_run: bool = False
-    started: bool = False  # a part of an answer has come
-    tried: list[str] = field(default_factory=list)
+    response_started: bool = False  # a part of an answer has come
+    tried_server_ids: list[str] = field(default_factory=list)
     server: ServerState | None = None  # where it is out
 
     @property
@@ -48,56 +48,60 @@
     """What waits for the servers of one service."""
 
     def __init__(self) -> None:
-        self._waiting: Queues = {}
-        self._ready: Queues = {}  # the scheduler queue
-        self._eta_top = 0.0
+        self._flow_queues: Queues = {}
+        self._scheduler_queues: Queues = {}  # the scheduler queue
+        self._max_usage = 0.0
 
     def __bool__(self) -> bool:
-        return bool(self._waiting or self._ready)
+        return bool(self._flow_queues or self._scheduler_queues)
 
-    def add(self, job: Job, first: bool = False) -> None:
+    def add(self, job: Job, at_front: bool = False) -> None:
         """Into its flow's queue; what was promoted once stays in the scheduler queue."""
-        queue = (self._ready if job.promoted else self._waiting).setdefault(job.flow, deque())
-        (queue.appendleft if first else queue.append)(job)
+        queue = (self._scheduler_queues if job.is_promoted else self._flow_queues).setdefault(job.flow, deque())
+        (queue.appendleft if at_front else queue.append)(job)
 
     def charge(self, now: float, job: Job) -> None:
         """Counts a request's units as allocated to its flow, once."""
-        if not job.promoted:
-            job.promoted, job.promoted_at = True, now
-            job.flow.eta += job.units / job.flow.weight
-            self._eta_top = max(self._eta_top, job.flow.eta)
+        if not job.is_promoted:
+            job.is_promoted, job.promoted_at = True, now
+            job.flow.normalized_usage += job.units / job.flow.weight
+            self._max_usage = max(self._max_usage, job.flow.normalized_usage)
 
-    def promote(self, now: float, length: int) -> None:
+    def promote(self, now: float, queue_length: int) -> None:
         """LexAS: gates flow queues into the scheduler queue of this length."""
-        if not self._waiting:
+        if not self._flow_queues:
             return
-        flows = list(self._waiting)
-        lift_lagging(flows, self._eta_top)
-        t_max = upper_threshold(flows)
-        ready = sum(len(queue) for queue in self._ready.values())
-        while heads := [job for job in _heads(self._waiting) if not is_gated(job.flow.eta, t_max, ready, length)]:
-            job = min(heads, key=lambda head: head.flow.eta)
-            self._waiting[job.flow].popleft()
+        flows = list(self._flow_queues)
+        lift_lagging(flows, self._max_usage)
+        threshold = upper_threshold(flows)
+        queued = sum(len(queue) for queue in self._scheduler_queues.values())
+        while candidates := [
+            job
+            for job in _first_jobs(self._flow_queues)
+            if not is_gated(job.flow.normalized_usage, threshold, queued, queue_length)
+        ]:
+            job = min(candidates, key=lambda first_job: first_job.flow.normalized_usage)
+            self._flow_queues[job.flow].popleft()
             self.charge(now, job)
             self.add(job)
-            ready += 1
+            queued += 1
 
-    def in_turn(self) -> Iterator[Job]:
+    def in_arr_order(self) -> Iterator[Job]:
         """ARR: promoted requests, those of the flow with the smallest (a + 1) / delta first."""
-        for head in sorted(_heads(self._ready), key=lambda head: rank(head.flow)):
-            for job in islice(self._ready[head.flow], SCANNED):
-                if job.held:
+        for first_job in sorted(_first_jobs(self._scheduler_queues), key=lambda first_job: rank(first_job.flow)):
+            for job in islice(self._scheduler_queues[first_job.flow], MAX_SCANNED):
+                if job.is_waiting:
                     yield job
 
     def remove(self, job: Job) -> None:
         """Out of the scheduler queue."""
-        self._ready[job.flow].remove(job)
+        self._scheduler_queues[job.flow].remove(job)
 
 
-def _heads(queues: Queues) -> Iterator[Job]:
+def _first_jobs(queues: Queues) -> Iterator[Job]:
     """The first request of each flow that still waits; what is over leaves."""
     for flow, queue in list(queues.items()):
-        while queue and not queue[0].held:
+        while queue and not queue[0].is_waiting:
             queue.popleft()
         if queue:
             yield queue[0]
--- a/ochrespan/data_plane/front.py
+++ b/ochrespan/data_plane/front.py
@@ -21,7 +21,7 @@
 from .exchange import Exchange, ExchangeTools
 from .own_answers import OwnAnswer, StartResponse, over_quota
 from .placement import shared_prefix
-from .quota_admission import Quotas, QuotaTicket, TicketDesk
+from .quota_admission import QuotaAdmission, QuotaReservation, Quotas
 from .request_head import BAD_REQUEST, ClientGone, RequestHead, RequestRefused
 from .routing_table import RouteEntry, RoutingTable
 from .server_request import ServerRequest
@@ -61,7 +61,7 @@
 
     request_id: str  # the client's
     request: Request
-    ticket: QuotaTicket | None
+    ticket: QuotaReservation | None
 
 
 class Front:
@@ -77,7 +77,7 @@
         self._tools = tools
         self._is_fresh = is_fresh
         self._homes = homes
-        self._tickets = TicketDesk(quotas) if quotas is not None else None
+        self._tickets = QuotaAdmission(quotas) if quotas is not None else None
         self._numbers = itertools.count(1)
         self.table: RoutingTable | None = None
         self._first_table = Event()
@@ -155,17 +155,20 @@
 
     def _record(self, request_id: str, request: Request) -> DecisionRecord | None:
         """The begun record of a request that is sampled."""
-        record = self._tools.decision_log.begin(request_id, request.arrived)
+        record = self._tools.decision_log.begin(request_id, request.arrived_at)
         if record is None:
             return None
         record.route, record.service, record.tenant = request.route, request.service, request.tenant
         record.priority, record.tokens_in, record.tokens_out = request.priority, request.tokens_in, request.tokens_out
-        record.aim, record.deadline = milliseconds(request.aim), milliseconds(request.deadline - request.arrived)
+        record.aim, record.deadline = (
+            milliseconds(request.latency_target_s),
+            milliseconds(request.deadline - request.arrived_at),
+        )
         if request.prefix:
             record.shared, record.prefix = request.shared_tokens, shared_prefix(request.prefix)
         return record
 
-    def _take_tokens(self, client: ClientConnection, request: Request, tokens: float) -> QuotaTicket:
+    def _take_tokens(self, client: ClientConnection, request: Request, tokens: float) -> QuotaReservation:
         """A ticket, valid or not; raises ClientGone where the client leaves meanwhile, which ends the record too."""
         try:
             ticket = self._tickets.take(client, request.tenant, tokens, _wait_for_tokens_until(request))
@@ -178,15 +181,15 @@
     def _finish_record(self, request: Request, status: int, retry_after: float | None = None) -> None:
         """The request is over before it has an exchange."""
         if request.record is not None:
-            self._tools.decision_log.finish(request.record, request.arrived, status, retry_after)
+            self._tools.decision_log.finish(request.record, request.arrived_at, status, retry_after)
 
-    def _record_quota(self, request: Request, ticket: QuotaTicket) -> None:
+    def _record_quota(self, request: Request, ticket: QuotaReservation) -> None:
         """Notes how the tokens were had; a refusal ends the record."""
         record = request.record
         if record is None:
             return
-        record.quota_tokens, record.quota_asked = ticket.tokens, ticket.asked
-        record.quota_wait = milliseconds(time.monotonic() - request.arrived)
+        record.quota_tokens, record.quota_asked = ticket.tokens, ticket.request_count
+        record.quota_wait = milliseconds(time.monotonic() - request.arrived_at)
         if not ticket.is_valid:
             self._finish_record(request, HTTPStatus.TOO_MANY_REQUESTS, ticket.retry_after_s)
 
@@ -195,7 +198,7 @@
         shared = request.shared_tokens
         if self._homes is not None and shared >= LEAST_SHARED_TOKENS:
             home = self._homes.locate(request.service, shared_prefix(request.prefix), shared)
-            request.home, request.is_unread = home.instance, home.is_new or not home.instance
+            request.affinity_server_id, request.is_prefix_uncached = home.instance, home.is_new or not home.instance
 
     def _deny(self, status: int, text: str, request_id: str) -> OwnAnswer:
         """A denial; where the table may be old, the client is told to come back instead."""
@@ -225,19 +228,19 @@
             safe=route.route_type == "safe",
             resumable=streaming and route.resumable,
             streaming=streaming,
-            aim=aim_ms / 1000,
+            latency_target_s=aim_ms / 1000,
             deadline=arrived + timeout_ms / 1000,
             max_servers=max(1, route.max_retries),
             tokens_in=tokens[0],
             tokens_out=tokens[1],
             prefix=_prompt_prefix(head) if route.session_affinity else (),
-            arrived=arrived,
+            arrived_at=arrived,
         )
 
 
 def _wait_for_tokens_until(request: Request) -> float:
-    most = TOKEN_WAIT_SHARE * (request.deadline - request.arrived)
-    return request.arrived + min(TOKEN_WAIT_AIMS * request.aim, most)
+    most = TOKEN_WAIT_SHARE * (request.deadline - request.arrived_at)
+    return request.arrived_at + min(TOKEN_WAIT_AIMS * request.latency_target_s, most)
 
 
 def _only_value(head: RequestHead, name: str) -> str | None:
--- a/ochrespan/data_plane/placement.py
+++ b/ochrespan/data_plane/placement.py
@@ -14,18 +14,18 @@
 from heapq import nlargest
 
 from .decision_record import ANY, HOME, MOVED
-from .prefill_times import ReadingTimes, token_cost
+from .prefill_times import PrefillTimes, prefill_token_cost
 from .server_state import ServerState
 
-MOVE_COST = 10.0  # multiple of the time for reading shared parts at another server: its neighbours wait as well
-WORTH_MOVING = 0.25  # part of the aim that leaving a wait behind is worth at the most, however long it seems
-SLOT_COST = 0.0005  # s, what each request that is out slows a new one down
-OTHER_ZONE = 0.003  # s: what bytes between zones are worth
-NEW_CONNECTION = 0.1  # part of the aim: what opening a connection is worth
-HOMES = 3  # servers of a ranking among which a prefix is placed
-RANKED = 4  # servers of a ranking that are kept
-MOST_RANKINGS = 4096  # prefixes whose ranking is kept
-MASK = 2**64 - 1
+CACHE_MISS_FACTOR = 10.0  # multiple of the time for reading shared parts at another server: its neighbours wait as well
+MAX_WAIT_FRACTION = 0.25  # part of the aim that leaving a wait behind is worth at the most, however long it seems
+IN_FLIGHT_COST_S = 0.0005  # s, what each request that is out slows a new one down
+CROSS_ZONE_COST_S = 0.003  # s: what bytes between zones are worth
+NEW_CONNECTION_FRACTION = 0.1  # part of the aim: what opening a connection is worth
+AFFINITY_SERVERS = 3  # servers of a ranking among which a prefix is placed
+RANKED_SERVERS = 4  # servers of a ranking that are kept
+MAX_CACHED_RANKINGS = 4096  # prefixes whose ranking is kept
+MASK_64_BITS = 2**64 - 1
 
 
 def shared_prefix(prefix: Sequence[tuple[str, int]]) -> str:
@@ -39,20 +39,23 @@
 
     def __init__(self) -> None:
         self._ranked: dict[str, list[ServerState]] = {}
-        self._hashed: list[tuple[int, ServerState]] = []
+        self._server_hashes: list[tuple[int, ServerState]] = []
 
     def set_servers(self, servers: Iterable[ServerState]) -> None:
         self._ranked.clear()
-        self._hashed = [(_hash(server.server.id), server) for server in servers]
+        self._server_hashes = [(_hash(server.server.id), server) for server in servers]
 
-    def of(self, key: str) -> list[ServerState]:
+    def ranked_servers(self, key: str) -> list[ServerState]:
         ranked = self._ranked.get(key)
         if ranked is None:
-            if len(self._ranked) >= MOST_RANKINGS:
+            if len(self._ranked) >= MAX_CACHED_RANKINGS:
                 self._ranked.clear()
-            mine = _hash(key)
-            scored = ((_mix(mine ^ hashed), place) for place, (hashed, _) in enumerate(self._hashed))
-            ranked = [self._hashed[place][1] for _, place in nlargest(RANKED, scored)]
+            key_hash = _hash(key)
+            scores = (
+                (_mix(key_hash ^ server_hash), position)
+                for position, (server_hash, _) in enumerate(self._server_hashes)
+            )
+            ranked = [self._server_hashes[position][1] for _, position in nlargest(RANKED_SERVERS, scores)]
             self._ranked[key] = ranked
         return ranked
 
@@ -64,8 +67,8 @@
 
 def _mix(bits: int) -> int:
     """Spreads the bits of a key and a server over a score, as splitmix64 does."""
-    bits = ((bits ^ (bits >> 30)) * 0xBF58476D1CE4E5B9) & MASK
-    bits = ((bits ^ (bits >> 27)) * 0x94D049BB133111EB) & MASK
+    bits = ((bits ^ (bits >> 30)) * 0xBF58476D1CE4E5B9) & MASK_64_BITS
+    bits = ((bits ^ (bits >> 27)) * 0x94D049BB133111EB) & MASK_64_BITS
     return bits ^ (bits >> 31)
 
 
@@ -73,17 +76,21 @@
 class Prompt:
     """What placement has to know of a request."""
 
-    key: str  # of its shared parts; empty where it has none
-    shared: int  # tokens of these
-    own: int  # further tokens
-    aim: float
+    prefix_key: str  # of its shared parts; empty where it has none
+    shared_tokens: int  # tokens of these
+    own_tokens: int  # further tokens
+    latency_target_s: float
     route: str
-    home: str = ""  # the server that keeps the shared parts, where that is known
-    is_unread: bool = False  # no server is known to have read them
+    affinity_server_id: str = ""  # the server that keeps the shared parts, where that is known
+    is_prefix_uncached: bool = False  # no server is known to have read them
 
-    def cost(self, kept: bool) -> float:
+    def prefill_cost(self, is_cached: bool) -> float:
         """Of reading it, as `token_cost` has it."""
-        return token_cost(self.shared, self.own) if kept else token_cost(0, self.shared + self.own)
+        return (
+            prefill_token_cost(self.shared_tokens, self.own_tokens)
+            if is_cached
+            else prefill_token_cost(0, self.shared_tokens + self.own_tokens)
+        )
 
 
 class Placement:
@@ -94,7 +101,7 @@
         self._rankings = Rankings()
         self._servers: list[ServerState] = []
         self._by_id: dict[str, ServerState] = {}
-        self.times = ReadingTimes()
+        self.prefill_times = PrefillTimes()
 
     def set_servers(self, servers: list[ServerState]) -> None:
         if [server.server.id for server in servers] != [server.server.id for server in self._servers]:
@@ -102,22 +109,24 @@
         self._servers = servers
         self._by_id = {server.server.id: server for server in servers}
 
-    def is_kept(self, now: float, server: ServerState, prompt: Prompt) -> bool:
+    def is_prefix_cached(self, now: float, server: ServerState, prompt: Prompt) -> bool:
         """Whether the server is taken to have the shared parts of the prompt in memory."""
-        if not prompt.shared:
+        if not prompt.shared_tokens:
             return True
-        return server.keeps(prompt.key, now) or (not prompt.is_unread and self._ranked(prompt)[0] is server)
+        return server.has_cached(prompt.prefix_key, now) or (
+            not prompt.is_prefix_uncached and self._ranked(prompt)[0] is server
+        )
 
-    def choice(self, prompt: Prompt, server: ServerState) -> str:
+    def choice_label(self, prompt: Prompt, server: ServerState) -> str:
         """Why a request went to this server, for its record."""
-        if not prompt.shared:
+        if not prompt.shared_tokens:
             return ANY
         ranked = self._ranked(prompt)
         if ranked[0] is server:
             return HOME
         return MOVED if server in ranked else ANY
 
-    def best(
+    def select(
         self, now: float, prompt: Prompt, tried: Sequence[str], usable: Callable[[ServerState], bool]
     ) -> ServerState | None:
         """The server with the least expected time of those not tried yet, if it is usable now.
@@ -125,43 +134,55 @@
         A prompt with shared parts waits for its server rather than go where these would be read once more; one
         without goes to any that is usable.
         """
-        if not prompt.shared:
-            return self.any(now, prompt, tried, usable)
+        if not prompt.shared_tokens:
+            return self.select_any(now, prompt, tried, usable)
         ranked = self._ranked(prompt)
-        homes = [server for server in ranked if server.is_healthy(now) and server.server.id not in tried][:HOMES]
-        if not homes:
-            return self.any(now, prompt, tried, usable)
-        found = self._least(now, prompt, homes)
-        return found if found is not None and usable(found) else None
+        candidates = [server for server in ranked if server.is_healthy(now) and server.server.id not in tried][
+            :AFFINITY_SERVERS
+        ]
+        if not candidates:
+            return self.select_any(now, prompt, tried, usable)
+        selected = self._select_cheapest(now, prompt, candidates)
+        return selected if selected is not None and usable(selected) else None
 
     def _ranked(self, prompt: Prompt) -> list[ServerState]:
         """The servers for a prompt in order: the one that is known to keep it, then by the hash."""
-        ranked = self._rankings.of(prompt.key)
-        home = self._by_id.get(prompt.home)
-        return [home, *(server for server in ranked if server is not home)] if home is not None else ranked
-
-    def any(
+        ranked = self._rankings.ranked_servers(prompt.prefix_key)
+        affinity_server = self._by_id.get(prompt.affinity_server_id)
+        return (
+            [affinity_server, *(server for server in ranked if server is not affinity_server)]
+            if affinity_server is not None
+            else ranked
+        )
+
+    def select_any(
         self, now: float, prompt: Prompt, tried: Sequence[str], usable: Callable[[ServerState], bool]
     ) -> ServerState | None:
         """The usable server with the least expected time, wherever the shared parts are."""
-        return self._least(now, prompt, [s for s in self._servers if usable(s) and s.server.id not in tried])
-
-    def _least(self, now: float, prompt: Prompt, servers: Iterable[ServerState]) -> ServerState | None:
-        kept_cost, move_cost = self._costs(prompt)
-        least, found = float("inf"), None
-        for place, server in enumerate(servers):
-            kept = not (prompt.shared and place) or server.keeps(prompt.key, now)
-            time = (kept_cost if kept else move_cost) * server.slowness(now)
-            time += min(server.queue_wait(now), WORTH_MOVING * prompt.aim) if prompt.shared else server.queue_wait(now)
-            time += SLOT_COST * len(server.out) + self._extras(now, server, prompt)
-            if time < least:
-                least, found = time, server
-        return found
+        return self._select_cheapest(now, prompt, [s for s in self._servers if usable(s) and s.server.id not in tried])
+
+    def _select_cheapest(self, now: float, prompt: Prompt, servers: Iterable[ServerState]) -> ServerState | None:
+        cached_cost_s, uncached_cost_s = self._costs(prompt)
+        lowest_cost_s, selected = float("inf"), None
+        for position, server in enumerate(servers):
+            is_cached = not (prompt.shared_tokens and position) or server.has_cached(prompt.prefix_key, now)
+            cost_s = (cached_cost_s if is_cached else uncached_cost_s) * server.slow_start_factor(now)
+            cost_s += (
+                min(server.queue_wait(now), MAX_WAIT_FRACTION * prompt.latency_target_s)
+                if prompt.shared_tokens
+                else server.queue_wait(now)
+            )
+            cost_s += IN_FLIGHT_COST_S * len(server.in_flight) + self._fixed_costs(now, server, prompt)
+            if cost_s < lowest_cost_s:
+                lowest_cost_s, selected = cost_s, server
+        return selected
 
     def _costs(self, prompt: Prompt) -> tuple[float, float]:
-        kept, moved = prompt.cost(True), prompt.cost(False)
-        return self.times.pace * kept, self.times.pace * (kept + MOVE_COST * (moved - kept))
-
-    def _extras(self, now: float, server: ServerState, prompt: Prompt) -> float:
-        zone = 0.0 if server.server.zone == self._zone else OTHER_ZONE
-        return zone + (0.0 if server.has_connection(now) else NEW_CONNECTION * prompt.aim)
+        cached, uncached = prompt.prefill_cost(True), prompt.prefill_cost(False)
+        return self.prefill_times.seconds_per_token * cached, self.prefill_times.seconds_per_token * (
+            cached + CACHE_MISS_FACTOR * (uncached - cached)
+        )
+
+    def _fixed_costs(self, now: float, server: ServerState, prompt: Prompt) -> float:
+        zone = 0.0 if server.server.zone == self._zone else CROSS_ZONE_COST_S
+        return zone + (0.0 if server.has_connection(now) else NEW_CONNECTION_FRACTION * prompt.latency_target_s)
--- a/ochrespan/data_plane/prefill_times.py
+++ b/ochrespan/data_plane/prefill_times.py
@@ -9,44 +9,49 @@
 
 from dataclasses import dataclass, field
 
-PACE = 1 / 60_000  # s for a prompt token, before anything is known
-DOUBLE_AT = 40_000.0  # tokens before a token that double what it costs
-SHORT, LONG = 2_000, 4_000  # token costs up to which a prompt tells the base, and from which it tells the pace
-LEAST_BASE = 0.001  # s
-SMOOTH = 0.25  # part of a new time that is shorter than the estimate
-RISE = 0.02  # part of a new time that is longer
-MOST_RISE = 2.0  # multiple of the estimate that a new time counts at the most
-
-
-def token_cost(before: int, unread: int) -> float:
+INITIAL_SECONDS_PER_TOKEN = 1 / 60_000  # s for a prompt token, before anything is known
+DOUBLE_COST_AT_TOKENS = 40_000.0  # tokens before a token that double what it costs
+SHORT_PROMPT_COST, LONG_PROMPT_COST = (
+    2_000,
+    4_000,
+)  # token costs up to which a prompt tells the base, and from which it tells the pace
+MIN_BASE_LATENCY_S = 0.001  # s
+DECREASE_SMOOTHING = 0.25  # part of a new time that is shorter than the estimate
+INCREASE_SMOOTHING = 0.02  # part of a new time that is longer
+MAX_INCREASE_RATIO = 2.0  # multiple of the estimate that a new time counts at the most
+
+
+def prefill_token_cost(cached_tokens: int, uncached_tokens: int) -> float:
     """What reading `unread` tokens after `before` others costs, in tokens at the start of a prompt."""
-    return unread * (1.0 + (before + unread / 2) / DOUBLE_AT)
+    return uncached_tokens * (1.0 + (cached_tokens + uncached_tokens / 2) / DOUBLE_COST_AT_TOKENS)
 
 
 @dataclass(slots=True)
-class ReadingTimes:
+class PrefillTimes:
     """Estimates for one service."""
 
-    pace: float = PACE
-    base: dict[str, float] = field(default_factory=dict)  # s, by route, beside reading
+    seconds_per_token: float = INITIAL_SECONDS_PER_TOKEN
+    base_latency_s: dict[str, float] = field(default_factory=dict)  # s, by route, beside reading
 
-    def expected(self, route: str, cost: float, unknown: float) -> float:
+    def expected_latency_s(self, route: str, prefill_cost: float, default_base_s: float) -> float:
         """Time to the first piece at an idle server; `unknown` is its base before the first answer."""
-        return self.base.get(route, unknown) + self.pace * cost
+        return self.base_latency_s.get(route, default_base_s) + self.seconds_per_token * prefill_cost
 
-    def observe(self, route: str, cost: float, latency: float) -> None:
+    def observe(self, route: str, prefill_cost: float, latency_s: float) -> None:
         """A first piece came after `latency`, of a prompt whose reading cost that many tokens."""
-        base = self.base.get(route)
-        if base is None:
-            self.base[route] = max(LEAST_BASE, latency - self.pace * cost)
-        elif cost <= SHORT:
-            self.base[route] = _towards(base, max(LEAST_BASE, latency - self.pace * cost))
-        elif cost >= LONG and latency > base:
-            self.pace = _towards(self.pace, (latency - base) / cost)
+        base_latency_s = self.base_latency_s.get(route)
+        if base_latency_s is None:
+            self.base_latency_s[route] = max(MIN_BASE_LATENCY_S, latency_s - self.seconds_per_token * prefill_cost)
+        elif prefill_cost <= SHORT_PROMPT_COST:
+            self.base_latency_s[route] = _smoothed(
+                base_latency_s, max(MIN_BASE_LATENCY_S, latency_s - self.seconds_per_token * prefill_cost)
+            )
+        elif prefill_cost >= LONG_PROMPT_COST and latency_s > base_latency_s:
+            self.seconds_per_token = _smoothed(self.seconds_per_token, (latency_s - base_latency_s) / prefill_cost)
         else:
-            self.base[route] = min(base, max(LEAST_BASE, latency))
+            self.base_latency_s[route] = min(base_latency_s, max(MIN_BASE_LATENCY_S, latency_s))
 
 
-def _towards(estimate: float, seen: float) -> float:
-    seen = min(max(seen, 0.5 * estimate), MOST_RISE * estimate)
-    return estimate + (SMOOTH if seen < estimate else RISE) * (seen - estimate)
+def _smoothed(estimate: float, sample: float) -> float:
+    sample = min(max(sample, 0.5 * estimate), MAX_INCREASE_RATIO * estimate)
+    return estimate + (DECREASE_SMOOTHING if sample < estimate else INCREASE_SMOOTHING) * (sample - estimate)
--- a/ochrespan/data_plane/retry_budget.py
+++ b/ochrespan/data_plane/retry_budget.py
@@ -6,9 +6,9 @@
 
 from __future__ import annotations
 
-from ..sliding_sum import Recent
+from ..sliding_sum import SlidingSum
 
-SAFETY = 0.85  # part of the budget that is used: routers that were killed have spent theirs, counts may lag
+SAFETY_FACTOR = 0.85  # part of the budget that is used: routers that were killed have spent theirs, counts may lag
 
 
 class RetryBudget:
@@ -16,20 +16,20 @@
 
     def __init__(self, ratio: float, slack: float, window: float, now: float) -> None:
         self._ratio, self._slack, self._window = ratio, slack, window
-        self._started = now
-        self._first, self._further = Recent(), Recent()
+        self._started_at = now
+        self._first_attempts, self._retries = SlidingSum(), SlidingSum()
 
-    def record_first(self, now: float) -> None:
-        self._first.add(now, 1.0)
-        if len(self._first.items) % 256 == 0:
-            self._first.total(now, self._window)  # forgets what is past
+    def record_first_attempt(self, now: float) -> None:
+        self._first_attempts.add(now, 1.0)
+        if len(self._first_attempts.entries) % 256 == 0:
+            self._first_attempts.total(now, self._window)  # forgets what is past
 
-    def has_room(self, now: float, routers: int) -> bool:
+    def allows_retry(self, now: float, routers: int) -> bool:
         """Whether one more attempt beyond the first may be made now."""
         # a router that has just started may be a restarted one, whose earlier life has spent its part of the slack
-        slack = self._slack / max(1, routers) * min(1.0, (now - self._started) / self._window)
-        allowed = SAFETY * (slack + self._ratio * self._first.total(now, self._window))
-        return self._further.total(now, self._window) + 1 <= allowed
+        slack = self._slack / max(1, routers) * min(1.0, (now - self._started_at) / self._window)
+        allowed = SAFETY_FACTOR * (slack + self._ratio * self._first_attempts.total(now, self._window))
+        return self._retries.total(now, self._window) + 1 <= allowed
 
-    def spend(self, now: float) -> None:
-        self._further.add(now, 1.0)
+    def record_retry(self, now: float) -> None:
+        self._retries.add(now, 1.0)
--- a/ochrespan/data_plane/router_metrics.py
+++ b/ochrespan/data_plane/router_metrics.py
@@ -9,7 +9,7 @@
 DECISION_NAMES = {"Send": "send", "Refuse": "refuse", "Fail": "fail"}
 
 
-class RouterFigures:
+class RouterMetrics:
     """Counts what the scheduler decides and how attempts end."""
 
     def __init__(self, registry: MetricsRegistry) -> None:
@@ -21,10 +21,10 @@
             "ochrespan_router_attempts_total", "Ended attempts by how they ended.", "outcome"
         )
 
-    def decided(self, action: Action) -> None:
+    def record_decision(self, action: Action) -> None:
         """The scheduler decided about a request."""
         self._decisions.add(DECISION_NAMES[type(action).__name__])
 
-    def ended(self, outcome: Outcome) -> None:
+    def record_attempt_end(self, outcome: Outcome) -> None:
         """An attempt ended."""
         self._attempts.add(outcome.name.lower())
--- a/ochrespan/data_plane/router_node.py
+++ b/ochrespan/data_plane/router_node.py
@@ -23,7 +23,7 @@
 from .ingress import IngressServer
 from .quota_admission import Quotas
 from .readiness import ReadinessServer
-from .router_metrics import RouterFigures
+from .router_metrics import RouterMetrics
 from .routing_table import RoutingTable
 from .server_pools import ServerPools
 
@@ -87,7 +87,7 @@
     ) -> None:
         deadlines = DeadlineHeap(gevent.get_hub().loop)
         registry = MetricsRegistry()
-        self._dispatcher = Dispatcher(scheduler, deadlines, RouterFigures(registry))
+        self._dispatcher = Dispatcher(scheduler, deadlines, RouterMetrics(registry))
         self._pools = ServerPools(deadlines)
         self.decision_log = DecisionLog()
         tools = ExchangeTools(self._dispatcher, self._pools, deadlines, self.decision_log)
--- a/ochrespan/data_plane/server_health.py
+++ b/ochrespan/data_plane/server_health.py
@@ -11,10 +11,10 @@
 from .decisions import Outcome
 
 EJECT_AFTER = 3.0  # weighted failures in a row
-EJECTION = 1.0  # s, the first; each further one is twice as long
-LONGEST_EJECTION = 16.0  # s
-MOST_EJECTED = 0.5  # part of a service's servers
-WEIGHTS = {  # what one failure counts towards ejection
+FIRST_EJECTION_S = 1.0  # s, the first; each further one is twice as long
+MAX_EJECTION_S = 16.0  # s
+MAX_EJECTED_FRACTION = 0.5  # part of a service's servers
+FAILURE_WEIGHTS = {  # what one failure counts towards ejection
     Outcome.NOT_SENT: EJECT_AFTER,  # nothing listens, or no connection comes up
     Outcome.MISDIRECTED: EJECT_AFTER,  # another incarnation has the address; the table will follow
     Outcome.LOST: 1.0,
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class Health:
+class ServerHealth:
     """What the ends of requests have told of one server."""
 
     failures: float = 0.0  # weighted, in a row
@@ -33,21 +33,21 @@
     ejected_until: float = 0.0
     failed_at: float = 0.0
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         self.failures, self.ejections, self.ejected_until = 0.0, 0, 0.0
 
-    def failed(self, now: float, outcome: Outcome, sent_at: float) -> None:
+    def record_failure(self, now: float, outcome: Outcome, sent_at: float) -> None:
         """One trouble counts once, however many requests were out when it began."""
-        if sent_at < self.failed_at or outcome not in WEIGHTS:
+        if sent_at < self.failed_at or outcome not in FAILURE_WEIGHTS:
             return
-        self.failures, self.failed_at = self.failures + WEIGHTS[outcome], now
+        self.failures, self.failed_at = self.failures + FAILURE_WEIGHTS[outcome], now
         if self.failures >= EJECT_AFTER:
-            self.ejected_until = now + min(LONGEST_EJECTION, EJECTION * 2**self.ejections)
+            self.ejected_until = now + min(MAX_EJECTION_S, FIRST_EJECTION_S * 2**self.ejections)
             self.ejections += 1
 
     def is_ejected(self, now: float) -> bool:
         return now < self.ejected_until
 
-    def on_trial(self) -> bool:
+    def is_on_probation(self) -> bool:
         """Back from an ejection, and no request has succeeded yet."""
         return self.ejections > 0
--- a/ochrespan/data_plane/server_state.py
+++ b/ochrespan/data_plane/server_state.py
@@ -5,20 +5,26 @@
 from dataclasses import dataclass, field
 from math import exp
 
-from ..policy.window import LEAST, narrowed, widened
+from ..policy.window import MIN_WINDOW, narrowed, widened
 from .decisions import Server
-from .server_health import Health
+from .server_health import ServerHealth
 
-LEAST_START, MOST_START = 8.0, 16.0  # requests: a window starts with an even part of the capacity between these
+MIN_INITIAL_WINDOW, MAX_INITIAL_WINDOW = (
+    8.0,
+    16.0,
+)  # requests: a window starts with an even part of the capacity between these
 HEADROOM = 4.0  # multiple of an even part of the capacity that one router may use: demand is not even
-SMOOTH = 0.25  # part of a new answer in the smoothed wait
-WAIT_MEMORY = 1.0  # s, after which a wait that was seen is believed by 1/e
-QUEUE_SEEN, NO_QUEUE = 1.0, 0.25  # parts of the aim beyond the expected latency that narrow, and still widen, a window
-COLD_COST = 2.0  # multiple of a request's time while a server is cold
-FULL_FOR = 0.05  # s for which a server that said it is full is left alone
-RESTING = 4.0  # s that a connection is taken to stay open unused
-KEPT_FOR = 30.0  # s that a prefix is believed to stay in a server's memory unused
-MOST_KEPT = 4096  # prefixes remembered for one server
+WAIT_SMOOTHING = 0.25  # part of a new answer in the smoothed wait
+WAIT_DECAY_S = 1.0  # s, after which a wait that was seen is believed by 1/e
+NARROW_WAIT_FRACTION, WIDEN_WAIT_FRACTION = (
+    1.0,
+    0.25,
+)  # parts of the aim beyond the expected latency that narrow, and still widen, a window
+SLOW_START_FACTOR = 2.0  # multiple of a request's time while a server is cold
+FULL_BACKOFF_S = 0.05  # s for which a server that said it is full is left alone
+IDLE_CONNECTION_S = 4.0  # s that a connection is taken to stay open unused
+PREFIX_CACHE_TTL_S = 30.0  # s that a prefix is believed to stay in a server's memory unused
+MAX_CACHED_PREFIXES = 4096  # prefixes remembered for one server
 
 
 @dataclass(slots=True)
@@ -27,10 +33,10 @@
 
     sent_at: float
     route: str
-    cost: float  # of reading its prompt, as `prefill_times.token_cost` has it
-    expected: float  # s to the first piece, once the server has turned to it
-    wait: float  # s that it was expected to wait before
-    answered: bool = False
+    prefill_cost: float  # of reading its prompt, as `prefill_times.token_cost` has it
+    expected_prefill_s: float  # s to the first piece, once the server has turned to it
+    expected_wait_s: float  # s that it was expected to wait before
+    has_responded: bool = False
 
 
 @dataclass(slots=True, eq=False)
@@ -38,99 +44,101 @@
     """One server as this router sees it."""
 
     server: Server
-    cap: float = 0.0  # requests, the most that this router may have out here
+    window_cap: float = 0.0  # requests, the most that this router may have out here
     window: float = 0.0
-    health: Health = field(default_factory=Health)
-    out: dict[str, Attempt] = field(default_factory=dict)
-    free_at: float = 0.0  # when it will have read all prompts that this router has sent
-    wait: float = 0.0  # s, beyond what was expected, smoothed, as of seen_at
-    seen_at: float = 0.0
-    kept: dict[str, float] = field(default_factory=dict)  # shared prefixes sent here, and when last
+    health: ServerHealth = field(default_factory=ServerHealth)
+    in_flight: dict[str, Attempt] = field(default_factory=dict)
+    prefill_done_at: float = 0.0  # when it will have read all prompts that this router has sent
+    excess_wait_s: float = 0.0  # s, beyond what was expected, smoothed, as of seen_at
+    excess_wait_at: float = 0.0
+    cached_prefixes: dict[str, float] = field(default_factory=dict)  # shared prefixes sent here, and when last
     full_until: float = 0.0  # it said that it is full
-    connections: int = 0  # that are taken to be open
-    used_at: float = 0.0  # when one of them was last used
-    heard_at: float = 0.0  # when it last said anything
+    open_connections: int = 0  # that are taken to be open
+    connection_used_at: float = 0.0  # when one of them was last used
+    last_response_at: float = 0.0  # when it last said anything
 
-    def set_share(self, routers: int) -> None:
+    def set_router_count(self, routers: int) -> None:
         """The window's cap: this router's part of the capacity, with headroom, and never beyond the capacity."""
         capacity = max(1, self.server.capacity)
-        self.cap = max(LEAST, min(capacity, HEADROOM * capacity / max(1, routers)))
+        self.window_cap = max(MIN_WINDOW, min(capacity, HEADROOM * capacity / max(1, routers)))
         if not self.window:
-            self.window = min(MOST_START, max(LEAST_START, capacity / max(1, routers)))
-        self.window = min(self.window, self.cap)
+            self.window = min(MAX_INITIAL_WINDOW, max(MIN_INITIAL_WINDOW, capacity / max(1, routers)))
+        self.window = min(self.window, self.window_cap)
 
     def is_healthy(self, now: float) -> bool:
         return not self.health.is_ejected(now)
 
-    def has_room(self, now: float) -> bool:
+    def has_capacity(self, now: float) -> bool:
         if now < self.full_until or self.health.is_ejected(now):
             return False
-        return len(self.out) < (1 if self.health.on_trial() else int(self.window))
+        return len(self.in_flight) < (1 if self.health.is_on_probation() else int(self.window))
 
-    def may_overflow(self, now: float) -> bool:
+    def can_exceed_window(self, now: float) -> bool:
         """Whether a request beyond the window may go here: within the capacity, and by no sign in trouble."""
-        healthy = now >= self.full_until and not self.health.is_ejected(now) and not self.health.on_trial()
-        return healthy and len(self.out) < self.server.capacity
+        healthy = now >= self.full_until and not self.health.is_ejected(now) and not self.health.is_on_probation()
+        return healthy and len(self.in_flight) < self.server.capacity
 
-    def is_half_taken(self, routers: int) -> bool:
+    def is_half_used(self, routers: int) -> bool:
         """Whether half of its places are taken, if the other routers have as much out here as this one."""
-        return 2 * len(self.out) * max(1, routers) >= self.server.capacity
+        return 2 * len(self.in_flight) * max(1, routers) >= self.server.capacity
 
-    def rejected(self, now: float) -> None:
+    def record_rejection(self, now: float) -> None:
         """It is full: that was not run, and its window was too wide."""
-        self.full_until = now + FULL_FOR
-        self.window = max(LEAST, self.window / 2)
+        self.full_until = now + FULL_BACKOFF_S
+        self.window = max(MIN_WINDOW, self.window / 2)
 
     def queue_wait(self, now: float) -> float:
         """How long a new request would wait: by what is out, by the last answers, or by the oldest unanswered one."""
-        wait = max(self.free_at - now, 0.0) + self.wait * exp((self.seen_at - now) / WAIT_MEMORY)
-        for attempt in self.out.values():
-            if not attempt.answered:
-                return max(wait, now - attempt.sent_at - attempt.wait - attempt.expected)
+        wait = max(self.prefill_done_at - now, 0.0) + self.excess_wait_s * exp(
+            (self.excess_wait_at - now) / WAIT_DECAY_S
+        )
+        for attempt in self.in_flight.values():
+            if not attempt.has_responded:
+                return max(wait, now - attempt.sent_at - attempt.expected_wait_s - attempt.expected_prefill_s)
         return wait
 
     def has_connection(self, now: float) -> bool:
         """Whether a connection is likely to be at rest here."""
-        return self.connections > len(self.out) and now - self.used_at < RESTING
+        return self.open_connections > len(self.in_flight) and now - self.connection_used_at < IDLE_CONNECTION_S
 
-    def slowness(self, now: float) -> float:
-        return COLD_COST if now < self.server.slow_start_ends_at else 1.0
+    def slow_start_factor(self, now: float) -> float:
+        return SLOW_START_FACTOR if now < self.server.slow_start_ends_at else 1.0
 
-    def keeps(self, key: str, now: float) -> bool:
+    def has_cached(self, prefix_key: str, now: float) -> bool:
         """Whether a shared prefix was sent here recently enough to be in memory still."""
-        return now - self.kept.get(key, -KEPT_FOR) < KEPT_FOR
+        return now - self.cached_prefixes.get(prefix_key, -PREFIX_CACHE_TTL_S) < PREFIX_CACHE_TTL_S
 
-    def sent(self, now: float, request_id: str, attempt: Attempt, reading: float, key: str) -> None:
+    def record_send(self, now: float, request_id: str, attempt: Attempt, prefill_s: float, prefix_key: str) -> None:
         """A request has been sent here, whose prompt takes `reading` seconds to read."""
         if not self.has_connection(now):
-            self.connections = len(self.out) + 1
-        self.out[request_id] = attempt
-        self.used_at = now
-        self.free_at = max(now, self.free_at) + reading
-        if key:
-            if len(self.kept) >= MOST_KEPT:
-                self.kept.clear()
-            self.kept[key] = now
-
-    def answered(self, now: float, request_id: str, latency: float, aim: float) -> None:
+            self.open_connections = len(self.in_flight) + 1
+        self.in_flight[request_id] = attempt
+        self.connection_used_at = now
+        self.prefill_done_at = max(now, self.prefill_done_at) + prefill_s
+        if prefix_key:
+            if len(self.cached_prefixes) >= MAX_CACHED_PREFIXES:
+                self.cached_prefixes.clear()
+            self.cached_prefixes[prefix_key] = now
+
+    def record_first_chunk(self, now: float, request_id: str, latency_s: float, latency_target_s: float) -> None:
         """The first piece of an attempt has come: its latency leads the window."""
-        attempt = self.out[request_id]
-        attempt.answered = True
-        self.heard_at = now
-        excess = max(0.0, latency - attempt.expected - attempt.wait)
-        keep = (1 - SMOOTH) * exp((self.seen_at - now) / WAIT_MEMORY)
-        self.wait, self.seen_at = keep * self.wait + (1 - keep) * excess, now
-        queue = latency - attempt.expected
-        if queue > QUEUE_SEEN * aim:
+        attempt = self.in_flight[request_id]
+        attempt.has_responded = True
+        self.last_response_at = now
+        excess = max(0.0, latency_s - attempt.expected_prefill_s - attempt.expected_wait_s)
+        retained = (1 - WAIT_SMOOTHING) * exp((self.excess_wait_at - now) / WAIT_DECAY_S)
+        self.excess_wait_s, self.excess_wait_at = retained * self.excess_wait_s + (1 - retained) * excess, now
+        queue = latency_s - attempt.expected_prefill_s
+        if queue > NARROW_WAIT_FRACTION * latency_target_s:
             self.window = narrowed(self.window)
-        elif queue <= NO_QUEUE * aim and len(self.out) + 1 >= int(self.window):
-            self.window = widened(self.window, self.cap)
-        if not any(not other.answered for other in self.out.values()):
-            self.free_at = now  # all that was sent is read
-
-    def ended(self, now: float, request_id: str) -> Attempt | None:
-        attempt = self.out.pop(request_id, None)
-        self.used_at = now
-        if not self.out:
-            self.free_at = 0.0
+        elif queue <= WIDEN_WAIT_FRACTION * latency_target_s and len(self.in_flight) + 1 >= int(self.window):
+            self.window = widened(self.window, self.window_cap)
+        if not any(not other.has_responded for other in self.in_flight.values()):
+            self.prefill_done_at = now  # all that was sent is read
+
+    def record_end(self, now: float, request_id: str) -> Attempt | None:
+        attempt = self.in_flight.pop(request_id, None)
+        self.connection_used_at = now
+        if not self.in_flight:
+            self.prefill_done_at = 0.0
         return attempt
--- a/ochrespan/data_plane/service_pool.py
+++ b/ochrespan/data_plane/service_pool.py
@@ -8,15 +8,17 @@
 from .flow_queues import FlowQueues
 from .placement import Placement
 from .retry_budget import RetryBudget
-from .server_health import MOST_EJECTED
+from .server_health import MAX_EJECTED_FRACTION
 from .server_state import Attempt, ServerState
 
-SILENT = 1.5  # s without a word after which a client that leaves says something about the server
-SAYS_NOTHING = frozenset({Outcome.NOT_SENT, Outcome.TIMED_OUT, Outcome.CANCELLED})  # outcomes without a server's word
+RESPONSE_TIMEOUT_S = 1.5  # s without a word after which a client that leaves says something about the server
+OUTCOMES_WITHOUT_RESPONSE = frozenset(
+    {Outcome.NOT_SENT, Outcome.TIMED_OUT, Outcome.CANCELLED}
+)  # outcomes without a server's word
 
 
 @dataclass(slots=True, eq=False)
-class Pool:
+class ServicePool:
     """One service."""
 
     budget: RetryBudget
@@ -36,37 +38,37 @@
         for server in listed:
             state = self.servers.get(server.id) or ServerState(server)
             state.server = server
-            state.set_share(routers)
+            state.set_router_count(routers)
             servers[server.id] = state
         self.servers = servers
         self.usable = [state for state in servers.values() if not state.server.draining]
         self.placement.set_servers(self.usable)
 
-    def set_shares(self, routers: int) -> None:
+    def set_router_count(self, routers: int) -> None:
         """This router's part of every server, after another count of routers."""
         self.routers = routers
         for state in self.servers.values():
-            state.set_share(routers)
+            state.set_router_count(routers)
 
-    def judge(self, now: float, server: ServerState, outcome: Outcome, attempt: Attempt) -> None:
+    def record_outcome(self, now: float, server: ServerState, outcome: Outcome, attempt: Attempt) -> None:
         """What the end of an attempt tells of its server."""
-        if outcome not in SAYS_NOTHING:
-            server.heard_at = now
+        if outcome not in OUTCOMES_WITHOUT_RESPONSE:
+            server.last_response_at = now
         if outcome is Outcome.DONE:
-            server.health.succeeded()
+            server.health.record_success()
         elif outcome is Outcome.REJECTED_FULL:
-            server.rejected(now)
-        elif self.may_eject(now):
-            server.health.failed(now, outcome, attempt.sent_at)
+            server.record_rejection(now)
+        elif self.can_eject(now):
+            server.health.record_failure(now, outcome, attempt.sent_at)
 
-    def judge_silence(self, now: float, server: ServerState, attempt: Attempt | None) -> None:
+    def record_abandoned(self, now: float, server: ServerState, attempt: Attempt | None) -> None:
         """A client has left: a server that has said nothing to anyone since it was asked may be gone."""
-        if attempt is None or attempt.answered or server.heard_at >= attempt.sent_at:
+        if attempt is None or attempt.has_responded or server.last_response_at >= attempt.sent_at:
             return
-        if now - attempt.sent_at > SILENT and self.may_eject(now):
-            server.health.failed(now, Outcome.TIMED_OUT, attempt.sent_at)
+        if now - attempt.sent_at > RESPONSE_TIMEOUT_S and self.can_eject(now):
+            server.health.record_failure(now, Outcome.TIMED_OUT, attempt.sent_at)
 
-    def may_eject(self, now: float) -> bool:
+    def can_eject(self, now: float) -> bool:
         """The floor: so many servers of a service stay in use, whatever their requests' ends say."""
         ejected = sum(server.health.is_ejected(now) for server in self.usable)
-        return ejected + 1 <= MOST_EJECTED * len(self.usable)
+        return ejected + 1 <= MAX_EJECTED_FRACTION * len(self.usable)
--- a/ochrespan/policy/arr.py
+++ b/ochrespan/policy/arr.py
@@ -2,20 +2,20 @@
 
 from __future__ import annotations
 
-from ..flow_state import Share
+from ..flow_state import FlowState
 
-KAPPA = 1.0  # gain a flow starts with
-GAMMA = 0.5  # gain added after a round in which the flow's mean latency missed its aim
-ROUND = 1.0  # s, length of a round
+INITIAL_GAIN = 1.0  # gain a flow starts with
+GAIN_STEP = 0.5  # gain added after a round in which the flow's mean latency missed its aim
+ROUND_S = 1.0  # s, length of a round
 
 
-def rank(flow: Share) -> float:
+def rank(flow: FlowState) -> float:
     """(a + 1) / delta, but for the sum of all gains, which is the same for every flow."""
-    return (flow.a + 1) / flow.gain
+    return (flow.sends_in_round + 1) / flow.gain
 
 
-def end_round(flow: Share, certainty: float = 1.0) -> None:
+def end_round(flow: FlowState, confidence: float = 1.0) -> None:
     """A flow whose mean latency missed its aim gains GAMMA, as far as that is certain; every a resets."""
-    if flow.over > 0:
-        flow.gain += GAMMA * certainty
-    flow.a, flow.over = 0, 0.0
+    if flow.latency_excess > 0:
+        flow.gain += GAIN_STEP * confidence
+    flow.sends_in_round, flow.latency_excess = 0, 0.0
--- a/ochrespan/policy/front.py
+++ b/ochrespan/policy/front.py
@@ -16,9 +16,9 @@
 from .. import interface as api
 from ..asking import Asking
 from ..interface import Effect, Group, ListKind, Status
-from ..sliding_sum import Recent
+from ..sliding_sum import SlidingSum
 from ..state import Flow, Job, Lane, Node, NodeTable, Queues, Store, Turns, Volume
-from .arr import KAPPA, ROUND, end_round, rank
+from .arr import INITIAL_GAIN, ROUND_S, end_round, rank
 from .gating import is_gated, lift_lagging, upper_threshold
 from .window import narrowed, widened
 
@@ -52,10 +52,10 @@
         self.jobs: dict[str, Job] = {}
         self.turns = Turns()
         self.rest_until: dict[str, float] = {}
-        self.taken, self.extras = Recent(), Recent()  # requests, and attempts beyond their first
+        self.taken, self.extras = SlidingSum(), SlidingSum()  # requests, and attempts beyond their first
         self.longest: dict[str, float] = {}  # by class: the most time that a request came with
         self.ends: list[tuple[float, int, Job]] = []
-        self.count, self.eta_top, self.round_at, self.wake = count(), 0.0, now + ROUND, -inf
+        self.count, self.eta_top, self.round_at, self.wake = count(), 0.0, now + ROUND_S, -inf
         self.asking = Asking(settings.heads, settings.ask_within, self.random, now)
         if not settings.list_on_request:
             self.asking.told()
@@ -108,10 +108,10 @@
 
     def _round(self) -> None:
         """ARR: flows whose mean latency missed their aim gain gamma, and every a resets."""
-        self.round_at = self.now + ROUND
+        self.round_at = self.now + ROUND_S
         for key, flow in list(self.flows.items()):
             end_round(flow)
-            if self.now - flow.used_at > IDLE_FLOW:
+            if self.now - flow.last_used_at > IDLE_FLOW:
                 del self.flows[key]
         self.rest_until = {key: at for key, at in self.rest_until.items() if at > self.now}
         self.table.forget_gone()
@@ -171,9 +171,9 @@
         volume.reserve.resize(plan.reserve * part, burst, self.now)
         if volume.limit:
             volume.limit.resize(plan.limit * part, plan.limit_burst * part, self.now)
-        fresh = Flow(volume, max(plan.weight, 1e-6), gain=KAPPA)
+        fresh = Flow(volume, max(plan.weight, 1e-6), gain=INITIAL_GAIN)
         flow = self.flows.setdefault((req.plan, req.volume, req.cls), fresh)
-        flow.used_at = self.now
+        flow.last_used_at = self.now
         return flow
 
     def _queue(self, job: Job, first: bool = False) -> None:
@@ -223,7 +223,7 @@
         self._reported(node, got.report)
         if got.status is Status.OK:
             self._served(node, got, job.req, sent_at)
-            job.flow.over += self.now - job.taken_at - job.cls.aim
+            job.flow.latency_excess += self.now - job.taken_at - job.cls.aim
         elif got.status not in (Status.MOOT, Status.CANCELLED):  # these tell nothing of the node
             self._failed(node, got, sent_at)
         if got.status not in NEVER_RAN and job.ran is None:
@@ -298,7 +298,7 @@
     def _begin(self, entry: api.NodeEntry, known: Node | None, kind: ListKind) -> Node:
         """A node's new life; guard 4: what an earlier life of ours knew begins with its budget spent."""
         window = max(1.0, min(WINDOW_START, WINDOW_ALL / max(1, self.set.heads)))
-        out, sent = (known.out, known.sent) if known else (0, Recent())
+        out, sent = (known.out, known.sent) if known else (0, SlidingSum())
         if kind is ListKind.CACHED:
             sent.add(self.now, inf)
         # the first send waits by lot from now on: only as many heads begin in a window as it bears
@@ -316,8 +316,11 @@
             ready = sum(len(lane.ready[job.flow]) for job in self._heads(lane.ready))
             best, pick = (2, inf), None
             for job in self._heads(lane.waiting):
-                order = (0 if self._reserved(job) else 1, job.flow.eta)  # exception: the reserve goes first
-                if order < best and not (order[0] and is_gated(job.flow.eta, t_max, ready, part)):
+                order = (
+                    0 if self._reserved(job) else 1,
+                    job.flow.normalized_usage,
+                )  # exception: the reserve goes first
+                if order < best and not (order[0] and is_gated(job.flow.normalized_usage, t_max, ready, part)):
                     best, pick = order, job
             if pick is None or ready >= 2 * part:
                 return
@@ -325,8 +328,8 @@
 
     def _charge(self, lane: Lane, job: Job) -> Job:
         lane.waiting[job.flow].popleft()
-        job.flow.eta += job.req.units / job.flow.weight
-        self.eta_top = max(self.eta_top, job.flow.eta)
+        job.flow.normalized_usage += job.req.units / job.flow.weight
+        self.eta_top = max(self.eta_top, job.flow.normalized_usage)
         job.promoted = True
         return job
 
@@ -432,7 +435,7 @@
         power = start + (1 - start) * max(0.0, self.now - started - window) / s.warm_up
         part = COLD_SAFETY * s.cold_units * min(1.0, self._part(node.entry.shard)) * power / start
         if self.busy and s.fall_multiple:  # the promise stands for the worst of loads; this one is known
-            usual = self.asked.get(node.entry.shard, 0.0) / self.rounds * window / ROUND
+            usual = self.asked.get(node.entry.shard, 0.0) / self.rounds * window / ROUND_S
             busy = max(LEAST_BUSY, self.busy.get(node.entry.shard, self.busy[ANY]))
             part = max(part, COLD_SAFETY * s.fall_multiple * power * usual / busy)  # queues: the windows
         if part < s.most_units:
@@ -498,7 +501,7 @@
             node.sent.add(self.now, req.units)
             node.unpaid += req.units
             node.paid_at = self.now
-        flow.a, flow.used_at = flow.a + 1, self.now
+        flow.sends_in_round, flow.last_used_at = flow.sends_in_round + 1, self.now
         job.out[job.attempts] = self.now
         job.attempts, node.out = job.attempts + 1, node.out + 1
         # exception: where answers get lost (a later send's came), an attempt overdue by far is tried again
--- a/ochrespan/policy/gating.py
+++ b/ochrespan/policy/gating.py
@@ -5,34 +5,38 @@
 from collections.abc import Iterable, Sequence
 from math import ceil
 
-from ..flow_state import Share
+from ..flow_state import FlowState
 
-LEXAS_MAX = 50.0  # summed deficit of the flows under T_max, in units over weight
-LEXAS_MIN = 100.0  # summed gap of the flows over T_min to the top eta, likewise
+DEFICIT_LIMIT = 50.0  # summed deficit of the flows under T_max, in units over weight
+GAP_LIMIT = 100.0  # summed gap of the flows over T_min to the top eta, likewise
 
 
-def lift_lagging(flows: Sequence[Share], eta_top: float) -> None:
+def lift_lagging(flows: Sequence[FlowState], max_usage: float) -> None:
     """Lifts lagging flows to T_min, the lowest value whose summed gap to the top eta is under LEXAS_MIN."""
-    left = LEXAS_MIN
-    for k, flow in enumerate(sorted(flows, key=lambda flow: -flow.eta)):
-        if eta_top - flow.eta > left / (len(flows) - k):
-            t_min = eta_top - left / (len(flows) - k)
+    remaining = GAP_LIMIT
+    for position, flow in enumerate(sorted(flows, key=lambda flow: -flow.normalized_usage)):
+        if max_usage - flow.normalized_usage > remaining / (len(flows) - position):
+            lower_threshold = max_usage - remaining / (len(flows) - position)
             for lagging in flows:
-                lagging.eta = max(lagging.eta, t_min)
+                lagging.normalized_usage = max(lagging.normalized_usage, lower_threshold)
             break
-        left -= eta_top - flow.eta
+        remaining -= max_usage - flow.normalized_usage
 
 
-def upper_threshold(flows: Iterable[Share]) -> float:
+def upper_threshold(flows: Iterable[FlowState]) -> float:
     """T_max, the largest value whose summed deficit over the flows under it is below LEXAS_MAX."""
-    left, below, t_max = LEXAS_MAX, 0, 0.0
-    for eta in sorted(flow.eta for flow in flows):
-        if (eta - t_max) * below > left:
+    remaining, flows_below, threshold = DEFICIT_LIMIT, 0, 0.0
+    for normalized_usage in sorted(flow.normalized_usage for flow in flows):
+        if (normalized_usage - threshold) * flows_below > remaining:
             break
-        left, below, t_max = left - (eta - t_max) * below, below + 1, eta
-    return t_max + left / max(1, below)
+        remaining, flows_below, threshold = (
+            remaining - (normalized_usage - threshold) * flows_below,
+            flows_below + 1,
+            normalized_usage,
+        )
+    return threshold + remaining / max(1, flows_below)
 
 
-def is_gated(eta: float, t_max: float, ready: int, length: int) -> bool:
+def is_gated(normalized_usage: float, threshold: float, queued: int, queue_length: int) -> bool:
     """Whether a flow is held back: the scheduler queue is full, or it is above T_max and ARR has enough."""
-    return ready >= length or (eta > t_max and ready >= ceil(length / 2))
+    return queued >= queue_length or (normalized_usage > threshold and queued >= ceil(queue_length / 2))
--- a/ochrespan/policy/window.py
+++ b/ochrespan/policy/window.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-LEAST = 1.0  # requests: what is known of a server has to be learnt with at least one
+MIN_WINDOW = 1.0  # requests: what is known of a server has to be learnt with at least one
 
 
 def widened(window: float, cap: float) -> float:
@@ -12,4 +12,4 @@
 
 def narrowed(window: float) -> float:
     """After an answer that shows a queue."""
-    return max(LEAST, window - 1.0 / window)
+    return max(MIN_WINDOW, window - 1.0 / window)
--- a/ochrespan/programs/router_process.py
+++ b/ochrespan/programs/router_process.py
@@ -82,7 +82,7 @@
         self._feed.stop()
 
     def _set_decision_sampling(self, settings: Settings) -> None:
-        self._node.decision_log.share = settings.get("decision_records", DEFAULT_DECISION_RECORDS)
+        self._node.decision_log.sample_rate = settings.get("decision_records", DEFAULT_DECISION_RECORDS)
 
     def _members_changed(self) -> None:
         self._feed.members_changed(self._membership.routers(), self._membership.controllers())
--- a/ochrespan/sliding_sum.py
+++ b/ochrespan/sliding_sum.py
@@ -7,15 +7,15 @@
 
 
 @dataclass(slots=True)
-class Recent:
+class SlidingSum:
     """What was added within a sliding span of time."""
 
-    items: deque[tuple[float, float]] = field(default_factory=deque)
+    entries: deque[tuple[float, float]] = field(default_factory=deque)
 
     def add(self, now: float, amount: float) -> None:
-        self.items.append((now, amount))
+        self.entries.append((now, amount))
 
-    def total(self, now: float, span: float) -> float:
-        while self.items and self.items[0][0] <= now - span:
-            self.items.popleft()
-        return sum(amount for _, amount in self.items)
+    def total(self, now: float, window_s: float) -> float:
+        while self.entries and self.entries[0][0] <= now - window_s:
+            self.entries.popleft()
+        return sum(amount for _, amount in self.entries)
--- a/ochrespan/state.py
+++ b/ochrespan/state.py
@@ -8,8 +8,8 @@
 from math import inf
 
 from . import interface as api
-from .flow_state import Share
-from .sliding_sum import Recent
+from .flow_state import FlowState
+from .sliding_sum import SlidingSum
 
 
 @dataclass(slots=True)
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Flow(Share):
+class Flow(FlowState):
     """A volume in one class."""
 
     volume: Volume
@@ -90,7 +90,7 @@
     failed_at: float = 0.0
     unpaid: float = 0.0  # while cold: units of the last send, as far as they are not paid for by waiting
     paid_at: float = 0.0  # up to when they are
-    sent: Recent = field(default_factory=Recent)  # units
+    sent: SlidingSum = field(default_factory=SlidingSum)  # units
 
 
 class Turns(dict[str, deque[Job]]):
--- a/tests/fleet_standins.py
+++ b/tests/fleet_standins.py
@@ -211,7 +211,7 @@
 
     def release(self) -> list[Any]:
         self.holds = False
-        return [action for request in self.submitted for action in self._send(request.arrived, request)]
+        return [action for request in self.submitted for action in self._send(request.arrived_at, request)]
 
     def cancel(self, now: float, request_id: str) -> list[Any]:
         if self.requests.pop(request_id, None):
--- a/tests/golden/scheduler_schedules.py
+++ b/tests/golden/scheduler_schedules.py
@@ -95,7 +95,7 @@
             match action:
                 case Send():
                     self._running[action.request_id] = action.server_id
-                    detail = f"{action.server_id} {action.attempt} {action.priority} {action.send_within!r}"
+                    detail = f"{action.server_id} {action.attempt} {action.priority} {action.timeout_s!r}"
                 case Refuse():
                     self._running.pop(action.request_id, None)
                     detail = f"{action.status} {action.retry_after!r}"
@@ -124,17 +124,17 @@
             safe=draw.random() < 0.3,
             resumable=is_generation and draw.random() < 0.4,
             streaming=is_generation,
-            aim=aim,
+            latency_target_s=aim,
             deadline=self._now + aim * draw.choice([0.5, 2.0, 10.0]),
             max_servers=draw.randint(1, 3),
             tokens_in=sum(tokens for _, tokens in prefix) if is_generation else 0,
             tokens_out=draw.randint(5, 400) if is_generation else 0,
             prefix=prefix if is_generation else (),
-            arrived=self._now,
-            home=draw.choice(["", "", *self._servers]) if is_generation else "",
+            arrived_at=self._now,
+            affinity_server_id=draw.choice(["", "", *self._servers]) if is_generation else "",
             record=record,
         )
-        request.is_unread = is_generation and draw.random() < 0.2
+        request.is_prefix_uncached = is_generation and draw.random() < 0.2
         self._take(self._scheduler.submit(self._now, request))
 
     def _first_event(self) -> None:
--- a/tests/golden/test_decision_record_fields.py
+++ b/tests/golden/test_decision_record_fields.py
@@ -39,8 +39,8 @@
     # by place, so that the order of the fields counts too
     record.attempts.append(AttemptRecord("i-0", MOVED, True, False, 1.5, 2.5, 30.125, 4.0))
     record.attempts.append(AttemptRecord("i-1", HOME, False, True, 5.0, 6.0, 7.0, 8.0, 9.0, 10.0, "done"))
-    record.passed_on(0.25)
-    record.passed_on(0.5)
+    record.record_forwarded(0.25)
+    record.record_forwarded(0.5)
     log.finish(record, ARRIVED_S, 200)
     assert lines == snapshot
 
--- a/tests/golden/test_metric_names.py
+++ b/tests/golden/test_metric_names.py
@@ -9,7 +9,7 @@
 from io import StringIO
 
 from ochrespan.data_plane.decisions import Fail, Outcome, Refuse, Send
-from ochrespan.data_plane.router_metrics import RouterFigures
+from ochrespan.data_plane.router_metrics import RouterMetrics
 from ochrespan.data_plane.router_node import DrainTimes, MachineLimits, RouterNode
 from ochrespan.data_plane.scheduler import Scheduler
 from ochrespan.observability import logs
@@ -75,11 +75,11 @@
 
 def test_labels_of_a_router_s_decisions_and_of_the_ends_of_its_attempts(snapshot):
     registry = MetricsRegistry()
-    figures = RouterFigures(registry)
+    figures = RouterMetrics(registry)
     for action in (Send("r-1", "i-1", 1, 0, 1.0), Refuse("r-1", 503, 0.1), Fail("r-1", 502)):
-        figures.decided(action)
+        figures.record_decision(action)
     for outcome in Outcome:
-        figures.ended(outcome)
+        figures.record_attempt_end(outcome)
     assert metrics_in(registry.render()) == snapshot
 
 
--- a/tests/golden/test_scheduler_decisions.py
+++ b/tests/golden/test_scheduler_decisions.py
@@ -54,12 +54,12 @@
     ("module", "name"),
     [
         (scheduler, "TOKENS_PER_UNIT"),
-        (scheduler, "REFUSE_AT"),
-        (scheduler, "HOPELESS"),
-        (scheduler, "UNKNOWN_BASE"),
-        (scheduler, "LEAST_LENGTH"),
-        (placement, "MOVE_COST"),
-        (server_state, "COLD_COST"),
+        (scheduler, "OVERDUE_FRACTION"),
+        (scheduler, "MAX_SERVER_WAIT_RATIO"),
+        (scheduler, "DEFAULT_BASE_FRACTION"),
+        (scheduler, "MIN_QUEUE_LENGTH"),
+        (placement, "CACHE_MISS_FACTOR"),
+        (server_state, "SLOW_START_FACTOR"),
     ],
 )
 def test_a_changed_constant_is_seen(module, name, monkeypatch):
--- a/tests/scheduling.py
+++ b/tests/scheduling.py
@@ -8,8 +8,8 @@
 
 REQUEST = Request(
     id="r0", service="llm", tenant="a", route="chat", priority=0, safe=False, resumable=False, streaming=True,
-    aim=0.5, deadline=110.0, max_servers=1, tokens_in=1000, tokens_out=50,
-    prefix=(("system", 400), ("subject", 300), ("own", 300)), arrived=100.0,
+    latency_target_s=0.5, deadline=110.0, max_servers=1, tokens_in=1000, tokens_out=50,
+    prefix=(("system", 400), ("subject", 300), ("own", 300)), arrived_at=100.0,
 )  # fmt: skip
 PLAIN = replace(REQUEST, route="tag", streaming=False, tokens_in=0, tokens_out=0, prefix=())
 
@@ -26,7 +26,7 @@
 
 
 def submit(made: Scheduler, number: int, now: float = 100.0, like: Request = REQUEST, **changes) -> list[Action]:
-    fields = {"id": f"r{number}", "arrived": now, "deadline": now + 10.0} | changes
+    fields = {"id": f"r{number}", "arrived_at": now, "deadline": now + 10.0} | changes
     return made.submit(now, replace(like, **fields))
 
 
--- a/tests/test_decision_record.py
+++ b/tests/test_decision_record.py
@@ -21,9 +21,9 @@
 class Written:
     """A log of decisions whose lines the test reads."""
 
-    def __init__(self, share: float = 1.0) -> None:
+    def __init__(self, sample_rate: float = 1.0) -> None:
         self.lines: list[str] = []
-        self.log = DecisionLog(share, self.lines.append)
+        self.log = DecisionLog(sample_rate, self.lines.append)
 
     def one(self) -> dict:
         with gevent.Timeout(5):
@@ -132,7 +132,7 @@
 
 
 def test_nothing_is_recorded_by_default():
-    written = Written(share=0.0)
+    written = Written(sample_rate=0.0)
     with router(decision_log=written.log) as made:
         client = ask(made, configuration(route()), StandInServer(answer()), headers="")
         assert client.read_answer().status == 200
@@ -153,7 +153,8 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "choice"), [({"home": "i2"}, HOME), ({"home": ""}, HOME), ({"tokens_in": 0, "prefix": ()}, ANY)]
+    ("changes", "choice"),
+    [({"affinity_server_id": "i2"}, HOME), ({"affinity_server_id": ""}, HOME), ({"tokens_in": 0, "prefix": ()}, ANY)],
 )
 def test_the_choice_of_the_server_is_told(changes, choice):
     (attempt,) = recorded(scheduler(), 1, **changes).attempts
@@ -163,8 +164,8 @@
 def test_a_prompt_that_left_its_home_is_told_as_moved():
     made = scheduler(servers=3, capacity=64)
     for number in range(12):
-        submit(made, number, home="i1", tokens_in=40_000, prefix=(("p", 39_000), ("o", 1000)))
-    record = recorded(made, 99, home="i1", tokens_in=700, prefix=(("q", 100), ("o", 600)))
+        submit(made, number, affinity_server_id="i1", tokens_in=40_000, prefix=(("p", 39_000), ("o", 1000)))
+    record = recorded(made, 99, affinity_server_id="i1", tokens_in=700, prefix=(("q", 100), ("o", 600)))
     assert record.attempts[0].choice == MOVED
     assert record.attempts[0].server != "i1"
 
@@ -177,7 +178,7 @@
     record = DecisionRecord("late", 0.0)
     submit(made, 500, like=PLAIN, record=record)
     assert not record.attempts
-    made.tick(100.0 + 0.2 * PLAIN.aim)
+    made.tick(100.0 + 0.2 * PLAIN.latency_target_s)
     (attempt,) = record.attempts
     assert attempt.beyond_window and attempt.sent == pytest.approx(100.0)
     made.ended(100.4, "r500", Outcome.DONE)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from ochrespan.data_plane.prefill_times import ReadingTimes, token_cost
+from ochrespan.data_plane.prefill_times import PrefillTimes, prefill_token_cost
 from ochrespan.data_plane.scheduler import Outcome
-from ochrespan.data_plane.urgency import Ranks, server_priority
+from ochrespan.data_plane.urgency import PriorityRanks, server_priority
 
 from .scheduling import PLAIN, scheduler, sent_to, server, submit
 
@@ -89,7 +89,7 @@
         name = running.pop(0)
         made.first_event(now, name, 0.01)
         made.ended(now, name, Outcome.DONE)
-    assert len(state.out) <= state.window <= 64
+    assert len(state.in_flight) <= state.window <= 64
     assert routers * state.window <= max(4 * 64, routers)
 
 
@@ -111,24 +111,26 @@
 
 
 def test_reading_times_follow_the_shortest_and_do_not_run_after_queues():
-    times = ReadingTimes()
+    times = PrefillTimes()
     for round_ in range(200):
         cost = 1000 + 500 * (round_ % 20)
         queue = 0.0 if round_ % 3 else 1.5
         times.observe("chat", cost, 0.09 + cost / 50_000 + queue)
-    assert 0.7 / 50_000 < times.pace < 1.6 / 50_000
-    assert times.expected("chat", 5000, 0.0) == pytest.approx(0.09 + 0.1, rel=0.5)
+    assert 0.7 / 50_000 < times.seconds_per_token < 1.6 / 50_000
+    assert times.expected_latency_s("chat", 5000, 0.0) == pytest.approx(0.09 + 0.1, rel=0.5)
 
 
 def test_tokens_late_in_a_prompt_cost_more():
-    assert token_cost(0, 1000) < token_cost(20_000, 1000) < 2 * token_cost(0, 1000)
-    assert token_cost(0, 10_000) + token_cost(10_000, 5000) == pytest.approx(token_cost(0, 15_000))
+    assert prefill_token_cost(0, 1000) < prefill_token_cost(20_000, 1000) < 2 * prefill_token_cost(0, 1000)
+    assert prefill_token_cost(0, 10_000) + prefill_token_cost(10_000, 5000) == pytest.approx(
+        prefill_token_cost(0, 15_000)
+    )
 
 
 def test_servers_read_short_prompts_first_and_ranks_move_that_by_two_steps_at_most():
-    ranks = Ranks()
+    ranks = PriorityRanks()
     for priority in (0, 2, 1, 1002, 1000, 1001):
-        ranks.note(priority)
+        ranks.add(priority)
     steps = [ranks.step(priority) for priority in (0, 1, 2, 1000, 1001, 1002)]
     assert steps == sorted(steps) and steps[0] == 0 and steps[-1] == 2
     priorities = defaultdict(list)
@@ -143,5 +145,5 @@
     other = next(f"i{number}" for number in range(6) if f"i{number}" != by_hash)
     made = scheduler(servers=6)
     assert made.is_usable("llm", other) and not made.is_usable("llm", "i9") and not made.is_usable("none", other)
-    assert sent_to(submit(made, 1, home=other, **subject(0))) == [other]
-    assert sent_to(submit(made, 2, now=101.0, home="gone", **subject(0))) == [by_hash]
+    assert sent_to(submit(made, 1, affinity_server_id=other, **subject(0))) == [other]
+    assert sent_to(submit(made, 2, now=101.0, affinity_server_id="gone", **subject(0))) == [by_hash]
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -8,7 +8,7 @@
 
 from ochrespan.data_plane.decisions import Outcome
 from ochrespan.data_plane.retry_budget import RetryBudget
-from ochrespan.data_plane.server_health import EJECT_AFTER, Health
+from ochrespan.data_plane.server_health import EJECT_AFTER, ServerHealth
 
 from .scheduling import PLAIN, scheduler, sent_to, submit
 
@@ -27,11 +27,11 @@
         rank = lot.choices(range(routers), share)[0]
         if lot.random() < 0.002:
             budgets[rank] = RetryBudget(RATIO, SLACK, WINDOW, now)
-        budgets[rank].record_first(now)
+        budgets[rank].record_first_attempt(now)
         first.append(now)
         for _ in range(2):
-            if budgets[rank].has_room(now, routers):
-                budgets[rank].spend(now)
+            if budgets[rank].allows_retry(now, routers):
+                budgets[rank].record_retry(now)
                 further.append(now)
     assert len(further) > 0.1 * RATIO * len(first)
     for start in range(0, 100):
@@ -43,8 +43,8 @@
 
 def test_a_fresh_router_may_not_spend_the_slack_that_its_earlier_life_has_spent():
     budget = RetryBudget(RATIO, SLACK, WINDOW, 100.0)
-    assert not budget.has_room(100.0, 1)
-    assert budget.has_room(105.0, 1)
+    assert not budget.allows_retry(100.0, 1)
+    assert budget.allows_retry(105.0, 1)
 
 
 def test_a_router_whose_budget_is_spent_answers_at_once():
@@ -58,23 +58,23 @@
 
 
 def test_failures_in_a_row_eject_for_a_time_that_grows_and_one_success_ends_that():
-    health, now, spans = Health(), 100.0, []
+    health, now, spans = ServerHealth(), 100.0, []
     for _ in range(4):
         for _ in range(int(EJECT_AFTER)):
             now += 0.01
-            health.failed(now, Outcome.LOST, now - 0.005)
+            health.record_failure(now, Outcome.LOST, now - 0.005)
         spans.append(health.ejected_until - now)
         now = health.ejected_until
-        assert not health.is_ejected(now) and health.on_trial()
+        assert not health.is_ejected(now) and health.is_on_probation()
     assert spans == sorted(spans) and spans[-1] > 2 * spans[0]
-    health.succeeded()
-    assert not health.on_trial() and not health.is_ejected(now)
+    health.record_success()
+    assert not health.is_on_probation() and not health.is_ejected(now)
 
 
 def test_one_trouble_counts_once_however_many_requests_were_out():
-    health = Health()
+    health = ServerHealth()
     for _ in range(20):
-        health.failed(100.0, Outcome.LOST, sent_at=99.0)
+        health.record_failure(100.0, Outcome.LOST, sent_at=99.0)
     assert not health.is_ejected(100.0)
 
 
@@ -108,9 +108,9 @@
         for number in range(3):
             now = 101.0 + 3 * number
             submit(made, number, now, PLAIN)
-            on_it = f"r{number}" in state.out
+            on_it = f"r{number}" in state.in_flight
             if speaks and on_it:
-                state.heard_at = now + 1.0
+                state.last_response_at = now + 1.0
             made.cancel(now + 2.0, f"r{number}")
         assert (state.health.failures > 0) is not speaks or speaks is False
         if speaks:
--- a/tests/test_router_tables.py
+++ b/tests/test_router_tables.py
@@ -58,7 +58,7 @@
 
     def known(self) -> dict[str, float]:
         """The cap of each server that can be used."""
-        return {state.server.id: state.cap for pool in self._pools.values() for state in pool.usable}
+        return {state.server.id: state.window_cap for pool in self._pools.values() for state in pool.usable}
 
 
 class Tables:
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -26,7 +26,7 @@
 def test_a_request_is_sent_at_once_where_servers_have_room():
     (action,) = submit(scheduler(), 1)
     assert isinstance(action, Send)
-    assert (action.request_id, action.attempt, action.send_within) == ("r1", 1, 10.0)
+    assert (action.request_id, action.attempt, action.timeout_s) == ("r1", 1, 10.0)
 
 
 def test_what_may_have_run_and_is_unsafe_is_failed_and_what_has_not_run_goes_on():
@@ -63,9 +63,9 @@
     made = scheduler(servers=0)
     assert submit(made, 1) == []
     at = made.next_tick(100.0)
-    assert at <= 100.0 + REQUEST.aim / 4
+    assert at <= 100.0 + REQUEST.latency_target_s / 4
     (action,) = made.tick(at)
-    assert isinstance(action, Refuse) and 0 < action.retry_after <= REQUEST.aim
+    assert isinstance(action, Refuse) and 0 < action.retry_after <= REQUEST.latency_target_s
 
 
 def test_nothing_is_refused_while_half_of_the_places_are_free():
@@ -111,7 +111,9 @@
     def feed(route: str) -> list:
         name = f"r{next(numbers)}"
         waiting[name] = route
-        return submit(made, name[1:], now, PLAIN, route=route, priority=routes[route], aim=1000.0, deadline=now + 9e3)
+        return submit(
+            made, name[1:], now, PLAIN, route=route, priority=routes[route], latency_target_s=1000.0, deadline=now + 9e3
+        )
 
     running = sent_to(feed("route2")) and "r0"
     for route in routes:
@@ -136,20 +138,20 @@
             for tenant in ("early", "late"):
                 name = f"{late}-{next(numbers)}"
                 names[f"r{name}"] = tenant
-                for send in submit(made, name, now, PLAIN, tenant=tenant, aim=1000.0, deadline=now + 9e3):
+                for send in submit(made, name, now, PLAIN, tenant=tenant, latency_target_s=1000.0, deadline=now + 9e3):
                     running = send.request_id
         for _ in range(100):
             now += 0.05
             tenant = names[running]
             if late:
                 flow = made._flows._flows[tenant, "tag"]
-                flow.over, flow.answers = (1.0 if tenant == "late" else -1.0), 8
+                flow.latency_excess, flow.responses = (1.0 if tenant == "late" else -1.0), 8
             served[tenant] += 1
             (send,) = made.ended(now, running, Outcome.DONE)
             running = send.request_id
             name = f"{late}-{next(numbers)}"
             names[f"r{name}"] = tenant
-            submit(made, name, now, PLAIN, tenant=tenant, aim=1000.0, deadline=now + 9e3)
+            submit(made, name, now, PLAIN, tenant=tenant, latency_target_s=1000.0, deadline=now + 9e3)
         for name in names:
             made.cancel(now, name)
         counts.append(served["late"] / served["early"])
@@ -163,7 +165,7 @@
     made.ended(105.0, "r1", Outcome.LOST)
     made.first_event(105.1, "r1", 0.1)
     flow = made._flows._flows["a", "chat"]
-    assert flow.over <= 0 and flow.answers <= 1
+    assert flow.latency_excess <= 0 and flow.responses <= 1
 
 
 def test_a_request_whose_server_is_full_does_not_hold_up_those_behind_it():
