--- a/ochrespan/data_plane/deadlines.py
+++ b/ochrespan/data_plane/deadlines.py
@@ -1,4 +1,4 @@
-"""Many deadlines on one timer of the event loop."""
+"""A heap of deadlines that share one timer of the event loop."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Deadline:
-    """A callback that is due at a time of the steady clock, unless it is cancelled before."""
+    """A callback that runs at a monotonic time unless it is cancelled before."""
 
     __slots__ = ("at", "callback")
 
@@ -23,7 +23,10 @@
 
 
 class DeadlineHeap:
-    """Runs callbacks when they are due. A cancelled deadline stays in the heap and costs at most one wake-up."""
+    """Runs callbacks when they are due.
+
+    A cancelled deadline stays in the heap until its time and causes at most one wake-up.
+    """
 
     def __init__(self, loop: Any, clock: Callable[[], float] = time.monotonic) -> None:
         self._loop = loop
@@ -34,7 +37,7 @@
         self._timer_due_at = float("inf")
 
     def schedule(self, at: float, callback: Callable[[], None]) -> Deadline:
-        """`callback` runs in the event loop, where it must not block, soon after `at`."""
+        """Schedules `callback` to run soon after `at`, in the event loop, where it must not block."""
         deadline = Deadline(at, callback)
         heapq.heappush(self._heap, (at, next(self._sequence), deadline))
         if at < self._timer_due_at:
--- a/ochrespan/data_plane/decision_record.py
+++ b/ochrespan/data_plane/decision_record.py
@@ -1,8 +1,8 @@
-"""The record of decisions: what a router decided about one request and why, as one line of JSON.
+"""Decision records: what a router decided about a request and why, written as one line of JSON per request.
 
-Off by default. `decision_records` in the settings is the part of the requests that are recorded, from 0 (off) to 1
-(whole). Requests are sampled by a hash of their id, so all routers and all runs sample alike. Where recording is off,
-a request carries no record and each place that would note something looks at one field.
+Off by default. The setting `decision_records` is the fraction of requests to record, from 0 (none) to 1 (all). Requests
+are sampled by a hash of their id, so that all routers and all runs sample the same ones. A request that is not sampled
+carries no record, which costs one check of a field wherever something would be recorded.
 """
 
 from __future__ import annotations
@@ -18,56 +18,58 @@
 _HASH_RANGE = 1 << 32
 _MS_PER_S = 1000.0
 
-HOME = "home"  # the server that keeps the prompt's shared parts
-MOVED = "moved"  # another one, since the wait at the home was worth more than reading the shared parts again
-ANY = "any"  # the prompt has no shared parts, or none of their servers could be used
+HOME = "home"  # sent to the server that has the shared prefix cached
+MOVED = (
+    "moved"  # sent elsewhere: waiting for the home server was expected to cost more than another prefill of the prefix
+)
+ANY = "any"  # the prompt has no shared prefix, or none of its servers was usable
 
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """One send of the request. Times in milliseconds since the request arrived, but for those called `expected`."""
+    """One attempt. Times are in milliseconds since the request arrived; those named `expected_*` are durations."""
 
     server: str
     choice: str  # HOME, MOVED or ANY
-    beyond_window: bool  # sent late, though the window was full
-    kept: bool  # whether the server was taken to have the shared parts in memory
-    promoted: float  # into the scheduler queue, by LexAS
+    beyond_window: bool  # sent although the window of the server was full, because the request was overdue
+    kept: bool  # whether the server was assumed to have the shared prefix cached
+    promoted: float  # when LexAS moved it into the scheduler queue
     sent: float
-    expected_reading: float  # to the first piece, once the server has turned to it
-    expected_wait: float  # before that
-    first: float | None = None  # the first piece of its answer
+    expected_reading: float  # from the start of processing to the first chunk
+    expected_wait: float  # in the queue of the server, before processing
+    first: float | None = None  # first chunk of the response
     ended: float | None = None
     outcome: str = ""
 
 
 @dataclass(slots=True)
 class DecisionRecord:
-    """One request, from its arrival to its final answer. Times in milliseconds."""
+    """One request, from its arrival to its final response. Times are in milliseconds unless noted."""
 
     id: str
-    arrived: float  # seconds since the epoch, by this machine's time of day
+    arrived: float  # seconds since the epoch, by the wall clock of this machine
     route: str = ""
     service: str = ""
     tenant: str = ""
     priority: int = 0
-    aim: float = 0.0
-    deadline: float = 0.0
+    aim: float = 0.0  # latency target to the first chunk
+    deadline: float = 0.0  # since the arrival
     tokens_in: int = 0
     tokens_out: int = 0
-    shared: int = 0  # of tokens_in, in parts that other requests share
-    prefix: str = ""  # the key of these parts
-    quota_tokens: float = 0.0
-    quota_asked: int = 0  # times that tokens were asked for
-    quota_wait: float = 0.0
+    shared: int = 0  # tokens of tokens_in that belong to the shared prefix
+    prefix: str = ""  # key of the shared prefix
+    quota_tokens: float = 0.0  # requested from the quota of the tenant
+    quota_asked: int = 0  # how often the tokens were requested
+    quota_wait: float = 0.0  # until the quota was decided, since the arrival
     attempts: list[AttemptRecord] = field(default_factory=list)
-    last_event: float = 0.0  # when events were last passed on
-    longest_pause: float = 0.0  # between two events that were passed on
-    status: int = 0  # of the final answer; 0 where the client left or the connection was broken off
-    retry_after: float | None = None  # s, where the answer named it
+    last_event: float = 0.0  # when events of the stream were last forwarded
+    longest_pause: float = 0.0  # between two forwarded events
+    status: int = 0  # of the final response; 0 if the client left or the connection was aborted
+    retry_after: float | None = None  # s, if the response has a Retry-After
     ended: float = 0.0  # since the arrival
 
     def record_forwarded(self, since_arrival: float) -> None:
-        """Events of a stream leave now."""
+        """Records that events of the stream were forwarded to the client at this time."""
         now = milliseconds(since_arrival)
         if self.last_event:
             self.longest_pause = max(self.longest_pause, round(now - self.last_event, 3))
@@ -90,25 +92,25 @@
         self._time_of_day = time_of_day
 
     def begin(self, request_id: str, arrived: float) -> DecisionRecord | None:
-        """A record for a request that arrived at this time of the steady clock; None where it is not sampled."""
+        """Returns a record for a request that arrived at this monotonic time, or None if it is not sampled."""
         if self.sample_rate <= 0.0 or zlib.crc32(request_id.encode("latin-1")) >= self.sample_rate * _HASH_RANGE:
             return None
         return DecisionRecord(request_id, self._time_of_day() - (self._clock() - arrived))
 
     def finish(self, record: DecisionRecord, arrived: float, status: int, retry_after: float | None = None) -> None:
-        """The final answer has left, or the exchange is over without one: writes the record."""
+        """Writes the record, after the final response was sent or the exchange ended without one."""
         record.status, record.retry_after = status, retry_after
         record.ended = milliseconds(self._clock() - arrived)
         self._write(dumps(asdict(record), separators=(",", ":")))
 
 
 def milliseconds(seconds: float) -> float:
-    """To the microsecond, which keeps the lines short."""
+    """Converts seconds to milliseconds, rounded to microseconds to keep the lines short."""
     return round(seconds * _MS_PER_S, 3)
 
 
 def _logger() -> logging.Logger:
-    """Records go to standard output, apart from the logs and their bound on lines."""
+    """Returns the logger of the records: standard output, separate from the logs and their rate limit."""
     logger = logging.getLogger("ochrespan.decisions")
     if not logger.handlers:
         handler = logging.StreamHandler(sys.stdout)
--- a/ochrespan/data_plane/decisions.py
+++ b/ochrespan/data_plane/decisions.py
@@ -1,4 +1,4 @@
-"""What the scheduler is told and what it answers: requests, servers, outcomes of attempts, actions."""
+"""Inputs and outputs of the scheduler: requests, servers, outcomes of attempts, actions."""
 
 from __future__ import annotations
 
@@ -10,60 +10,60 @@
 
 @dataclass(slots=True)
 class Request:
-    """One try of a client, as the relay has read it."""
+    """One request of a client, as parsed by the front. A retry by the client is a new request."""
 
     id: str
     service: str
     tenant: str
     route: str
-    priority: int  # 0 is the highest; the tenant's rank counts before the route's
-    safe: bool  # may run more than once
-    resumable: bool  # a stream that may be taken up at another server
+    priority: int  # 0 is the highest; ordered by the tenant's rank, then the route's
+    safe: bool  # idempotent: may be executed more than once
+    resumable: bool  # a stream that may be resumed at another server
     streaming: bool
-    latency_target_s: float  # s from arrival to the first piece
-    deadline: float  # on the steady clock: the client's, or the end of the route's timeout if that is sooner
-    max_servers: int  # the most servers that this try may be sent to
-    tokens_in: int = 0  # 0 where the request has no tokens
+    latency_target_s: float  # from arrival to the first chunk of the response
+    deadline: float  # monotonic time: the client's deadline, or the end of the route's timeout if that is earlier
+    max_servers: int  # highest number of servers that this request may reach
+    tokens_in: int = 0  # 0 if the request has no token counts
     tokens_out: int = 0
-    prefix: tuple[tuple[str, int], ...] = ()  # parts of the prompt in order: id and tokens
-    arrived_at: float = 0.0
-    affinity_server_id: str = ""  # the server that keeps the shared parts, where that is known
-    is_prefix_uncached: bool = False  # no server is known to have read the shared parts
-    record: DecisionRecord | None = None  # where its decisions are recorded
+    prefix: tuple[tuple[str, int], ...] = ()  # segments of the prompt in order: id and number of tokens
+    arrived_at: float = 0.0  # monotonic time
+    affinity_server_id: str = ""  # the server assigned to the shared prefix; empty if unknown
+    is_prefix_uncached: bool = False  # no server is known to have the shared prefix cached
+    record: DecisionRecord | None = None  # None if the request is not sampled
 
     @property
     def shared_tokens(self) -> int:
-        """Of the prompt's parts that other requests share: all but the last."""
+        """Tokens of the shared prefix: all segments of the prompt but the last."""
         return sum(tokens for _, tokens in self.prefix[:-1])
 
 
 @dataclass(slots=True)
 class Server:
-    """One incarnation of a server, as the routing table has it."""
+    """One incarnation of a server, as listed in the routing table."""
 
     id: str
     service: str
     address: tuple[str, int]
     zone: str
-    capacity: int  # requests worked on at the same time
-    kv_tokens: int = 0  # memory for tokens, 0 where it is not known
+    capacity: int  # concurrent requests
+    kv_tokens: int = 0  # size of the KV cache in tokens, 0 if unknown
     draining: bool = False
     slow_start_ends_at: float = 0.0
-    max_connections: int = 0  # over all routers, 0 where it is not known
+    max_connections: int = 0  # over all routers, 0 if unknown
 
 
 class Outcome(Enum):
     """How an attempt ended."""
 
     DONE = "done"
-    FAILED_STATUS = "failed status"  # the server's own failure, passed on to the client
-    REJECTED_FULL = "rejected full"  # not run: the server says so
-    MISDIRECTED = "misdirected"  # not run: another incarnation is at the address
-    NOT_SENT = "not sent"  # not run: the connection failed before the last byte was written
-    LOST = "lost"  # may have run: reset, closed or silent after that
-    GARBLED = "garbled"  # may have run: the answer cannot be read
-    TIMED_OUT = "timed out"  # may have run: `send_within` was over
-    CANCELLED = "cancelled"  # the client has left
+    FAILED_STATUS = "failed status"  # a 5xx of the server itself, forwarded to the client
+    REJECTED_FULL = "rejected full"  # not executed: the server answered that it is full
+    MISDIRECTED = "misdirected"  # not executed: another incarnation listens at the address
+    NOT_SENT = "not sent"  # not executed: the connection failed before the last byte of the request was written
+    LOST = "lost"  # may have executed: reset, closed or no data after the request was written
+    GARBLED = "garbled"  # may have executed: the response is malformed
+    TIMED_OUT = "timed out"  # may have executed: no end within `Send.timeout_s`
+    CANCELLED = "cancelled"  # the client disconnected
 
 
 NEVER_RAN = frozenset({Outcome.REJECTED_FULL, Outcome.MISDIRECTED, Outcome.NOT_SENT})
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send the request to this server; the attempt has to end within `send_within` seconds."""
+    """Send the request to this server; the attempt has to end within `timeout_s` seconds."""
 
     request_id: str
     server_id: str
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Answer 429 or 503: the request has not run, or may be repeated; `retry_after` in seconds."""
+    """Respond with 429 or 503: the request was not executed, or may be retried; `retry_after` is in seconds."""
 
     request_id: str
     status: int
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Answer 502 or 504: the request may have run."""
+    """Respond with 502 or 504: the request may have been executed."""
 
     request_id: str
     status: int
--- a/ochrespan/data_plane/flow_queues.py
+++ b/ochrespan/data_plane/flow_queues.py
@@ -1,4 +1,4 @@
-"""The queues of one service: flow queues, and its part of the scheduler queue, which LexAS gates and ARR picks from."""
+"""The queues of one service: flow queues, and the scheduler queue that LexAS fills and ARR takes requests from."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 from .placement import Prompt
 from .server_state import ServerState
 
-MAX_SCANNED = 4  # requests of a flow that are looked at: one whose server is full does not hold up the others
+MAX_SCANNED = 4  # requests per flow that are tried, so that one whose server is full does not block those behind it
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A request until its end."""
+    """A request from its submission to its final response."""
 
     request: Request
     flow: Flow
-    units: float
+    units: float  # charged to the flow
     prompt: Prompt
-    is_promoted: bool = False
+    is_promoted: bool = False  # into the scheduler queue
     promoted_at: float = 0.0
-    is_waiting: bool = True  # waits for a send
+    is_waiting: bool = True  # queued, not in flight
     is_done: bool = False
     attempts: int = 0
-    servers_reached: int = 0  # that it reached, as far as they may have seen it
+    servers_reached: int = 0  # servers that may have received the request
     may_have_run: bool = False
-    response_started: bool = False  # a part of an answer has come
+    response_started: bool = False  # the first chunk of a response has arrived
     tried_server_ids: list[str] = field(default_factory=list)
-    server: ServerState | None = None  # where it is out
+    server: ServerState | None = None  # the server of the attempt in flight
 
     @property
     def is_idempotent(self) -> bool:
@@ -45,30 +45,30 @@
 
 
 class FlowQueues:
-    """What waits for the servers of one service."""
+    """Requests that wait for a server of one service."""
 
     def __init__(self) -> None:
         self._flow_queues: Queues = {}
-        self._scheduler_queues: Queues = {}  # the scheduler queue
+        self._scheduler_queues: Queues = {}  # the scheduler queue, by flow
         self._max_usage = 0.0
 
     def __bool__(self) -> bool:
         return bool(self._flow_queues or self._scheduler_queues)
 
     def add(self, job: Job, at_front: bool = False) -> None:
-        """Into its flow's queue; what was promoted once stays in the scheduler queue."""
+        """Queues a request of its flow; one that was promoted before, such as a retry, goes to the scheduler queue."""
         queue = (self._scheduler_queues if job.is_promoted else self._flow_queues).setdefault(job.flow, deque())
         (queue.appendleft if at_front else queue.append)(job)
 
     def charge(self, now: float, job: Job) -> None:
-        """Counts a request's units as allocated to its flow, once."""
+        """Adds the units of a request to the usage of its flow, once per request, and marks it as promoted."""
         if not job.is_promoted:
             job.is_promoted, job.promoted_at = True, now
             job.flow.normalized_usage += job.units / job.flow.weight
             self._max_usage = max(self._max_usage, job.flow.normalized_usage)
 
     def promote(self, now: float, queue_length: int) -> None:
-        """LexAS: gates flow queues into the scheduler queue of this length."""
+        """LexAS: moves requests into the scheduler queue, up to `queue_length`, lowest normalized usage first."""
         if not self._flow_queues:
             return
         flows = list(self._flow_queues)
@@ -87,19 +87,19 @@
             queued += 1
 
     def in_arr_order(self) -> Iterator[Job]:
-        """ARR: promoted requests, those of the flow with the smallest (a + 1) / delta first."""
+        """ARR: yields the promoted requests by the rank of their flows, at most MAX_SCANNED of each flow."""
         for first_job in sorted(_first_jobs(self._scheduler_queues), key=lambda first_job: rank(first_job.flow)):
             for job in islice(self._scheduler_queues[first_job.flow], MAX_SCANNED):
                 if job.is_waiting:
                     yield job
 
     def remove(self, job: Job) -> None:
-        """Out of the scheduler queue."""
+        """Removes a request from the scheduler queue."""
         self._scheduler_queues[job.flow].remove(job)
 
 
 def _first_jobs(queues: Queues) -> Iterator[Job]:
-    """The first request of each flow that still waits; what is over leaves."""
+    """Yields the first queued request of each flow; removes finished requests and empty queues on the way."""
     for flow, queue in list(queues.items()):
         while queue and not queue[0].is_waiting:
             queue.popleft()
--- a/ochrespan/data_plane/flows.py
+++ b/ochrespan/data_plane/flows.py
@@ -1,4 +1,4 @@
-"""The flows of one router: a tenant's requests on one route, with what LexAS and ARR keep of them."""
+"""The flows of one router and their scheduling state. A flow is the requests of one tenant on one route."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 from .decisions import Request
 from .urgency import PriorityRanks
 
-WEIGHT_RATIO = 2.0  # multiple of a flow's weight, and of its first gain, for each step of urgency
-HALF_CONFIDENCE_RESPONSES = 4.0  # answers in a round whose mean counts half: a mean over few is noise
-IDLE_TIMEOUT_S = 30.0  # s, after which an idle flow leaves the table
+WEIGHT_RATIO = 2.0  # weight and initial gain of a flow over those of a flow one rank step lower
+HALF_CONFIDENCE_RESPONSES = 4.0  # responses in a round at which its mean counts half: the mean of a few is noise
+IDLE_TIMEOUT_S = 30.0  # idle flows are removed after this time
 
 
 @dataclass(slots=True, eq=False)
 class Flow(FlowState):
-    """A tenant's requests on one route."""
+    """Requests of one tenant on one route."""
 
     weight: float
     priority: int = 0
-    responses: int = 0  # in this round
+    responses: int = 0  # in the current ARR round
 
     def record_first_response(self, latency: float, latency_target_s: float) -> None:
-        """A first piece has come `wait` seconds after its request."""
+        """Records the first chunk of a response, `latency` seconds after the request arrived."""
         self.latency_excess += latency - latency_target_s
         self.responses += 1
 
 
 class FlowTable:
-    """All flows that had requests lately."""
+    """All flows with recent requests."""
 
     def __init__(self) -> None:
         self._flows: dict[tuple[str, str], Flow] = {}
@@ -38,7 +38,7 @@
         self._round_at = -inf
 
     def flow_for(self, now: float, request: Request) -> Flow:
-        """The flow of a request; a new one starts with the gain of its urgency."""
+        """Returns the flow of a request; a new one gets the weight and gain of its rank step."""
         flow = self._flows.get((request.tenant, request.route))
         if flow is None:
             if self._ranks.add(request.priority):
@@ -50,11 +50,11 @@
         return flow
 
     def rank_step(self, request: Request) -> int:
-        """How many steps of urgency a request is below the most urgent."""
+        """Returns how many rank steps a request is below the most urgent one."""
         return self._ranks.step(request.priority)
 
     def end_round(self, now: float) -> None:
-        """ARR: flows whose mean latency missed their aim gain gamma, and every a resets."""
+        """Ends the ARR round if it is due: adjusts gains, resets the counters and removes idle flows."""
         if now < self._round_at:
             return
         self._round_at = now + ROUND_S
@@ -68,7 +68,7 @@
         return WEIGHT_RATIO ** -self._ranks.step(priority)
 
     def _update_weights(self) -> None:
-        """The steps of urgency have moved: weights and gains follow."""
+        """Recomputes weights and gains after a new priority has shifted the rank steps."""
         for flow in self._flows.values():
             weight = self._weight(flow.priority)
             flow.gain *= weight / flow.weight
--- a/ochrespan/data_plane/placement.py
+++ b/ochrespan/data_plane/placement.py
@@ -1,9 +1,9 @@
-"""Which server a request goes to: the one with the least expected time to the first piece.
+"""Selects the server of a request: the one with the lowest expected time to the first chunk.
 
-All routers rank a service's servers alike by a hash of a prompt's shared parts, and take the first of the ranking for
-the one that keeps them; none has to be told. Another server has to read these parts first, which holds up its other
-requests too: so a request leaves its place in the ranking where the wait there is longer than that is worth. This
-bounds a server's load by what the others have.
+All routers rank the servers of a service in the same order, by rendezvous hashing of a prompt's shared prefix, and
+assume that the first in the ranking has the prefix cached; this needs no communication. Any other server first has to
+prefill the prefix, which delays its other requests too. A request therefore leaves its preferred server only if the
+wait there is expected to cost more than that prefill. This bounds the load of a server by the load of the others.
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 from .prefill_times import PrefillTimes, prefill_token_cost
 from .server_state import ServerState
 
-CACHE_MISS_FACTOR = 10.0  # multiple of the time for reading shared parts at another server: its neighbours wait as well
-MAX_WAIT_FRACTION = 0.25  # part of the aim that leaving a wait behind is worth at the most, however long it seems
-IN_FLIGHT_COST_S = 0.0005  # s, what each request that is out slows a new one down
-CROSS_ZONE_COST_S = 0.003  # s: what bytes between zones are worth
-NEW_CONNECTION_FRACTION = 0.1  # part of the aim: what opening a connection is worth
-AFFINITY_SERVERS = 3  # servers of a ranking among which a prefix is placed
-RANKED_SERVERS = 4  # servers of a ranking that are kept
-MAX_CACHED_RANKINGS = 4096  # prefixes whose ranking is kept
+CACHE_MISS_FACTOR = 10.0  # cost of a prefix prefill over its own time: other requests at the server wait as well
+MAX_WAIT_FRACTION = 0.25  # cap of the wait that counts, over the latency target: wait estimates may be far too long
+IN_FLIGHT_COST_S = 0.0005  # by which each request in flight slows a new one down
+CROSS_ZONE_COST_S = 0.003  # latency that is accepted to avoid traffic between zones
+NEW_CONNECTION_FRACTION = 0.1  # cost of opening a connection, over the latency target
+AFFINITY_SERVERS = 3  # highest-ranked healthy servers that a prompt with a shared prefix may go to
+RANKED_SERVERS = 4  # servers stored per ranking; the surplus replaces unhealthy ones
+MAX_CACHED_RANKINGS = 4096  # prefixes whose ranking is cached
 MASK_64_BITS = 2**64 - 1
 
 
 def shared_prefix(prefix: Sequence[tuple[str, int]]) -> str:
-    """The key of the parts that other requests share: all but the last, which is the request's or session's own."""
+    """Returns the key of the shared prefix: all segments but the last, which belongs to one request or session."""
     parts = prefix[:-1] or prefix
     return ",".join(part for part, _ in parts)
 
 
 class Rankings:
-    """The servers of one service by rendezvous hash, for each shared prefix."""
+    """Rendezvous-hash rankings of the servers of one service, by shared prefix."""
 
     def __init__(self) -> None:
         self._ranked: dict[str, list[ServerState]] = {}
@@ -61,12 +61,12 @@
 
 
 def _hash(text: str) -> int:
-    """The same at every router, whatever its Python's own hashes are."""
+    """A hash that is the same in all routers, unlike the seeded `hash` of Python."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
 def _mix(bits: int) -> int:
-    """Spreads the bits of a key and a server over a score, as splitmix64 does."""
+    """Mixes the combined hash of a key and a server into a score (finalizer of splitmix64)."""
     bits = ((bits ^ (bits >> 30)) * 0xBF58476D1CE4E5B9) & MASK_64_BITS
     bits = ((bits ^ (bits >> 27)) * 0x94D049BB133111EB) & MASK_64_BITS
     return bits ^ (bits >> 31)
@@ -74,18 +74,18 @@
 
 @dataclass(slots=True)
 class Prompt:
-    """What placement has to know of a request."""
+    """The properties of a request that placement depends on."""
 
-    prefix_key: str  # of its shared parts; empty where it has none
-    shared_tokens: int  # tokens of these
-    own_tokens: int  # further tokens
+    prefix_key: str  # of the shared prefix; empty if there is none
+    shared_tokens: int  # in the shared prefix
+    own_tokens: int  # after the shared prefix
     latency_target_s: float
     route: str
-    affinity_server_id: str = ""  # the server that keeps the shared parts, where that is known
-    is_prefix_uncached: bool = False  # no server is known to have read them
+    affinity_server_id: str = ""  # the server assigned to the shared prefix; empty if unknown
+    is_prefix_uncached: bool = False  # no server is known to have the shared prefix cached
 
     def prefill_cost(self, is_cached: bool) -> float:
-        """Of reading it, as `token_cost` has it."""
+        """Returns the cost of the prefill, in the unit of `prefill_token_cost`."""
         return (
             prefill_token_cost(self.shared_tokens, self.own_tokens)
             if is_cached
@@ -94,7 +94,7 @@
 
 
 class Placement:
-    """Chooses among the servers of one service."""
+    """Selects among the servers of one service."""
 
     def __init__(self, zone: str) -> None:
         self._zone = zone
@@ -110,7 +110,7 @@
         self._by_id = {server.server.id: server for server in servers}
 
     def is_prefix_cached(self, now: float, server: ServerState, prompt: Prompt) -> bool:
-        """Whether the server is taken to have the shared parts of the prompt in memory."""
+        """Returns whether the server is assumed to have the shared prefix of the prompt cached."""
         if not prompt.shared_tokens:
             return True
         return server.has_cached(prompt.prefix_key, now) or (
@@ -118,7 +118,7 @@
         )
 
     def choice_label(self, prompt: Prompt, server: ServerState) -> str:
-        """Why a request went to this server, for its record."""
+        """Returns why a request is sent to this server, for its decision record."""
         if not prompt.shared_tokens:
             return ANY
         ranked = self._ranked(prompt)
@@ -129,10 +129,10 @@
     def select(
         self, now: float, prompt: Prompt, tried: Sequence[str], usable: Callable[[ServerState], bool]
     ) -> ServerState | None:
-        """The server with the least expected time of those not tried yet, if it is usable now.
+        """Returns the server with the lowest expected time among those not tried yet, if it is usable now.
 
-        A prompt with shared parts waits for its server rather than go where these would be read once more; one
-        without goes to any that is usable.
+        A prompt with a shared prefix waits for that server instead of going where the prefix is not cached; one
+        without goes to any usable server.
         """
         if not prompt.shared_tokens:
             return self.select_any(now, prompt, tried, usable)
@@ -146,7 +146,7 @@
         return selected if selected is not None and usable(selected) else None
 
     def _ranked(self, prompt: Prompt) -> list[ServerState]:
-        """The servers for a prompt in order: the one that is known to keep it, then by the hash."""
+        """Returns the servers for a prompt in order: the one assigned to its prefix, if known, then by the hash."""
         ranked = self._rankings.ranked_servers(prompt.prefix_key)
         affinity_server = self._by_id.get(prompt.affinity_server_id)
         return (
@@ -158,7 +158,7 @@
     def select_any(
         self, now: float, prompt: Prompt, tried: Sequence[str], usable: Callable[[ServerState], bool]
     ) -> ServerState | None:
-        """The usable server with the least expected time, wherever the shared parts are."""
+        """Returns the usable server with the lowest expected time, wherever the shared prefix is cached."""
         return self._select_cheapest(now, prompt, [s for s in self._servers if usable(s) and s.server.id not in tried])
 
     def _select_cheapest(self, now: float, prompt: Prompt, servers: Iterable[ServerState]) -> ServerState | None:
--- a/ochrespan/data_plane/prefill_times.py
+++ b/ochrespan/data_plane/prefill_times.py
@@ -1,44 +1,42 @@
-"""How long a service's servers need to a first piece: learnt from the first pieces that this router has seen.
+"""Estimates how long the servers of a service need to the first chunk, from the latencies that this router observed.
 
-A prompt's tokens are read one after the other, and each costs the more the longer the prompt before it is. To that
-comes what every request needs, which short prompts tell; long ones tell the pace. Both follow the shortest times
-seen, since a time that was longer tells of a queue.
+The estimate is a base latency per route plus the prefill time of the prompt. A prompt token costs more the longer the
+prompt before it is. Short prompts determine the base latency, long ones the prefill rate. Both estimates follow the
+shortest latencies, since a longer one includes time in a queue.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-INITIAL_SECONDS_PER_TOKEN = 1 / 60_000  # s for a prompt token, before anything is known
-DOUBLE_COST_AT_TOKENS = 40_000.0  # tokens before a token that double what it costs
-SHORT_PROMPT_COST, LONG_PROMPT_COST = (
-    2_000,
-    4_000,
-)  # token costs up to which a prompt tells the base, and from which it tells the pace
-MIN_BASE_LATENCY_S = 0.001  # s
-DECREASE_SMOOTHING = 0.25  # part of a new time that is shorter than the estimate
-INCREASE_SMOOTHING = 0.02  # part of a new time that is longer
-MAX_INCREASE_RATIO = 2.0  # multiple of the estimate that a new time counts at the most
+INITIAL_SECONDS_PER_TOKEN = 1 / 60_000  # before the first observation
+DOUBLE_COST_AT_TOKENS = 40_000.0  # position in the prompt where a token costs twice as much as the first
+# a prompt of at most the first cost updates the base latency, one of at least the second the prefill rate
+SHORT_PROMPT_COST, LONG_PROMPT_COST = 2_000, 4_000
+MIN_BASE_LATENCY_S = 0.001
+DECREASE_SMOOTHING = 0.25  # weight of an observation below the estimate
+INCREASE_SMOOTHING = 0.02  # weight of an observation above it, which may include queueing
+MAX_INCREASE_RATIO = 2.0  # observations are capped at this multiple of the estimate
 
 
 def prefill_token_cost(cached_tokens: int, uncached_tokens: int) -> float:
-    """What reading `unread` tokens after `before` others costs, in tokens at the start of a prompt."""
+    """Returns the cost of prefilling tokens after others that are cached, in tokens at the start of a prompt."""
     return uncached_tokens * (1.0 + (cached_tokens + uncached_tokens / 2) / DOUBLE_COST_AT_TOKENS)
 
 
 @dataclass(slots=True)
 class PrefillTimes:
-    """Estimates for one service."""
+    """Latency estimates of one service."""
 
     seconds_per_token: float = INITIAL_SECONDS_PER_TOKEN
-    base_latency_s: dict[str, float] = field(default_factory=dict)  # s, by route, beside reading
+    base_latency_s: dict[str, float] = field(default_factory=dict)  # by route, without the prefill
 
     def expected_latency_s(self, route: str, prefill_cost: float, default_base_s: float) -> float:
-        """Time to the first piece at an idle server; `unknown` is its base before the first answer."""
+        """Returns the time to the first chunk at an idle server; the default applies before the first response."""
         return self.base_latency_s.get(route, default_base_s) + self.seconds_per_token * prefill_cost
 
     def observe(self, route: str, prefill_cost: float, latency_s: float) -> None:
-        """A first piece came after `latency`, of a prompt whose reading cost that many tokens."""
+        """Updates the estimates with the latency of a first chunk, for a prompt of this prefill cost."""
         base_latency_s = self.base_latency_s.get(route)
         if base_latency_s is None:
             self.base_latency_s[route] = max(MIN_BASE_LATENCY_S, latency_s - self.seconds_per_token * prefill_cost)
--- a/ochrespan/data_plane/retry_budget.py
+++ b/ochrespan/data_plane/retry_budget.py
@@ -1,18 +1,20 @@
-"""This router's part of the budget of attempts beyond the first, over a sliding window.
+"""The retry budget of this router over a sliding window.
 
-Each router may spend a share of its own first attempts, and an even part of the slack. Both add up over all routers
-without their talking: the sum of the shares is the share of the sum, and the parts make one slack.
+Each router may retry a ratio of its own first attempts, plus an equal fraction of the slack. The routers need no
+communication to stay within the limits of the fleet: the ratio is linear, and the fractions add up to the slack.
 """
 
 from __future__ import annotations
 
 from ..sliding_sum import SlidingSum
 
-SAFETY_FACTOR = 0.85  # part of the budget that is used: routers that were killed have spent theirs, counts may lag
+SAFETY_FACTOR = (
+    0.85  # fraction of the budget that is used: killed routers have spent theirs, and the number of routers may lag
+)
 
 
 class RetryBudget:
-    """Counts the attempts at one service."""
+    """Counts first attempts and retries at one service."""
 
     def __init__(self, ratio: float, slack: float, window: float, now: float) -> None:
         self._ratio, self._slack, self._window = ratio, slack, window
@@ -22,11 +24,11 @@
     def record_first_attempt(self, now: float) -> None:
         self._first_attempts.add(now, 1.0)
         if len(self._first_attempts.entries) % 256 == 0:
-            self._first_attempts.total(now, self._window)  # forgets what is past
+            self._first_attempts.total(now, self._window)  # removes expired entries
 
     def allows_retry(self, now: float, routers: int) -> bool:
-        """Whether one more attempt beyond the first may be made now."""
-        # a router that has just started may be a restarted one, whose earlier life has spent its part of the slack
+        """Returns whether one more retry is within the budget."""
+        # the slack grows over the first window: the process may be a restart of a router that has spent its fraction
         slack = self._slack / max(1, routers) * min(1.0, (now - self._started_at) / self._window)
         allowed = SAFETY_FACTOR * (slack + self._ratio * self._first_attempts.total(now, self._window))
         return self._retries.total(now, self._window) + 1 <= allowed
--- a/ochrespan/data_plane/server_state.py
+++ b/ochrespan/data_plane/server_state.py
@@ -9,17 +9,13 @@
 from .decisions import Server
 from .server_health import ServerHealth
 
-MIN_INITIAL_WINDOW, MAX_INITIAL_WINDOW = (
-    8.0,
-    16.0,
-)  # requests: a window starts with an even part of the capacity between these
+# requests; a window starts at an equal fraction of the capacity per router, within these bounds
+MIN_INITIAL_WINDOW, MAX_INITIAL_WINDOW = 8.0, 16.0
 HEADROOM = 4.0  # multiple of an even part of the capacity that one router may use: demand is not even
 WAIT_SMOOTHING = 0.25  # part of a new answer in the smoothed wait
 WAIT_DECAY_S = 1.0  # s, after which a wait that was seen is believed by 1/e
-NARROW_WAIT_FRACTION, WIDEN_WAIT_FRACTION = (
-    1.0,
-    0.25,
-)  # parts of the aim beyond the expected latency that narrow, and still widen, a window
+# queueing time over the latency target above which a window narrows, and up to which it widens
+NARROW_WAIT_FRACTION, WIDEN_WAIT_FRACTION = 1.0, 0.25
 SLOW_START_FACTOR = 2.0  # multiple of a request's time while a server is cold
 FULL_BACKOFF_S = 0.05  # s for which a server that said it is full is left alone
 IDLE_CONNECTION_S = 4.0  # s that a connection is taken to stay open unused
--- a/ochrespan/flow_state.py
+++ b/ochrespan/flow_state.py
@@ -1,4 +1,4 @@
-"""What the scheduling decisions keep of a flow, in the present front and in the router alike."""
+"""Scheduling state of a flow, shared by the HTTP front and the router."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class FlowState:
-    """What LexAS and ARR keep of one flow."""
+    """State of one flow that LexAS and ARR read and update."""
 
-    normalized_usage: float = 0.0  # units allocated over weight
-    gain: float = 0.0
-    sends_in_round: int = 0  # sends since the last reset
-    latency_excess: float = 0.0  # s, this round's latencies less their aims, summed: above 0 their mean missed the aim
+    normalized_usage: float = 0.0  # allocated units divided by the weight; LexAS calls it eta
+    gain: float = 0.0  # ARR serves flows in proportion to their gains
+    sends_in_round: int = 0  # attempts sent in the current ARR round
+    latency_excess: float = 0.0  # s, sum of (latency - target) in this round; above 0 the mean missed the target
     last_used_at: float = 0.0
--- a/ochrespan/policy/__init__.py
+++ b/ochrespan/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions, shared by the present front and the router: LexAS gating, ARR's pick, latency-led windows."""
+"""Scheduling algorithms that the HTTP front and the router share: LexAS, ARR and latency-based windows."""
--- a/ochrespan/policy/arr.py
+++ b/ochrespan/policy/arr.py
@@ -1,21 +1,27 @@
-"""ARR: which promoted flow a node with room serves, by (a + 1) / delta; delta is its part of all gains."""
+"""ARR: adaptive round robin among the flows with requests in the scheduler queue.
+
+A server with free capacity takes the flow with the smallest (sends in this round + 1) / (its fraction of all gains).
+"""
 
 from __future__ import annotations
 
 from ..flow_state import FlowState
 
-INITIAL_GAIN = 1.0  # gain a flow starts with
-GAIN_STEP = 0.5  # gain added after a round in which the flow's mean latency missed its aim
-ROUND_S = 1.0  # s, length of a round
+INITIAL_GAIN = 1.0  # gain of a new flow
+GAIN_STEP = 0.5  # gain added after a round in which the flow's mean latency exceeded its target
+ROUND_S = 1.0  # length of a round
 
 
 def rank(flow: FlowState) -> float:
-    """(a + 1) / delta, but for the sum of all gains, which is the same for every flow."""
+    """Returns the sort key of a flow, smallest first.
+
+    The sum of all gains is left out, since it is the same for every flow.
+    """
     return (flow.sends_in_round + 1) / flow.gain
 
 
 def end_round(flow: FlowState, confidence: float = 1.0) -> None:
-    """A flow whose mean latency missed its aim gains GAMMA, as far as that is certain; every a resets."""
+    """Adds GAIN_STEP, scaled by `confidence`, to a flow that missed its latency target, and resets its counters."""
     if flow.latency_excess > 0:
         flow.gain += GAIN_STEP * confidence
     flow.sends_in_round, flow.latency_excess = 0, 0.0
--- a/ochrespan/policy/gating.py
+++ b/ochrespan/policy/gating.py
@@ -1,4 +1,4 @@
-"""LexAS: which flows may enter the scheduler queue, by eta, the units allocated to a flow over its weight."""
+"""LexAS: which flows may enter the scheduler queue, by normalized usage (units allocated to a flow over its weight)."""
 
 from __future__ import annotations
 
@@ -7,12 +7,15 @@
 
 from ..flow_state import FlowState
 
-DEFICIT_LIMIT = 50.0  # summed deficit of the flows under T_max, in units over weight
-GAP_LIMIT = 100.0  # summed gap of the flows over T_min to the top eta, likewise
+DEFICIT_LIMIT = 50.0  # summed deficit of the flows below the upper threshold, in normalized usage
+GAP_LIMIT = 100.0  # summed gap to the highest usage of the flows above the lower threshold, likewise
 
 
 def lift_lagging(flows: Sequence[FlowState], max_usage: float) -> None:
-    """Lifts lagging flows to T_min, the lowest value whose summed gap to the top eta is under LEXAS_MIN."""
+    """Raises the usage of lagging flows to the lower threshold, so that an idle flow cannot save up credit.
+
+    The lower threshold is the lowest value whose summed gap to the highest usage stays below GAP_LIMIT.
+    """
     remaining = GAP_LIMIT
     for position, flow in enumerate(sorted(flows, key=lambda flow: -flow.normalized_usage)):
         if max_usage - flow.normalized_usage > remaining / (len(flows) - position):
@@ -24,7 +27,7 @@
 
 
 def upper_threshold(flows: Iterable[FlowState]) -> float:
-    """T_max, the largest value whose summed deficit over the flows under it is below LEXAS_MAX."""
+    """Returns the largest value whose summed deficit over the flows below it stays below DEFICIT_LIMIT."""
     remaining, flows_below, threshold = DEFICIT_LIMIT, 0, 0.0
     for normalized_usage in sorted(flow.normalized_usage for flow in flows):
         if (normalized_usage - threshold) * flows_below > remaining:
@@ -38,5 +41,9 @@
 
 
 def is_gated(normalized_usage: float, threshold: float, queued: int, queue_length: int) -> bool:
-    """Whether a flow is held back: the scheduler queue is full, or it is above T_max and ARR has enough."""
+    """Returns whether a flow must wait.
+
+    It waits while the scheduler queue is full, and a flow above the upper threshold while it is half full, which
+    leaves ARR enough requests to choose from.
+    """
     return queued >= queue_length or (normalized_usage > threshold and queued >= ceil(queue_length / 2))
--- a/ochrespan/policy/window.py
+++ b/ochrespan/policy/window.py
@@ -1,15 +1,18 @@
-"""How many requests may be out at a server: more while latency is near the best, fewer as it grows."""
+"""Congestion window of a server: more requests in flight while latency is near its minimum, fewer as it grows."""
 
 from __future__ import annotations
 
-MIN_WINDOW = 1.0  # requests: what is known of a server has to be learnt with at least one
+MIN_WINDOW = 1.0  # requests; at least one has to be in flight to measure the latency of a server
 
 
 def widened(window: float, cap: float) -> float:
-    """After an answer near the best latency, with the window in full use: by one per window of answers."""
+    """Additive increase after a response near the lowest latency, while the window is fully used.
+
+    The window grows by one request per window of responses.
+    """
     return min(cap, window + 1.0 / window)
 
 
 def narrowed(window: float) -> float:
-    """After an answer that shows a queue."""
+    """Decrease after a response whose latency shows that requests queue at the server."""
     return max(MIN_WINDOW, window - 1.0 / window)
--- a/ochrespan/sliding_sum.py
+++ b/ochrespan/sliding_sum.py
@@ -1,4 +1,4 @@
-"""A sum over a sliding span of time."""
+"""A sum over a sliding time window."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 @dataclass(slots=True)
 class SlidingSum:
-    """What was added within a sliding span of time."""
+    """Sum of the amounts added within a sliding time window."""
 
-    entries: deque[tuple[float, float]] = field(default_factory=deque)
+    entries: deque[tuple[float, float]] = field(default_factory=deque)  # time and amount, oldest first
 
     def add(self, now: float, amount: float) -> None:
         self.entries.append((now, amount))
