--- a/ochrespan/data_plane/router_metrics.py
+++ b/ochrespan/data_plane/router_metrics.py
@@ -1,4 +1,4 @@
-"""The router's figures: decisions about requests, ends of attempts, and what is held."""
+"""Metrics of the router: decisions about requests, and outcomes of attempts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RouterMetrics:
-    """Counts what the scheduler decides and how attempts end."""
+    """Counts the decisions of the scheduler and the outcomes of attempts."""
 
     def __init__(self, registry: MetricsRegistry) -> None:
         self.registry = registry
@@ -22,9 +22,9 @@
         )
 
     def record_decision(self, action: Action) -> None:
-        """The scheduler decided about a request."""
+        """Counts a decision of the scheduler."""
         self._decisions.add(DECISION_NAMES[type(action).__name__])
 
     def record_attempt_end(self, outcome: Outcome) -> None:
-        """An attempt ended."""
+        """Counts the outcome of an attempt."""
         self._attempts.add(outcome.name.lower())
--- a/ochrespan/data_plane/scheduler.py
+++ b/ochrespan/data_plane/scheduler.py
@@ -1,8 +1,8 @@
-"""The router's decisions: events in, actions out, time as an argument.
+"""The scheduler of a router. It does no I/O: methods take an event and the time, and return actions.
 
-A request joins its flow (tenant and route); LexAS gates it into the scheduler queue of its service by eta; ARR picks
-the flow with the smallest (a + 1) / delta when a server of the service has room; placement names the server. What
-cannot be served in time is refused early.
+A request joins the queue of its flow (tenant and route). LexAS moves it into the scheduler queue of its service, by the
+normalized usage of the flow. When a server of the service has free capacity, ARR selects the flow and placement selects
+the server. A request that cannot be served in time is refused early.
 """
 
 from __future__ import annotations
@@ -25,18 +25,20 @@
 
 __all__ = ["Action", "Fail", "Outcome", "Refuse", "Request", "Scheduler", "Send", "Server"]
 
-TOKENS_PER_UNIT = 2000.0  # of prompt and 10 x answer: what a flow is charged as one unit
-OUTPUT_TOKEN_COST = 10.0  # prompt tokens that an answer's token costs
-MIN_QUEUE_LENGTH = 8  # requests in the scheduler queue: among fewer ARR has no choice
-OVERDUE_FRACTION = 0.2  # part of the aim after which what is unsent is refused, or sent for all that
-MAX_CONNECT_FAILURES = 3  # servers that could not be reached, for one request
-MAX_SERVER_WAIT_RATIO = 3.0  # aims of waiting at a server beyond which a request is refused rather than sent
-RESPONSE_MARGIN_S = 0.02  # s before a deadline when the final answer has to leave
-DEFAULT_BASE_FRACTION = 0.2  # part of the aim that a first piece is taken to need beside reading before any has come
+TOKENS_PER_UNIT = 2000.0  # prompt tokens, or weighted output tokens, that are charged to a flow as one unit
+OUTPUT_TOKEN_COST = 10.0  # prompt tokens that one output token counts as
+MIN_QUEUE_LENGTH = 8  # requests in the scheduler queue; with fewer, ARR has too little choice
+OVERDUE_FRACTION = (
+    0.2  # fraction of the latency target after which a queued request is sent beyond the windows or refused
+)
+MAX_CONNECT_FAILURES = 3  # failed connections for one request
+MAX_SERVER_WAIT_RATIO = 3.0  # expected wait over the latency target above which a request is refused rather than sent
+RESPONSE_MARGIN_S = 0.02  # time before a deadline at which the final response is sent
+DEFAULT_BASE_FRACTION = 0.2  # base latency over the latency target, assumed before the first response
 
 
 class Scheduler:
-    """All decisions of one router about requests."""
+    """Makes all decisions of one router about requests."""
 
     def __init__(self, own_zone: str, seed: int, retry_ratio: float, retry_slack: float, retry_window: float) -> None:
         self._zone, self._random = own_zone, random.Random(seed)
@@ -45,16 +47,19 @@
         self._pools: dict[str, ServicePool] = {}
         self._jobs: dict[str, Job] = {}
         self._flows = FlowTable()
-        self._checks: list[tuple[float, int, Job]] = []  # when to look at a request that waits
+        self._checks: list[tuple[float, int, Job]] = []  # when to check a queued request: time, tie-breaker, request
         self._sequence = count()
         self._actions: list[Action] = []
 
-    # events
+    # Events
 
     def set_servers(
         self, now: float, servers: list[Server], routers: int, rank: int, services: Collection[str] | None = None
     ) -> list[Action]:
-        """All servers of these services, or of every service; `rank` is this router's place among the live ones."""
+        """Replaces the servers of these services, or of all.
+
+        `rank` is the position of this router among the live ones; it is not used.
+        """
         routers = max(1, routers)
         routers_changed, self._routers = routers != self._routers, routers
         by_service: dict[str, list[Server]] = {name: [] for name in (self._pools if services is None else services)}
@@ -69,7 +74,7 @@
         return self._take_actions()
 
     def submit(self, now: float, request: Request) -> list[Action]:
-        """A client's request has been read and admitted."""
+        """Queues a request that was read and admitted, and sends it if a server has free capacity."""
         self._flows.end_round(now)
         flow = self._flows.flow_for(now, request)
         units = max(1.0, (request.tokens_in + OUTPUT_TOKEN_COST * request.tokens_out) / TOKENS_PER_UNIT)
@@ -96,7 +101,10 @@
         return self._take_actions()
 
     def cancel(self, now: float, request_id: str) -> list[Action]:
-        """The client has left; an attempt that is out is the relay's to end, and its end is not told any more."""
+        """Removes a request whose client has left.
+
+        The caller aborts an attempt in flight and does not call `ended` for it.
+        """
         job = self._jobs.get(request_id)
         if job is None:
             return []
@@ -110,7 +118,7 @@
         return self._take_actions()
 
     def first_event(self, now: float, request_id: str, latency_s: float) -> None:
-        """The first piece of the running attempt's answer, or its head, came `latency_s` after it was sent."""
+        """Records the first chunk, or the header, of a response, `latency_s` after the attempt was sent."""
         job = self._jobs.get(request_id)
         if job is None or job.server is None or request_id not in job.server.in_flight:
             return
@@ -121,15 +129,15 @@
         if job.request.record is not None:
             job.request.record.attempts[-1].first = milliseconds(now - job.request.arrived_at)
         pool.placement.prefill_times.observe(attempt.route, attempt.prefill_cost, latency_s)
-        if not job.response_started:  # a stream that was taken up elsewhere has missed nothing by that
+        if not job.response_started:  # a stream that was resumed elsewhere had its first chunk in time
             job.flow.record_first_response(now - job.request.arrived_at, job.request.latency_target_s)
         job.response_started = True
 
     def progress(self, now: float, request_id: str) -> None:
-        """A further piece of the answer has come."""
+        """Ignores a further chunk of the response."""
 
     def ended(self, now: float, request_id: str, outcome: Outcome) -> list[Action]:
-        """The running attempt has ended."""
+        """Records the end of the attempt in flight, then retries the request, fails or refuses it, or removes it."""
         self._flows.end_round(now)
         job = self._jobs.get(request_id)
         if job is None or job.server is None:
@@ -160,7 +168,7 @@
         return self._take_actions()
 
     def tick(self, now: float) -> list[Action]:
-        """Looks at what has waited long enough."""
+        """Sends or refuses the queued requests whose check is due."""
         self._flows.end_round(now)
         touched: dict[str, None] = {}
         while self._checks and self._checks[0][0] <= now:
@@ -176,18 +184,18 @@
         return self._take_actions()
 
     def next_tick(self, now: float) -> float:
-        """When `tick` has to be called at the latest."""
+        """Returns the latest time at which `tick` has to be called."""
         while self._checks and (self._checks[0][2].is_done or not self._checks[0][2].is_waiting):
             heapq.heappop(self._checks)
         return self._checks[0][0] if self._checks else inf
 
     def is_usable(self, service: str, server_id: str) -> bool:
-        """Whether the table has this server for new requests."""
+        """Returns whether the routing table lists this server and it is not draining."""
         pool = self._pools.get(service)
         state = pool.servers.get(server_id) if pool is not None else None
         return state is not None and not state.server.draining
 
-    # tables
+    # Services
 
     def _pool(self, now: float, service: str) -> ServicePool:
         pool = self._pools.get(service)
@@ -196,17 +204,17 @@
         return pool
 
     def _update_router_count(self) -> None:
-        """This router's part of every server, after another count of routers."""
+        """Adjusts the windows of all servers to the number of routers."""
         for pool in self._pools.values():
             pool.set_router_count(self._routers)
 
-    # queues
+    # Queues
 
     def _schedule_check(self, job: Job, at: float) -> None:
         heapq.heappush(self._checks, (at, next(self._sequence), job))
 
     def _dispatch(self, now: float, pool: ServicePool) -> None:
-        """Sends while a server has room: the flow by ARR, the server by placement."""
+        """Sends queued requests while a selected server has free capacity."""
         if not pool.queues:
             return
         queue_length = max(MIN_QUEUE_LENGTH, 2 * sum(ceil(server.window) for server in pool.usable))
@@ -220,7 +228,7 @@
             self._send(now, pool, job, server)
 
     def _next_send(self, now: float, pool: ServicePool) -> tuple[Job, ServerState] | None:
-        """The next request whose server has room."""
+        """Returns the next request in ARR order whose selected server has free capacity, with that server."""
         for job in pool.queues.in_arr_order():
             server = self._select_server(now, pool, job)
             if server is not None:
@@ -265,7 +273,7 @@
         urgency = server_priority(self._flows.rank_step(request), prefill_cost)
         self._actions.append(Send(request.id, server.server.id, job.attempts, urgency, timeout_s))
 
-    # ends
+    # Retries and final responses
 
     def _can_retry(self, now: float, pool: ServicePool, job: Job, outcome: Outcome) -> bool:
         request = job.request
@@ -278,7 +286,7 @@
         return pool.budget.allows_retry(now, self._routers)
 
     def _send_overdue(self, now: float, pool: ServicePool, job: Job) -> bool:
-        """A request that has waited long is sent beyond the windows, unless its servers are busy for too long."""
+        """Sends an overdue request beyond the window of a server, unless the wait there would be too long."""
 
         def usable(candidate: ServerState) -> bool:
             return candidate.can_exceed_window(now)
@@ -299,7 +307,7 @@
         return True
 
     def _give_up(self, now: float, pool: ServicePool, job: Job, status: int) -> None:
-        """The final answer, at once: a refusal where nothing has run or a repeat is harmless."""
+        """Sends the final response: a refusal if the request was not executed or is idempotent, else a failure."""
         request = job.request
         if job.response_started or (job.may_have_run and not job.is_idempotent):
             self._actions.append(Fail(request.id, status))
@@ -308,7 +316,7 @@
         self._close(job)
 
     def _retry_after(self, now: float, pool: ServicePool, job: Job) -> float:
-        """When to come back: once the shortest queue has passed, spread so as not to flock."""
+        """Returns the Retry-After in seconds: the shortest expected wait, with jitter to spread the retries."""
         wait_s = min((server.queue_wait(now) for server in pool.usable), default=inf)
         return min(0.5 * job.request.latency_target_s, max(wait_s, 0.1 * job.request.latency_target_s)) * (
             0.5 + self._random.random()
@@ -339,6 +347,6 @@
 
 
 def _record_end(now: float, job: Job, outcome: Outcome) -> None:
-    """Of the running attempt."""
+    """Records the end of the attempt in flight."""
     attempt = job.request.record.attempts[-1]
     attempt.ended, attempt.outcome = milliseconds(now - job.request.arrived_at), outcome.value
--- a/ochrespan/data_plane/server_state.py
+++ b/ochrespan/data_plane/server_state.py
@@ -1,4 +1,4 @@
-"""What a router knows of one server: what is out there, how long it would keep a request waiting, and its window."""
+"""A router's view of one server: the requests in flight, the expected queueing time, and the congestion window."""
 
 from __future__ import annotations
 
@@ -11,50 +11,52 @@
 
 # requests; a window starts at an equal fraction of the capacity per router, within these bounds
 MIN_INITIAL_WINDOW, MAX_INITIAL_WINDOW = 8.0, 16.0
-HEADROOM = 4.0  # multiple of an even part of the capacity that one router may use: demand is not even
-WAIT_SMOOTHING = 0.25  # part of a new answer in the smoothed wait
-WAIT_DECAY_S = 1.0  # s, after which a wait that was seen is believed by 1/e
+HEADROOM = 4.0  # capacity that one router may use, over an equal fraction per router: demand is uneven
+WAIT_SMOOTHING = 0.25  # weight of a new observation in the smoothed wait
+WAIT_DECAY_S = 1.0  # time constant of the exponential decay of an observed wait
 # queueing time over the latency target above which a window narrows, and up to which it widens
 NARROW_WAIT_FRACTION, WIDEN_WAIT_FRACTION = 1.0, 0.25
-SLOW_START_FACTOR = 2.0  # multiple of a request's time while a server is cold
-FULL_BACKOFF_S = 0.05  # s for which a server that said it is full is left alone
-IDLE_CONNECTION_S = 4.0  # s that a connection is taken to stay open unused
-PREFIX_CACHE_TTL_S = 30.0  # s that a prefix is believed to stay in a server's memory unused
-MAX_CACHED_PREFIXES = 4096  # prefixes remembered for one server
+SLOW_START_FACTOR = 2.0  # service time during slow start, over the usual one
+FULL_BACKOFF_S = 0.05  # pause after a server has answered that it is full
+IDLE_CONNECTION_S = 4.0  # time for which an idle connection is assumed to stay open
+PREFIX_CACHE_TTL_S = 30.0  # time for which an unused prefix is assumed to stay cached
+MAX_CACHED_PREFIXES = 4096  # prefixes tracked per server
 
 
 @dataclass(slots=True)
 class Attempt:
-    """A request that is out at a server."""
+    """An attempt in flight at a server."""
 
     sent_at: float
     route: str
-    prefill_cost: float  # of reading its prompt, as `prefill_times.token_cost` has it
-    expected_prefill_s: float  # s to the first piece, once the server has turned to it
-    expected_wait_s: float  # s that it was expected to wait before
+    prefill_cost: float  # of the prompt, in the unit of `prefill_times.prefill_token_cost`
+    expected_prefill_s: float  # from the start of processing to the first chunk
+    expected_wait_s: float  # in the queue of the server, before processing
     has_responded: bool = False
 
 
 @dataclass(slots=True, eq=False)
 class ServerState:
-    """One server as this router sees it."""
+    """State of one server at this router."""
 
     server: Server
-    window_cap: float = 0.0  # requests, the most that this router may have out here
-    window: float = 0.0
+    window_cap: float = 0.0  # requests, upper bound of the window
+    window: float = 0.0  # requests that this router may have in flight here
     health: ServerHealth = field(default_factory=ServerHealth)
     in_flight: dict[str, Attempt] = field(default_factory=dict)
-    prefill_done_at: float = 0.0  # when it will have read all prompts that this router has sent
-    excess_wait_s: float = 0.0  # s, beyond what was expected, smoothed, as of seen_at
+    prefill_done_at: float = 0.0  # when the prefills of all prompts sent by this router are expected to be done
+    excess_wait_s: float = 0.0  # smoothed wait beyond the expected one, as of excess_wait_at
     excess_wait_at: float = 0.0
-    cached_prefixes: dict[str, float] = field(default_factory=dict)  # shared prefixes sent here, and when last
-    full_until: float = 0.0  # it said that it is full
-    open_connections: int = 0  # that are taken to be open
-    connection_used_at: float = 0.0  # when one of them was last used
-    last_response_at: float = 0.0  # when it last said anything
+    cached_prefixes: dict[str, float] = field(
+        default_factory=dict
+    )  # keys of shared prefixes sent here, and when each was last sent
+    full_until: float = 0.0  # end of the pause after the server answered that it is full
+    open_connections: int = 0  # estimated number
+    connection_used_at: float = 0.0  # when a connection was last used
+    last_response_at: float = 0.0  # when the server last sent any response
 
     def set_router_count(self, routers: int) -> None:
-        """The window's cap: this router's part of the capacity, with headroom, and never beyond the capacity."""
+        """Caps the window at this router's equal fraction of the capacity times HEADROOM, at most the capacity."""
         capacity = max(1, self.server.capacity)
         self.window_cap = max(MIN_WINDOW, min(capacity, HEADROOM * capacity / max(1, routers)))
         if not self.window:
@@ -70,21 +72,25 @@
         return len(self.in_flight) < (1 if self.health.is_on_probation() else int(self.window))
 
     def can_exceed_window(self, now: float) -> bool:
-        """Whether a request beyond the window may go here: within the capacity, and by no sign in trouble."""
+        """Returns whether a request beyond the window may be sent here: healthy, and within the capacity."""
         healthy = now >= self.full_until and not self.health.is_ejected(now) and not self.health.is_on_probation()
         return healthy and len(self.in_flight) < self.server.capacity
 
     def is_half_used(self, routers: int) -> bool:
-        """Whether half of its places are taken, if the other routers have as much out here as this one."""
+        """Returns whether half of the capacity is used, assuming equal numbers in flight from all routers."""
         return 2 * len(self.in_flight) * max(1, routers) >= self.server.capacity
 
     def record_rejection(self, now: float) -> None:
-        """It is full: that was not run, and its window was too wide."""
+        """Pauses the server and halves its window: it answered that it is full, without executing the request."""
         self.full_until = now + FULL_BACKOFF_S
         self.window = max(MIN_WINDOW, self.window / 2)
 
     def queue_wait(self, now: float) -> float:
-        """How long a new request would wait: by what is out, by the last answers, or by the oldest unanswered one."""
+        """Estimates how long a new request would wait, in seconds.
+
+        This is the remaining prefill of the requests in flight plus the decayed excess wait of recent responses, or the
+        delay of the oldest attempt without a response, if that is longer.
+        """
         wait = max(self.prefill_done_at - now, 0.0) + self.excess_wait_s * exp(
             (self.excess_wait_at - now) / WAIT_DECAY_S
         )
@@ -94,18 +100,18 @@
         return wait
 
     def has_connection(self, now: float) -> bool:
-        """Whether a connection is likely to be at rest here."""
+        """Returns whether an idle connection to the server is likely to be open."""
         return self.open_connections > len(self.in_flight) and now - self.connection_used_at < IDLE_CONNECTION_S
 
     def slow_start_factor(self, now: float) -> float:
         return SLOW_START_FACTOR if now < self.server.slow_start_ends_at else 1.0
 
     def has_cached(self, prefix_key: str, now: float) -> bool:
-        """Whether a shared prefix was sent here recently enough to be in memory still."""
+        """Returns whether a shared prefix was sent here recently enough to be cached still."""
         return now - self.cached_prefixes.get(prefix_key, -PREFIX_CACHE_TTL_S) < PREFIX_CACHE_TTL_S
 
     def record_send(self, now: float, request_id: str, attempt: Attempt, prefill_s: float, prefix_key: str) -> None:
-        """A request has been sent here, whose prompt takes `reading` seconds to read."""
+        """Records an attempt sent here, whose prompt takes `prefill_s` seconds to prefill."""
         if not self.has_connection(now):
             self.open_connections = len(self.in_flight) + 1
         self.in_flight[request_id] = attempt
@@ -117,7 +123,7 @@
             self.cached_prefixes[prefix_key] = now
 
     def record_first_chunk(self, now: float, request_id: str, latency_s: float, latency_target_s: float) -> None:
-        """The first piece of an attempt has come: its latency leads the window."""
+        """Records the first chunk of an attempt, and adjusts the excess wait and the window to its latency."""
         attempt = self.in_flight[request_id]
         attempt.has_responded = True
         self.last_response_at = now
@@ -130,7 +136,7 @@
         elif queue <= WIDEN_WAIT_FRACTION * latency_target_s and len(self.in_flight) + 1 >= int(self.window):
             self.window = widened(self.window, self.window_cap)
         if not any(not other.has_responded for other in self.in_flight.values()):
-            self.prefill_done_at = now  # all that was sent is read
+            self.prefill_done_at = now  # all prompts in flight are prefilled
 
     def record_end(self, now: float, request_id: str) -> Attempt | None:
         attempt = self.in_flight.pop(request_id, None)
--- a/ochrespan/data_plane/service_pool.py
+++ b/ochrespan/data_plane/service_pool.py
@@ -1,4 +1,4 @@
-"""One service at one router: its servers, queues and retry budget, and what the ends of requests tell of servers."""
+"""One service at one router: its servers, queues and retry budget, and the effect of outcomes on server health."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 from .server_health import MAX_EJECTED_FRACTION
 from .server_state import Attempt, ServerState
 
-RESPONSE_TIMEOUT_S = 1.5  # s without a word after which a client that leaves says something about the server
+RESPONSE_TIMEOUT_S = 1.5  # time without any response after which a disconnecting client counts against the server
 OUTCOMES_WITHOUT_RESPONSE = frozenset(
     {Outcome.NOT_SENT, Outcome.TIMED_OUT, Outcome.CANCELLED}
-)  # outcomes without a server's word
+)  # the server did not respond
 
 
 @dataclass(slots=True, eq=False)
 class ServicePool:
-    """One service."""
+    """The servers, queues and retry budget of one service."""
 
     budget: RetryBudget
     placement: Placement
-    listed: list[Server] = field(default_factory=list)
+    listed: list[Server] = field(default_factory=list)  # as in the routing table
     routers: int = 0
     servers: dict[str, ServerState] = field(default_factory=dict)
-    usable: list[ServerState] = field(default_factory=list)  # those that are not draining
+    usable: list[ServerState] = field(default_factory=list)  # not draining
     queues: FlowQueues = field(default_factory=FlowQueues)
 
     def set_servers(self, listed: list[Server], routers: int) -> None:
-        """The whole table of the service; one that has not changed costs no more than looking."""
+        """Replaces the servers of the service; an unchanged list costs one comparison."""
         if routers == self.routers and listed == self.listed:
             return
         self.listed, self.routers = listed, routers
@@ -45,13 +45,13 @@
         self.placement.set_servers(self.usable)
 
     def set_router_count(self, routers: int) -> None:
-        """This router's part of every server, after another count of routers."""
+        """Adjusts the windows of all servers to the number of routers."""
         self.routers = routers
         for state in self.servers.values():
             state.set_router_count(routers)
 
     def record_outcome(self, now: float, server: ServerState, outcome: Outcome, attempt: Attempt) -> None:
-        """What the end of an attempt tells of its server."""
+        """Updates the health of a server from the outcome of an attempt."""
         if outcome not in OUTCOMES_WITHOUT_RESPONSE:
             server.last_response_at = now
         if outcome is Outcome.DONE:
@@ -62,13 +62,13 @@
             server.health.record_failure(now, outcome, attempt.sent_at)
 
     def record_abandoned(self, now: float, server: ServerState, attempt: Attempt | None) -> None:
-        """A client has left: a server that has said nothing to anyone since it was asked may be gone."""
+        """Counts an abandoned attempt as a time-out if the server has sent no response to anyone since its start."""
         if attempt is None or attempt.has_responded or server.last_response_at >= attempt.sent_at:
             return
         if now - attempt.sent_at > RESPONSE_TIMEOUT_S and self.can_eject(now):
             server.health.record_failure(now, Outcome.TIMED_OUT, attempt.sent_at)
 
     def can_eject(self, now: float) -> bool:
-        """The floor: so many servers of a service stay in use, whatever their requests' ends say."""
+        """Returns whether one more server may be ejected without exceeding MAX_EJECTED_FRACTION."""
         ejected = sum(server.health.is_ejected(now) for server in self.usable)
         return ejected + 1 <= MAX_EJECTED_FRACTION * len(self.usable)
