--- a/tests/golden/scheduler_schedules.py
+++ b/tests/golden/scheduler_schedules.py
@@ -1,7 +1,7 @@
-"""Seeded schedules of events for the router's scheduler, and the actions that it takes in each.
+"""Seeded schedules of events for the router's scheduler, and the actions that it returns in each.
 
-The schedules drive the scheduler as the relay does: requests arrive, attempts answer, progress and end in every way,
-clients leave, and the table of servers changes. All that depends on the scheduler's own names stands in this module.
+The schedules drive the scheduler as the dispatcher does: requests arrive, attempts respond, make progress and end with
+any outcome, clients disconnect, and the routing table changes. Only this module depends on the scheduler's names.
 """
 
 from __future__ import annotations
@@ -20,43 +20,43 @@
 DIGEST_BYTES = 12
 START = 1000.0
 EVENTS = 320
-MODEL, LOOKUP = "model", "lookup"  # a service of generations, and one of plain calls
+MODEL, LOOKUP = "model", "lookup"  # a service with prompts, and one of requests without
 ZONES = ("zone-a", "zone-b")
-ENDS = list(Outcome)
-HEALTHY_ENDS = [Outcome.DONE] * 12 + [Outcome.FAILED_STATUS, Outcome.REJECTED_FULL, Outcome.LOST]
-SHARED_PARTS = [(f"part{number}", tokens) for number, tokens in enumerate((300, 900, 2500, 6300, 13300, 30000))]
+OUTCOMES = list(Outcome)
+HEALTHY_OUTCOMES = [Outcome.DONE] * 12 + [Outcome.FAILED_STATUS, Outcome.REJECTED_FULL, Outcome.LOST]
+SHARED_SEGMENTS = [(f"part{number}", tokens) for number, tokens in enumerate((300, 900, 2500, 6300, 13300, 30000))]
 
 
 class Schedule:
     """One run of a scheduler.
 
     Attributes:
-        lines: What it did, a line for each action, and one for each decision record.
+        lines: The log of the run: a line for each action, and one for each decision record.
     """
 
     def __init__(self, seed: int) -> None:
-        self._draw = random.Random(seed)
+        self._rng = random.Random(seed)
         self._now = START
         self._numbers = count(1)
         self._server_numbers = count(1)
-        self._running: dict[str, str] = {}  # server by request, of attempts without an end
+        self._running: dict[str, str] = {}  # server id by request id, of attempts in flight
         self._records: list[DecisionRecord] = []
         self._servers: dict[str, Server] = {}
         self._faulty: set[str] = set()
-        self._routers = self._draw.choice([1, 1, 2, 5, 40])
-        self._scheduler = Scheduler(ZONES[0], seed, 0.2, self._draw.choice([0.0, 5.0, 60.0]), 10.0)
-        self._pressure = self._draw.choice([0.3, 1.0, 3.0, 15.0])  # arrivals against ends
+        self._routers = self._rng.choice([1, 1, 2, 5, 40])
+        self._scheduler = Scheduler(ZONES[0], seed, 0.2, self._rng.choice([0.0, 5.0, 60.0]), 10.0)
+        self._pressure = self._rng.choice([0.3, 1.0, 3.0, 15.0])  # arrivals over the usual ratio to ends
         self.lines: list[str] = []
 
     def play(self) -> list[str]:
-        """Plays all events and returns the lines."""
-        for service, most in ((MODEL, 7), (LOOKUP, 3)):
-            for _ in range(self._draw.randint(1, most)):
+        """Runs all events and returns the lines."""
+        for service, max_servers_of in ((MODEL, 7), (LOOKUP, 3)):
+            for _ in range(self._rng.randint(1, max_servers_of)):
                 self._add_server(service)
         self._reload(None)
         for _ in range(EVENTS):
             self._step()
-        for _ in range(EVENTS):  # what is left ends or is given up
+        for _ in range(EVENTS):  # until the remaining requests end
             if not self._running and self._scheduler.next_tick(self._now) == inf:
                 break
             self._advance(0.05)
@@ -65,9 +65,9 @@
         return self.lines
 
     def _step(self) -> None:
-        self._advance(self._draw.expovariate(20.0))
+        self._advance(self._rng.expovariate(20.0))
         kinds = {"submit": 10 * self._pressure, "first": 8, "progress": 3, "end": 9, "cancel": 1, "reload": 1}
-        kind = self._draw.choices(list(kinds), list(kinds.values()))[0]
+        kind = self._rng.choices(list(kinds), list(kinds.values()))[0]
         match kind:
             case "submit":
                 self._submit()
@@ -83,7 +83,7 @@
                 self._change_servers()
 
     def _advance(self, seconds: float) -> None:
-        """Time passes; the scheduler is called whenever it has to be."""
+        """Advances the time, and calls the scheduler whenever a tick is due."""
         end = self._now + seconds
         while (at := self._scheduler.next_tick(self._now)) <= end:
             self._now = max(self._now, at)
@@ -107,104 +107,104 @@
     # Requests
 
     def _submit(self) -> None:
-        draw = self._draw
+        rng = self._rng
         request_id = f"r{next(self._numbers)}"
-        is_generation = draw.random() < 0.75
-        aim = draw.choice([0.2, 0.5, 1.0, 8.0])
-        record = DecisionRecord(request_id, 0.0) if draw.random() < 0.1 else None
+        is_generation = rng.random() < 0.75
+        latency_target_s = rng.choice([0.2, 0.5, 1.0, 8.0])
+        record = DecisionRecord(request_id, 0.0) if rng.random() < 0.1 else None
         if record is not None:
             self._records.append(record)
-        prefix = (*draw.sample(SHARED_PARTS, draw.randint(0, 2)), (request_id, draw.randint(10, 4000)))
+        prefix = (*rng.sample(SHARED_SEGMENTS, rng.randint(0, 2)), (request_id, rng.randint(10, 4000)))
         request = Request(
             id=request_id,
             service=MODEL if is_generation else LOOKUP,
-            tenant=draw.choice(["acme"] * 4 + ["bolt", "crux", "dune", "elm", "fen"]),
-            route=draw.choice(["audit", "review", "chat"]) if is_generation else "tag",
-            priority=draw.randint(0, 3),
-            safe=draw.random() < 0.3,
-            resumable=is_generation and draw.random() < 0.4,
+            tenant=rng.choice(["acme"] * 4 + ["bolt", "crux", "dune", "elm", "fen"]),
+            route=rng.choice(["audit", "review", "chat"]) if is_generation else "tag",
+            priority=rng.randint(0, 3),
+            safe=rng.random() < 0.3,
+            resumable=is_generation and rng.random() < 0.4,
             streaming=is_generation,
-            latency_target_s=aim,
-            deadline=self._now + aim * draw.choice([0.5, 2.0, 10.0]),
-            max_servers=draw.randint(1, 3),
+            latency_target_s=latency_target_s,
+            deadline=self._now + latency_target_s * rng.choice([0.5, 2.0, 10.0]),
+            max_servers=rng.randint(1, 3),
             tokens_in=sum(tokens for _, tokens in prefix) if is_generation else 0,
-            tokens_out=draw.randint(5, 400) if is_generation else 0,
+            tokens_out=rng.randint(5, 400) if is_generation else 0,
             prefix=prefix if is_generation else (),
             arrived_at=self._now,
-            affinity_server_id=draw.choice(["", "", *self._servers]) if is_generation else "",
+            affinity_server_id=rng.choice(["", "", *self._servers]) if is_generation else "",
             record=record,
         )
-        request.is_prefix_uncached = is_generation and draw.random() < 0.2
+        request.is_prefix_uncached = is_generation and rng.random() < 0.2
         self._take(self._scheduler.submit(self._now, request))
 
     def _first_event(self) -> None:
         if self._running:
-            request_id = self._draw.choice(list(self._running))
-            self._scheduler.first_event(self._now, request_id, self._draw.choice([0.02, 0.1, 0.4, 2.0]))
+            request_id = self._rng.choice(list(self._running))
+            self._scheduler.first_event(self._now, request_id, self._rng.choice([0.02, 0.1, 0.4, 2.0]))
 
     def _progress(self) -> None:
         if self._running:
-            self._scheduler.progress(self._now, self._draw.choice(list(self._running)))
+            self._scheduler.progress(self._now, self._rng.choice(list(self._running)))
 
     def _end_one(self) -> None:
         if not self._running:
             return
-        request_id = self._draw.choice(list(self._running))
+        request_id = self._rng.choice(list(self._running))
         server_id = self._running.pop(request_id)
-        ends = ENDS if server_id in self._faulty else HEALTHY_ENDS
-        self._take(self._scheduler.ended(self._now, request_id, self._draw.choice(ends)))
+        outcomes = OUTCOMES if server_id in self._faulty else HEALTHY_OUTCOMES
+        self._take(self._scheduler.ended(self._now, request_id, self._rng.choice(outcomes)))
 
     def _cancel(self) -> None:
         if self._running:
-            request_id = self._draw.choice(list(self._running))
+            request_id = self._rng.choice(list(self._running))
             del self._running[request_id]
             self._take(self._scheduler.cancel(self._now, request_id))
 
     # Servers
 
     def _add_server(self, service: str) -> None:
-        draw = self._draw
+        rng = self._rng
         server_id = f"i{next(self._server_numbers)}"
         is_model = service == MODEL
         self._servers[server_id] = Server(
             server_id,
             service,
             ("10.0.0.1", 8000 + len(self._servers)),
-            draw.choice(ZONES),
-            draw.choice([1, 2, 4, 16, 64]),
-            draw.choice([0, 60_000, 500_000]) if is_model else 0,
+            rng.choice(ZONES),
+            rng.choice([1, 2, 4, 16, 64]),
+            rng.choice([0, 60_000, 500_000]) if is_model else 0,
             False,
-            self._now + 2.0 if draw.random() < 0.2 else 0.0,
-            draw.choice([0, 30, 600]),
+            self._now + 2.0 if rng.random() < 0.2 else 0.0,
+            rng.choice([0, 30, 600]),
         )
-        if draw.random() < 0.2:
+        if rng.random() < 0.2:
             self._faulty.add(server_id)
 
     def _change_servers(self) -> None:
-        """A server comes, drains, goes or turns faulty, or another router lives or dies."""
-        draw = self._draw
+        """Adds, drains, removes or breaks a server, or changes the number of routers."""
+        rng = self._rng
         listed = list(self._servers)
-        match draw.choice(["add", "drain", "remove", "fault", "recover", "routers"]):
+        match rng.choice(["add", "drain", "remove", "fault", "recover", "routers"]):
             case "add":
-                self._add_server(draw.choice([MODEL, LOOKUP]))
+                self._add_server(rng.choice([MODEL, LOOKUP]))
             case "drain" if listed:
-                self._servers[draw.choice(listed)].draining = True
+                self._servers[rng.choice(listed)].draining = True
             case "remove" if len(listed) > 1:
-                del self._servers[draw.choice(listed)]
+                del self._servers[rng.choice(listed)]
             case "fault" if listed:
-                self._faulty.add(draw.choice(listed))
+                self._faulty.add(rng.choice(listed))
             case "recover":
                 self._faulty.clear()
             case "routers":
-                self._routers = max(1, self._routers + draw.choice([-1, 1, 10]))
-        self._reload(None if draw.random() < 0.5 else [MODEL, LOOKUP])
+                self._routers = max(1, self._routers + rng.choice([-1, 1, 10]))
+        self._reload(None if rng.random() < 0.5 else [MODEL, LOOKUP])
 
     def _reload(self, services: list[str] | None) -> None:
-        rank = self._draw.randrange(self._routers)
+        rank = self._rng.randrange(self._routers)
         servers = list(self._servers.values())
         self._take(self._scheduler.set_servers(self._now, servers, self._routers, rank, services))
 
 
 def digest_of(lines: list[str]) -> str:
-    """A digest of the lines of a schedule, with their number."""
+    """Returns the number of the lines and their digest."""
     return f"{len(lines)} {blake2b(chr(10).join(lines).encode(), digest_size=DIGEST_BYTES).hexdigest()}"
--- a/tests/golden/test_decision_record_fields.py
+++ b/tests/golden/test_decision_record_fields.py
@@ -1,9 +1,9 @@
-"""The fields of a decision record: their names, their order, their JSON types, and the line of a known record."""
+"""The fields of a decision record: names, order and JSON types, and the lines of known records."""
 
 from ochrespan.control_plane.quota.client import UNLIMITED, TokenReservation
 from ochrespan.data_plane.decision_record import ANY, HOME, MOVED, AttemptRecord, DecisionLog
 from tests.fleet_standins import StandInServer, answer, configuration, route, router, stream
-from tests.test_decision_record import LIMITED, PROMPT, USAGE, Written, ask, real_scheduler
+from tests.test_decision_record import LIMITED, PROMPT, USAGE, CapturedRecords, real_scheduler, send_request
 from tests.test_router_quotas import ScriptedQuotas
 
 ARRIVED_S = 100.0
@@ -13,7 +13,7 @@
 
 
 def shape_of(value):
-    """A JSON value with the names of its JSON types in place of numbers and texts; the order of fields is kept."""
+    """Replaces the scalars of a JSON value by the names of their types; the order of fields stays."""
     if isinstance(value, dict):
         return [[name, shape_of(each)] for name, each in value.items()]
     if isinstance(value, list):
@@ -36,7 +36,7 @@
     lines = []
     log = fixed_log(lines)
     record = log.begin("q\N{LATIN SMALL LETTER E WITH ACUTE}", ARRIVED_S)
-    # by place, so that the order of the fields counts too
+    # positional arguments, so that the order of the fields is checked too
     record.attempts.append(AttemptRecord("i-0", MOVED, True, False, 1.5, 2.5, 30.125, 4.0))
     record.attempts.append(AttemptRecord("i-1", HOME, False, True, 5.0, 6.0, 7.0, 8.0, 9.0, 10.0, "done"))
     record.record_forwarded(0.25)
@@ -51,17 +51,19 @@
 
 
 def test_the_record_of_a_served_stream_has_its_fields_in_order(snapshot):
-    persisted = Written()
-    with router(real_scheduler(), decision_log=persisted.log, quotas=ScriptedQuotas([UNLIMITED])) as made:
+    captured = CapturedRecords()
+    with router(real_scheduler(), decision_log=captured.log, quotas=ScriptedQuotas([UNLIMITED])) as made:
         view = configuration(route(kind="streaming"), tenants=(LIMITED,))
-        assert ask(made, view, StandInServer(stream(1, 2, 3))).read_answer().whole
-    assert shape_of(persisted.one()) == snapshot
+        assert send_request(made, view, StandInServer(stream(1, 2, 3))).read_answer().whole
+    assert shape_of(captured.only_record()) == snapshot
 
 
 def test_the_record_of_a_refused_request_has_its_fields_in_order(snapshot):
-    persisted = Written()
+    captured = CapturedRecords()
     quotas = ScriptedQuotas([TokenReservation(False, 0.01), TokenReservation(False, 0.75)])
-    with router(decision_log=persisted.log, quotas=quotas) as made:
-        client = ask(made, configuration(route(), tenants=(LIMITED,)), StandInServer(answer()), headers=USAGE + PROMPT)
+    with router(decision_log=captured.log, quotas=quotas) as made:
+        client = send_request(
+            made, configuration(route(), tenants=(LIMITED,)), StandInServer(answer()), headers=USAGE + PROMPT
+        )
         assert client.read_answer().status == 429
-    assert shape_of(persisted.one()) == snapshot
+    assert shape_of(captured.only_record()) == snapshot
--- a/tests/golden/test_scheduler_decisions.py
+++ b/tests/golden/test_scheduler_decisions.py
@@ -1,7 +1,7 @@
-"""The scheduler decides as it did when the digests were recorded, in several hundred schedules.
+"""The scheduler makes the same decisions as when the digests were recorded, in several hundred schedules.
 
-`python -m tests.golden.test_scheduler_decisions` records them anew: for a change of what is decided, never for one of
-how it is written.
+`python -m tests.golden.test_scheduler_decisions` records the digests again. Use it only for an intended change of
+decisions, never for a refactoring.
 """
 
 from __future__ import annotations
@@ -63,7 +63,7 @@
     ],
 )
 def test_a_changed_constant_is_seen(module, name, monkeypatch):
-    """Not a rule of its own: it shows that the schedules depend on what the constants decide."""
+    """Guards the test data: the schedules must cover the decisions that depend on these constants."""
     recorded = json.loads(RECORD.read_text())["digests"]
     monkeypatch.setattr(module, name, getattr(module, name) * 3)
     assert any(digest_of(Schedule(seed).play()) != recorded[seed] for seed in range(SEEDS))
--- a/tests/scheduling.py
+++ b/tests/scheduling.py
@@ -1,4 +1,4 @@
-"""Makers of requests, servers and schedulers for the tests of the router's decisions."""
+"""Builders of requests, servers and schedulers for the tests of the router's scheduler."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 
 def scheduler(servers: int = 3, routers: int = 1, now: float = 80.0, **changes) -> Scheduler:
-    made = Scheduler("z0", 7, retry_ratio=0.2, retry_slack=10.0, retry_window=10.0)
-    made.set_servers(now, [server(i, **changes) for i in range(servers)], routers, 0)
-    return made
+    sched = Scheduler("z0", 7, retry_ratio=0.2, retry_slack=10.0, retry_window=10.0)
+    sched.set_servers(now, [server(i, **changes) for i in range(servers)], routers, 0)
+    return sched
 
 
-def submit(made: Scheduler, number: int, now: float = 100.0, like: Request = REQUEST, **changes) -> list[Action]:
+def submit(sched: Scheduler, number: int, now: float = 100.0, template: Request = REQUEST, **changes) -> list[Action]:
     fields = {"id": f"r{number}", "arrived_at": now, "deadline": now + 10.0} | changes
-    return made.submit(now, replace(like, **fields))
+    return sched.submit(now, replace(template, **fields))
 
 
-def sent_to(actions: list[Action]) -> list[str]:
-    """The servers of all sends."""
+def sent_server_ids(actions: list[Action]) -> list[str]:
+    """Returns the server ids of all sends."""
     return [action.server_id for action in actions if isinstance(action, Send)]
--- a/tests/test_decision_record.py
+++ b/tests/test_decision_record.py
@@ -1,4 +1,4 @@
-"""The record of decisions: what it holds for each way a request can end, sampling, and its setting in service."""
+"""Decision records: contents for each way a request can end, sampling, and the default."""
 
 import json
 from dataclasses import replace
@@ -18,14 +18,14 @@
 PROMPT = "X-Prompt-Prefix: aa:400,bb:300,cc:760\r\n"
 
 
-class Written:
-    """A log of decisions whose lines the test reads."""
+class CapturedRecords:
+    """A decision log that collects its lines for the test."""
 
     def __init__(self, sample_rate: float = 1.0) -> None:
         self.lines: list[str] = []
         self.log = DecisionLog(sample_rate, self.lines.append)
 
-    def one(self) -> dict:
+    def only_record(self) -> dict:
         with gevent.Timeout(5):
             while not self.lines:
                 gevent.idle()
@@ -37,21 +37,21 @@
     return Scheduler("zone", 7, retry_ratio=0.2, retry_slack=100.0, retry_window=0.0001)
 
 
-def ask(made, view, *servers, headers: str = USAGE + PROMPT):
-    made.use(view, *servers)
-    client = made.client()
+def send_request(fixture, view, *servers, headers: str = USAGE + PROMPT):
+    fixture.use(view, *servers)
+    client = fixture.client()
     client.ask(headers=headers)
     return client
 
 
 def test_a_stream_is_recorded_with_its_attempt_and_final_answer():
-    written = Written()
-    with router(real_scheduler(), decision_log=written.log, quotas=ScriptedQuotas([UNLIMITED])) as made:
+    captured = CapturedRecords()
+    with router(real_scheduler(), decision_log=captured.log, quotas=ScriptedQuotas([UNLIMITED])) as fixture:
         view = configuration(route(kind="streaming"), tenants=(LIMITED,))
-        assert ask(made, view, StandInServer(stream(1, 2, 3))).read_answer().whole
-    record = written.one()
-    told = {name: record[name] for name in ("id", "route", "tenant", "tokens_in", "tokens_out", "shared", "prefix")}
-    assert told == {
+        assert send_request(fixture, view, StandInServer(stream(1, 2, 3))).read_answer().whole
+    record = captured.only_record()
+    summary = {name: record[name] for name in ("id", "route", "tenant", "tokens_in", "tokens_out", "shared", "prefix")}
+    assert summary == {
         "id": "q1", "route": "r", "tenant": "acme", "tokens_in": 1460, "tokens_out": 80, "shared": 700,
         "prefix": "aa,bb",
     }  # fmt: skip
@@ -62,82 +62,82 @@
     assert record["last_event"] >= attempt["first"]
 
 
-def test_each_attempt_of_a_stream_that_is_taken_up_is_recorded():
-    written = Written()
+def test_each_attempt_of_a_resumed_stream_is_recorded():
+    captured = CapturedRecords()
     steps = iter([stream(1, end=close), stream(2)])
     servers = [StandInServer(lambda received: next(steps)(received)) for _ in range(2)]
-    with router(real_scheduler(), decision_log=written.log) as made:
+    with router(real_scheduler(), decision_log=captured.log) as fixture:
         view = configuration(route(kind="streaming", resumable=True))
-        assert ask(made, view, *servers, headers="").read_answer().whole
-    record = written.one()
+        assert send_request(fixture, view, *servers, headers="").read_answer().whole
+    record = captured.only_record()
     assert record["status"] == 200
     assert [attempt["outcome"] for attempt in record["attempts"]] == ["lost", "done"]
     assert {attempt["server"] for attempt in record["attempts"]} == {"i-0", "i-1"}
 
 
 def test_a_request_that_is_refused_by_its_quota_is_recorded():
-    written = Written()
+    captured = CapturedRecords()
     quotas = ScriptedQuotas([TokenReservation(False, 0.01), TokenReservation(False, 0.75)])
-    with router(decision_log=written.log, quotas=quotas) as made:
-        client = ask(made, configuration(route(), tenants=(LIMITED,)), StandInServer(answer()))
+    with router(decision_log=captured.log, quotas=quotas) as fixture:
+        client = send_request(fixture, configuration(route(), tenants=(LIMITED,)), StandInServer(answer()))
         assert client.read_answer().status == 429
-    record = written.one()
+    record = captured.only_record()
     assert (record["status"], record["retry_after"], record["attempts"]) == (429, 0.75, [])
     assert record["quota_asked"] == 2 and record["quota_wait"] >= 10
 
 
 def test_a_client_that_leaves_is_recorded_without_a_status():
-    written = Written()
+    captured = CapturedRecords()
     server = StandInServer(hold)
-    with router(real_scheduler(), decision_log=written.log) as made:
-        client = ask(made, configuration(route()), server, headers="")
+    with router(real_scheduler(), decision_log=captured.log) as fixture:
+        client = send_request(fixture, configuration(route()), server, headers="")
         with gevent.Timeout(5):
             while not server.requests:
                 gevent.idle()
         client.close()
-        record = written.one()
+        record = captured.only_record()
     assert record["status"] == 0
     assert [attempt["outcome"] for attempt in record["attempts"]] == ["cancelled"]
 
 
 def test_a_client_that_leaves_while_its_request_waits_for_tokens_is_recorded():
-    written = Written()
+    captured = CapturedRecords()
     quotas = ScriptedQuotas([TokenReservation(False, 1.0)])
-    with router(decision_log=written.log, quotas=quotas) as made:
+    with router(decision_log=captured.log, quotas=quotas) as fixture:
         view = configuration(route(target_latency_ms=50_000.0), tenants=(LIMITED,))
-        client = ask(made, view, StandInServer(answer()))
+        client = send_request(fixture, view, StandInServer(answer()))
         with gevent.Timeout(5):
             while not quotas.taken:
                 gevent.idle()
         client.close()
-        record = written.one()
+        record = captured.only_record()
     assert (record["status"], record["attempts"], record["tenant"]) == (0, [], "acme")
 
 
-def test_a_request_whose_body_does_not_come_is_recorded_once():
-    written = Written()
+def test_a_request_with_an_incomplete_body_is_recorded_once():
+    captured = CapturedRecords()
     quotas = ScriptedQuotas([UNLIMITED])
-    with router(decision_log=written.log, quotas=quotas) as made:
-        made.use(configuration(route(), tenants=(LIMITED,)), StandInServer(answer()))
-        part_of_a_request(made, quotas).close()
-        assert written.one()["status"] == 0
+    with router(decision_log=captured.log, quotas=quotas) as fixture:
+        fixture.use(configuration(route(), tenants=(LIMITED,)), StandInServer(answer()))
+        part_of_a_request(fixture, quotas).close()
+        assert captured.only_record()["status"] == 0
 
 
-def test_a_refusal_of_the_scheduler_is_recorded_with_its_pause():
-    written = Written()
-    with router(decision_log=written.log) as made:
-        client = ask(made, configuration(route()), headers="")
+def test_a_refusal_of_the_scheduler_is_recorded_with_its_retry_after():
+    captured = CapturedRecords()
+    with router(decision_log=captured.log) as fixture:
+        client = send_request(fixture, configuration(route()), headers="")
         assert client.read_answer().status == 503
-    assert (written.one()["status"], written.one()["retry_after"]) == (503, 0.25)
+    assert (captured.only_record()["status"], captured.only_record()["retry_after"]) == (503, 0.25)
 
 
 def test_nothing_is_recorded_by_default():
-    written = Written(sample_rate=0.0)
-    with router(decision_log=written.log) as made:
-        client = ask(made, configuration(route()), StandInServer(answer()), headers="")
+    captured = CapturedRecords(sample_rate=0.0)
+    with router(decision_log=captured.log) as fixture:
+        client = send_request(fixture, configuration(route()), StandInServer(answer()), headers="")
         assert client.read_answer().status == 200
-        assert made.scheduler.submitted[0].record is None
-    assert not written.lines and DecisionLog().begin("q", 0.0) is None
+        assert fixture.scheduler.submitted[0].record is None
+    assert not captured.lines and DecisionLog().begin("q", 0.0) is None
 
 
 def test_all_routers_sample_the_same_requests():
@@ -146,9 +146,9 @@
     assert chosen[0] == chosen[1] and 400 < len(chosen[0]) < 600
 
 
-def recorded(made, number: int, **changes) -> DecisionRecord:
+def submit_recorded(fixture, number: int, **changes) -> DecisionRecord:
     record = DecisionRecord(f"r{number}", 0.0)
-    submit(made, number, record=record, **changes)
+    submit(fixture, number, record=record, **changes)
     return record
 
 
@@ -156,30 +156,30 @@
     ("changes", "choice"),
     [({"affinity_server_id": "i2"}, HOME), ({"affinity_server_id": ""}, HOME), ({"tokens_in": 0, "prefix": ()}, ANY)],
 )
-def test_the_choice_of_the_server_is_told(changes, choice):
-    (attempt,) = recorded(scheduler(), 1, **changes).attempts
+def test_the_reason_for_the_server_is_recorded(changes, choice):
+    (attempt,) = submit_recorded(scheduler(), 1, **changes).attempts
     assert attempt.choice == choice and not attempt.beyond_window
 
 
-def test_a_prompt_that_left_its_home_is_told_as_moved():
-    made = scheduler(servers=3, capacity=64)
+def test_a_prompt_that_left_its_affinity_server_is_recorded_as_moved():
+    fixture = scheduler(servers=3, capacity=64)
     for number in range(12):
-        submit(made, number, affinity_server_id="i1", tokens_in=40_000, prefix=(("p", 39_000), ("o", 1000)))
-    record = recorded(made, 99, affinity_server_id="i1", tokens_in=700, prefix=(("q", 100), ("o", 600)))
+        submit(fixture, number, affinity_server_id="i1", tokens_in=40_000, prefix=(("p", 39_000), ("o", 1000)))
+    record = submit_recorded(fixture, 99, affinity_server_id="i1", tokens_in=700, prefix=(("q", 100), ("o", 600)))
     assert record.attempts[0].choice == MOVED
     assert record.attempts[0].server != "i1"
 
 
-def test_a_send_beyond_the_window_is_told_with_its_waits():
-    made = scheduler(servers=1, capacity=64)
+def test_a_send_beyond_the_window_is_recorded_with_its_times():
+    fixture = scheduler(servers=1, capacity=64)
     number = 0
-    while submit(made, number, like=PLAIN):
+    while submit(fixture, number, template=PLAIN):
         number += 1
     record = DecisionRecord("late", 0.0)
-    submit(made, 500, like=PLAIN, record=record)
+    submit(fixture, 500, template=PLAIN, record=record)
     assert not record.attempts
-    made.tick(100.0 + 0.2 * PLAIN.latency_target_s)
+    fixture.tick(100.0 + 0.2 * PLAIN.latency_target_s)
     (attempt,) = record.attempts
     assert attempt.beyond_window and attempt.sent == pytest.approx(100.0)
-    made.ended(100.4, "r500", Outcome.DONE)
+    fixture.ended(100.4, "r500", Outcome.DONE)
     assert (attempt.outcome, attempt.ended) == ("done", pytest.approx(400.0))
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Where requests go: prefixes stay together from every router, hot ones spread, and windows add up."""
+"""Placement: all routers place a prefix alike, hot prefixes spread, and windows stay within the capacity."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from ochrespan.data_plane.scheduler import Outcome
 from ochrespan.data_plane.urgency import PriorityRanks, server_priority
 
-from .scheduling import PLAIN, scheduler, sent_to, server, submit
+from .scheduling import PLAIN, scheduler, sent_server_ids, server, submit
 
 
 def subject(number: int, shared: int = 13_000) -> dict:
@@ -18,13 +18,13 @@
     return {"prefix": prefix, "tokens_in": shared + 1300}
 
 
-def placements(made, subjects: int) -> dict[int, str]:
-    """Where each subject's request goes at rest."""
+def placements(sched, subjects: int) -> dict[int, str]:
+    """Returns the server of each subject's request on an idle service."""
     found = {}
     for number in range(subjects):
-        (found[number],) = sent_to(submit(made, f"home{number}", now=100.0 + number, **subject(number)))
-        made.first_event(100.2 + number, f"rhome{number}", 0.2)
-        made.ended(100.3 + number, f"rhome{number}", Outcome.DONE)
+        (found[number],) = sent_server_ids(submit(sched, f"home{number}", now=100.0 + number, **subject(number)))
+        sched.first_event(100.2 + number, f"rhome{number}", 0.2)
+        sched.ended(100.3 + number, f"rhome{number}", Outcome.DONE)
     return found
 
 
@@ -34,83 +34,83 @@
     assert len(set(first.values())) == 6
 
 
-def test_when_a_server_goes_only_its_own_prefixes_move():
+def test_when_a_server_is_removed_only_its_prefixes_move():
     before = placements(scheduler(servers=6), 60)
-    made = scheduler(servers=6)
-    made.set_servers(90.0, [server(n) for n in range(6) if n != 2], 1, 0)
-    after = placements(made, 60)
+    sched = scheduler(servers=6)
+    sched.set_servers(90.0, [server(n) for n in range(6) if n != 2], 1, 0)
+    after = placements(sched, 60)
     assert {number for number in before if before[number] != after[number]} == {
         number for number in before if before[number] == "i2"
     }
 
 
-def test_a_draining_server_gets_nothing_more():
-    made = scheduler(servers=2)
-    made.set_servers(90.0, [server(0), server(1, draining=True)], 1, 0)
-    assert set(placements(made, 20).values()) == {"i0"}
+def test_a_draining_server_gets_no_requests():
+    sched = scheduler(servers=2)
+    sched.set_servers(90.0, [server(0), server(1, draining=True)], 1, 0)
+    assert set(placements(sched, 20).values()) == {"i0"}
 
 
-def test_a_small_hot_prefix_spreads_over_a_few_servers_and_a_large_one_stays():
+def test_a_short_hot_prefix_spreads_over_a_few_servers_and_a_long_one_does_not():
     for shared, servers in ((300, 2), (30_000, 1)):
-        made = scheduler(servers=6, capacity=64)
+        sched = scheduler(servers=6, capacity=64)
         sent = Counter()
         for number in range(40):
-            sent.update(sent_to(submit(made, number, now=100.0 + number * 0.01, **subject(1, shared))))
+            sent.update(sent_server_ids(submit(sched, number, now=100.0 + number * 0.01, **subject(1, shared))))
         assert len(sent) >= servers if servers > 1 else len(sent) == 1, (shared, sent)
         assert len(sent) <= 3
 
 
-def test_plain_requests_prefer_an_open_connection_and_their_zone_and_leave_a_busy_server():
-    made = scheduler(servers=3, capacity=64)
+def test_requests_without_prefix_prefer_an_open_connection_and_their_zone_until_the_server_is_busy():
+    sched = scheduler(servers=3, capacity=64)
     seen = []
     for number in range(4):
-        seen += sent_to(submit(made, number, now=100.0 + number, like=PLAIN))
-        made.first_event(100.05 + number, f"r{number}", 0.05)
-        made.ended(100.05 + number, f"r{number}", Outcome.DONE)
+        seen += sent_server_ids(submit(sched, number, now=100.0 + number, template=PLAIN))
+        sched.first_event(100.05 + number, f"r{number}", 0.05)
+        sched.ended(100.05 + number, f"r{number}", Outcome.DONE)
     assert seen == ["i0"] * 4
     for number in range(10, 40):
-        seen += sent_to(submit(made, number, now=104.0, like=PLAIN))
+        seen += sent_server_ids(submit(sched, number, now=104.0, template=PLAIN))
     assert set(seen) == {"i0", "i1", "i2"}
 
 
 @pytest.mark.parametrize("routers", [1, 3, 9, 40])
-def test_windows_of_all_routers_add_up_to_a_few_times_the_capacity_and_each_stays_under_it(routers):
-    made = scheduler(servers=1, routers=routers, capacity=64)
-    state = made._pools["llm"].servers["i0"]
+def test_windows_of_all_routers_sum_to_a_few_times_the_capacity_and_each_is_below_it(routers):
+    sched = scheduler(servers=1, routers=routers, capacity=64)
+    state = sched._pools["llm"].servers["i0"]
     assert state.window <= max(8, 64 / routers)
     now, number, running = 100.0, 0, []
-    for _ in range(400):  # always full, always fast
-        while got := submit(made, number, now, PLAIN):
+    for _ in range(400):  # window always full, latency always low
+        while got := submit(sched, number, now, PLAIN):
             running.append(got[0].request_id)
             number += 1
-        made.cancel(now, f"r{number}")
+        sched.cancel(now, f"r{number}")
         number += 1
         now += 0.01
         name = running.pop(0)
-        made.first_event(now, name, 0.01)
-        made.ended(now, name, Outcome.DONE)
+        sched.first_event(now, name, 0.01)
+        sched.ended(now, name, Outcome.DONE)
     assert len(state.in_flight) <= state.window <= 64
     assert routers * state.window <= max(4 * 64, routers)
 
 
-def test_a_window_narrows_as_first_pieces_come_late_and_widens_again():
-    made = scheduler(servers=1, capacity=64)
-    state = made._pools["llm"].servers["i0"]
+def test_a_window_narrows_when_first_chunks_are_late_and_widens_again():
+    sched = scheduler(servers=1, capacity=64)
+    state = sched._pools["llm"].servers["i0"]
     widths = []
     for latency in (0.05, 5.0, 0.05):
         for number in range(60):
             now = 100.0 + 100 * len(widths) + number
             names = [f"{len(widths)}-{number}-{n}" for n in range(int(state.window))]
             for name in names:
-                submit(made, name, now, PLAIN)
+                submit(sched, name, now, PLAIN)
             for name in names:
-                made.first_event(now + latency, f"r{name}", latency)
-                made.ended(now + latency, f"r{name}", Outcome.DONE)
+                sched.first_event(now + latency, f"r{name}", latency)
+                sched.ended(now + latency, f"r{name}", Outcome.DONE)
         widths.append(state.window)
     assert widths[0] > 16 and widths[1] < 4 and widths[2] > widths[1], widths
 
 
-def test_reading_times_follow_the_shortest_and_do_not_run_after_queues():
+def test_prefill_estimates_follow_the_shortest_latencies_and_ignore_queueing():
     times = PrefillTimes()
     for round_ in range(200):
         cost = 1000 + 500 * (round_ % 20)
@@ -127,7 +127,7 @@
     )
 
 
-def test_servers_read_short_prompts_first_and_ranks_move_that_by_two_steps_at_most():
+def test_short_prompts_get_a_higher_priority_and_ranks_shift_it_by_two_steps_at_most():
     ranks = PriorityRanks()
     for priority in (0, 2, 1, 1002, 1000, 1001):
         ranks.add(priority)
@@ -140,10 +140,10 @@
     assert priorities[0][0] == 0 and 0 <= max(priorities[2]) <= 9
 
 
-def test_a_known_home_goes_before_the_hash_and_the_hash_stands_in_where_it_cannot_be_used():
+def test_a_known_affinity_server_takes_precedence_over_the_hash_unless_it_is_unusable():
     by_hash = placements(scheduler(servers=6), 1)[0]
     other = next(f"i{number}" for number in range(6) if f"i{number}" != by_hash)
-    made = scheduler(servers=6)
-    assert made.is_usable("llm", other) and not made.is_usable("llm", "i9") and not made.is_usable("none", other)
-    assert sent_to(submit(made, 1, affinity_server_id=other, **subject(0))) == [other]
-    assert sent_to(submit(made, 2, now=101.0, affinity_server_id="gone", **subject(0))) == [by_hash]
+    sched = scheduler(servers=6)
+    assert sched.is_usable("llm", other) and not sched.is_usable("llm", "i9") and not sched.is_usable("none", other)
+    assert sent_server_ids(submit(sched, 1, affinity_server_id=other, **subject(0))) == [other]
+    assert sent_server_ids(submit(sched, 2, now=101.0, affinity_server_id="gone", **subject(0))) == [by_hash]
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -1,4 +1,4 @@
-"""The priority that a server is given: by what a prompt costs to read, moved by the rank of tenant and route."""
+"""The `Priority` header for a server: the prefill cost of the prompt, shifted by the rank of tenant and route."""
 
 from ochrespan.data_plane.scheduler import Send
 from ochrespan.data_plane.urgency import MAX_SIZE_STEP, RANK_STEPS, PriorityRanks, server_priority
@@ -20,37 +20,37 @@
     assert ranks.step(7) == 0
 
 
-def test_longer_prompts_are_never_more_urgent_and_the_header_stays_within_its_range():
+def test_longer_prompts_are_never_more_urgent_and_the_header_stays_in_range():
     for step in range(RANK_STEPS + 1):
-        given = [server_priority(step, cost) for cost in (0, 100, 900, 1_100, 5_000, 20_000, 1e9)]
-        assert given == sorted(given)
-        assert given[0] == step and given[-1] == MAX_SIZE_STEP + step <= LOWEST_HEADER
+        priorities = [server_priority(step, cost) for cost in (0, 100, 900, 1_100, 5_000, 20_000, 1e9)]
+        assert priorities == sorted(priorities)
+        assert priorities[0] == step and priorities[-1] == MAX_SIZE_STEP + step <= LOWEST_HEADER
 
 
-def test_of_two_like_requests_the_one_of_the_higher_rank_gets_the_more_urgent_priority():
-    made = scheduler(servers=6)
+def test_of_two_equal_requests_the_one_of_higher_rank_gets_the_more_urgent_priority():
+    sched = scheduler(servers=6)
     sent = []
     for number, priority in ((1, 0), (2, 3), (3, 0), (4, 3)):
-        sent += submit(made, number, like=PLAIN, priority=priority, route=f"route{priority}")
+        sent += submit(sched, number, template=PLAIN, priority=priority, route=f"route{priority}")
     assert all(isinstance(action, Send) for action in sent)
     assert sent[2].priority < sent[3].priority
 
 
-def test_a_prompt_whose_shared_parts_no_server_has_read_counts_whole():
-    subject = {"prefix": (("subject", 16_000), ("own", 1000)), "tokens_in": 17_000, "affinity_server_id": "i1"}
-    made = scheduler()
-    (unread,) = submit(made, 1, **subject, is_prefix_uncached=True)
-    (kept,) = submit(made, 2, **subject, is_prefix_uncached=True)  # sent there a moment ago, so it is kept by then
-    assert (unread.server_id, kept.server_id) == ("i1", "i1")
-    assert unread.priority > kept.priority
-    (known,) = submit(scheduler(), 3, **subject)
-    assert known.priority == kept.priority
+def test_a_prompt_whose_prefix_is_not_cached_counts_in_full():
+    prompt = {"prefix": (("subject", 16_000), ("own", 1000)), "tokens_in": 17_000, "affinity_server_id": "i1"}
+    sched = scheduler()
+    (uncached,) = submit(sched, 1, **prompt, is_prefix_uncached=True)
+    (cached,) = submit(sched, 2, **prompt, is_prefix_uncached=True)  # sent there just before, so it counts as cached
+    assert (uncached.server_id, cached.server_id) == ("i1", "i1")
+    assert uncached.priority > cached.priority
+    (assumed,) = submit(scheduler(), 3, **prompt)
+    assert assumed.priority == cached.priority
 
 
-def test_the_wait_behind_an_unread_prompt_is_expected():
-    made = scheduler()
-    subject = {"prefix": (("subject", 50_000), ("own", 1000)), "tokens_in": 51_000, "affinity_server_id": "i1"}
-    submit(made, 1, **subject, is_prefix_uncached=True)
+def test_the_expected_wait_includes_the_prefill_of_an_uncached_prompt():
+    sched = scheduler()
+    prompt = {"prefix": (("subject", 50_000), ("own", 1000)), "tokens_in": 51_000, "affinity_server_id": "i1"}
+    submit(sched, 1, **prompt, is_prefix_uncached=True)
     small = {"prefix": (("other", 300), ("own", 100)), "tokens_in": 400, "affinity_server_id": "i1"}
-    (action,) = submit(made, 2, **small)
+    (action,) = submit(sched, 2, **small)
     assert action.server_id != "i1"
