--- a/ochrespan/data_plane/decisions.py
+++ b/ochrespan/data_plane/decisions.py
@@ -56,7 +56,7 @@
     """How an attempt ended."""
 
     DONE = "done"
-    FAILED_STATUS = "failed status"  # a 5xx of the server itself, forwarded to the client
+    FAILED_STATUS = "failed status"  # an error of the server itself, forwarded to the client
     REJECTED_FULL = "rejected full"  # not executed: the server answered that it is full
     MISDIRECTED = "misdirected"  # not executed: another incarnation listens at the address
     NOT_SENT = "not sent"  # not executed: the connection failed before the last byte of the request was written
--- a/ochrespan/data_plane/placement.py
+++ b/ochrespan/data_plane/placement.py
@@ -18,7 +18,7 @@
 from .server_state import ServerState
 
 CACHE_MISS_FACTOR = 10.0  # cost of a prefix prefill over its own time: other requests at the server wait as well
-MAX_WAIT_FRACTION = 0.25  # cap of the wait that counts, over the latency target: wait estimates may be far too long
+MAX_WAIT_FRACTION = 0.25  # cap of the expected wait that counts for a shared prefix, over the latency target
 IN_FLIGHT_COST_S = 0.0005  # by which each request in flight slows a new one down
 CROSS_ZONE_COST_S = 0.003  # latency that is accepted to avoid traffic between zones
 NEW_CONNECTION_FRACTION = 0.1  # cost of opening a connection, over the latency target
@@ -30,8 +30,8 @@
 
 def shared_prefix(prefix: Sequence[tuple[str, int]]) -> str:
     """Returns the key of the shared prefix: all segments but the last, which belongs to one request or session."""
-    parts = prefix[:-1] or prefix
-    return ",".join(part for part, _ in parts)
+    segments = prefix[:-1] or prefix
+    return ",".join(segment for segment, _ in segments)
 
 
 class Rankings:
@@ -137,9 +137,7 @@
         if not prompt.shared_tokens:
             return self.select_any(now, prompt, tried, usable)
         ranked = self._ranked(prompt)
-        candidates = [server for server in ranked if server.is_healthy(now) and server.server.id not in tried][
-            :AFFINITY_SERVERS
-        ]
+        candidates = [s for s in ranked if s.is_healthy(now) and s.server.id not in tried][:AFFINITY_SERVERS]
         if not candidates:
             return self.select_any(now, prompt, tried, usable)
         selected = self._select_cheapest(now, prompt, candidates)
@@ -178,11 +176,13 @@
         return selected
 
     def _costs(self, prompt: Prompt) -> tuple[float, float]:
+        """Returns the cost of the prefill, in seconds, with the shared prefix cached and with it not cached."""
         cached, uncached = prompt.prefill_cost(True), prompt.prefill_cost(False)
         return self.prefill_times.seconds_per_token * cached, self.prefill_times.seconds_per_token * (
             cached + CACHE_MISS_FACTOR * (uncached - cached)
         )
 
     def _fixed_costs(self, now: float, server: ServerState, prompt: Prompt) -> float:
+        """Returns the costs of the zone and of a new connection, in seconds."""
         zone = 0.0 if server.server.zone == self._zone else CROSS_ZONE_COST_S
         return zone + (0.0 if server.has_connection(now) else NEW_CONNECTION_FRACTION * prompt.latency_target_s)
--- a/ochrespan/data_plane/quota_admission.py
+++ b/ochrespan/data_plane/quota_admission.py
@@ -10,9 +10,8 @@
 if TYPE_CHECKING:
     from ochrespan.control_plane.quota.client import TokenReservation
 
-REQUEST_INTERVAL_S = (
-    0.05  # between two requests for tokens of a tenant; the first of each client request is not limited
-)
+# between two requests for tokens of one tenant; the first one of each client request is not limited
+REQUEST_INTERVAL_S = 0.05
 
 
 class Quotas(Protocol):
--- a/ochrespan/data_plane/scheduler.py
+++ b/ochrespan/data_plane/scheduler.py
@@ -65,8 +65,8 @@
         by_service: dict[str, list[Server]] = {name: [] for name in (self._pools if services is None else services)}
         for server in servers:
             by_service.setdefault(server.service, []).append(server)
-        for name, listed in by_service.items():
-            self._pool(now, name).set_servers(listed, self._routers)
+        for name, service_servers in by_service.items():
+            self._pool(now, name).set_servers(service_servers, self._routers)
         if routers_changed:
             self._update_router_count()
         for name in self._pools if routers_changed else by_service:
@@ -170,16 +170,16 @@
     def tick(self, now: float) -> list[Action]:
         """Sends or refuses the queued requests whose check is due."""
         self._flows.end_round(now)
-        touched: dict[str, None] = {}
+        affected_services: dict[str, None] = {}
         while self._checks and self._checks[0][0] <= now:
             job = heapq.heappop(self._checks)[2]
             if job.is_done or not job.is_waiting:
                 continue
             pool = self._pool(now, job.request.service)
-            touched[job.request.service] = None
+            affected_services[job.request.service] = None
             if now >= job.request.deadline - RESPONSE_MARGIN_S or not self._send_overdue(now, pool, job):
                 self._give_up(now, pool, job, 504)
-        for name in touched:
+        for name in affected_services:
             self._dispatch(now, self._pools[name])
         return self._take_actions()
 
@@ -220,10 +220,10 @@
         queue_length = max(MIN_QUEUE_LENGTH, 2 * sum(ceil(server.window) for server in pool.usable))
         while True:
             pool.queues.promote(now, queue_length)
-            found = self._next_send(now, pool)
-            if found is None:
+            ready_send = self._next_send(now, pool)
+            if ready_send is None:
                 return
-            job, server = found
+            job, server = ready_send
             pool.queues.remove(job)
             self._send(now, pool, job, server)
 
--- a/tests/golden/test_decision_record_fields.py
+++ b/tests/golden/test_decision_record_fields.py
@@ -46,8 +46,8 @@
 
 
 def test_the_choices_of_a_server_have_their_words(snapshot):
-    words = [HOME, MOVED, ANY]
-    assert words == snapshot
+    labels = [HOME, MOVED, ANY]
+    assert labels == snapshot
 
 
 def test_the_record_of_a_served_stream_has_its_fields_in_order(snapshot):
--- a/tests/golden/test_scheduler_decisions.py
+++ b/tests/golden/test_scheduler_decisions.py
@@ -38,16 +38,16 @@
 
 
 def test_the_schedules_reach_every_action_and_every_end():
-    words = Counter()
+    counts = Counter()
     for seed in range(40):
         for line in Schedule(seed).play():
-            parts = line.split()
-            if parts[0] == "record":
+            fields = line.split()
+            if fields[0] == "record":
                 continue
-            words[parts[1]] += 1
-            words[f"attempt {parts[4]}" if parts[1] == "Send" else parts[3]] += 1
+            counts[fields[1]] += 1
+            counts[f"attempt {fields[4]}" if fields[1] == "Send" else fields[3]] += 1
     for expected in ("Send", "Refuse", "Fail", "attempt 2", "attempt 3", "503", "502", "504"):
-        assert words[expected] > 5, (expected, words)
+        assert counts[expected] > 5, (expected, counts)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -102,7 +102,7 @@
 
 
 def test_urgent_flows_get_more_capacity_and_none_starves():
-    """With one server of capacity one under overload, each flow is served, in proportion to its priority."""
+    """With one server of capacity one under overload, each flow is served, and urgent ones more often."""
     sched = scheduler(servers=1, capacity=1)
     numbers, served, now = count(), Counter(), 100.0
     routes = {f"route{priority}": priority for priority in range(3)}
