--- a/ochrespan/data_plane/decision_record.py
+++ b/ochrespan/data_plane/decision_record.py
@@ -18,10 +18,8 @@
 _HASH_RANGE = 1 << 32
 _MS_PER_S = 1000.0
 
-HOME = "home"  # sent to the server that has the shared prefix cached
-MOVED = (
-    "moved"  # sent elsewhere: waiting for the home server was expected to cost more than another prefill of the prefix
-)
+HOME = "home"  # sent to the preferred server of the shared prefix
+MOVED = "moved"  # sent elsewhere: waiting there was expected to cost more than another prefill of the prefix
 ANY = "any"  # the prompt has no shared prefix, or none of its servers was usable
 
 
@@ -84,23 +82,23 @@
         sample_rate: float = 0.0,
         write: Callable[[str], object] | None = None,
         clock: Callable[[], float] = time.monotonic,
-        time_of_day: Callable[[], float] = time.time,
+        wall_clock: Callable[[], float] = time.time,
     ) -> None:
         self.sample_rate = sample_rate
         self._write = write or _logger().info
         self._clock = clock
-        self._time_of_day = time_of_day
+        self._wall_clock = wall_clock
 
-    def begin(self, request_id: str, arrived: float) -> DecisionRecord | None:
+    def begin(self, request_id: str, arrived_at: float) -> DecisionRecord | None:
         """Returns a record for a request that arrived at this monotonic time, or None if it is not sampled."""
         if self.sample_rate <= 0.0 or zlib.crc32(request_id.encode("latin-1")) >= self.sample_rate * _HASH_RANGE:
             return None
-        return DecisionRecord(request_id, self._time_of_day() - (self._clock() - arrived))
+        return DecisionRecord(request_id, self._wall_clock() - (self._clock() - arrived_at))
 
-    def finish(self, record: DecisionRecord, arrived: float, status: int, retry_after: float | None = None) -> None:
+    def finish(self, record: DecisionRecord, arrived_at: float, status: int, retry_after: float | None = None) -> None:
         """Writes the record, after the final response was sent or the exchange ended without one."""
         record.status, record.retry_after = status, retry_after
-        record.ended = milliseconds(self._clock() - arrived)
+        record.ended = milliseconds(self._clock() - arrived_at)
         self._write(dumps(asdict(record), separators=(",", ":")))
 
 
--- a/ochrespan/data_plane/flows.py
+++ b/ochrespan/data_plane/flows.py
@@ -23,9 +23,9 @@
     priority: int = 0
     responses: int = 0  # in the current ARR round
 
-    def record_first_response(self, latency: float, latency_target_s: float) -> None:
-        """Records the first chunk of a response, `latency` seconds after the request arrived."""
-        self.latency_excess += latency - latency_target_s
+    def record_first_response(self, latency_s: float, latency_target_s: float) -> None:
+        """Records the first chunk of a response, `latency_s` seconds after the request arrived."""
+        self.latency_excess_s += latency_s - latency_target_s
         self.responses += 1
 
 
@@ -35,7 +35,7 @@
     def __init__(self) -> None:
         self._flows: dict[tuple[str, str], Flow] = {}
         self._ranks = PriorityRanks()
-        self._round_at = -inf
+        self._round_ends_at = -inf
 
     def flow_for(self, now: float, request: Request) -> Flow:
         """Returns the flow of a request; a new one gets the weight and gain of its rank step."""
@@ -55,9 +55,9 @@
 
     def end_round(self, now: float) -> None:
         """Ends the ARR round if it is due: adjusts gains, resets the counters and removes idle flows."""
-        if now < self._round_at:
+        if now < self._round_ends_at:
             return
-        self._round_at = now + ROUND_S
+        self._round_ends_at = now + ROUND_S
         for key, flow in list(self._flows.items()):
             end_round(flow, flow.responses / (flow.responses + HALF_CONFIDENCE_RESPONSES))
             flow.responses = 0
--- a/ochrespan/data_plane/server_state.py
+++ b/ochrespan/data_plane/server_state.py
@@ -11,7 +11,7 @@
 
 # requests; a window starts at an equal fraction of the capacity per router, within these bounds
 MIN_INITIAL_WINDOW, MAX_INITIAL_WINDOW = 8.0, 16.0
-HEADROOM = 4.0  # capacity that one router may use, over an equal fraction per router: demand is uneven
+HEADROOM = 4.0  # equal fractions of the capacity that one router may use at most: demand is uneven
 WAIT_SMOOTHING = 0.25  # weight of a new observation in the smoothed wait
 WAIT_DECAY_S = 1.0  # time constant of the exponential decay of an observed wait
 # queueing time over the latency target above which a window narrows, and up to which it widens
@@ -47,9 +47,7 @@
     prefill_done_at: float = 0.0  # when the prefills of all prompts sent by this router are expected to be done
     excess_wait_s: float = 0.0  # smoothed wait beyond the expected one, as of excess_wait_at
     excess_wait_at: float = 0.0
-    cached_prefixes: dict[str, float] = field(
-        default_factory=dict
-    )  # keys of shared prefixes sent here, and when each was last sent
+    cached_prefixes: dict[str, float] = field(default_factory=dict)  # when each shared prefix was last sent here
     full_until: float = 0.0  # end of the pause after the server answered that it is full
     open_connections: int = 0  # estimated number
     connection_used_at: float = 0.0  # when a connection was last used
@@ -91,13 +89,13 @@
         This is the remaining prefill of the requests in flight plus the decayed excess wait of recent responses, or the
         delay of the oldest attempt without a response, if that is longer.
         """
-        wait = max(self.prefill_done_at - now, 0.0) + self.excess_wait_s * exp(
+        wait_s = max(self.prefill_done_at - now, 0.0) + self.excess_wait_s * exp(
             (self.excess_wait_at - now) / WAIT_DECAY_S
         )
         for attempt in self.in_flight.values():
             if not attempt.has_responded:
-                return max(wait, now - attempt.sent_at - attempt.expected_wait_s - attempt.expected_prefill_s)
-        return wait
+                return max(wait_s, now - attempt.sent_at - attempt.expected_wait_s - attempt.expected_prefill_s)
+        return wait_s
 
     def has_connection(self, now: float) -> bool:
         """Returns whether an idle connection to the server is likely to be open."""
@@ -127,13 +125,13 @@
         attempt = self.in_flight[request_id]
         attempt.has_responded = True
         self.last_response_at = now
-        excess = max(0.0, latency_s - attempt.expected_prefill_s - attempt.expected_wait_s)
+        excess_s = max(0.0, latency_s - attempt.expected_prefill_s - attempt.expected_wait_s)
         retained = (1 - WAIT_SMOOTHING) * exp((self.excess_wait_at - now) / WAIT_DECAY_S)
-        self.excess_wait_s, self.excess_wait_at = retained * self.excess_wait_s + (1 - retained) * excess, now
-        queue = latency_s - attempt.expected_prefill_s
-        if queue > NARROW_WAIT_FRACTION * latency_target_s:
+        self.excess_wait_s, self.excess_wait_at = retained * self.excess_wait_s + (1 - retained) * excess_s, now
+        queueing_s = latency_s - attempt.expected_prefill_s
+        if queueing_s > NARROW_WAIT_FRACTION * latency_target_s:
             self.window = narrowed(self.window)
-        elif queue <= WIDEN_WAIT_FRACTION * latency_target_s and len(self.in_flight) + 1 >= int(self.window):
+        elif queueing_s <= WIDEN_WAIT_FRACTION * latency_target_s and len(self.in_flight) + 1 >= int(self.window):
             self.window = widened(self.window, self.window_cap)
         if not any(not other.has_responded for other in self.in_flight.values()):
             self.prefill_done_at = now  # all prompts in flight are prefilled
--- a/ochrespan/data_plane/service_pool.py
+++ b/ochrespan/data_plane/service_pool.py
@@ -12,9 +12,7 @@
 from .server_state import Attempt, ServerState
 
 RESPONSE_TIMEOUT_S = 1.5  # time without any response after which a disconnecting client counts against the server
-OUTCOMES_WITHOUT_RESPONSE = frozenset(
-    {Outcome.NOT_SENT, Outcome.TIMED_OUT, Outcome.CANCELLED}
-)  # the server did not respond
+OUTCOMES_WITHOUT_RESPONSE = frozenset({Outcome.NOT_SENT, Outcome.TIMED_OUT, Outcome.CANCELLED})
 
 
 @dataclass(slots=True, eq=False)
--- a/ochrespan/flow_state.py
+++ b/ochrespan/flow_state.py
@@ -12,5 +12,5 @@
     normalized_usage: float = 0.0  # allocated units divided by the weight; LexAS calls it eta
     gain: float = 0.0  # ARR serves flows in proportion to their gains
     sends_in_round: int = 0  # attempts sent in the current ARR round
-    latency_excess: float = 0.0  # s, sum of (latency - target) in this round; above 0 the mean missed the target
+    latency_excess_s: float = 0.0  # sum of (latency - target) in this round; above 0 the mean missed the target
     last_used_at: float = 0.0
--- a/ochrespan/policy/arr.py
+++ b/ochrespan/policy/arr.py
@@ -9,7 +9,7 @@
 
 INITIAL_GAIN = 1.0  # gain of a new flow
 GAIN_STEP = 0.5  # gain added after a round in which the flow's mean latency exceeded its target
-ROUND_S = 1.0  # length of a round
+ROUND_S = 1.0
 
 
 def rank(flow: FlowState) -> float:
@@ -22,6 +22,6 @@
 
 def end_round(flow: FlowState, confidence: float = 1.0) -> None:
     """Adds GAIN_STEP, scaled by `confidence`, to a flow that missed its latency target, and resets its counters."""
-    if flow.latency_excess > 0:
+    if flow.latency_excess_s > 0:
         flow.gain += GAIN_STEP * confidence
-    flow.sends_in_round, flow.latency_excess = 0, 0.0
+    flow.sends_in_round, flow.latency_excess_s = 0, 0.0
--- a/ochrespan/policy/front.py
+++ b/ochrespan/policy/front.py
@@ -223,7 +223,7 @@
         self._reported(node, got.report)
         if got.status is Status.OK:
             self._served(node, got, job.req, sent_at)
-            job.flow.latency_excess += self.now - job.taken_at - job.cls.aim
+            job.flow.latency_excess_s += self.now - job.taken_at - job.cls.aim
         elif got.status not in (Status.MOOT, Status.CANCELLED):  # these tell nothing of the node
             self._failed(node, got, sent_at)
         if got.status not in NEVER_RAN and job.ran is None:
--- a/tests/golden/test_decision_record_fields.py
+++ b/tests/golden/test_decision_record_fields.py
@@ -22,7 +22,7 @@
 
 
 def fixed_log(lines):
-    return DecisionLog(1.0, lines.append, clock=lambda: NOW_S, time_of_day=lambda: TIME_OF_DAY_S)
+    return DecisionLog(1.0, lines.append, clock=lambda: NOW_S, wall_clock=lambda: TIME_OF_DAY_S)
 
 
 def test_a_fresh_record_is_one_line_of_json_with_its_defaults(snapshot):
