--- a/ochrespan/data_plane/deadlines.py
+++ b/ochrespan/data_plane/deadlines.py
@@ -1,4 +1,4 @@
-"""Many deadlines on one timer of the event loop."""
+"""A heap of deadlines that share one timer of the event loop."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Deadline:
-    """A callback that is due at a time of the steady clock, unless it is cancelled before."""
+    """A callback that runs at a monotonic time unless it is cancelled before."""
 
     __slots__ = ("at", "callback")
 
@@ -23,33 +23,36 @@
 
 
 class DeadlineHeap:
-    """Runs callbacks when they are due. A cancelled deadline stays in the heap and costs at most one wake-up."""
+    """Runs callbacks when they are due.
+
+    A cancelled deadline stays in the heap until its time and causes at most one wake-up.
+    """
 
     def __init__(self, loop: Any, clock: Callable[[], float] = time.monotonic) -> None:
         self._loop = loop
         self._clock = clock
         self._heap: list[tuple[float, int, Deadline]] = []
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
         self._timer: Any = None
-        self._armed_for = float("inf")
+        self._timer_due_at = float("inf")
 
     def schedule(self, at: float, callback: Callable[[], None]) -> Deadline:
-        """`callback` runs in the event loop, where it must not block, soon after `at`."""
+        """Schedules `callback` to run soon after `at`, in the event loop, where it must not block."""
         deadline = Deadline(at, callback)
-        heapq.heappush(self._heap, (at, next(self._numbers), deadline))
-        if at < self._armed_for:
+        heapq.heappush(self._heap, (at, next(self._sequence), deadline))
+        if at < self._timer_due_at:
             self._arm(at)
         return deadline
 
     def _arm(self, at: float) -> None:
         if self._timer is not None:
             self._timer.close()
-        self._armed_for = at
+        self._timer_due_at = at
         self._timer = self._loop.timer(max(0.0, at - self._clock()))
         self._timer.start(self._run_due)
 
     def _run_due(self) -> None:
-        self._armed_for = float("inf")
+        self._timer_due_at = float("inf")
         now = self._clock()
         heap = self._heap
         while heap and (heap[0][2].callback is None or heap[0][0] <= now):
@@ -57,5 +60,5 @@
             callback, deadline.callback = deadline.callback, None
             if callback is not None:
                 callback()
-        if heap and heap[0][0] < self._armed_for:
+        if heap and heap[0][0] < self._timer_due_at:
             self._arm(heap[0][0])
--- a/ochrespan/data_plane/flows.py
+++ b/ochrespan/data_plane/flows.py
@@ -1,74 +1,74 @@
-"""The flows of one router: a tenant's requests on one route, with what LexAS and ARR keep of them."""
+"""The flows of one router and their scheduling state. A flow is the requests of one tenant on one route."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from math import inf
 
-from ..policy.arr import KAPPA, ROUND, end_round
-from ..share import Share
+from ..flow_state import FlowState
+from ..policy.arr import INITIAL_GAIN, ROUND_S, end_round
 from .decisions import Request
-from .urgency import Ranks
+from .urgency import PriorityRanks
 
-URGENCY = 2.0  # multiple of a flow's weight, and of its first gain, for each step of urgency
-CERTAIN = 4.0  # answers in a round whose mean counts half: a mean over few is noise
-IDLE_FLOW = 30.0  # s, after which an idle flow leaves the table
+WEIGHT_RATIO = 2.0  # weight and initial gain of a flow over those of a flow one rank step lower
+HALF_CONFIDENCE_RESPONSES = 4.0  # responses in a round at which its mean counts half: the mean of a few is noise
+IDLE_TIMEOUT_S = 30.0  # idle flows are removed after this time
 
 
 @dataclass(slots=True, eq=False)
-class Flow(Share):
-    """A tenant's requests on one route."""
+class Flow(FlowState):
+    """Requests of one tenant on one route."""
 
     weight: float
     priority: int = 0
-    answers: int = 0  # in this round
+    responses: int = 0  # in the current ARR round
 
-    def answered(self, wait: float, aim: float) -> None:
-        """A first piece has come `wait` seconds after its request."""
-        self.over += wait - aim
-        self.answers += 1
+    def record_first_response(self, latency_s: float, latency_target_s: float) -> None:
+        """Records the first chunk of a response, `latency_s` seconds after the request arrived."""
+        self.latency_excess_s += latency_s - latency_target_s
+        self.responses += 1
 
 
 class FlowTable:
-    """All flows that had requests lately."""
+    """All flows with recent requests."""
 
     def __init__(self) -> None:
         self._flows: dict[tuple[str, str], Flow] = {}
-        self._ranks = Ranks()
-        self._round_at = -inf
+        self._ranks = PriorityRanks()
+        self._round_ends_at = -inf
 
-    def of(self, now: float, request: Request) -> Flow:
-        """The flow of a request; a new one starts with the gain of its urgency."""
+    def flow_for(self, now: float, request: Request) -> Flow:
+        """Returns the flow of a request; a new one gets the weight and gain of its rank step."""
         flow = self._flows.get((request.tenant, request.route))
         if flow is None:
-            if self._ranks.note(request.priority):
-                self._reweigh()
+            if self._ranks.add(request.priority):
+                self._update_weights()
             weight = self._weight(request.priority)
-            flow = Flow(weight=weight, gain=KAPPA * weight, priority=request.priority)
+            flow = Flow(weight=weight, gain=INITIAL_GAIN * weight, priority=request.priority)
             self._flows[request.tenant, request.route] = flow
-        flow.used_at = now
+        flow.last_used_at = now
         return flow
 
-    def step(self, request: Request) -> int:
-        """How many steps of urgency a request is below the most urgent."""
+    def rank_step(self, request: Request) -> int:
+        """Returns how many rank steps a request is below the most urgent one."""
         return self._ranks.step(request.priority)
 
     def end_round(self, now: float) -> None:
-        """ARR: flows whose mean latency missed their aim gain gamma, and every a resets."""
-        if now < self._round_at:
+        """Ends the ARR round if it is due: adjusts gains, resets the counters and removes idle flows."""
+        if now < self._round_ends_at:
             return
-        self._round_at = now + ROUND
+        self._round_ends_at = now + ROUND_S
         for key, flow in list(self._flows.items()):
-            end_round(flow, flow.answers / (flow.answers + CERTAIN))
-            flow.answers = 0
-            if now - flow.used_at > IDLE_FLOW:
+            end_round(flow, flow.responses / (flow.responses + HALF_CONFIDENCE_RESPONSES))
+            flow.responses = 0
+            if now - flow.last_used_at > IDLE_TIMEOUT_S:
                 del self._flows[key]
 
     def _weight(self, priority: int) -> float:
-        return URGENCY ** -self._ranks.step(priority)
+        return WEIGHT_RATIO ** -self._ranks.step(priority)
 
-    def _reweigh(self) -> None:
-        """The steps of urgency have moved: weights and gains follow."""
+    def _update_weights(self) -> None:
+        """Recomputes weights and gains after a new priority has shifted the rank steps."""
         for flow in self._flows.values():
             weight = self._weight(flow.priority)
             flow.gain *= weight / flow.weight
--- a/ochrespan/data_plane/router_figures.py
+++ b/ochrespan/data_plane/router_metrics.py
@@ -1,4 +1,4 @@
-"""The router's figures: decisions about requests, ends of attempts, and what is held."""
+"""Metrics of the router: decisions about requests, and outcomes of attempts."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 DECISION_NAMES = {"Send": "send", "Refuse": "refuse", "Fail": "fail"}
 
 
-class RouterFigures:
-    """Counts what the scheduler decides and how attempts end."""
+class RouterMetrics:
+    """Counts the decisions of the scheduler and the outcomes of attempts."""
 
     def __init__(self, registry: MetricsRegistry) -> None:
         self.registry = registry
@@ -21,10 +21,10 @@
             "ochrespan_router_attempts_total", "Ended attempts by how they ended.", "outcome"
         )
 
-    def decided(self, action: Action) -> None:
-        """The scheduler decided about a request."""
+    def record_decision(self, action: Action) -> None:
+        """Counts a decision of the scheduler."""
         self._decisions.add(DECISION_NAMES[type(action).__name__])
 
-    def ended(self, outcome: Outcome) -> None:
-        """An attempt ended."""
+    def record_attempt_end(self, outcome: Outcome) -> None:
+        """Counts the outcome of an attempt."""
         self._attempts.add(outcome.name.lower())
--- a/tests/golden/test_scheduler_decisions.py
+++ b/tests/golden/test_scheduler_decisions.py
@@ -1,7 +1,7 @@
-"""The scheduler decides as it did when the digests were recorded, in several hundred schedules.
+"""The scheduler makes the same decisions as when the digests were recorded, in several hundred schedules.
 
-`python -m tests.golden.test_scheduler_decisions` records them anew: for a change of what is decided, never for one of
-how it is written.
+`python -m tests.golden.test_scheduler_decisions` records the digests again. Use it only for an intended change of
+decisions, never for a refactoring.
 """
 
 from __future__ import annotations
@@ -38,32 +38,32 @@
 
 
 def test_the_schedules_reach_every_action_and_every_end():
-    words = Counter()
+    counts = Counter()
     for seed in range(40):
         for line in Schedule(seed).play():
-            parts = line.split()
-            if parts[0] == "record":
+            fields = line.split()
+            if fields[0] == "record":
                 continue
-            words[parts[1]] += 1
-            words[f"attempt {parts[4]}" if parts[1] == "Send" else parts[3]] += 1
+            counts[fields[1]] += 1
+            counts[f"attempt {fields[4]}" if fields[1] == "Send" else fields[3]] += 1
     for expected in ("Send", "Refuse", "Fail", "attempt 2", "attempt 3", "503", "502", "504"):
-        assert words[expected] > 5, (expected, words)
+        assert counts[expected] > 5, (expected, counts)
 
 
 @pytest.mark.parametrize(
     ("module", "name"),
     [
         (scheduler, "TOKENS_PER_UNIT"),
-        (scheduler, "REFUSE_AT"),
-        (scheduler, "HOPELESS"),
-        (scheduler, "UNKNOWN_BASE"),
-        (scheduler, "LEAST_LENGTH"),
-        (placement, "MOVE_COST"),
-        (server_state, "COLD_COST"),
+        (scheduler, "OVERDUE_FRACTION"),
+        (scheduler, "MAX_SERVER_WAIT_RATIO"),
+        (scheduler, "DEFAULT_BASE_FRACTION"),
+        (scheduler, "MIN_QUEUE_LENGTH"),
+        (placement, "CACHE_MISS_FACTOR"),
+        (server_state, "SLOW_START_FACTOR"),
     ],
 )
 def test_a_changed_constant_is_seen(module, name, monkeypatch):
-    """Not a rule of its own: it shows that the schedules depend on what the constants decide."""
+    """Guards the test data: the schedules must cover the decisions that depend on these constants."""
     recorded = json.loads(RECORD.read_text())["digests"]
     monkeypatch.setattr(module, name, getattr(module, name) * 3)
     assert any(digest_of(Schedule(seed).play()) != recorded[seed] for seed in range(SEEDS))
