--- a/ochrespan/policy/front.py
+++ b/ochrespan/policy/front.py
@@ -14,7 +14,7 @@
 from math import ceil, exp, inf
 
 from .. import interface as api
-from ..asking import Asking
+from ..discovery_polling import Asking
 from ..interface import Effect, Group, ListKind, Status
 from ..recent import Recent
 from ..state import Flow, Job, Lane, Node, NodeTable, Queues, Store, Turns, Volume
--- a/tests/test_asking.py
+++ b/tests/test_discovery_polling.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ochrespan.asking import Asking
+from ochrespan.discovery_polling import Asking
 
 WITHIN, PATIENCE = 10.0, 2.0
 
