--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -21,7 +21,7 @@
 from .machine import machine
 
 USED, VOLUMES = 24, 40
-READ = api.RequestClass("read", aim=0.5, deadline=4.0, effect=api.Effect.SAFE)
+READ = api.RequestClass("read", latency_target=0.5, deadline=4.0, effect=api.Effect.SAFE)
 
 
 class Front:
@@ -30,15 +30,15 @@
     def __init__(self, servers: int) -> None:
         self.settings = api.Settings(
             seed=1,
-            heads=200,
+            fronts=200,
             shards=servers,
             classes={"read": READ},
             plans={"gold": api.Plan("gold", reserve=50.0)},
             list_on_request=True,
-            ask_within=10.0,
+            max_poll_interval=10.0,
             max_attempts=3,
             mean_units=2.0,
-            most_units=8.0,
+            max_units=8.0,
             cold_units=8.0,
             start_capacity=0.2,
             warm_up=16.0,
@@ -55,7 +55,7 @@
         self.now += 0.003
         name, shard = f"r{self.count}", self.lot.randrange(min(USED, len(self.nodes)))
         volume = f"v{self.lot.randrange(VOLUMES)}"
-        self.head.handle(self.now, [api.Request(name, volume, "read", "gold", 4.0, 2, shard, hosts=2)])
+        self.head.handle(self.now, [api.Request(name, volume, "read", "gold", 4.0, 2, shard, fronts=2)])
         report = {"queue": 0.0, "util": 0.5}
         self.head.handle(self.now, [api.Outcome(name, 0, f"n{shard}", api.Status.OK, 0.05, True, report)])
 
--- a/ochrespan/broker.py
+++ b/ochrespan/broker.py
@@ -17,7 +17,7 @@
 from . import interface as api
 from .figures import ClassTotals
 from .logs import unbound
-from .policy.front import FAILS, NEVER_RAN, Scheduler
+from .policy.front import MAX_BACKOFF_FAILURES, NOT_EXECUTED, Scheduler
 from .requests import (
     Attempt,
     Counts,
@@ -99,7 +99,7 @@
 
     def backing_off(self) -> set[str]:
         """The chunk servers that the decisions avoid for now."""
-        return {name for name, node in self._scheduler.nodes.items() if node.fails >= FAILS}
+        return {name for name, node in self._scheduler.nodes.items() if node.failures >= MAX_BACKOFF_FAILURES}
 
     def _now(self) -> float:
         return self._loop.time() + self._offset
@@ -189,7 +189,7 @@
         settings = self._settings
         if request.cls not in settings.classes:
             raise Unacceptable("there is no such class")
-        if not 0 < request.units <= settings.most_units:
+        if not 0 < request.units <= settings.max_units:
             raise Unacceptable("no request has so many units")
         if request.shard < -1:
             raise Unacceptable("there is no such shard")
@@ -206,10 +206,10 @@
             if held.final:
                 held.step.set_result(held.final)
         status = outcome.status
-        if outcome.attempt.revoked and not served and status not in NEVER_RAN:
+        if outcome.attempt.revoked and not served and status not in NOT_EXECUTED:
             status = Status.CANCELLED
         self.counts.outcomes[status] += 1
-        held.ran += status not in NEVER_RAN
+        held.ran += status not in NOT_EXECUTED
         if outcome.elsewhere and held.hold is not None and self._gate is not None:
             self._gate.heard(self._now(), held.hold, outcome.elsewhere)
         self._handle(
@@ -221,8 +221,8 @@
                 outcome.latency.total_seconds(),
                 closed=served or held.final is not None,
                 report=outcome.load,
-                elsewhere=outcome.elsewhere,
-                most_attempts=0 if served or held.final else self._paid(held),
+                units_elsewhere=outcome.elsewhere,
+                max_attempts=0 if served or held.final else self._paid(held),
             )
         )
         if not served:
--- a/ochrespan/config.py
+++ b/ochrespan/config.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from . import interface as api
-from .settings import Links, flatten, read_links, read_settings
+from .settings import ConnectionSettings, flatten, read_connection_settings, read_settings
 from .upgrade import shared_folder
 
 DEFAULT_SOCKETS, DEFAULT_MEMORY_MB = 1024, 192
@@ -35,7 +35,7 @@
     listen: tuple[str, int]
     discovery: str
     settings: api.Settings
-    links: Links
+    links: ConnectionSettings
     known: Any
     sockets: int
     memory: int  # bytes
@@ -117,7 +117,7 @@
             return 0
         return value
 
-    def settings(self, seed: int) -> tuple[api.Settings | None, Links | None]:
+    def settings(self, seed: int) -> tuple[api.Settings | None, ConnectionSettings | None]:
         told = self.told.get("settings")
         if not isinstance(told, dict):
             self.fault("settings", told, "an object")
@@ -127,8 +127,9 @@
             fields["InitSeed"] = str(seed)
             settings = read_settings(fields)
             if not settings.list_on_request:  # pushed, but not to whoever does not watch: on the wire nothing comes
-                settings.list_on_request, settings.ask_within = True, 0.0  # unasked, and all counts as told at once
-            return settings, read_links(fields)
+                # unasked, and all counts as told at once
+                settings.list_on_request, settings.max_poll_interval = True, 0.0
+            return settings, read_connection_settings(fields)
         except (LookupError, TypeError, ValueError, AttributeError) as why:
             self.faults.append(f"{self.path}: settings: {why}")
             return None, None
--- a/ochrespan/contracts/section.py
+++ b/ochrespan/contracts/section.py
@@ -58,8 +58,8 @@
             capacity = Reserve(told.capacity_units_per_s, told.capacity_burst_units)
         elif told.capacity_burst_units is not None:
             faults.add("[contracts] capacity_units_per_s", "nothing", "a rate beside capacity_burst_units")
-        fronts = told.fronts or max(1, settings.heads)
-        self.book = Book(capacity, fronts, settings.most_units, max(1, settings.max_attempts))
+        fronts = told.fronts or max(1, settings.fronts)
+        self.book = Book(capacity, fronts, settings.max_units, max(1, settings.max_attempts))
         self._places: dict[str, str] = {}  # of each level, by path
         self._teams: dict[str, tuple[str, TeamTable]] = {}  # path and table, by name
         self._names: dict[tuple[str, str], str] = {}  # tokens, volumes and buckets, and who has them
--- a/ochrespan/front.py
+++ b/ochrespan/front.py
@@ -175,7 +175,7 @@
         sockets.leave_to_others(roster.descriptors_of_others())
         session = await stack.enter_async_context(open_session(told.links, sockets.outgoing))
         asking = await stack.enter_async_context(discovery.open_session())
-        at_once = told.settings.ask_within == 0  # what could be heard counts as told; the known list may be old
+        at_once = told.settings.max_poll_interval == 0  # what could be heard counts as told; the known list may be old
         watch = Watch(broker, directory, asking, told.discovery, timedelta() if at_once else discovery.FIRST_WAIT)
         watch.known(told.known)
         core = Core(told, broker, ChunkClient(session, directory, broker.counts), lifecycle)
--- a/ochrespan/http2/start.py
+++ b/ochrespan/http2/start.py
@@ -12,7 +12,7 @@
 def start(section: Http2, core: Core) -> Running:
     """The servers of the ports that the section names."""
     buffers, running = BufferBudget(section.buffered), Running()
-    aims = {cls.name: cls.aim for cls in core.told.settings.classes.values()}
+    aims = {cls.name: cls.latency_target for cls in core.told.settings.classes.values()}
     for name, address in section.listen.items():
         most_body = MOST_BODY if name == "platform" else None
         server = Http2Server(
--- a/ochrespan/interface.py
+++ b/ochrespan/interface.py
@@ -61,9 +61,9 @@
 @dataclass(slots=True)
 class RequestClass:
     name: str
-    aim: float
+    latency_target: float
     deadline: float
-    worth: float = 1.0
+    value: float = 1.0
     late_share: float = 0.0
     effect: Effect = Effect.UNSAFE
     group: Group = Group.CELL
@@ -87,35 +87,37 @@
     """What a head is told at its start. None means that the rule or feature is absent."""
 
     seed: int = 0
-    heads: int = 1
+    fronts: int = 1
     shards: int = 1  # in all; 1: not told, or data has no place of its own
     zone: str = ""
     classes: dict[str, RequestClass] = field(default_factory=dict)
     plans: dict[str, Plan] = field(default_factory=dict)
-    step: float = 0.0  # least time between batches
+    tick: float = 0.0  # least time between batches
     list_on_request: bool = False
-    ask_within: float | None = None  # how long a head may go without asking; 0: what it could hear counts as told
+    max_poll_interval: float | None = (
+        None  # how long a head may go without asking; 0: what it could hear counts as told
+    )
     can_cancel: bool = False
     can_probe: bool = False
     second_copies: bool = False
-    advises_pause: bool = False
+    sends_retry_after: bool = False
     max_attempts: int = 1
-    max_pause: float = 0.0
+    max_retry_after: float = 0.0
     connect_timeout: float = 0.0
     report_in_answers: bool = False
     mean_units: float = 1.0
-    most_units: float = 1.0
-    share_worth: float = 1.0
-    spare_worth: float = 1.0
+    max_units: float = 1.0
+    share_value: float = 1.0
+    spare_value: float = 1.0
     cold_units: float | None = None
     start_capacity: float | None = None
-    fall_multiple: float | None = None  # of what a cold node can do, for the overload window: it falls over
+    overload_multiple: float | None = None  # of what a cold node can do, for the overload window: it falls over
     warm_up: float | None = None
     overload_window: float | None = None
-    key_rest: float | None = None
-    extra_free: float | None = None  # attempts beyond the first: so many ...
-    extra_share: float | None = None  # ... and this share of the requests taken ...
-    extra_window: float | None = None  # ... in this time
+    key_cooldown: float | None = None
+    retry_budget_base: float | None = None  # attempts beyond the first: so many ...
+    retry_budget_ratio: float | None = None  # ... and this share of the requests taken ...
+    retry_budget_window: float | None = None  # ... in this time
 
 
 # ---- events ----
@@ -131,8 +133,8 @@
     units: float = 1.0
     shard: int = -1  # -1: a new object, any node may take it
     key: str = ""
-    hosts: int = 0  # heads through which the volume works; 0: not told
-    most_attempts: int = 0  # that are paid for; 0: as many as the settings allow
+    fronts: int = 0  # heads through which the volume works; 0: not told
+    max_attempts: int = 0  # that are paid for; 0: as many as the settings allow
 
 
 @dataclass(slots=True)
@@ -144,9 +146,9 @@
     latency: float
     closed: bool = False  # the request is over
     report: dict[str, float] = field(default_factory=dict)
-    used: float | None = None  # what the volume got everywhere in a finished period, part of its rate
-    elsewhere: float = 0.0  # units this shard served for the volume through others since its last answer
-    most_attempts: int = 0  # that are paid for by now; 0: as the request said
+    used_fraction: float | None = None  # what the volume got everywhere in a finished period, part of its rate
+    units_elsewhere: float = 0.0  # units this shard served for the volume through others since its last answer
+    max_attempts: int = 0  # that are paid for by now; 0: as the request said
 
 
 @dataclass(slots=True)
@@ -218,7 +220,7 @@
     """Final: trying again is harmless."""
 
     request_id: str
-    pause: float = 0.0
+    retry_after: float = 0.0
 
 
 @dataclass(slots=True)
--- a/ochrespan/net/client_session.py
+++ b/ochrespan/net/client_session.py
@@ -14,7 +14,7 @@
 import aiohttp
 from aiohttp.client_proto import ResponseHandler
 
-from ..settings import Links
+from ..settings import ConnectionSettings
 from .answers import AnswerHandler, Stale
 from .bodies import StreamedBody
 
@@ -131,12 +131,12 @@
         return await super()._create_connection(req, traces, timeout)
 
 
-def open_session(links: Links, sockets: int) -> aiohttp.ClientSession:
+def open_session(links: ConnectionSettings, sockets: int) -> aiohttp.ClientSession:
     """A session that sends each request once, as it is, and hands back what comes as it is."""
     connector = Pool(
         limit=sockets,
         limit_per_host=0,
-        keepalive_timeout=links.idle.total_seconds() * IDLE_PART,
+        keepalive_timeout=links.idle_timeout.total_seconds() * IDLE_PART,
         use_dns_cache=False,
     )
     connector._factory = partial(AnswerHandler, loop=asyncio.get_running_loop())  # there is no public way
--- a/ochrespan/objects/start.py
+++ b/ochrespan/objects/start.py
@@ -16,8 +16,8 @@
     """The object API's server and its address."""
     settings, links = core.told.settings, core.told.links
     deadlines = {cls.name: timedelta(seconds=cls.deadline) for cls in settings.classes.values()}
-    store = ChunkStore(core.broker, core.client, links.shards, settings.most_units, deadlines)
-    uploads = Uploads(store, links.rank, settings.heads, section.least_part)
+    store = ChunkStore(core.broker, core.client, links.shards, settings.max_units, deadlines)
+    uploads = Uploads(store, links.rank, settings.fronts, section.least_part)
     front = ObjectFront(section, core.gate, store, uploads, core.lifecycle)
     core.handlers["objects"] = front.handle
     return Running(fronts=[(Http1Server(front.handle, None), section.listen)])
--- a/ochrespan/settings.py
+++ b/ochrespan/settings.py
@@ -30,18 +30,18 @@
     """A line that cannot be read."""
 
 
-def pairs(parts: Iterable[str]) -> Fields:
+def parse_pairs(words: Iterable[str]) -> Fields:
     """The name=value parts of a line."""
-    found: Fields = {}
-    for part in parts:
-        name, mark, value = part.partition("=")
-        if not mark or not name:
-            raise Malformed(f"'{part}' is not name=value")
-        found[name] = value
-    return found
+    parsed: Fields = {}
+    for word in words:
+        name, separator, value = word.partition("=")
+        if not separator or not name:
+            raise Malformed(f"'{word}' is not name=value")
+        parsed[name] = value
+    return parsed
 
 
-def text(fields: Fields, name: str) -> str:
+def required_text(fields: Fields, name: str) -> str:
     if not fields.get(name):
         raise Malformed(f"{name} is missing")
     return fields[name]
@@ -62,11 +62,11 @@
     return result
 
 
-def maybe(fields: Fields, name: str, scale: float = 1.0) -> float | None:
+def optional_number(fields: Fields, name: str, scale: float = 1.0) -> float | None:
     return number(fields, name) / scale if name in fields else None
 
 
-def told(fields: Fields, name: str) -> float | None:
+def number_or_none(fields: Fields, name: str) -> float | None:
     """A figure that the event can do without: what cannot be read is left out."""
     try:
         return number(fields, name)
@@ -82,102 +82,102 @@
     return fields.get(name, "") in ("1", "true", "True")
 
 
-def read_settings(got: Fields) -> api.Settings:
+def read_settings(fields: Fields) -> api.Settings:
     """The first message as settings; absent parts stay absent."""
     classes, plans = {}, {}
-    for i in range(int(number(got, "Classes.count", 0))):
-        at = f"Classes.{i}."
-        name = text(got, at + "Name")
-        deadline = seconds(got, at + "DeadlineNs", 0)
+    for i in range(int(number(fields, "Classes.count", 0))):
+        prefix = f"Classes.{i}."
+        name = required_text(fields, prefix + "Name")
+        deadline = seconds(fields, prefix + "DeadlineNs", 0)
         classes[name] = api.RequestClass(
             name=name,
-            aim=seconds(got, at + "ObjectiveNs", deadline * NS),
+            latency_target=seconds(fields, prefix + "ObjectiveNs", deadline * NS),
             deadline=deadline,
-            worth=number(got, at + "Value", 1),
-            late_share=number(got, at + "LateShare", 0),
-            effect=EFFECTS.get(got.get(at + "Effect", ""), api.Effect.UNSAFE),
-            group=GROUPS.get(got.get(at + "Group", ""), api.Group.CELL),
-            window=seconds(got, at + "WindowNs", 0),
-            in_order=flag(got, at + "Sequential"),
+            value=number(fields, prefix + "Value", 1),
+            late_share=number(fields, prefix + "LateShare", 0),
+            effect=EFFECTS.get(fields.get(prefix + "Effect", ""), api.Effect.UNSAFE),
+            group=GROUPS.get(fields.get(prefix + "Group", ""), api.Group.CELL),
+            window=seconds(fields, prefix + "WindowNs", 0),
+            in_order=flag(fields, prefix + "Sequential"),
         )
-    for i in range(int(number(got, "Contracts.count", 0))):
-        at = f"Contracts.{i}."
-        name = text(got, at + "Name")
+    for i in range(int(number(fields, "Contracts.count", 0))):
+        prefix = f"Contracts.{i}."
+        name = required_text(fields, prefix + "Name")
         plans[name] = api.Plan(
             name=name,
-            rate=number(got, at + "Nominal", 0),
-            weight=number(got, at + "Weight", 1),
-            price=number(got, at + "Price", 1),
-            reserve=number(got, at + "Reserve", 0),
-            limit=number(got, at + "Limit", 0),
-            limit_burst=number(got, at + "MostAtOnce", 0),
+            rate=number(fields, prefix + "Nominal", 0),
+            weight=number(fields, prefix + "Weight", 1),
+            price=number(fields, prefix + "Price", 1),
+            reserve=number(fields, prefix + "Reserve", 0),
+            limit=number(fields, prefix + "Limit", 0),
+            limit_burst=number(fields, prefix + "MostAtOnce", 0),
         )
     return api.Settings(
-        seed=int(number(got, "InitSeed", 0)),
-        heads=max(1, int(number(got, "Balancers", 1))),
-        shards=max(1, int(number(got, "Extra.SlotsTotal", 1))),
-        zone=got.get("Locality", ""),
+        seed=int(number(fields, "InitSeed", 0)),
+        fronts=max(1, int(number(fields, "Balancers", 1))),
+        shards=max(1, int(number(fields, "Extra.SlotsTotal", 1))),
+        zone=fields.get("Locality", ""),
         classes=classes,
         plans=plans,
-        step=seconds(got, "StepNs", 0),
-        list_on_request=got.get("Discovery") == "on_request",
-        ask_within=maybe(got, "Obligations.AskWithinNs", NS),
-        can_cancel=flag(got, "Limits.Cancel"),
-        can_probe=flag(got, "Limits.Probing"),
-        second_copies=flag(got, "Limits.SecondCopies"),
-        advises_pause=flag(got, "Limits.RetryAfter"),
-        max_attempts=int(number(got, "Limits.MaxAttempts", 1)),
-        max_pause=seconds(got, "Limits.MaxRetryAfterNs", 0),
-        connect_timeout=seconds(got, "Limits.ConnectTimeoutNs", 0),
-        report_in_answers=got.get("Report.How") == "answers",
-        mean_units=number(got, "Extra.UsualUnits", 1),
-        most_units=number(got, "Extra.MostUnits", 1),
-        share_worth=number(got, "Extra.ShareWorth", 1),
-        spare_worth=number(got, "Extra.SpareWorth", 1),
-        cold_units=maybe(got, "Extra.YoungLimit"),
-        start_capacity=maybe(got, "Obligations.StartCapacity"),
-        fall_multiple=maybe(got, "Obligations.FallMultiple"),
-        warm_up=maybe(got, "Obligations.WarmUpNs", NS),
-        overload_window=maybe(got, "Obligations.OverloadForNs", NS),
-        key_rest=maybe(got, "Obligations.KeyRestNs", NS),
-        extra_free=maybe(got, "Obligations.SpareAttempts"),
-        extra_share=maybe(got, "Obligations.RepeatRatio"),
-        extra_window=maybe(got, "Obligations.RatioSpanNs", NS),
+        tick=seconds(fields, "StepNs", 0),
+        list_on_request=fields.get("Discovery") == "on_request",
+        max_poll_interval=optional_number(fields, "Obligations.AskWithinNs", NS),
+        can_cancel=flag(fields, "Limits.Cancel"),
+        can_probe=flag(fields, "Limits.Probing"),
+        second_copies=flag(fields, "Limits.SecondCopies"),
+        sends_retry_after=flag(fields, "Limits.RetryAfter"),
+        max_attempts=int(number(fields, "Limits.MaxAttempts", 1)),
+        max_retry_after=seconds(fields, "Limits.MaxRetryAfterNs", 0),
+        connect_timeout=seconds(fields, "Limits.ConnectTimeoutNs", 0),
+        report_in_answers=fields.get("Report.How") == "answers",
+        mean_units=number(fields, "Extra.UsualUnits", 1),
+        max_units=number(fields, "Extra.MostUnits", 1),
+        share_value=number(fields, "Extra.ShareWorth", 1),
+        spare_value=number(fields, "Extra.SpareWorth", 1),
+        cold_units=optional_number(fields, "Extra.YoungLimit"),
+        start_capacity=optional_number(fields, "Obligations.StartCapacity"),
+        overload_multiple=optional_number(fields, "Obligations.FallMultiple"),
+        warm_up=optional_number(fields, "Obligations.WarmUpNs", NS),
+        overload_window=optional_number(fields, "Obligations.OverloadForNs", NS),
+        key_cooldown=optional_number(fields, "Obligations.KeyRestNs", NS),
+        retry_budget_base=optional_number(fields, "Obligations.SpareAttempts"),
+        retry_budget_ratio=optional_number(fields, "Obligations.RepeatRatio"),
+        retry_budget_window=optional_number(fields, "Obligations.RatioSpanNs", NS),
     )
 
 
 @dataclass(frozen=True, slots=True)
-class Links:
+class ConnectionSettings:
     """What the settings say of connections and of the front's place; the decisions do not need it."""
 
     connect_timeout: timedelta
-    idle: timedelta  # chunk servers close what was idle for so long
+    idle_timeout: timedelta  # chunk servers close what was idle for so long
     rank: int = 0  # this front's number among all
     shards: int = 1
 
 
-def read_links(got: Fields) -> Links:
-    return Links(
-        connect_timeout=timedelta(seconds=seconds(got, "Limits.ConnectTimeoutNs", NS)),
-        idle=timedelta(seconds=seconds(got, "Limits.KeepaliveNs", 15 * NS)),
-        rank=int(number(got, "Rank", 0)),
-        shards=int(number(got, "Extra.SlotsTotal", 1)),
+def read_connection_settings(fields: Fields) -> ConnectionSettings:
+    return ConnectionSettings(
+        connect_timeout=timedelta(seconds=seconds(fields, "Limits.ConnectTimeoutNs", NS)),
+        idle_timeout=timedelta(seconds=seconds(fields, "Limits.KeepaliveNs", 15 * NS)),
+        rank=int(number(fields, "Rank", 0)),
+        shards=int(number(fields, "Extra.SlotsTotal", 1)),
     )
 
 
-def flatten(nested: dict[str, Any], at: str = "") -> Fields:
+def flatten(nested: dict[str, Any], prefix: str = "") -> Fields:
     """Nested settings as the simulator's paths: lists of objects counted, plain values joined."""
-    found: Fields = {}
+    parsed: Fields = {}
     for name, value in nested.items():
-        path = at + name
+        path = prefix + name
         if isinstance(value, dict):
-            found |= flatten(value, path + ".")
+            parsed |= flatten(value, path + ".")
         elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
-            found[path + ".count"] = str(len(value))
+            parsed[path + ".count"] = str(len(value))
             for i, item in enumerate(value):
-                found |= flatten(item, f"{path}.{i}.")
+                parsed |= flatten(item, f"{path}.{i}.")
         elif isinstance(value, list):
-            found[path] = ",".join(map(str, value))
+            parsed[path] = ",".join(map(str, value))
         elif value is not None:
-            found[path] = str(value)
-    return found
+            parsed[path] = str(value)
+    return parsed
--- a/ochrespan/simhost.py
+++ b/ochrespan/simhost.py
@@ -12,7 +12,19 @@
 
 from . import interface as api
 from .policy.front import Scheduler
-from .settings import NS, REPORT_NAMES, Fields, Malformed, flag, number, pairs, read_settings, seconds, text, told
+from .settings import (
+    NS,
+    REPORT_NAMES,
+    Fields,
+    Malformed,
+    flag,
+    number,
+    number_or_none,
+    parse_pairs,
+    read_settings,
+    required_text,
+    seconds,
+)
 
 STATUSES = {
     "delivered": api.Status.OK,
@@ -25,7 +37,7 @@
     "unused": api.Status.MOOT,
 }
 STATES = {"Running": api.NodeState.READY, "Stopping": api.NodeState.DRAINING, "Deleted": api.NodeState.GONE}
-KINDS = {
+LIST_KINDS = {
     "update": api.ListKind.DELTA,
     "replace": api.ListKind.FULL,
     "restored": api.ListKind.CACHED,
@@ -33,83 +45,85 @@
 }
 
 
-def read_request(got: Fields) -> api.Request:
+def read_request(fields: Fields) -> api.Request:
     return api.Request(
-        id=text(got, "RequestId"),
-        volume=got.get("Disk", ""),
-        cls=got.get("Category", ""),
-        plan=got.get("Tier", ""),
-        time_left=seconds(got, "LeftNs"),
-        units=number(got, "QuotaUnits", 1),
-        shard=int(number(got, "Shard", -1)),
-        key=got.get("Chunk", ""),
-        hosts=int(told(got, "NHosts") or 0),
+        id=required_text(fields, "RequestId"),
+        volume=fields.get("Disk", ""),
+        cls=fields.get("Category", ""),
+        plan=fields.get("Tier", ""),
+        time_left=seconds(fields, "LeftNs"),
+        units=number(fields, "QuotaUnits", 1),
+        shard=int(number(fields, "Shard", -1)),
+        key=fields.get("Chunk", ""),
+        fronts=int(number_or_none(fields, "NHosts") or 0),
     )
 
 
-def read_report(got: Fields) -> dict[str, float]:
+def read_report(fields: Fields) -> dict[str, float]:
     """The figures of a load report; what cannot be read is left out."""
     report = {}
-    for part in got.get("Report", "").split(","):
-        name, mark, value = part.partition(":")
-        if mark and name in REPORT_NAMES:
-            figure = told({name: value}, name)
-            if figure is not None:
-                report[REPORT_NAMES[name]] = figure
+    for word in fields.get("Report", "").split(","):
+        name, separator, value = word.partition(":")
+        if separator and name in REPORT_NAMES:
+            metric = number_or_none({name: value}, name)
+            if metric is not None:
+                report[REPORT_NAMES[name]] = metric
     return report
 
 
-def read_outcome(got: Fields) -> api.Outcome:
-    used = told(got, "UsePct") or 0
+def read_outcome(fields: Fields) -> api.Outcome:
+    percent = number_or_none(fields, "UsePct") or 0
     return api.Outcome(
-        request_id=text(got, "RequestId"),
-        attempt=int(number(got, "Leg", 0)),
-        node=got.get("Shelf", ""),
-        status=STATUSES.get(got.get("Reason", ""), api.Status.UNKNOWN),
-        latency=seconds(got, "WaitTimeNs", 0),
-        closed=flag(got, "NoMore"),
-        report=read_report(got),
-        used=(used - 1) / 100 if used >= 1 else None,
-        elsewhere=max(0.0, told(got, "Delta") or 0.0),
+        request_id=required_text(fields, "RequestId"),
+        attempt=int(number(fields, "Leg", 0)),
+        node=fields.get("Shelf", ""),
+        status=STATUSES.get(fields.get("Reason", ""), api.Status.UNKNOWN),
+        latency=seconds(fields, "WaitTimeNs", 0),
+        closed=flag(fields, "NoMore"),
+        report=read_report(fields),
+        used_fraction=(percent - 1) / 100 if percent >= 1 else None,
+        units_elsewhere=max(0.0, number_or_none(fields, "Delta") or 0.0),
     )
 
 
-def read_probe(got: Fields) -> api.ProbeResult:
-    status = STATUSES.get(got.get("Reason", ""), api.Status.UNKNOWN)
-    return api.ProbeResult(text(got, "Shelf"), status, seconds(got, "WaitTimeNs", 0), read_report(got))
+def read_probe(fields: Fields) -> api.ProbeResult:
+    status = STATUSES.get(fields.get("Reason", ""), api.Status.UNKNOWN)
+    return api.ProbeResult(
+        required_text(fields, "Shelf"), status, seconds(fields, "WaitTimeNs", 0), read_report(fields)
+    )
 
 
-def read_entry(got: Fields) -> api.NodeEntry:
-    started = number(got, "StartTimeNs", 0)
+def read_entry(fields: Fields) -> api.NodeEntry:
+    started = number(fields, "StartTimeNs", 0)
     return api.NodeEntry(
-        id=text(got, "Shelf"),
-        shard=int(number(got, "Cluster", -1)),
+        id=required_text(fields, "Shelf"),
+        shard=int(number(fields, "Cluster", -1)),
         # a state that is not known gets nothing new
-        state=STATES.get(got.get("Mode", "Running"), api.NodeState.DRAINING),
+        state=STATES.get(fields.get("Mode", "Running"), api.NodeState.DRAINING),
         started_at=started / NS if started > 0 else None,
-        zone=got.get("Campus", ""),
-        weight=number(got, "Nominal", 1),
+        zone=fields.get("Campus", ""),
+        weight=number(fields, "Nominal", 1),
     )
 
 
 READERS: dict[str, Callable[[Fields], api.Event]] = {
     "ARRIVAL": read_request,
     "REPLY": read_outcome,
-    "FIRST": lambda got: api.Started(text(got, "RequestId")),
-    "ABANDONED": lambda got: api.Gone(text(got, "RequestId")),
-    "DUE": lambda got: api.Timer(int(number(got, "Nonce"))),
+    "FIRST": lambda fields: api.Started(required_text(fields, "RequestId")),
+    "ABANDONED": lambda fields: api.Gone(required_text(fields, "RequestId")),
+    "DUE": lambda fields: api.Timer(int(number(fields, "Nonce"))),
     "HEALTH_RESULT": read_probe,
 }
 
 
-def line_of(action: api.Action) -> str:
+def format_action(action: api.Action) -> str:
     """An action as its line on the wire."""
     match action:
         case api.Send(request_id, node, timeout, _):  # begins in the very tick
             return f"ISSUE RequestId={request_id} Shelf={node} WithinNs={max(1, round(timeout * NS))}"
-        case api.Refuse(request_id, pause):
-            advice = f" PauseNs={round(pause * NS)}" if pause > 0 else ""
-            return f"REJECT RequestId={request_id}{advice}"
+        case api.Refuse(request_id, retry_after):
+            hint = f" PauseNs={round(retry_after * NS)}" if retry_after > 0 else ""
+            return f"REJECT RequestId={request_id}{hint}"
         case api.Fail(request_id):
             return f"FINISH_ERROR RequestId={request_id}"
         case api.Cancel(request_id, attempt):
@@ -118,8 +132,8 @@
             return f"SCHEDULE DelayNs={max(0, math.ceil(delay * NS))} Nonce={token}"
         case api.WatchList():
             return "WATCH Enable=1"
-        case api.Log(words):
-            return "DEBUG Text=" + " ".join(words.split())
+        case api.Log(message):
+            return "DEBUG Text=" + " ".join(message.split())
     raise TypeError(f"no line for {action!r}")
 
 
@@ -130,68 +144,68 @@
         self.out, self.err = out, err
         self.schedulers: dict[str, Scheduler] = {}
         self.events: dict[str, list[api.Event]] = {}  # of this batch
-        self.inst = ""
+        self.instance = ""
         self.now = 0.0
         self.frame = ""
-        self.listing: api.NodeList | None = None
-        self.listing_due = 0  # entries still to come
+        self.node_list: api.NodeList | None = None
+        self.entries_due = 0  # entries still to come
 
-    def complain(self, line: str, why: object) -> None:
-        print(f"ochrespan: malformed line skipped: {why}: {line[:200]}", file=self.err, flush=True)
+    def report_malformed(self, line: str, error: object) -> None:
+        print(f"ochrespan: malformed line skipped: {error}: {line[:200]}", file=self.err, flush=True)
 
-    def feed(self, line: str) -> None:
+    def handle_line(self, line: str) -> None:
         """One line of input; a reply is written at the end of a batch."""
         try:
-            self._feed(line)
-        except (ValueError, OverflowError) as why:
-            self.complain(line, why)
+            self._handle_line(line)
+        except (ValueError, OverflowError) as error:
+            self.report_malformed(line, error)
 
-    def _feed(self, line: str) -> None:
-        word, *parts = line.split()
-        if word == "MARK":
+    def _handle_line(self, line: str) -> None:
+        keyword, *words = line.split()
+        if keyword == "MARK":
             # a reply is owed for any batch whose number can be read, so the number is taken first
-            got = dict(part.partition("=")[::2] for part in parts)
-            self.frame = got.get("frame", self.frame)
-            self.inst, self.listing_due = "", 0
-            self.now = seconds(got, "NowNs", self.now * NS)
-        elif word == "EOB":
+            fields = dict(word.partition("=")[::2] for word in words)
+            self.frame = fields.get("frame", self.frame)
+            self.instance, self.entries_due = "", 0
+            self.now = seconds(fields, "NowNs", self.now * NS)
+        elif keyword == "EOB":
             self._reply()
-        elif word == "CONTEXT":
-            self.inst, self.listing_due = "", 0
-            self.inst = text(pairs(parts), "I")
-        elif word == "KILL":
-            self._drop(self.inst)
-        elif word == "PROVISION":
-            settings = read_settings(pairs(parts))
-            self._drop(self.inst)
-            self.schedulers[self.inst] = Scheduler(settings, self.now)
-            self.events[self.inst] = []
-        elif word == "M" and self.listing_due > 0 and self.listing is not None:
-            self.listing_due -= 1
-            self.listing.entries.append(read_entry(pairs(parts)))
-        elif self.inst in self.schedulers:  # the dead and unknown get nothing
-            if word == "BACKENDS_CHANGED":
-                got = pairs(parts)
-                kind = KINDS.get(text(got, "Scope"))
+        elif keyword == "CONTEXT":
+            self.instance, self.entries_due = "", 0
+            self.instance = required_text(parse_pairs(words), "I")
+        elif keyword == "KILL":
+            self._remove(self.instance)
+        elif keyword == "PROVISION":
+            settings = read_settings(parse_pairs(words))
+            self._remove(self.instance)
+            self.schedulers[self.instance] = Scheduler(settings, self.now)
+            self.events[self.instance] = []
+        elif keyword == "M" and self.entries_due > 0 and self.node_list is not None:
+            self.entries_due -= 1
+            self.node_list.entries.append(read_entry(parse_pairs(words)))
+        elif self.instance in self.schedulers:  # the dead and unknown get nothing
+            if keyword == "BACKENDS_CHANGED":
+                fields = parse_pairs(words)
+                kind = LIST_KINDS.get(required_text(fields, "Scope"))
                 if kind is None:
-                    raise Malformed(f"Scope={got['Scope']} is not known")
-                self.listing = api.NodeList(kind)
-                self.listing_due = int(number(got, "NodesList", 0))
-                self.events.setdefault(self.inst, []).append(self.listing)
-            elif word in READERS:
-                self.events.setdefault(self.inst, []).append(READERS[word](pairs(parts)))
+                    raise Malformed(f"Scope={fields['Scope']} is not known")
+                self.node_list = api.NodeList(kind)
+                self.entries_due = int(number(fields, "NodesList", 0))
+                self.events.setdefault(self.instance, []).append(self.node_list)
+            elif keyword in READERS:
+                self.events.setdefault(self.instance, []).append(READERS[keyword](parse_pairs(words)))
 
-    def _drop(self, inst: str) -> None:
-        for kept in (self.schedulers, self.events):
-            kept.pop(inst, None)
+    def _remove(self, instance: str) -> None:
+        for by_instance in (self.schedulers, self.events):
+            by_instance.pop(instance, None)
 
     def _reply(self) -> None:
         lines: list[str] = []
-        for inst, events in self.events.items():
-            actions = self.schedulers[inst].handle(self.now, events)
+        for instance, events in self.events.items():
+            actions = self.schedulers[instance].handle(self.now, events)
             if actions:
-                lines.append(f"FROM I={inst}")
-                lines.extend(line_of(action) for action in actions)
+                lines.append(f"FROM I={instance}")
+                lines.extend(format_action(action) for action in actions)
         self.events = {}
         lines.append(f"FINISHED frame={self.frame}")
         self.out.write("\n".join(lines) + "\n")
@@ -203,7 +217,7 @@
     try:
         for line in sys.stdin:
             if line.strip():
-                adapter.feed(line.rstrip("\n"))
+                adapter.handle_line(line.rstrip("\n"))
     except (BrokenPipeError, KeyboardInterrupt):
         return 0
     return 0
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -8,91 +8,93 @@
 from ochrespan import interface as api
 from ochrespan.policy.front import Scheduler
 
-READ = api.RequestClass("read", aim=0.5, deadline=4.0, worth=2.0, effect=api.Effect.SAFE)
-SAVE = api.RequestClass("save", aim=0.6, deadline=4.0, worth=2.0, effect=api.Effect.SAFE, in_order=True)
-KEYED = api.RequestClass("keyed", aim=0.6, deadline=4.0, effect=api.Effect.KEYED, group=api.Group.ZONE, window=1.0)
+READ = api.RequestClass("read", latency_target=0.5, deadline=4.0, value=2.0, effect=api.Effect.SAFE)
+SAVE = api.RequestClass("save", latency_target=0.6, deadline=4.0, value=2.0, effect=api.Effect.SAFE, in_order=True)
+KEYED = api.RequestClass(
+    "keyed", latency_target=0.6, deadline=4.0, effect=api.Effect.KEYED, group=api.Group.ZONE, window=1.0
+)
 KEYED_ALL = api.RequestClass(
-    "keyed-all", aim=0.6, deadline=4.0, effect=api.Effect.KEYED, group=api.Group.ALL, window=1.0
+    "keyed-all", latency_target=0.6, deadline=4.0, effect=api.Effect.KEYED, group=api.Group.ALL, window=1.0
 )
-ONCE = api.RequestClass("once", aim=0.6, deadline=4.0, effect=api.Effect.UNSAFE)
+ONCE = api.RequestClass("once", latency_target=0.6, deadline=4.0, effect=api.Effect.UNSAFE)
 
 
 def settings(**changes) -> api.Settings:
     """Settings with small figures, changed as told."""
     base = {
         "seed": 7,
-        "heads": 2,
+        "fronts": 2,
         "classes": {c.name: c for c in (READ, SAVE, KEYED, KEYED_ALL, ONCE)},
         "plans": {
             "free": api.Plan("free", rate=3, weight=1),
             "paid": api.Plan("paid", rate=6, weight=2, reserve=6),
             "capped": api.Plan("capped", rate=3, weight=1, limit=4, limit_burst=32),
         },
-        "step": 0.002,
+        "tick": 0.002,
         "max_attempts": 3,
         "mean_units": 2,
-        "most_units": 8,
+        "max_units": 8,
     }
     return api.Settings(**(base | changes))
 
 
-class Head:
+class FrontDriver:
     """One scheduler with a clock; keeps what it did."""
 
     def __init__(self, nodes: int = 2, kind: api.ListKind = api.ListKind.CACHED, **changes) -> None:
         self.now = 100.0
-        self.head = Scheduler(settings(**changes), self.now)
+        self.scheduler = Scheduler(settings(**changes), self.now)
         self.sends: list[tuple[float, api.Send]] = []
-        self.finals: dict[str, api.Action] = {}
+        self.final_answers: dict[str, api.Action] = {}
         self.actions: list[api.Action] = []
-        self.wakes: list[float] = []
+        self.timers: list[float] = []
         self.attempts: dict[str, int] = {}
         self.count = 0
-        self.give(api.NodeList(kind, [entry(i) for i in range(nodes)]))
+        self.handle(api.NodeList(kind, [entry(i) for i in range(nodes)]))
 
-    def give(self, *events: api.Event) -> list[api.Action]:
+    def handle(self, *events: api.Event) -> list[api.Action]:
         """Gives events to the scheduler and checks its actions."""
-        actions = self.head.handle(self.now, list(events))
+        actions = self.scheduler.handle(self.now, list(events))
         self.actions += actions
         for action in actions:
             match action:
                 case api.Send(request_id, _, timeout):
-                    assert request_id not in self.finals, "a send after the final answer"
+                    assert request_id not in self.final_answers, "a send after the final answer"
                     assert timeout > 0
                     self.sends.append((self.now, action))
                     self.attempts[request_id] = self.attempts.get(request_id, 0) + 1
                 case api.Refuse(request_id) | api.Fail(request_id):
-                    assert request_id not in self.finals, "two final answers"
-                    self.finals[request_id] = action
+                    assert request_id not in self.final_answers, "two final answers"
+                    self.final_answers[request_id] = action
                 case api.SetTimer(delay, _):
                     assert delay >= 0
-                    self.wakes.append(self.now + delay)
+                    self.timers.append(self.now + delay)
         return actions
 
-    def take(self, cls: str = "read", plan: str = "free", **more) -> str:
+    def submit(self, cls: str = "read", plan: str = "free", **more) -> str:
         """One request; returns its id."""
         self.count += 1
         name = more.pop("id", f"r{self.count}")
         more = {"volume": "v", "time_left": 4.0, "units": 2, "shard": 0} | more
-        self.give(api.Request(id=name, cls=cls, plan=plan, **more))
+        self.handle(api.Request(id=name, cls=cls, plan=plan, **more))
         return name
 
     def answer(self, request_id: str, status: api.Status = api.Status.OK, attempt: int | None = None, **more):
         """The outcome of its last attempt."""
         node = next(s.node for _, s in reversed(self.sends) if s.request_id == request_id)
         attempt = self.attempts[request_id] - 1 if attempt is None else attempt
-        return self.give(api.Outcome(request_id, attempt, node, status, 0.05, closed=status is api.Status.OK, **more))
+        return self.handle(api.Outcome(request_id, attempt, node, status, 0.05, closed=status is api.Status.OK, **more))
 
     def wait(self, seconds: float) -> None:
         """Let time pass, with the timers that the head asked for."""
         until = self.now + seconds
-        while due := [w for w in self.wakes if w <= until]:
+        while due := [w for w in self.timers if w <= until]:
             self.now = max(self.now, min(due))
-            self.wakes = [w for w in self.wakes if w > self.now]
+            self.timers = [w for w in self.timers if w > self.now]
             self.now += 0.0001
-            self.give(api.Timer(1))
+            self.handle(api.Timer(1))
         self.now = max(self.now, until)
-        self.give(api.Timer(1))
+        self.handle(api.Timer(1))
 
     def sent(self, request_id: str | None = None) -> list[api.Send]:
         """All attempts, or those of one request."""
--- a/tests/test_chunks.py
+++ b/tests/test_chunks.py
@@ -16,11 +16,11 @@
 from ochrespan.net.client_session import open_session
 from ochrespan.net.discovery import Directory
 from ochrespan.net.reports import read_load, read_units
-from ochrespan.settings import Links
+from ochrespan.settings import ConnectionSettings
 
 from .world import Node, is_open, play
 
-LINKS = Links(timedelta(seconds=0.5), timedelta(seconds=15))
+LINKS = ConnectionSettings(timedelta(seconds=0.5), timedelta(seconds=15))
 UNREAD = 32 << 20  # far more than the kernel takes for a peer that does not read
 
 
@@ -75,7 +75,7 @@
         await node.start()
         directory = Directory()
         directory.addresses["n"] = node.address
-        async with open_session(Links(timedelta(seconds=5), idle), 10) as session:
+        async with open_session(ConnectionSettings(timedelta(seconds=5), idle), 10) as session:
             for number in range(2):
                 attempt = Attempt(Request("v", "r", "g", timedelta(seconds=5)), number, "n", timedelta(seconds=5))
                 outcome, _ = await ChunkClient(session, directory).send(attempt, Message("GET", "/x"))
@@ -340,7 +340,7 @@
 
     async def story():
         raw = Raw(backlog=0)
-        async with open_session(Links(timedelta(seconds=8), timedelta(seconds=15)), 10) as session:
+        async with open_session(ConnectionSettings(timedelta(seconds=8), timedelta(seconds=15)), 10) as session:
             first = socket.socket()  # fills the backlog: whoever comes now waits until it has been taken
             first.connect(raw.listener.getsockname())
             task = asyncio.create_task(
@@ -370,7 +370,7 @@
 
     async def story():
         raw = Raw(backlog=0)
-        async with open_session(Links(timedelta(seconds=8), timedelta(seconds=15)), 10) as session:
+        async with open_session(ConnectionSettings(timedelta(seconds=8), timedelta(seconds=15)), 10) as session:
             first = socket.socket()
             first.connect(raw.listener.getsockname())
             attempt = attempt_at()
--- a/tests/test_discovery_polling.py
+++ b/tests/test_discovery_polling.py
@@ -7,134 +7,136 @@
 
 import pytest
 
-from ochrespan.discovery_polling import Asking
+from ochrespan.discovery_polling import PollSchedule
 
-WITHIN, PATIENCE = 10.0, 2.0
+MAX_POLL_INTERVAL, CALL_TIMEOUT = 10.0, 2.0
 
 
 class Fleet:
     """Discovery takes calls in turn, `cost` seconds each, and works through those that have failed meanwhile too."""
 
-    def __init__(self, heads: int, cost: float) -> None:
+    def __init__(self, fronts: int, cost: float) -> None:
         self.now, self.cost, self.busy_until = 100.0, cost, 100.0
-        self.lot = random.Random(11)
-        self.heads, self.calls, self.failed, self.lists = heads, 0, 0, [0.0] * heads
+        self.rng = random.Random(11)
+        self.fronts, self.calls, self.failed, self.updated_at = fronts, 0, 0, [0.0] * fronts
         self.queue: deque[float] = deque()  # when each call in the queue will be done with
-        self.up = True
+        self.available = True
         self.order = count()
         self.restart()
 
     def restart(self) -> None:
-        lots = [random.Random(self.lot.random()) for _ in range(self.heads)]
-        self.plans = [Asking(self.heads, WITHIN, lot, self.now) for lot in lots]
-        self.events = [(plan.at, next(self.order), rank, "look") for rank, plan in enumerate(self.plans)]
+        rngs = [random.Random(self.rng.random()) for _ in range(self.fronts)]
+        self.schedules = [PollSchedule(self.fronts, MAX_POLL_INTERVAL, rng, self.now) for rng in rngs]
+        self.events = [
+            (schedule.next_call_at, next(self.order), rank, "look") for rank, schedule in enumerate(self.schedules)
+        ]
         heapq.heapify(self.events)
-        self.lists = [0.0] * self.heads
+        self.updated_at = [0.0] * self.fronts
 
-    def later(self, at: float, rank: int, what: str) -> None:
-        heapq.heappush(self.events, (at, next(self.order), rank, what))
+    def schedule_event(self, at: float, rank: int, event: str) -> None:
+        heapq.heappush(self.events, (at, next(self.order), rank, event))
 
     def call(self, rank: int) -> None:
         self.calls += 1
         self.busy_until = max(self.now, self.busy_until) + self.cost
-        if not self.up:
-            self.later(self.now, rank, "failed")
-        elif self.busy_until - self.now > PATIENCE:
-            self.later(self.now + PATIENCE, rank, "failed")
+        if not self.available:
+            self.schedule_event(self.now, rank, "failed")
+        elif self.busy_until - self.now > CALL_TIMEOUT:
+            self.schedule_event(self.now + CALL_TIMEOUT, rank, "failed")
         else:
-            self.later(self.busy_until, rank, "told")
+            self.schedule_event(self.busy_until, rank, "told")
 
     def run(self, seconds: float) -> None:
         until = self.now + seconds
         while self.events and self.events[0][0] <= until:
-            self.now, _, rank, what = heapq.heappop(self.events)
-            plan = self.plans[rank]
-            if what in ("news", "broken"):  # of the old address, unless it has gone over already
-                if self.now < plan.at < float("inf"):
-                    plan.told() if what == "news" else plan.failed(self.now)
-            elif what == "failed":
+            self.now, _, rank, event = heapq.heappop(self.events)
+            schedule = self.schedules[rank]
+            if event in ("news", "broken"):  # of the old address, unless it has gone over already
+                if self.now < schedule.next_call_at < float("inf"):
+                    schedule.answered() if event == "news" else schedule.failed(self.now)
+            elif event == "failed":
                 self.failed += 1
-                plan.failed(self.now)
-            elif what == "told":
-                plan.told()
-                self.lists[rank] = self.now
-            elif plan.due(self.now):
+                schedule.failed(self.now)
+            elif event == "told":
+                schedule.answered()
+                self.updated_at[rank] = self.now
+            elif schedule.due(self.now):
                 self.call(rank)
                 continue
-            if what in ("told", "failed") and plan.at < float("inf"):
-                self.later(plan.at, rank, "look")
+            if event in ("told", "failed") and schedule.next_call_at < float("inf"):
+                self.schedule_event(schedule.next_call_at, rank, "look")
         self.now = until
 
     def break_watches(self) -> None:
-        for rank, plan in enumerate(self.plans):
-            plan.failed(self.now)
-            self.later(plan.at, rank, "look")
-        self.lists = [0.0] * self.heads
+        for rank, schedule in enumerate(self.schedules):
+            schedule.failed(self.now)
+            self.schedule_event(schedule.next_call_at, rank, "look")
+        self.updated_at = [0.0] * self.fronts
 
     def move(self) -> None:
         """All are told of another address; the old one's watches have news, and break before all have gone over."""
-        for rank, plan in enumerate(self.plans):
-            plan.moved(self.now)
-            self.later(plan.at, rank, "look")
-            self.later(self.now + 0.2, rank, "news")
-            self.later(self.now + 0.5, rank, "broken")
-        self.lists = [0.0] * self.heads
+        for rank, schedule in enumerate(self.schedules):
+            schedule.moved(self.now)
+            self.schedule_event(schedule.next_call_at, rank, "look")
+            self.schedule_event(self.now + 0.2, rank, "news")
+            self.schedule_event(self.now + 0.5, rank, "broken")
+        self.updated_at = [0.0] * self.fronts
 
     @property
-    def unheard(self) -> int:
-        return sum(not at for at in self.lists)
+    def outdated(self) -> int:
+        return sum(not at for at in self.updated_at)
 
 
-@pytest.mark.parametrize(("heads", "cost"), [(4, 0.1), (40, 0.12), (200, 0.03)])
-def test_heads_that_start_or_lose_their_watch_at_once_all_hear_soon_and_ask_seldom(heads, cost):
-    fleet = Fleet(heads, cost)
+@pytest.mark.parametrize(("fronts", "cost"), [(4, 0.1), (40, 0.12), (200, 0.03)])
+def test_heads_that_start_or_lose_their_watch_at_once_all_hear_soon_and_ask_seldom(fronts, cost):
+    fleet = Fleet(fronts, cost)
     fleet.run(15)
-    assert not fleet.unheard and fleet.calls <= 2 * heads, (fleet.unheard, fleet.calls)
+    assert not fleet.outdated and fleet.calls <= 2 * fronts, (fleet.outdated, fleet.calls)
     fleet.break_watches()
     before = fleet.calls
     fleet.run(15)
-    assert not fleet.unheard and fleet.calls - before <= 2 * heads, (fleet.unheard, fleet.calls)
+    assert not fleet.outdated and fleet.calls - before <= 2 * fronts, (fleet.outdated, fleet.calls)
     before = fleet.calls
     fleet.run(60)
     assert fleet.calls == before  # the watches stand
 
 
 @pytest.mark.parametrize(
-    ("heads", "cost", "soon"), [(1, 0.1, 0.1), (40, 0.06, 3.0), (200, 0.012, 3.0), (200, 0.03, 20.0)]
+    ("fronts", "cost", "within"), [(1, 0.1, 0.1), (40, 0.06, 3.0), (200, 0.012, 3.0), (200, 0.03, 20.0)]
 )  # the last: more than it can take in time
-def test_a_move_of_discovery_is_no_rush_of_all_heads_and_a_watch_that_breaks_changes_no_lot(heads, cost, soon):
-    fleet = Fleet(heads, cost)
+def test_a_move_of_discovery_is_no_rush_of_all_heads_and_a_watch_that_breaks_changes_no_lot(fronts, cost, within):
+    fleet = Fleet(fronts, cost)
     fleet.run(30)
     before, moved_at, failed = fleet.calls, fleet.now, fleet.failed
     fleet.move()
     fleet.run(20)
-    assert not fleet.unheard and max(fleet.lists) <= moved_at + soon + cost
-    assert fleet.calls - before <= (heads if soon <= 3 else 3 * heads)
-    assert soon > 3 or not fleet.failed - failed
+    assert not fleet.outdated and max(fleet.updated_at) <= moved_at + within + cost
+    assert fleet.calls - before <= (fronts if within <= 3 else 3 * fronts)
+    assert within > 3 or not fleet.failed - failed
 
 
-@pytest.mark.parametrize(("heads", "cost", "rate"), [(4, 0.1, 1.2), (40, 0.12, 0.4), (200, 0.03, 0.4)])
-def test_a_discovery_that_goes_away_and_returns_is_not_kept_down_by_the_calls_of_all(heads, cost, rate):
-    fleet = Fleet(heads, cost)
-    fleet.up = False
+@pytest.mark.parametrize(("fronts", "cost", "rate"), [(4, 0.1, 1.2), (40, 0.12, 0.4), (200, 0.03, 0.4)])
+def test_a_discovery_that_goes_away_and_returns_is_not_kept_down_by_the_calls_of_all(fronts, cost, rate):
+    fleet = Fleet(fronts, cost)
+    fleet.available = False
     fleet.run(30)
-    assert fleet.unheard == heads and fleet.calls <= 30 * heads * rate
-    gaps = 30 * heads / fleet.calls
-    assert gaps < WITHIN / 2  # a change would count as told where nobody asks
-    fleet.up, fleet.busy_until = True, fleet.now
+    assert fleet.outdated == fronts and fleet.calls <= 30 * fronts * rate
+    gaps = 30 * fronts / fleet.calls
+    assert gaps < MAX_POLL_INTERVAL / 2  # a change would count as told where nobody asks
+    fleet.available, fleet.busy_until = True, fleet.now
     fleet.run(20)
-    assert not fleet.unheard, fleet.unheard
+    assert not fleet.outdated, fleet.outdated
 
 
 def test_where_news_counts_as_told_at_once_the_first_call_waits_for_nothing_and_repeats_come_soon():
     for rank in range(50):
-        plan, now = Asking(200, 0.0, random.Random(rank), 100.0), 100.0
-        assert plan.due(now) and not plan.due(now + 1000)
+        schedule, now = PollSchedule(200, 0.0, random.Random(rank), 100.0), 100.0
+        assert schedule.due(now) and not schedule.due(now + 1000)
         for _ in range(12):
-            plan.failed(now)
-            assert now < plan.at <= now + 0.5
-            now = plan.at
-            assert plan.due(now)
-        plan.told()
-        plan.moved(now)
-        assert plan.due(now)
+            schedule.failed(now)
+            assert now < schedule.next_call_at <= now + 0.5
+            now = schedule.next_call_at
+            assert schedule.due(now)
+        schedule.answered()
+        schedule.moved(now)
+        assert schedule.due(now)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -16,7 +16,7 @@
 ROOT = Path(__file__).parent.parent
 CLASSES = {name: api.RequestClass(name, 1, 2) for name in ("photo-read", "photo-write", "batch-export")}
 PLANS = {name: api.Plan(name, weight=3) for name in ("basic", "standard", "priority")}
-TOLD = api.Settings(heads=3, classes=CLASSES, plans=PLANS, most_units=8)
+TOLD = api.Settings(fronts=3, classes=CLASSES, plans=PLANS, max_units=8)
 
 GOOD = """
 [objects]
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -6,7 +6,7 @@
 from ochrespan import interface as api
 from ochrespan.interface import Effect, Group, ListKind, NodeList, NodeState, Status
 
-from .helpers import Head, entry
+from .helpers import FrontDriver, entry
 
 STATES = st.sampled_from([NodeState.READY, NodeState.READY, NodeState.DRAINING, NodeState.GONE])
 ENDS = st.sampled_from([Status.OK] * 4 + list(Status))
@@ -30,15 +30,15 @@
     st.tuples(st.just("gone"), st.integers(0, 30)),
 )
 COLD = {"cold_units": 20.0, "start_capacity": 0.25, "warm_up": 6.0, "overload_window": 1.0}
-BUDGET = {"extra_free": 2.0, "extra_share": 0.2, "extra_window": 3.0}
+BUDGET = {"retry_budget_base": 2.0, "retry_budget_ratio": 0.2, "retry_budget_window": 3.0}
 
 
 class Judge:
     """Watches one head from outside."""
 
-    def __init__(self, head: Head) -> None:
-        self.head = head
-        self.classes = head.head.set.classes
+    def __init__(self, front: FrontDriver) -> None:
+        self.front = front
+        self.classes = front.scheduler.settings.classes
         self.requests: dict[str, tuple[float, api.Request]] = {}
         self.over: dict[str, float] = {}  # told or answered
         self.open: dict[tuple[str, int], tuple[str, float]] = {}
@@ -63,8 +63,8 @@
             self.zones[e.id] = (e.zone, e.shard)
 
     def check(self) -> None:
-        now = self.head.now
-        actions, self.seen = self.head.actions[self.seen :], len(self.head.actions)
+        now = self.front.now
+        actions, self.seen = self.front.actions[self.seen :], len(self.front.actions)
         for action in actions:
             if isinstance(action, api.Send):
                 self.send(action, now)
@@ -81,7 +81,7 @@
             out = any(n == name for n, _ in self.open)
             assert not (out or self.ran.get(name)) or (effect is Effect.KEYED and cls.group is Group.ALL)
         assert name not in self.over
-        self.over[name] = self.head.now
+        self.over[name] = self.front.now
 
     def send(self, action: api.Send, now: float) -> None:
         name = action.request_id
@@ -91,7 +91,7 @@
         assert name not in self.over and now < at + req.time_left
         assert node and node.state is NodeState.READY, "drain"
         assert req.shard in (-1, node.shard)
-        number = self.head.attempts[name] - 1
+        number = self.front.attempts[name] - 1
         assert number < 3 and not any(n == name for n, _ in self.open), "two at once"
         effect = cls.effect if cls else Effect.UNSAFE
         for other, sent_at in self.ran.get(name, []):
@@ -103,7 +103,7 @@
             earlier = self.order[req.key][: self.order[req.key].index(name)]
             assert all(n in self.over and not any(o == n for o, _ in self.open) for n in earlier), "order"
             assert now >= self.rest.get(req.key, 0.0), "rest"
-        span = self.head.head.set.extra_window
+        span = self.front.scheduler.settings.retry_budget_window
         if number and span:
             self.extras.append(now)
             mine = sum(t > now - span for t in self.extras)
@@ -111,7 +111,7 @@
         if not number and req.plan == "capped":
             self.capped += req.units
             assert self.capped <= 2 * (now - 100.0) + 1e-6, "limit"
-        if node.started_at is not None and self.head.head.set.cold_units:
+        if node.started_at is not None and self.front.scheduler.settings.cold_units:
             sends = self.cold.setdefault(node.id, [])
             sends.append((now, req.units))
             age = now - node.started_at
@@ -127,12 +127,12 @@
         cls = self.classes.get(self.requests[name][1].cls)
         hung = (Status.TIMEOUT, Status.RESET, Status.CANCELLED, Status.UNKNOWN)
         if status in hung and cls and cls.in_order:
-            self.rest[self.requests[name][1].key] = self.head.now + 0.1
+            self.rest[self.requests[name][1].key] = self.front.now + 0.1
 
 
 def play(steps: list[tuple], rules: dict) -> None:
-    head = Head(nodes=3, key_rest=0.1, **rules)
-    judge = Judge(head)
+    front = FrontDriver(nodes=3, key_cooldown=0.1, **rules)
+    judge = Judge(front)
     judge.listed(NodeList(ListKind.FULL, [entry(i) for i in range(3)]))
     count = 0
     for step in steps:
@@ -141,11 +141,11 @@
                 count += 1
                 name = f"q{count}"
                 req = api.Request(name, f"v-{plan}", cls, plan, left, float(units), shard, key, 2)
-                judge.requests[name] = (head.now, req)
-                judge.taken.append(head.now)
+                judge.requests[name] = (front.now, req)
+                judge.taken.append(front.now)
                 if cls == "save" and key:
                     judge.order.setdefault(key, []).append(name)
-                head.give(req)
+                front.handle(req)
             case ("end", which, status):
                 if judge.open:
                     name, number = sorted(judge.open)[which % len(judge.open)]
@@ -153,29 +153,29 @@
                     node = judge.open[name, number][0]
                     judge.end(name, number, status)
                     if status is Status.OK:
-                        judge.over.setdefault(name, head.now)
-                    head.give(api.Outcome(name, number, node, status, 0.05, closed))
+                        judge.over.setdefault(name, front.now)
+                    front.handle(api.Outcome(name, number, node, status, 0.05, closed))
             case ("wait", seconds):
-                until = head.now + seconds
-                while head.now < until:  # look at every moment, not only at the end
-                    head.wait(min(0.01, until - head.now) + 1e-6)
+                until = front.now + seconds
+                while front.now < until:  # look at every moment, not only at the end
+                    front.wait(min(0.01, until - front.now) + 1e-6)
                     judge.check()
             case ("list", kind, rows):
                 entries = [
-                    api.NodeEntry(f"n{i}", i % 3, state, head.now if new else None, zone)
+                    api.NodeEntry(f"n{i}", i % 3, state, front.now if new else None, zone)
                     for i, state, zone, new in rows
                 ]
                 news = NodeList(kind, [] if kind is ListKind.FAILED else entries)
                 judge.listed(news)
-                head.give(news)
+                front.handle(news)
             case ("gone", which):
                 alive = sorted(set(judge.requests) - set(judge.over))
                 if alive:
-                    judge.over[alive[which % len(alive)]] = head.now
-                    head.give(api.Gone(alive[which % len(alive)]))
+                    judge.over[alive[which % len(alive)]] = front.now
+                    front.handle(api.Gone(alive[which % len(alive)]))
         judge.check()
     for _ in range(90):
-        head.wait(0.05)
+        front.wait(0.05)
         judge.check()
     assert set(judge.over) == set(judge.requests)
 
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -159,8 +159,8 @@
     got = {"RequestId": "r", "Reason": "delivered", "UsePct": "lots", "Delta": "-5"}
     outcome = read_outcome(got | {"Report": "depth:nan,tps:3"})
     assert outcome.status is Status.OK and outcome.report == {"qps": 3}
-    assert (outcome.used, outcome.elsewhere) == (None, 0.0)
-    assert read_request({"RequestId": "r", "LeftNs": "1000", "NHosts": "inf"}).hosts == 0
+    assert (outcome.used_fraction, outcome.units_elsewhere) == (None, 0.0)
+    assert read_request({"RequestId": "r", "LeftNs": "1000", "NHosts": "inf"}).fronts == 0
 
 
 def test_who_is_told_unasked_does_not_ask_and_who_is_not_does():
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -12,7 +12,7 @@
 from ochrespan.lifecycle import Lifecycle
 from ochrespan.net.client_session import open_session
 from ochrespan.net.listener import Listener
-from ochrespan.settings import Links
+from ochrespan.settings import ConnectionSettings
 from ochrespan.sockets import Sockets
 from ochrespan.upgrade import LEAST_LIST_WAIT, LISTED_BY, Roster, RosterView, list_wait, process_age, shared_folder
 
@@ -75,7 +75,7 @@
     async def story():
         roster, lifecycle, sockets = HeldUp(shared_folder(str(tmp_path), "n0")), Lifecycle(), Sockets(384, True)
         roster.join()
-        session = open_session(Links(timedelta(seconds=1), timedelta(seconds=1)), 8)
+        session = open_session(ConnectionSettings(timedelta(seconds=1), timedelta(seconds=1)), 8)
         following = asyncio.create_task(follow_processes(roster, Switch(), lifecycle, sockets, session, []))
         await until(roster.asked.is_set)  # the loop goes on
         assert not lifecycle.succeeded
