--- a/ochrespan/interface.py
+++ b/ochrespan/interface.py
@@ -1,7 +1,7 @@
-"""Types, events, actions and settings of the decision module. No choice is made here.
+"""Types, events, actions and settings of the front's scheduling decisions. This module decides nothing itself.
 
-All times are in seconds: points of time on the caller's clock, or lengths. `Scheduler.handle(now, events)` in
-`policy/front.py` takes a list of events and returns a list of actions.
+All times are in seconds: points of time on the caller's clock, or durations. Work is counted in units.
+`Scheduler.handle(now, events)` in `policy/front.py` takes a list of events and returns a list of actions.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 
 class Effect(Enum):
-    """What a repeat of a request does."""
+    """What a repeated request does."""
 
-    SAFE = "safe"  # repeat and refuse at will
-    KEYED = "keyed"  # a group of nodes drops repeats for a while
-    UNSAFE = "unsafe"  # repeat only what never ran
+    SAFE = "safe"  # may always be repeated or refused
+    KEYED = "keyed"  # a group of nodes drops repeats for a time
+    UNSAFE = "unsafe"  # may be repeated only if it never ran
 
 
 class Group(Enum):
-    """The nodes that drop repeats of one keyed request."""
+    """Which nodes drop repeats of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -38,7 +38,7 @@
     RESET = "reset"  # may have run, or still run
     CANCELLED = "cancelled"  # may have run, or still run
     MOOT = "moot"  # never sent
-    UNKNOWN = "unknown"  # a word that is not known: may have run, or still run
+    UNKNOWN = "unknown"  # an unrecognized result: may have run, or still run
 
 
 class NodeState(Enum):
@@ -49,10 +49,10 @@
 
 class ListKind(Enum):
     DELTA = "delta"  # only the changed entries
-    FULL = "full"  # the whole list; a node that is missing is gone
-    CACHED = "cached"  # the whole list as it was last known; may be old
-    FAILED = "failed"  # a call failed or the subscription broke; the old list stays
-    MOVED = "moved"  # discovery is to be asked elsewhere; the old subscription stands until then, or breaks
+    FULL = "full"  # the complete list; a node that is missing is gone
+    CACHED = "cached"  # the complete list as last known; may be outdated
+    FAILED = "failed"  # a call failed or the subscription broke; the known list stays in use
+    MOVED = "moved"  # discovery has a new address; the old subscription stays until that is called, or breaks
 
 
 # ---- settings ----
@@ -60,64 +60,66 @@
 
 @dataclass(slots=True)
 class RequestClass:
+    """Requests with the same latency target and the same effect. The decisions do not use `late_share`."""
+
     name: str
     latency_target: float
-    deadline: float
-    value: float = 1.0
+    deadline: float  # the most time that a request of the class has
+    value: float = 1.0  # of a request, relative to other classes
     late_share: float = 0.0
     effect: Effect = Effect.UNSAFE
     group: Group = Group.CELL
-    window: float = 0.0  # how long repeats of a keyed request are dropped
-    in_order: bool = False
+    window: float = 0.0  # how long nodes drop repeats of a keyed request
+    in_order: bool = False  # requests of one key run one at a time
 
 
 @dataclass(slots=True)
 class Plan:
+    """What a volume is entitled to."""
+
     name: str
-    rate: float = 0.0
-    weight: float = 1.0
-    price: float = 1.0
+    rate: float = 0.0  # nominal; not used by the decisions
+    weight: float = 1.0  # of its flows in the scheduler
+    price: float = 1.0  # multiplies the value of its requests
     reserve: float = 0.0  # units a second
     limit: float = 0.0  # units a second; 0: no limit
-    limit_burst: float = 0.0
+    limit_burst: float = 0.0  # units
 
 
 @dataclass(slots=True)
 class Settings:
-    """What a head is told at its start. None means that the rule or feature is absent."""
+    """The settings of a front process at its start. None means that the rule or feature is absent."""
 
     seed: int = 0
-    fronts: int = 1
-    shards: int = 1  # in all; 1: not told, or data has no place of its own
+    fronts: int = 1  # front processes in all
+    shards: int = 1  # in all; 1: unknown, or data is not placed by shard
     zone: str = ""
     classes: dict[str, RequestClass] = field(default_factory=dict)
     plans: dict[str, Plan] = field(default_factory=dict)
-    tick: float = 0.0  # least time between batches
-    list_on_request: bool = False
-    max_poll_interval: float | None = (
-        None  # how long a head may go without asking; 0: what it could hear counts as told
-    )
+    tick: float = 0.0  # least time between two batches of events
+    list_on_request: bool = False  # the list of nodes comes only when requested
+    max_poll_interval: float | None = None  # between calls for the list; 0: updates count as received once available
     can_cancel: bool = False
     can_probe: bool = False
     second_copies: bool = False
-    sends_retry_after: bool = False
+    sends_retry_after: bool = False  # refusals tell the client when to retry
     max_attempts: int = 1
     max_retry_after: float = 0.0
     connect_timeout: float = 0.0
     report_in_answers: bool = False
-    mean_units: float = 1.0
-    max_units: float = 1.0
-    share_value: float = 1.0
-    spare_value: float = 1.0
-    cold_units: float | None = None
-    start_capacity: float | None = None
-    overload_multiple: float | None = None  # of what a cold node can do, for the overload window: it falls over
-    warm_up: float | None = None
+    mean_units: float = 1.0  # of a request
+    max_units: float = 1.0  # of a request
+    share_value: float = 1.0  # value of a request outside its volume's reserve, relative to one within
+    spare_value: float = 1.0  # not used by the decisions
+    cold_units: float | None = None  # that all fronts may send to a node that just started, per overload window
+    start_capacity: float | None = None  # of a node that just started, as a fraction of its full capacity
+    overload_multiple: float | None = None  # of a cold node's capacity: such a load for overload_window makes it fail
+    warm_up: float | None = None  # time from start_capacity to full capacity, at most
     overload_window: float | None = None
-    key_cooldown: float | None = None
-    retry_budget_base: float | None = None  # attempts beyond the first: so many ...
-    retry_budget_ratio: float | None = None  # ... and this share of the requests taken ...
-    retry_budget_window: float | None = None  # ... in this time
+    key_cooldown: float | None = None  # a key waits this long after an attempt that may still run
+    retry_budget_base: float | None = None  # attempts after the first: this number ...
+    retry_budget_ratio: float | None = None  # ... plus this fraction of the accepted requests ...
+    retry_budget_window: float | None = None  # ... within this time
 
 
 # ---- events ----
@@ -129,11 +131,11 @@
     volume: str
     cls: str
     plan: str
-    time_left: float
+    time_left: float  # until the client gives up
     units: float = 1.0
     shard: int = -1  # -1: a new object, any node may take it
     key: str = ""
-    fronts: int = 0  # heads through which the volume works; 0: not told
+    fronts: int = 0  # fronts that serve the volume; 0: unknown
     max_attempts: int = 0  # that are paid for; 0: as many as the settings allow
 
 
@@ -144,30 +146,30 @@
     node: str
     status: Status
     latency: float
-    closed: bool = False  # the request is over
-    report: dict[str, float] = field(default_factory=dict)
-    used_fraction: float | None = None  # what the volume got everywhere in a finished period, part of its rate
-    units_elsewhere: float = 0.0  # units this shard served for the volume through others since its last answer
-    max_attempts: int = 0  # that are paid for by now; 0: as the request said
+    closed: bool = False  # the request has ended
+    report: dict[str, float] = field(default_factory=dict)  # load metrics of the node
+    used_fraction: float | None = None  # of the volume's rate, used over all fronts in the last period
+    units_elsewhere: float = 0.0  # units that the shard served to other fronts for the volume since its last response
+    max_attempts: int = 0  # that are paid for by now; 0: unchanged
 
 
 @dataclass(slots=True)
 class Started:
-    """A streamed answer has begun; its deadline no longer runs."""
+    """A streamed response has begun; the request's deadline no longer applies."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class Gone:
-    """The client left; no answer is owed."""
+    """The client disconnected; it needs no answer."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class Ending:
-    """The head is about to end: by then every request has its final answer."""
+    """The process will end: every request, also later ones, gets its final answer by `at`."""
 
     at: float
 
@@ -212,27 +214,27 @@
     request_id: str
     node: str
     timeout: float
-    begin_within: float = math.inf  # a connection may take its time: not to be begun later
+    begin_within: float = math.inf  # a connection may take time to open; the attempt must not begin later
 
 
 @dataclass(slots=True)
 class Refuse:
-    """Final: trying again is harmless."""
+    """Final answer: the client can safely retry."""
 
     request_id: str
-    retry_after: float = 0.0
+    retry_after: float = 0.0  # 0: not told to the client
 
 
 @dataclass(slots=True)
 class Fail:
-    """Final: promises nothing."""
+    """Final answer: the request may have run."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class Cancel:
-    """Stop waiting for an attempt; its outcome still comes."""
+    """Stops waiting for an attempt; its outcome still follows."""
 
     request_id: str
     attempt: int
@@ -246,7 +248,7 @@
 
 @dataclass(slots=True)
 class WatchList:
-    """Ask for the changes of the list from now on."""
+    """Subscribes to changes of the list of nodes."""
 
 
 @dataclass(slots=True)
--- a/ochrespan/policy/front.py
+++ b/ochrespan/policy/front.py
@@ -354,7 +354,7 @@
         )
 
     def _new_node(self, entry: api.NodeEntry, previous: Node | None, kind: ListKind) -> Node:
-        """The record of a new or restarted node. Guard 4: from the cached list, it starts with a spent budget,
+        """The record of a new or restarted node. Guard 4: from a cached list, it starts with a spent budget,
         since this process may have sent to it before its own restart."""
         window = max(1.0, min(WINDOW_START, WINDOW_START_TOTAL / max(1, self.settings.fronts)))
         in_flight, sent_units = (previous.in_flight, previous.sent_units) if previous else (0, Recent())
@@ -441,8 +441,8 @@
         return node.queue_wait * exp((node.queue_wait_at - self.now) / (2 * self.min_target))
 
     def _meets_target(self, job: Job, node: Node) -> bool:
-        """Whether the node's queue is short enough. Exception: windows never narrow below one request, so those of
-        lower value, or with a longer latency target than the most urgent, wait for shorter queues."""
+        """Whether the node's queue is short enough. Exception: windows never narrow below one request, so
+        those of lower value, or with a longer latency target than the shortest, wait for shorter queues."""
         wait = self._queue_wait(node)
         reserve_factor = 1.0 if self._within_reserve(job) else self.settings.share_value**0.5
         relative_value = job.cls.value * job.flow.volume.plan.price * reserve_factor / self.max_value
--- a/ochrespan/settings.py
+++ b/ochrespan/settings.py
@@ -1,4 +1,4 @@
-"""The settings, read once for both hosts: the simulator's flat fields, or the same names nested in JSON."""
+"""Parses settings for both hosts: flat `name=value` fields of the simulator, or the same names nested in JSON."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 EFFECTS = {"free": api.Effect.SAFE, "guarded": api.Effect.KEYED, "single_shot": api.Effect.UNSAFE}
 GROUPS = {"all": api.Group.ALL, "zone": api.Group.ZONE, "cell": api.Group.CELL}
-# the figures of a load report, as the settings and both wires name them, and as we do
+# the metrics of a load report: names in the settings and both protocols -> names in this package
 REPORT_NAMES = {
     "concurrent": "inflight",
     "depth": "queue",
@@ -27,11 +27,11 @@
 
 
 class Malformed(ValueError):
-    """A line that cannot be read."""
+    """A line or field that cannot be parsed."""
 
 
 def parse_pairs(words: Iterable[str]) -> Fields:
-    """The name=value parts of a line."""
+    """The name=value words of a line."""
     parsed: Fields = {}
     for word in words:
         name, separator, value = word.partition("=")
@@ -67,7 +67,7 @@
 
 
 def number_or_none(fields: Fields, name: str) -> float | None:
-    """A figure that the event can do without: what cannot be read is left out."""
+    """An optional number of an event; None if it is missing or cannot be parsed."""
     try:
         return number(fields, name)
     except Malformed:
@@ -83,7 +83,7 @@
 
 
 def read_settings(fields: Fields) -> api.Settings:
-    """The first message as settings; absent parts stay absent."""
+    """The settings of the first message. Rules and features that it does not name stay None."""
     classes, plans = {}, {}
     for i in range(int(number(fields, "Classes.count", 0))):
         prefix = f"Classes.{i}."
@@ -148,11 +148,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionSettings:
-    """What the settings say of connections and of the front's place; the decisions do not need it."""
+    """Settings of connections and of this front's position in the fleet, which the decisions do not need."""
 
     connect_timeout: timedelta
-    idle_timeout: timedelta  # chunk servers close what was idle for so long
-    rank: int = 0  # this front's number among all
+    idle_timeout: timedelta  # chunk servers close connections that were idle for this long
+    rank: int = 0  # this front's number among all fronts
     shards: int = 1
 
 
@@ -166,7 +166,7 @@
 
 
 def flatten(nested: dict[str, Any], prefix: str = "") -> Fields:
-    """Nested settings as the simulator's paths: lists of objects counted, plain values joined."""
+    """Nested settings as flat paths: lists of objects get a `.count` and numbered items, other lists are joined."""
     parsed: Fields = {}
     for name, value in nested.items():
         path = prefix + name
--- a/ochrespan/simhost.py
+++ b/ochrespan/simhost.py
@@ -1,6 +1,7 @@
-"""The bench's wire to the interface and back; hosts many instances. Makes no decision.
+"""Runs the scheduling decisions under the simulator: its line protocol to events, and actions back to lines.
 
-Run as `python -m ochrespan.simhost`: batches come on standard input, replies go to standard output.
+One process hosts many front instances. Run as `python -m ochrespan.simhost`: batches come on standard input,
+replies go to standard output.
 """
 
 from __future__ import annotations
@@ -60,7 +61,7 @@
 
 
 def read_report(fields: Fields) -> dict[str, float]:
-    """The figures of a load report; what cannot be read is left out."""
+    """The metrics of a load report; those that cannot be parsed are left out."""
     report = {}
     for word in fields.get("Report", "").split(","):
         name, separator, value = word.partition(":")
@@ -98,7 +99,7 @@
     return api.NodeEntry(
         id=required_text(fields, "Shelf"),
         shard=int(number(fields, "Cluster", -1)),
-        # a state that is not known gets nothing new
+        # a node in an unknown state gets no new requests
         state=STATES.get(fields.get("Mode", "Running"), api.NodeState.DRAINING),
         started_at=started / NS if started > 0 else None,
         zone=fields.get("Campus", ""),
@@ -117,9 +118,9 @@
 
 
 def format_action(action: api.Action) -> str:
-    """An action as its line on the wire."""
+    """An action as a line of the simulator's protocol."""
     match action:
-        case api.Send(request_id, node, timeout, _):  # begins in the very tick
+        case api.Send(request_id, node, timeout, _):  # simulated sends begin at once, so begin_within has no effect
             return f"ISSUE RequestId={request_id} Shelf={node} WithinNs={max(1, round(timeout * NS))}"
         case api.Refuse(request_id, retry_after):
             hint = f" PauseNs={round(retry_after * NS)}" if retry_after > 0 else ""
@@ -138,23 +139,23 @@
 
 
 class Adapter:
-    """Reads batches line by line and keeps one scheduler for each living instance."""
+    """Reads batches line by line and keeps one scheduler for each running instance."""
 
     def __init__(self, out: TextIO, err: TextIO) -> None:
         self.out, self.err = out, err
         self.schedulers: dict[str, Scheduler] = {}
-        self.events: dict[str, list[api.Event]] = {}  # of this batch
+        self.events: dict[str, list[api.Event]] = {}  # of the current batch, by instance
         self.instance = ""
         self.now = 0.0
         self.frame = ""
         self.node_list: api.NodeList | None = None
-        self.entries_due = 0  # entries still to come
+        self.entries_due = 0  # entries of node_list still to come
 
     def report_malformed(self, line: str, error: object) -> None:
         print(f"ochrespan: malformed line skipped: {error}: {line[:200]}", file=self.err, flush=True)
 
     def handle_line(self, line: str) -> None:
-        """One line of input; a reply is written at the end of a batch."""
+        """Handles a line of input; the line that ends a batch writes the reply."""
         try:
             self._handle_line(line)
         except (ValueError, OverflowError) as error:
@@ -163,7 +164,7 @@
     def _handle_line(self, line: str) -> None:
         keyword, *words = line.split()
         if keyword == "MARK":
-            # a reply is owed for any batch whose number can be read, so the number is taken first
+            # every batch with a readable number gets a reply, so the number is parsed before what may be malformed
             fields = dict(word.partition("=")[::2] for word in words)
             self.frame = fields.get("frame", self.frame)
             self.instance, self.entries_due = "", 0
@@ -183,7 +184,7 @@
         elif keyword == "M" and self.entries_due > 0 and self.node_list is not None:
             self.entries_due -= 1
             self.node_list.entries.append(read_entry(parse_pairs(words)))
-        elif self.instance in self.schedulers:  # the dead and unknown get nothing
+        elif self.instance in self.schedulers:  # events for stopped and unknown instances are dropped
             if keyword == "BACKENDS_CHANGED":
                 fields = parse_pairs(words)
                 kind = LIST_KINDS.get(required_text(fields, "Scope"))
--- a/ochrespan/state.py
+++ b/ochrespan/state.py
@@ -1,4 +1,4 @@
-"""What a head remembers: plain records for `policy/`. No choice and no tuned value is kept here."""
+"""Records of a front's scheduling state, for `policy/`. They hold no decisions and no tuned constants."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """A token bucket."""
+    """A token bucket; tokens are units of work, the rate is per second."""
 
     rate: float
     burst: float
@@ -22,12 +22,13 @@
     updated_at: float
 
     def refill(self, now: float) -> float:
+        """Adds the tokens that are due by now; returns all tokens."""
         self.tokens = min(self.burst, self.tokens + self.rate * max(0.0, now - self.updated_at))
         self.updated_at = now
         return self.tokens
 
     def resize(self, rate: float, burst: float, now: float) -> None:
-        """From now on; what has come in until now came at the old rate, or at this one if there was none."""
+        """Changes rate and burst. Tokens up to now come at the old rate, or at the new one if the old was 0."""
         if self.rate and rate != self.rate:
             self.refill(now)
         self.rate, self.burst = rate, burst
@@ -36,13 +37,13 @@
 @dataclass(slots=True, eq=False)
 class Volume:
     plan: api.Plan
-    reserve: TokenBucket  # this head's part of the volume's reserve; its flows share it
-    limit: TokenBucket | None  # likewise of its limit
+    reserve: TokenBucket  # this front's fraction of the volume's reserve, shared by its flows
+    limit: TokenBucket | None  # likewise for its limit; None: unlimited
 
 
 @dataclass(slots=True, eq=False)
 class Flow(Share):
-    """A volume in one class."""
+    """The requests of one volume in one class."""
 
     volume: Volume
     weight: float
@@ -50,21 +51,20 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A request in our hands."""
+    """An open request. Times are points on the scheduler's clock, in seconds."""
 
     req: api.Request
     cls: api.RequestClass
     flow: Flow
     accepted_at: float
-    target_at: float
-    answer_by: float = inf
-    promoted: bool = False
-    done: bool = False
+    target_at: float  # latency target: a request that cannot be answered by then is ended
+    answer_by: float = inf  # the final answer leaves by then
+    promoted: bool = False  # from its flow queue into the scheduler queue
+    done: bool = False  # no further decision, though attempts may be in flight
     attempts: int = 0
-    in_flight: dict[int, float] = field(default_factory=dict)  # attempt -> sent at
-    first_possible_execution: tuple[str, int, float] | None = (
-        None  # zone, shard, sent at of the first attempt that may have run
-    )
+    in_flight: dict[int, float] = field(default_factory=dict)  # attempt number -> time sent
+    # zone, shard and time sent of the first attempt that may have run
+    first_possible_execution: tuple[str, int, float] | None = None
 
 
 Queues = dict[Flow, deque[Job]]
@@ -72,40 +72,42 @@
 
 @dataclass(slots=True, eq=False)
 class ShardQueues:
-    """What is held for one shard: its flow queues and its part of the scheduler queue."""
+    """Waiting requests of one shard: its flow queues and its segment of the scheduler queue."""
 
-    waiting: Queues = field(default_factory=dict)
-    ready: Queues = field(default_factory=dict)
+    waiting: Queues = field(default_factory=dict)  # flow queues
+    ready: Queues = field(default_factory=dict)  # promoted requests
 
 
 @dataclass(slots=True, eq=False)
 class Node:
+    """What this front has learnt about one node. Times in seconds."""
+
     entry: api.NodeEntry
     usable: bool = True
-    window: float = 0.0
+    window: float = 0.0  # most attempts in flight
     in_flight: int = 0  # attempts
-    unit_time: dict[str, float] = field(default_factory=dict)  # by class: about the least latency of a unit's work
-    queue_wait: float = 0.0  # in its queue, smoothed, as of seen_at
+    unit_time: dict[str, float] = field(default_factory=dict)  # by class: about the least latency per unit
+    queue_wait: float = 0.0  # in the node's queue: moving average as of queue_wait_at
     queue_wait_at: float = 0.0
-    last_answered_sent_at: float = 0.0  # when the latest attempt was sent that it answered
-    failures: float = 0.0  # in a row, each sent after the last was known
+    last_answered_sent_at: float = 0.0  # time sent of the latest answered attempt
+    failures: float = 0.0  # consecutive, of attempts sent after the previous failure was known
     failed_at: float = 0.0
-    debt_units: float = 0.0  # while cold: units of the last send, as far as they are not paid for by waiting
-    debt_at: float = 0.0  # up to when they are
-    sent_units: Recent = field(default_factory=Recent)  # units
+    debt_units: float = 0.0  # while cold: units sent that the budget has not repaid yet, as of debt_at
+    debt_at: float = 0.0
+    sent_units: Recent = field(default_factory=Recent)  # while cold: units by time sent
 
 
 class KeyQueues(dict[str, deque[Job]]):
-    """Requests by key; those of one key follow each other in turn of arrival."""
+    """Requests by key; those of one key run one at a time, in order of arrival."""
 
     def enqueue(self, job: Job) -> bool:
-        """Whether it is this request's turn at once."""
+        """Adds a request; returns whether it may run at once."""
         queue = self.setdefault(job.req.key, deque())
         queue.append(job)
         return len(queue) == 1
 
     def release(self, key: str) -> list[Job]:
-        """Drops what is over; returns the requests whose turn has come by that."""
+        """Drops finished requests from the front of the key's queue; returns those that may run now."""
         queue, unblocked = self.get(key), []
         while queue and queue[0].done and not queue[0].in_flight:
             queue.popleft()
@@ -117,19 +119,19 @@
 
 @dataclass(slots=True, eq=False)
 class NodeTable:
-    """The nodes that were told of, and the usable ones by shard; a change costs no more than what it touches."""
+    """The listed nodes, and the usable ones by shard. An update costs only as much as the entries it changes."""
 
     nodes: dict[str, Node] = field(default_factory=dict)
-    by_shard: dict[int, list[Node]] = field(default_factory=dict)  # the usable ones
-    unusable: dict[str, None] = field(default_factory=dict)  # nodes that are not usable
-    usable_cache: list[Node] | None = None  # all usable ones; None: to be looked up
+    by_shard: dict[int, list[Node]] = field(default_factory=dict)  # usable nodes only
+    unusable: dict[str, None] = field(default_factory=dict)  # a set, in order
+    usable_cache: list[Node] | None = None  # None: to be computed
 
     def update(self, node_list: api.NodeList, new_node: Callable[[api.NodeEntry, Node | None], Node]) -> list[int]:
-        """Takes a list in; `new_node` makes the record of a node's new life. Returns the shards it touches."""
+        """Applies a list; `new_node` makes the record of a new or restarted node. Returns the changed shards."""
         changed_shards: dict[int, list[Node]] = {}
         if node_list.kind is not api.ListKind.DELTA:
             for node in self.nodes.values():
-                node.usable = False  # what a complete list does not name is gone
+                node.usable = False  # nodes missing in a complete list are gone
             changed_shards = {shard: [] for shard in self.by_shard}
             self.unusable.update(dict.fromkeys(self.nodes))
         for entry in node_list.entries:
@@ -154,7 +156,7 @@
         return self.usable_cache
 
     def forget_gone(self) -> None:
-        """Drops the nodes that are not usable and have nothing out."""
+        """Drops unusable nodes that have no attempt in flight."""
         for name in [name for name in self.unusable if self.nodes[name].usable or not self.nodes[name].in_flight]:
             del self.unusable[name]
             if not self.nodes[name].usable:
