--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Drives one head through the interface, and checks the rules on everything it sends."""
+"""Drives one scheduler through its interface and checks what holds for all its actions."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def settings(**changes) -> api.Settings:
-    """Settings with small figures, changed as told."""
+    """Settings with small numbers, with the given changes."""
     base = {
         "seed": 7,
         "fronts": 2,
@@ -39,7 +39,7 @@
 
 
 class FrontDriver:
-    """One scheduler with a clock; keeps what it did."""
+    """One scheduler with a virtual clock; records its actions."""
 
     def __init__(self, nodes: int = 2, kind: api.ListKind = api.ListKind.CACHED, **changes) -> None:
         self.now = 100.0
@@ -53,7 +53,7 @@
         self.handle(api.NodeList(kind, [entry(i) for i in range(nodes)]))
 
     def handle(self, *events: api.Event) -> list[api.Action]:
-        """Gives events to the scheduler and checks its actions."""
+        """Passes events to the scheduler and checks its actions."""
         actions = self.scheduler.handle(self.now, list(events))
         self.actions += actions
         for action in actions:
@@ -72,7 +72,7 @@
         return actions
 
     def submit(self, cls: str = "read", plan: str = "free", **more) -> str:
-        """One request; returns its id."""
+        """Submits a request; returns its id."""
         self.count += 1
         name = more.pop("id", f"r{self.count}")
         more = {"volume": "v", "time_left": 4.0, "units": 2, "shard": 0} | more
@@ -80,13 +80,13 @@
         return name
 
     def answer(self, request_id: str, status: api.Status = api.Status.OK, attempt: int | None = None, **more):
-        """The outcome of its last attempt."""
+        """Reports the outcome of the request's last attempt."""
         node = next(s.node for _, s in reversed(self.sends) if s.request_id == request_id)
         attempt = self.attempts[request_id] - 1 if attempt is None else attempt
         return self.handle(api.Outcome(request_id, attempt, node, status, 0.05, closed=status is api.Status.OK, **more))
 
     def wait(self, seconds: float) -> None:
-        """Let time pass, with the timers that the head asked for."""
+        """Lets time pass and fires the timers that the scheduler set."""
         until = self.now + seconds
         while due := [w for w in self.timers if w <= until]:
             self.now = max(self.now, min(due))
@@ -107,7 +107,7 @@
 
 
 def count_calls(act: Callable[[], object]) -> int:
-    """Calls of functions that it takes: a count, not a time."""
+    """The number of function calls that `act` makes, as a cost that does not depend on the machine."""
     number = 0
 
     def count(frame, what, arg) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Many heads before few chunk servers on a virtual clock: what each learns alone, and what they do together."""
+"""Many fronts and few chunk servers on a virtual clock: what each front learns, and their combined load."""
 
 import random
 from collections import Counter
@@ -14,15 +14,15 @@
 
 STEP = 0.02
 COLD = {"cold_units": 24.0, "start_capacity": 0.2, "warm_up": 16.0, "overload_window": 1.0, "overload_multiple": 4.0}
-FULL = 100.0  # units a second that a warm server does; the settings promise less than 4 times its cold fifth
+FULL = 100.0  # units a second that a warm server serves; the settings assume overload at 4 times the cold fifth
 
 
 @dataclass
 class Server:
-    """Serves what comes at a rate that grows while it is cold; reports how busy it was, a little late."""
+    """Serves requests at a rate that grows while it is cold; reports its utilization with a short delay."""
 
     node: api.NodeEntry
-    received: list[tuple[float, float]] = field(default_factory=list)  # when, units
+    received: list[tuple[float, float]] = field(default_factory=list)  # time, units
     idle_at: float = 0.0
     unresponsive: bool = False
 
@@ -34,7 +34,7 @@
         return sum(u for at, u in self.received if since < at <= until)
 
     def accept(self, now: float, units: float) -> tuple[float, dict[str, float]]:
-        """When it answers, and with what report."""
+        """The time of the response, and its load report."""
         self.received.append((now, units))
         waits = max(0.0, self.idle_at - now)
         self.idle_at = max(self.idle_at, now) + units / self.capacity(now)
@@ -43,15 +43,17 @@
 
 
 class FleetModel:
-    """40 heads and 60 shards; each head works with 12 shards, in its own mix."""
+    """40 fronts and 60 shards; each front uses 12 shards, a different set each."""
 
     def __init__(self, reports: bool, rate: float = 40.0, fronts: int = 40, shards: int = 60) -> None:
         self.now, self.rng, self.reports, self.count = 100.0, random.Random(5), reports, 0
-        self.rate = rate * shards / fronts  # units a second through each head
-        self.accepted: set[str] = set()  # requests that are owed an end
-        self.in_flight: set[str] = set()  # requests with an attempt out
-        self.attempts_at_silent = 0  # attempts at silent servers
-        self.failure_rates: dict[Status, float] = {}  # parts of attempts that end so, though the server took them
+        self.rate = rate * shards / fronts  # units a second through each front
+        self.accepted: set[str] = set()  # requests without a final answer
+        self.in_flight: set[str] = set()  # requests with an attempt in flight
+        self.attempts_at_silent = 0  # attempts sent to unresponsive servers
+        self.failure_rates: dict[
+            Status, float
+        ] = {}  # fractions of attempts that end so although the server accepted them
         self.outcomes: Counter[Status] = Counter()
         self.servers = [Server(entry(i)) for i in range(shards)]
         self.by_id = {server.node.id: server for server in self.servers}
@@ -60,14 +62,14 @@
         for scheduler in self.schedulers:
             scheduler.random.seed(self.rng.random())
             scheduler.handle(self.now, [NodeList(ListKind.FULL, [s.node for s in self.servers])])
-        uses = shards // 5  # each shard is used by a fifth of the heads
+        uses = shards // 5  # each shard is used by a fifth of the fronts
         self.shards_by_front = [
             [(rank + k * (1 + rank % 7) * 5) % shards for k in range(uses)] for rank in range(fronts)
         ]
         self.answers: list[list[tuple[float, api.Outcome]]] = [[] for _ in range(fronts)]
 
     def replace(self, shards: range) -> list[Server]:
-        """New servers come up cold in the place of these."""
+        """Replaces the servers of these shards by cold ones."""
         changes = []
         for i in shards:
             old, new = self.servers[i].node, entry(i, f"new{i}", started_at=self.now)
@@ -85,7 +87,7 @@
                 self.in_flight -= {answer.request_id for answer in events}
                 self.accepted -= {answer.request_id for answer in events if answer.status is Status.OK}
                 self.answers[rank] = [one for one in self.answers[rank] if one[0] > self.now]
-                if self.rng.random() < self.rate * STEP / 2:  # of 2 units in the mean
+                if self.rng.random() < self.rate * STEP / 2:  # 2 units on average
                     self.count += 1
                     shard, units = (
                         self.rng.choice(self.shards_by_front[rank]),
@@ -103,7 +105,7 @@
     def process(self, rank: int, actions: list[api.Action]) -> None:
         for action in actions:
             if isinstance(action, api.Refuse | api.Fail):
-                self.accepted.remove(action.request_id)  # once
+                self.accepted.remove(action.request_id)  # fails on a second final answer
             if not isinstance(action, api.Send):
                 continue
             job, server = self.schedulers[rank].jobs[action.request_id], self.by_id[action.node]
@@ -131,13 +133,13 @@
 
 @pytest.mark.parametrize(
     ("reports", "rate", "cold", "warm"),
-    [  # parts of what is asked; some servers have over 100
+    [  # fractions of the demand; some servers get more than 100 units a second
         (False, 40.0, 0.2, 0.85),
         (True, 40.0, 0.7, 0.85),
         (True, 80.0, 0.4, 0.65),
     ],
 )
-def test_all_heads_together_never_push_a_cold_server_over_and_use_it_in_full_once_it_is_warm(reports, rate, cold, warm):
+def test_all_fronts_together_never_overload_a_cold_server_and_use_it_fully_once_warm(reports, rate, cold, warm):
     fleet = FleetModel(reports, rate)
     fleet.run(12)
     fresh = fleet.replace(range(0, 60, 2))
@@ -148,7 +150,7 @@
         capacity = FULL * min(1.0, 0.2 + 0.8 * (second - 1) / 16)
         if not reports:
             assert sum(sums) / len(sums) <= 24 * capacity / 20, (second, sums)
-        assert all(units < 3.2 * capacity for units in sums), (second, sums)  # at 4 they fall
+        assert all(units < 3.2 * capacity for units in sums), (second, sums)  # at 4 they would fail
         early += sum(sums) if 2 <= second <= 6 else 0.0
         late += sum(sums) if second >= 18 else 0.0
     assert early >= cold * rate * 5 * len(fresh)
@@ -156,7 +158,7 @@
 
 
 @pytest.mark.parametrize(("fronts", "first"), [(1, 3), (4, 3), (8, 1), (40, 1), (200, 1)])
-def test_a_head_of_many_begins_with_few_requests_out_at_a_server(fronts, first):
+def test_the_initial_window_shrinks_with_the_number_of_fronts(fronts, first):
     scheduler = Scheduler(settings(fronts=fronts), 100.0)
     scheduler.handle(100.0, [NodeList(ListKind.FULL, [entry(0)])])
     actions = scheduler.handle(100.0, [api.Request(f"r{i}", "v", "read", "free", 4.0, 2, 0) for i in range(9)])
@@ -165,8 +167,8 @@
 
 @pytest.mark.parametrize(
     ("fronts", "queue", "widens"), [(40, None, True), (40, 0.0, True), (40, 2.0, False), (4, 2.0, True)]
-)  # few heads: their own answers tell
-def test_a_queue_that_other_heads_made_narrows_the_window_before_our_own_answers_are_late(fronts, queue, widens):
+)  # with few fronts, own responses show the queue
+def test_a_queue_caused_by_other_fronts_narrows_the_window_before_own_responses_are_late(fronts, queue, widens):
     scheduler = Scheduler(settings(fronts=fronts), 100.0)
     scheduler.handle(100.0, [NodeList(ListKind.FULL, [entry(0)])])
     report = {} if queue is None else {"queue": queue}
@@ -185,8 +187,8 @@
     ("report", "narrows"),
     [({}, True), ({"queue": 2.0}, True), ({"util": 0.9, "queue": 0.0}, True), ({"util": 0.4, "queue": 0.0}, False)],
 )
-def test_long_work_at_a_server_that_is_half_idle_does_not_narrow_its_window(report, narrows):
-    """From the tenth on, every second answer takes four times as long, as with works of very different sizes."""
+def test_long_work_at_a_server_with_low_utilization_does_not_narrow_its_window(report, narrows):
+    """From the tenth on, every second response takes four times as long, as with requests of very different size."""
     scheduler = Scheduler(settings(fronts=4), 100.0)
     scheduler.handle(100.0, [NodeList(ListKind.FULL, [entry(0)])])
     for turn in range(60):
@@ -200,7 +202,7 @@
 
 
 @pytest.mark.parametrize(("queue_wait", "sent"), [(0.05, {"read", "export"}), (0.2, {"read"}), (0.6, set())])
-def test_what_has_time_leaves_a_queue_to_what_has_none(queue_wait, sent):
+def test_requests_with_a_long_target_leave_a_queue_to_urgent_ones(queue_wait, sent):
     classes = {name: api.RequestClass(name, aim, 2 * aim) for name, aim in (("read", 0.5), ("export", 4.5))}
     scheduler = Scheduler(settings(classes=classes), 100.0)
     scheduler.handle(100.0, [NodeList(ListKind.FULL, [entry(0)])])
@@ -212,11 +214,14 @@
     assert "export" in sent or any(isinstance(action, api.Send) and action.request_id == "export" for action in actions)
 
 
-def test_what_was_not_sent_is_refused_by_half_of_its_time_also_behind_what_has_more_of_it():
+def test_unsent_requests_are_refused_by_half_their_time_even_behind_ones_with_more_time():
     scheduler = Scheduler(settings(), 100.0)
     scheduler.handle(100.0, [NodeList(ListKind.FULL, [entry(0)])])
-    scheduler.nodes["n0"].queue_wait, scheduler.nodes["n0"].queue_wait_at = 50.0, 100.0  # too long a queue for any
-    lefts = {"long": 3.0, "short": 0.4, "shorter": 0.2}  # as clients ask that give up early; one flow
+    scheduler.nodes["n0"].queue_wait, scheduler.nodes["n0"].queue_wait_at = (
+        50.0,
+        100.0,
+    )  # too long a queue for any request
+    lefts = {"long": 3.0, "short": 0.4, "shorter": 0.2}  # as from clients with short time-outs; one flow
     now, ended = 100.0, {}
     requests: list[api.Event] = [api.Request(name, "v", "read", "free", left, 1, 0) for name, left in lefts.items()]
     while len(ended) < 3:
@@ -228,18 +233,18 @@
     assert ended["short"] > 0.15 and ended["shorter"] > 0.05
 
 
-def test_a_zone_that_falls_silent_and_returns_cold_is_tried_seldom_and_not_pushed_over():
+def test_a_zone_that_stops_responding_and_returns_cold_gets_few_attempts_and_no_overload():
     fleet = FleetModel(reports=True)
     fleet.run(8)
     zone = fleet.servers[:20]
     for server in zone:
         server.unresponsive = True
-    fleet.run(1)  # nobody tells: each front finds out by itself
+    fleet.run(1)  # no list update: each front has to notice
     fleet.attempts_at_silent = 0
     fleet.run(4)
-    # 20 servers are asked for 800 units a second, 2 in a request: 1,600 requests in that time
+    # demand at 20 servers: 800 units a second, 2 per request: 1,600 requests in that time
     assert fleet.attempts_at_silent <= 320, fleet.attempts_at_silent
-    for server in zone:  # back under its id, cold; the list tells it a second late
+    for server in zone:  # back under its id, cold; listed a second late
         server.node = entry(server.node.shard, server.node.id, started_at=fleet.now)
         server.unresponsive, server.idle_at = False, fleet.now
     fleet.run(1)
@@ -257,24 +262,24 @@
     assert not any(scheduler.jobs for scheduler in fleet.schedulers)
 
 
-def test_lost_answers_and_resets_under_a_release_that_is_told_late_leave_one_end_each_and_one_attempt_out():
+def test_with_lost_responses_resets_and_a_late_list_each_request_ends_once_with_one_attempt_at_a_time():
     fleet = FleetModel(reports=True)
     fleet.run(2)
     fleet.failure_rates = {Status.TIMEOUT: 0.1, Status.RESET: 0.1, Status.ERROR: 0.05}
     gone = fleet.servers[:12]
     for server in gone:
-        server.unresponsive = True  # no list says so yet
+        server.unresponsive = True  # not in the list yet
     fleet.run(3)
     fleet.replace(range(12))
     fleet.run(3)
     fleet.failure_rates = {}
     fleet.rate = 0.0
-    fleet.run(5)  # `hear` has checked each send and each end
+    fleet.run(5)  # `process` has checked each send and each end
     assert all(fleet.outcomes[status] > 100 for status in (Status.TIMEOUT, Status.RESET, Status.ERROR)), fleet.outcomes
     assert not fleet.accepted and not fleet.in_flight and not any(scheduler.jobs for scheduler in fleet.schedulers)
 
 
-def test_nothing_new_goes_to_drained_servers_though_they_are_told_twice_and_their_successors_late():
+def test_drained_servers_get_no_new_requests_even_if_listed_twice_and_replaced_late():
     fleet = FleetModel(reports=True)
     fleet.run(4)
     old = fleet.servers[:36]
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -1,4 +1,4 @@
-"""The module's form."""
+"""Size, independence and example of the decision module."""
 
 import ast
 import re
@@ -7,10 +7,10 @@
 import ochrespan
 
 ROOT = Path(ochrespan.__file__).parent
-MAX_STATEMENTS = 463  # what 500 lines held before the formatter set them, at 499 lines for 463 statements
+MAX_STATEMENTS = 463  # bounds the size: 499 lines held 463 statements before the formatter split lines
 
 
-def test_the_module_is_short_enough_to_read_at_night():
+def test_the_policy_package_stays_within_its_size_bounds():
     files = list((ROOT / "policy").glob("*.py"))
     lines = [line for file in files for line in file.read_text().splitlines() if line.strip()]
     nodes = [node for file in files for node in ast.walk(ast.parse(file.read_text()))]
@@ -19,14 +19,14 @@
     assert max(map(len, lines)) <= 110
 
 
-def test_the_module_names_its_interface_and_stands_apart_from_the_wire():
+def test_the_policy_package_names_its_interface_and_does_not_know_the_wire():
     assert "ochrespan/interface.py" in (ROOT / "policy/front.py").read_text().split('"""')[1]
     for file in (ROOT / "policy").glob("*.py"):
         text = file.read_text()
         assert "simhost" not in text and "Ns" not in text
 
 
-def test_the_module_uses_the_standard_library_only():
+def test_the_policy_package_uses_the_standard_library_only():
     allowed = {
         "__future__",
         "heapq",
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Each rule, with a test that fails when its guard is taken out."""
+"""Each rule of the scheduler has a test that fails without its guard."""
 
 from math import inf
 
@@ -23,7 +23,7 @@
 def test_every_request_ends_before_its_deadline():
     front = FrontDriver(nodes=0)
     name = front.submit()
-    front.wait(0.49)  # a node may yet come
+    front.wait(0.49)  # a node may still appear
     assert name not in front.final_answers
     front.wait(3.505)
     assert isinstance(front.final_answers[name], api.Refuse)
@@ -35,15 +35,15 @@
     assert name in front.final_answers and not front.sent(name)
 
 
-def test_all_that_is_held_or_still_comes_ends_with_the_head():
+def test_open_and_later_requests_are_ended_when_the_front_shuts_down():
     front = FrontDriver()
-    held, hanging = front.submit("once"), front.submit()
+    unsafe, safe = front.submit("once"), front.submit()
     front.handle(api.Ending(front.now + 0.3))
     front.answer(front.submit())  # still served
     front.wait(0.2)
     assert not front.final_answers
     front.wait(0.11)
-    assert isinstance(front.final_answers[held], api.Fail) and isinstance(front.final_answers[hanging], api.Refuse)
+    assert isinstance(front.final_answers[unsafe], api.Fail) and isinstance(front.final_answers[safe], api.Refuse)
     late = front.submit()
     assert isinstance(front.final_answers[late], api.Refuse) and not front.sent(late)
 
@@ -67,7 +67,7 @@
         assert isinstance(front.final_answers[name], api.Fail), status
 
 
-def test_an_unsafe_request_still_out_is_failed_not_refused():
+def test_an_unsafe_request_in_flight_is_failed_not_refused():
     front = FrontDriver()
     name = front.submit("once")
     front.wait(4)
@@ -114,8 +114,8 @@
     assert isinstance(front.final_answers[name], api.Fail)
 
 
-def test_a_repeat_of_a_keyed_request_is_told_by_when_it_has_to_begin():
-    """It left in time; its connection came up late, and it began after its key had been forgotten."""
+def test_a_repeat_of_a_keyed_request_carries_the_time_by_which_it_must_begin():
+    """Guards against a repeat sent in time whose connection opens late: it would begin after nodes forgot its key."""
     front = FrontDriver()
     for cls, wanted in (("keyed-all", 1.0 - 0.002 - 0.3), ("read", inf)):
         name = front.submit(cls)
@@ -141,19 +141,19 @@
 
 
 def test_nothing_goes_to_a_draining_gone_or_unlisted_node():
-    for news in (
+    for update in (
         NodeList(ListKind.DELTA, [entry(0, state=NodeState.DRAINING)]),
         NodeList(ListKind.DELTA, [entry(0, state=NodeState.GONE)]),
         NodeList(ListKind.FULL, [entry(1)]),
     ):
         front = FrontDriver()
-        front.handle(news)
+        front.handle(update)
         name = front.submit()
         front.wait(0.3)
         assert not front.sent(name)
 
 
-def test_held_requests_go_to_the_node_that_takes_the_shard_over():
+def test_waiting_requests_go_to_the_node_that_takes_over_the_shard():
     front = FrontDriver()
     front.handle(NodeList(ListKind.DELTA, [entry(0, state=NodeState.GONE)]))
     name = front.submit()
@@ -161,7 +161,7 @@
     assert [s.node for s in front.sent(name)] == ["new"]
 
 
-def test_what_was_not_sent_by_half_of_its_time_is_refused_then_and_what_was_sent_goes_on():
+def test_requests_unsent_after_half_their_time_are_refused_and_sent_ones_continue():
     front = FrontDriver()
     for _ in range(3):
         front.submit()  # the window is full
@@ -176,21 +176,21 @@
     assert sent not in front.final_answers
 
 
-def test_the_list_is_watched_and_asked_for_again_after_failure():
+def test_the_list_is_requested_again_after_a_failure_or_without_a_response():
     front = FrontDriver(list_on_request=True, max_poll_interval=10.0)
-    asks = lambda: sum(isinstance(a, api.WatchList) for a in front.actions)  # noqa: E731
-    front.wait(0.11)  # by lot: another head may start now too
-    assert asks() == 1
+    calls = lambda: sum(isinstance(a, api.WatchList) for a in front.actions)  # noqa: E731
+    front.wait(0.11)  # random delay: another front may start now too
+    assert calls() == 1
     front.handle(NodeList(ListKind.FAILED))
     front.wait(0.09)
-    assert asks() == 1
+    assert calls() == 1
     front.wait(0.2)
-    assert asks() == 2
-    front.wait(5.1)  # no answer at all
-    assert asks() == 3
+    assert calls() == 2
+    front.wait(5.1)  # no response
+    assert calls() == 3
     front.handle(NodeList(ListKind.DELTA))
     front.wait(30)
-    assert asks() == 3
+    assert calls() == 3
 
 
 def cold_front(**changes) -> FrontDriver:
@@ -207,7 +207,7 @@
     return 2 * sum(1 for at, _ in front.sends if at > since)
 
 
-def test_a_cold_node_gets_this_heads_part_in_each_window():
+def test_a_cold_node_gets_this_fronts_fraction_in_each_window():
     front = cold_front()
     front.handle(NodeList(ListKind.DELTA, [entry(0, started_at=front.now)]))
     for _ in range(60):
@@ -217,7 +217,7 @@
     assert units_sent(front, front.now - 2) <= 20
 
 
-def test_a_fresh_head_takes_the_cold_budget_as_spent():
+def test_after_a_restart_the_cold_budget_counts_as_spent():
     front = cold_front()
     front.scheduler.handle(front.now, [NodeList(ListKind.CACHED, [entry(0, started_at=front.now - 1)])])
     name = front.submit()
@@ -239,23 +239,23 @@
             serve(front)
         sums.append(units_sent(front, before - 0.001))
     assert 20 < sums[0] < sums[1]
-    assert sums[1] >= 360  # warm: no bound but the window
+    assert sums[1] >= 360  # warm: limited only by the window
 
 
-def test_one_key_runs_one_at_a_time_in_turn():
+def test_requests_of_one_key_run_one_at_a_time_in_order():
     front = FrontDriver()
     names = [front.submit("save", key="k") for _ in range(3)]
-    free = [front.submit("save", key="") for _ in range(2)]
-    assert len(front.sent()) == 3 and all(front.sent(n) for n in free)
+    without_key = [front.submit("save", key="") for _ in range(2)]
+    assert len(front.sent()) == 3 and all(front.sent(n) for n in without_key)
     front.answer(names[0])
     assert front.sent(names[1]) and not front.sent(names[2])
-    front.answer(names[1], Status.ERROR)  # sent again: it has the turn
+    front.answer(names[1], Status.ERROR)  # sent again: it is still first of its key
     assert len(front.sent(names[1])) == 2 and not front.sent(names[2])
     front.answer(names[1])
     assert front.sent(names[2])
 
 
-def test_a_key_waits_for_an_open_attempt_of_an_ended_request_and_then_rests():
+def test_a_key_waits_for_an_attempt_in_flight_of_an_ended_request_and_for_the_cooldown():
     front = FrontDriver(key_cooldown=0.1)
     first = front.submit("save", key="k", time_left=0.2)
     second = front.submit("save", key="k")
@@ -268,7 +268,7 @@
     assert front.sent(second)
 
 
-def test_the_budget_of_further_attempts():
+def test_the_retry_budget():
     front = FrontDriver(retry_budget_base=2.0, retry_budget_ratio=0.1, retry_budget_window=5.0)
     front.scheduler.settings.max_attempts = 99
     for _ in range(10):
@@ -282,7 +282,7 @@
     assert len(front.sent()) - 11 == 4
 
 
-def test_a_limit_is_kept_over_this_heads_part_and_begins_empty():
+def test_a_limit_applies_by_this_fronts_fraction_and_starts_empty():
     front = FrontDriver()
     assert not front.sent(front.submit(plan="capped", fronts=2))
     spent = 0.0
@@ -297,7 +297,7 @@
     assert spent >= 8
 
 
-def test_the_list_forgotten_nodes_and_ended_requests_leave_no_trace():
+def test_removed_nodes_and_ended_requests_leave_no_records():
     front = FrontDriver()
     for i in range(50):
         front.answer(front.submit(volume=f"v{i}", key=f"k{i}", cls="save"))
@@ -310,7 +310,7 @@
     )
 
 
-def test_odd_events_are_ignored():
+def test_unexpected_events_are_ignored():
     front = FrontDriver()
     name = front.submit()
     front.handle(
@@ -330,10 +330,10 @@
     assert second not in front.final_answers
 
 
-def test_what_cannot_be_in_time_is_refused_early_but_an_idle_node_is_never_starved():
+def test_requests_that_cannot_meet_their_target_are_refused_early_but_an_idle_node_still_gets_requests():
     front = FrontDriver()
     names = [front.submit() for _ in range(40)]
-    front.wait(0.6)  # the aim of what waits has passed
+    front.wait(0.6)  # the latency target of the waiting requests has passed
     waiting = [n for n in names if not front.sent(n)]
     assert waiting and all(isinstance(front.final_answers[n], api.Refuse) for n in waiting)
     front.scheduler.nodes["n0"].unit_time["read"] = 9.0  # a wrong estimate
@@ -342,19 +342,19 @@
     assert front.sent(front.submit())
 
 
-def test_time_left_that_is_short_for_all_is_no_sign_of_a_repeat():
+def test_short_time_left_in_every_request_is_not_taken_for_client_retries():
     front = FrontDriver()
     assert front.sent(front.submit(time_left=1.0))  # the class's deadline is 4 s
 
 
-def test_a_client_that_gives_up_early_is_served_and_a_repeat_past_its_aim_is_not():
+def test_a_client_with_a_short_timeout_is_served_and_a_retry_past_its_target_is_not():
     front = FrontDriver()
-    front.answer(front.submit())  # has all of the class's time
-    assert front.sent(front.submit(time_left=0.3))  # less than the aim
+    front.answer(front.submit())  # with all of the class's time
+    assert front.sent(front.submit(time_left=0.3))  # less than the latency target
     assert front.submit(time_left=2.0) in front.final_answers
 
 
-def test_a_node_that_turns_all_away_does_not_draw_new_objects():
+def test_a_node_that_rejects_everything_does_not_attract_new_objects():
     front = FrontDriver(nodes=3)
     bad = front.sent(front.submit(shard=-1))[0].node
     front.answer("r1", Status.FULL)
@@ -364,7 +364,7 @@
     assert sum(s.node == bad for s in front.sent()) <= 2
 
 
-def test_a_node_that_turns_all_away_gets_single_trials():
+def test_a_node_that_rejects_everything_gets_single_attempts():
     front = FrontDriver()
     for _ in range(30):
         name = front.submit()
@@ -376,7 +376,7 @@
     assert front.sent(front.submit())
 
 
-def test_what_is_inside_the_reserve_goes_first():
+def test_requests_within_the_reserve_go_first():
     front = FrontDriver()
     fill = [front.submit(volume="spare") for _ in range(9)]
     paid = front.submit(plan="paid", volume="owed")
@@ -385,25 +385,25 @@
     assert sum(bool(front.sent(n)) for n in fill) < 9
 
 
-def test_ending_a_hopeless_request_may_pass_its_turn_to_another_shard():
+def test_ending_a_request_early_may_unblock_its_key_for_another_shard():
     front = FrontDriver()
     for _ in range(3):
         front.submit(shard=0)
-    held = front.submit("save", key="k", shard=0)
+    waiting = front.submit("save", key="k", shard=0)
     front.submit("save", key="k", shard=1)
-    front.now += 0.7  # nothing waits for shard 1 yet; the end of the first makes its lane
+    front.now += 0.7  # shard 1 has no queues yet; ending the first request makes them
     front.handle(api.Timer(1))
-    assert held in front.final_answers
+    assert waiting in front.final_answers
 
 
-def test_an_attempt_times_out_at_the_aim_so_that_nodes_may_drop_it_from_their_queues():
+def test_an_attempt_times_out_at_the_latency_target_so_that_nodes_may_drop_it_from_their_queues():
     front = FrontDriver()
     assert front.sent(front.submit())[0].timeout <= 0.5
     front = FrontDriver()
     assert front.sent(front.submit(time_left=0.2))[0].timeout < 0.2
 
 
-def test_a_silent_node_is_backed_off_from_and_taken_up_again():
+def test_an_unresponsive_node_is_backed_off_from_and_used_again_after_recovery():
     front = FrontDriver()
     front.answer(front.submit())
     for _ in range(60):
@@ -421,20 +421,20 @@
     assert front.sent(name) and not front.scheduler.nodes["n0"].failures
 
 
-def test_lesser_work_waits_for_a_shorter_queue_than_what_is_inside_the_reserve():
+def test_requests_outside_the_reserve_accept_only_a_shorter_queue():
     front = FrontDriver()
     front.answer(front.submit())
     node = front.scheduler.nodes["n0"]
     front.scheduler.settings.share_value = 0.3
     node.queue_wait, node.queue_wait_at = 0.35, front.now
-    spare, owed = front.submit(volume="spare"), front.submit(plan="paid", volume="owed")
-    assert front.sent(owed) and not front.sent(spare)
-    front.answer(owed)
-    front.wait(0.3)  # what is old is believed less
-    assert front.sent(spare)
+    outside, within = front.submit(volume="spare"), front.submit(plan="paid", volume="owed")
+    assert front.sent(within) and not front.sent(outside)
+    front.answer(within)
+    front.wait(0.3)  # old estimates decay
+    assert front.sent(outside)
 
 
-def test_what_nobody_waits_for_any_more_is_cancelled_and_frees_its_key():
+def test_an_abandoned_request_is_cancelled_and_frees_its_key():
     front = FrontDriver(can_cancel=True)
     first = front.submit("save", key="k")
     second = front.submit("save", key="k")
@@ -444,18 +444,18 @@
     assert front.sent(second)
 
 
-def test_where_answers_get_lost_attempts_overdue_by_far_are_tried_again():
+def test_long_overdue_attempts_are_retried_where_responses_get_lost():
     front = FrontDriver()
     for _ in range(3):
         name = front.submit()
         assert front.sent(name)[0].timeout == 0.5
         front.answer(name)
-    for _ in range(2):  # each times out though a later send was answered
+    for _ in range(2):  # each times out although a later attempt was answered
         lost = front.submit()
         front.wait(0.05)
         front.answer(front.submit())
         front.answer(lost, Status.TIMEOUT)
-        front.answer(lost)  # of its next attempt
+        front.answer(lost)  # its next attempt
     lost = front.submit()
     assert front.sent(lost)[0].timeout < 0.4
     front.wait(0.2)
@@ -466,8 +466,8 @@
     assert len(front.sent(once)) == 1
 
 
-def test_the_work_of_one_class_is_not_taken_for_a_queue_in_another():
-    """Reads take twice as long a unit as the rest, and units are told rounded up: neither is a sign of load."""
+def test_longer_work_of_one_class_is_not_taken_for_a_queue():
+    """Reads take twice as long per unit as other classes, and units are rounded up: neither indicates a queue."""
     front = FrontDriver(nodes=1)
     for _ in range(30):
         for cls, units, latency in (("save", 2, 0.015), ("read", 1, 0.01), ("read", 2, 0.03), ("read", 3, 0.05)):
@@ -478,39 +478,39 @@
     assert node.queue_wait < 0.001 and node.window >= 3
 
 
-def test_a_shard_long_without_a_node_holds_nothing_and_is_served_again_once_it_has_one():
+def test_a_shard_that_has_lacked_nodes_for_long_queues_nothing_until_it_has_one_again():
     front = FrontDriver(nodes=1)
     front.handle(NodeList(ListKind.DELTA, [entry(0, state=NodeState.GONE)]))
-    held = front.submit()
-    front.wait(0.4)  # a node may just be being replaced
-    assert held not in front.final_answers
+    waiting = front.submit()
+    front.wait(0.4)  # the node may be in replacement
+    assert waiting not in front.final_answers
     front.wait(0.15)
-    held, new = front.submit(), front.submit(shard=-1)
-    assert isinstance(front.final_answers[held], api.Refuse) and new not in front.final_answers
+    waiting, new = front.submit(), front.submit(shard=-1)
+    assert isinstance(front.final_answers[waiting], api.Refuse) and new not in front.final_answers
     front.handle(NodeList(ListKind.DELTA, [entry(0)]))
     assert front.sent(front.submit())
     front.handle(NodeList(ListKind.DELTA, [entry(0, state=NodeState.GONE)]))
-    assert front.submit() not in front.final_answers  # the next absence counts from its own beginning
+    assert front.submit() not in front.final_answers  # the time without a node starts again
 
 
-def test_a_node_is_not_starved_for_good_by_one_bad_estimate():
+def test_one_wrong_latency_estimate_does_not_keep_requests_from_a_node():
     front = FrontDriver()
     front.answer(front.submit())
     front.scheduler.nodes["n0"].unit_time["read"] = 50.0
     assert front.sent(front.submit(units=8))
 
 
-def test_two_connections_that_break_stop_nobody_while_two_that_never_come_up_do():
-    for status, room in ((Status.RESET, 2), (Status.CONNECT_FAILED, 0)):
+def test_two_resets_do_not_back_off_but_two_failures_to_connect_do():
+    for status, allowed in ((Status.RESET, 2), (Status.CONNECT_FAILED, 0)):
         front = FrontDriver(nodes=1)
         for _ in range(2):
             front.answer(front.submit("once"), status)
             front.now += 0.001
         names = [front.submit("once") for _ in range(2)]
-        assert sum(bool(front.sent(name)) for name in names) == room, status
+        assert sum(bool(front.sent(name)) for name in names) == allowed, status
 
 
-def test_attempts_that_fail_together_are_one_trouble():
+def test_attempts_that_fail_together_count_as_one_failure():
     front = FrontDriver(nodes=1)
     names = [front.submit() for _ in range(3)]
     assert all(front.sent(n) for n in names)
@@ -520,18 +520,18 @@
     assert front.scheduler.nodes["n0"].failures == 1
 
 
-def test_a_refusal_says_when_to_come_back_where_the_settings_allow_it():
-    for advises, least, most in ((True, 0.1, 0.4), (False, 0.0, 0.0)):
-        front = FrontDriver(nodes=0, sends_retry_after=advises, max_retry_after=0.4)
+def test_a_refusal_tells_when_to_retry_where_the_settings_allow_it():
+    for enabled, low, high in ((True, 0.1, 0.4), (False, 0.0, 0.0)):
+        front = FrontDriver(nodes=0, sends_retry_after=enabled, max_retry_after=0.4)
         name = front.submit()
         front.wait(4)
-        assert least <= front.final_answers[name].retry_after <= most
+        assert low <= front.final_answers[name].retry_after <= high
 
 
-def test_a_client_that_claims_to_have_for_ever_takes_no_time_from_the_others():
+def test_a_client_that_claims_unlimited_time_does_not_make_others_look_like_retries():
     front = FrontDriver(1)
     front.submit(time_left=1e6)
     front.submit(time_left=4.0)
-    assert len(front.sent()) == 2  # the second is no repeat that has spent its aim
+    assert len(front.sent()) == 2  # the second does not count as a retry past its latency target
     front.wait(5.0)
-    assert set(front.final_answers) == {"r1", "r2"}  # and the first is not held for ever
+    assert set(front.final_answers) == {"r1", "r2"}  # and the first does not wait for ever
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""Short transcripts through the adapter, written for this project."""
+"""Short transcripts of the simulator's protocol, played through `ochrespan.simhost`."""
 
 import os
 import subprocess
@@ -24,8 +24,8 @@
     )
 
 
-def start(inst):
-    return [f"CONTEXT I={inst}", f"PROVISION {INFO}", *LIST]
+def start(instance):
+    return [f"CONTEXT I={instance}", f"PROVISION {INFO}", *LIST]
 
 
 def batch(frame, at_ms, *lines):
@@ -48,15 +48,15 @@
     return done.stdout.splitlines(), done.stderr.splitlines()
 
 
-def of(lines, inst):
+def of(lines, instance):
     """The lines of one instance."""
-    found, mine = [], False
+    selected_lines, selected = [], False
     for line in lines:
         if line.startswith("FROM "):
-            mine = line == f"FROM I={inst}"
-        elif mine and not line.startswith("FINISHED"):
-            found.append(line)
-    return found
+            selected = line == f"FROM I={instance}"
+        elif selected and not line.startswith("FINISHED"):
+            selected_lines.append(line)
+    return selected_lines
 
 
 def reply(name, node="10.0.0.1:1", reason="delivered", closed=1, leg=0):
@@ -74,7 +74,7 @@
     assert out[-1] == "FINISHED frame=2" and not err
 
 
-def test_malformed_lines_are_named_and_the_rest_is_handled():
+def test_malformed_lines_are_reported_and_the_rest_is_handled():
     out, err = play(
         batch(1, 0, *start("h_1")),
         batch(
@@ -94,7 +94,7 @@
     assert any(line.startswith("ISSUE RequestId=r1") for line in out)
 
 
-def test_the_dead_and_the_unknown_get_nothing_and_do_nothing():
+def test_stopped_and_unknown_instances_get_no_events_and_take_no_action():
     out, _ = play(
         batch(1, 0, *start("h_1")),
         batch(2, 1, "CONTEXT I=h_1", arrival("r1"), "KILL"),
@@ -103,7 +103,7 @@
     assert out[-2:] == ["FINISHED frame=2", "FINISHED frame=3"]
 
 
-def test_kill_and_provision_in_one_batch_start_an_empty_life():
+def test_kill_and_provision_in_one_batch_start_with_an_empty_state():
     out, _ = play(
         batch(1, 0, *start("h_1")),
         batch(2, 1, "CONTEXT I=h_1", arrival("r1")),
@@ -117,11 +117,11 @@
     assert "RequestId=r3" in out[-2] or "RequestId=r3" in text.split("FINISHED frame=4")[1]
 
 
-def script(insts, seed="0"):
-    batches = [batch(1, 0, *[line for i in insts for line in start(i)])]
+def script(instances, seed="0"):
+    batches = [batch(1, 0, *[line for i in instances for line in start(i)])]
     for step in range(40):
         lines = []
-        for i in insts:
+        for i in instances:
             lines += [f"CONTEXT I={i}", arrival(f"r{step}-{i}", step % 2), "DUE Nonce=1"]
             if step > 3:
                 ended = "app_error" if step % 5 == 0 else "delivered"
@@ -131,10 +131,10 @@
     return play(*batches, seed=seed)[0]
 
 
-def test_instances_apart_and_together_act_alike():
+def test_instances_act_the_same_in_one_process_and_apart():
     together = script(["h_1", "h_2"])
-    for inst in ("h_1", "h_2"):
-        assert of(together, inst) == of(script([inst]), inst)
+    for instance in ("h_1", "h_2"):
+        assert of(together, instance) == of(script([instance]), instance)
     assert sum(line.startswith("ISSUE") for line in together) > 80
 
 
@@ -142,7 +142,7 @@
     assert script(["h_1", "h_2"], "1") == script(["h_1", "h_2"], "2")
 
 
-def test_unknown_outcome_words_may_have_run():
+def test_an_unknown_outcome_counts_as_may_have_run():
     out, _ = play(
         batch(1, 0, *start("h_1")),
         batch(2, 1, "CONTEXT I=h_1", arrival("r1", cls="put")),
@@ -152,7 +152,7 @@
     assert sum(line.startswith("ISSUE") for line in out) == 1
 
 
-def test_figures_that_cannot_be_read_do_not_lose_the_event():
+def test_unparsable_numbers_do_not_lose_the_event():
     from ochrespan.interface import Status
     from ochrespan.simhost import read_outcome, read_request
 
@@ -163,8 +163,11 @@
     assert read_request({"RequestId": "r", "LeftNs": "1000", "NHosts": "inf"}).fronts == 0
 
 
-def test_who_is_told_unasked_does_not_ask_and_who_is_not_does():
+def test_the_list_is_requested_only_where_it_is_not_pushed():
     later = [batch(n, 1000 * n, "CONTEXT I=h_1", "DUE Nonce=1") for n in range(2, 6)]
-    for told, asks in (("Discovery=pushed", False), ("Discovery=on_request Obligations.AskWithinNs=1000000000", True)):
-        out, _ = play(batch(1, 0, "CONTEXT I=h_1", f"PROVISION {INFO} {told}", *LIST), *later)
-        assert any(line.startswith("WATCH") for line in out) is asks
+    for setting, calls in (
+        ("Discovery=pushed", False),
+        ("Discovery=on_request Obligations.AskWithinNs=1000000000", True),
+    ):
+        out, _ = play(batch(1, 0, "CONTEXT I=h_1", f"PROVISION {INFO} {setting}", *LIST), *later)
+        assert any(line.startswith("WATCH") for line in out) is calls
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -1,4 +1,4 @@
-"""What many heads do together, and what one event costs in a large fleet."""
+"""The combined behaviour of many fronts, and the cost of one event in a large fleet."""
 
 import random
 
@@ -12,7 +12,7 @@
 
 
 class Fleet:
-    """Many heads that all want to send for one shard; every send is answered a step later."""
+    """Many fronts with requests for one shard; every attempt is answered one step later."""
 
     def __init__(self, fronts: int, node: api.NodeEntry, volume_fronts: int, plan: str, **changes) -> None:
         self.now, self.node, self.volume_fronts, self.plan = 100.0, node, volume_fronts, plan
@@ -20,7 +20,7 @@
         self.rng = random.Random(3)
         self.schedulers: dict[int, Scheduler] = {}
         self.answers: dict[int, list[api.Outcome]] = {}
-        self.sends: list[tuple[float, float]] = []  # when, units
+        self.sends: list[tuple[float, float]] = []  # time, units
         self.count = 0
         for rank in range(fronts):
             self.start(rank, ListKind.FULL)
@@ -47,7 +47,7 @@
         return sum(u for at, u in self.sends if since < at <= until)
 
 
-def test_a_cold_node_is_neither_pushed_over_nor_starved_by_heads_whose_part_is_under_one_request():
+def test_a_cold_node_is_neither_overloaded_nor_unused_when_each_fronts_budget_is_under_one_request():
     for fronts, active in ((200, 80), (200, 200), (40, 40)):
         fleet = Fleet(fronts, entry(0, started_at=100.0), 3, "free", **COLD)
         sums = []
@@ -58,25 +58,25 @@
                     if fleet.rng.random() < 0.3:
                         fleet.step(rank, fleet.rng.choice((1, 2, 2, 3)))
             sums.append(fleet.units(fleet.now - 1, fleet.now))
-            # the bound is the work itself: cold_units grows with the capacity, by 3 in 16 s
+            # cold_units grows with the capacity: by 3 times its start in 16 s
             assert sums[-1] <= 24 * (1 + 3 * (second + 1) / 16) * 1.1, (fronts, active, sums)
         assert sum(sums[:3]) >= 4, (fronts, active, sums)
         assert sum(sums) >= 0.2 * sum(24 * (1 + 3 * t / 16) for t in range(14)) * active / fronts
 
 
-def test_heads_that_first_ask_a_cold_node_late_have_waited_already_and_still_do_not_push_it_over():
+def test_fronts_that_first_use_a_cold_node_later_may_send_more_without_overloading_it():
     sent = []
-    for silent in (1, 3, 6, 9):  # seconds from hearing of it to the first request
+    for idle in (1, 3, 6, 9):  # seconds from the listing to the first request
         fleet = Fleet(200, entry(0, started_at=100.0), 3, "free", **COLD)
-        fleet.now += silent
+        fleet.now += idle
         for rank in range(200):
             fleet.step(rank, 1)
         sent.append(fleet.units(fleet.now - 1, fleet.now))
-        assert sent[-1] <= 24 * (1 + 3 * silent / 16) * 4  # the promise is a quarter of what it takes to fall
+        assert sent[-1] <= 24 * (1 + 3 * idle / 16) * 4  # cold_units is a quarter of the load that overloads the node
     assert 0 < sent[0] < sent[1] < sent[2] < sent[3], sent
 
 
-def test_a_head_that_restarts_often_gets_no_more_of_a_cold_node():
+def test_frequent_restarts_do_not_increase_a_fronts_budget_for_a_cold_node():
     fleet = Fleet(200, entry(0, started_at=100.0), 3, "free", **COLD)
     for second in range(10):
         for _ in range(10):
@@ -88,12 +88,12 @@
         assert fleet.units(fleet.now - 1, fleet.now) <= 24 * (1 + 3 * (second + 1) / 16) * 1.1
 
 
-def test_a_limit_holds_over_all_hosts_with_restarts_and_a_changing_count():
+def test_a_limit_holds_over_all_fronts_with_restarts_and_a_changing_count():
     fleet = Fleet(16, entry(0), 16, "capped")  # 4 units a second, 32 at once
     for tick in range(600):
         fleet.now += 0.1
         if tick == 300:
-            fleet.volume_fronts = 8  # only the first eight go on
+            fleet.volume_fronts = 8  # only the first eight continue
         for rank in range(fleet.volume_fronts):
             if fleet.rng.random() < 0.01:
                 fleet.start(rank, ListKind.CACHED)
@@ -102,7 +102,7 @@
     assert sum(u for _, u in fleet.sends) >= 0.5 * 4 * 60
 
 
-def test_a_host_count_that_is_missing_is_read_as_all_heads():
+def test_an_unknown_number_of_fronts_is_read_as_all_fronts():
     for fronts, part in ((0, 0.1), (-3, 0.1), (2, 0.5), (999, 1 / 999)):
         scheduler = Scheduler(settings(fronts=10), 100.0)
         scheduler.handle(100.0, [api.Request("a", "v", "read", "capped", 4.0, fronts=fronts)])
@@ -113,12 +113,12 @@
     return count_calls(lambda: scheduler.handle(now, list(events)))
 
 
-def test_an_event_costs_the_same_however_many_nodes_volumes_and_requests_it_does_not_touch():
+def test_the_cost_of_an_event_does_not_depend_on_unrelated_nodes_volumes_and_requests():
     costs = []
     for nodes, volumes in ((4, 5), (40, 400)):
         scheduler = Scheduler(settings(), 100.0)
         scheduler.handle(100.0, [NodeList(ListKind.FULL, [entry(i) for i in range(nodes)])])
-        # much waits for shards without a node
+        # many requests wait for shards without a node
         waiting = [api.Request(f"w{i}", f"v{i}", "read", "free", 4.0, 2, 99 + i % 30) for i in range(volumes)]
         scheduler.handle(100.0, waiting)
         cost = work(scheduler, 100.001, api.Request("r", "mine", "read", "free", 4.0, 2, 0))
@@ -128,7 +128,7 @@
     assert costs[1] <= costs[0] + 40, costs
 
 
-def test_after_a_long_stall_each_request_of_a_huge_batch_ends_once():
+def test_after_a_long_stall_each_request_of_a_large_batch_ends_once():
     scheduler = Scheduler(settings(max_attempts=3), 100.0)
     nodes = [entry(i) for i in range(40)]
     scheduler.handle(100.0, [NodeList(ListKind.FULL, nodes)])
@@ -137,7 +137,7 @@
     sends = [a for a in actions if isinstance(a, api.Send)]
     batch: list[api.Event] = [api.Outcome(s.request_id, 0, s.node, Status.OK, 0.1, True) for s in sends]
     batch += [api.Request(f"b{i}", f"v{i % 50}", "read", "free", 0.5, 2, i % 40) for i in range(4000)]
-    batch += [api.Outcome(s.request_id, 0, s.node, Status.OK, 0.1, True) for s in sends]  # of ended ones
+    batch += [api.Outcome(s.request_id, 0, s.node, Status.OK, 0.1, True) for s in sends]  # for requests that have ended
     for now in (105.0, 105.3, 106.0):
         actions += scheduler.handle(now, batch)
         batch = [api.Timer(1)]
@@ -149,7 +149,7 @@
     assert not any(node.failures for node in scheduler.nodes.values())
 
 
-def test_a_list_of_far_more_nodes_that_empties_and_comes_back_leaves_nothing_behind():
+def test_large_lists_that_empty_and_return_leave_no_records():
     scheduler = Scheduler(settings(), 100.0)
     for turn in range(3):
         many = [entry(i % 7, f"x{turn}-{i}") for i in range(2000)]
@@ -159,7 +159,7 @@
     assert not scheduler.nodes and not scheduler.by_shard
 
 
-def test_a_change_of_one_node_costs_the_same_in_a_list_of_a_thousand():
+def test_the_cost_of_a_changed_node_does_not_depend_on_the_length_of_the_list():
     costs = []
     for nodes in (12, 1200):
         scheduler = Scheduler(settings(), 100.0)
@@ -170,11 +170,11 @@
     assert costs[1] <= costs[0] + 5, costs
 
 
-def test_a_node_that_moves_restarts_or_is_told_twice_stands_once_where_it_is():
+def test_a_node_that_moves_restarts_or_is_listed_twice_has_one_record_in_its_shard():
     scheduler = Scheduler(settings(), 100.0)
     scheduler.handle(100.0, [NodeList(ListKind.FULL, [entry(0), entry(1), entry(1, "n1b")])])
-    for told in (entry(2, "n0"), entry(2, "n0"), entry(1, started_at=99.0), entry(1, started_at=99.0)):
-        scheduler.handle(100.1, [NodeList(ListKind.DELTA, [told, told])])
+    for listed in (entry(2, "n0"), entry(2, "n0"), entry(1, started_at=99.0), entry(1, started_at=99.0)):
+        scheduler.handle(100.1, [NodeList(ListKind.DELTA, [listed, listed])])
     assert {s: sorted(n.entry.id for n in nodes) for s, nodes in scheduler.by_shard.items()} == {
         1: ["n1", "n1b"],
         2: ["n0"],
@@ -185,7 +185,7 @@
     assert list(scheduler.nodes) == ["n1"] and list(scheduler.by_shard) == [1] and not scheduler.unusable
 
 
-def test_nodes_volumes_and_shards_that_come_and_go_by_the_thousand_leave_nothing_behind():
+def test_thousands_of_short_lived_nodes_volumes_and_shards_leave_no_records():
     scheduler = Scheduler(settings(fronts=40, shards=40, max_poll_interval=10.0, list_on_request=True, **COLD), 100.0)
     now, sizes = 100.0, []
     for turn in range(120):
