--- a/ochrespan/interface.py
+++ b/ochrespan/interface.py
@@ -63,7 +63,7 @@
     """Requests with the same latency target and the same effect. The decisions do not use `late_share`."""
 
     name: str
-    latency_target: float
+    latency_target: float  # from arrival to response
     deadline: float  # the most time that a request of the class has
     value: float = 1.0  # of a request, relative to other classes
     late_share: float = 0.0
@@ -103,7 +103,7 @@
     can_probe: bool = False
     second_copies: bool = False
     sends_retry_after: bool = False  # refusals tell the client when to retry
-    max_attempts: int = 1
+    max_attempts: int = 1  # of one request
     max_retry_after: float = 0.0
     connect_timeout: float = 0.0
     report_in_answers: bool = False
@@ -115,7 +115,7 @@
     start_capacity: float | None = None  # of a node that just started, as a fraction of its full capacity
     overload_multiple: float | None = None  # of a cold node's capacity: such a load for overload_window makes it fail
     warm_up: float | None = None  # time from start_capacity to full capacity, at most
-    overload_window: float | None = None
+    overload_window: float | None = None  # the time over which a load counts as overload
     key_cooldown: float | None = None  # a key waits this long after an attempt that may still run
     retry_budget_base: float | None = None  # attempts after the first: this number ...
     retry_budget_ratio: float | None = None  # ... plus this fraction of the accepted requests ...
--- a/ochrespan/state.py
+++ b/ochrespan/state.py
@@ -36,6 +36,8 @@
 
 @dataclass(slots=True, eq=False)
 class Volume:
+    """A volume under one plan, with its token buckets in this front."""
+
     plan: api.Plan
     reserve: TokenBucket  # this front's fraction of the volume's reserve, shared by its flows
     limit: TokenBucket | None  # likewise for its limit; None: unlimited
@@ -46,7 +48,7 @@
     """The requests of one volume in one class."""
 
     volume: Volume
-    weight: float
+    weight: float  # of the plan
 
 
 @dataclass(slots=True, eq=False)
@@ -94,7 +96,7 @@
     failed_at: float = 0.0
     debt_units: float = 0.0  # while cold: units sent that the budget has not repaid yet, as of debt_at
     debt_at: float = 0.0
-    sent_units: Recent = field(default_factory=Recent)  # while cold: units by time sent
+    sent_units: Recent = field(default_factory=Recent)  # units by time sent, for the cold budget
 
 
 class KeyQueues(dict[str, deque[Job]]):
@@ -107,7 +109,7 @@
         return len(queue) == 1
 
     def release(self, key: str) -> list[Job]:
-        """Drops finished requests from the front of the key's queue; returns those that may run now."""
+        """Drops finished requests from the beginning of the key's queue; returns those that may run now."""
         queue, unblocked = self.get(key), []
         while queue and queue[0].done and not queue[0].in_flight:
             queue.popleft()
