--- a/ochrespan/data_plane/attempt.py
+++ b/ochrespan/data_plane/attempt.py
@@ -8,7 +8,7 @@
 from .connection_pool import ServerConnection, ServerPool
 from .deadlines import DeadlineHeap
 from .decisions import Outcome
-from .server_answer import AnswerGarbled, ServerAnswer
+from .server_response import AnswerGarbled, ServerAnswer
 from .wakeup import Wakeup
 from .watched_socket import ignore_event
 
--- a/ochrespan/data_plane/exchange.py
+++ b/ochrespan/data_plane/exchange.py
@@ -13,12 +13,12 @@
 from .decisions import Action, Fail, Outcome, Refuse, Request, Send
 from .dispatcher import Dispatcher
 from .event_stream import EventStream
-from .own_answers import OwnAnswer, StartResponse, answer_for, over_quota
+from .local_responses import OwnAnswer, StartResponse, answer_for, over_quota
 from .quota_ticket import QuotaTicket
 from .request_head import ClientGone
-from .server_answer import MISDIRECTED, ServerAnswer
 from .server_pools import ServerPools
 from .server_request import ServerRequest, end_to_end_headers
+from .server_response import MISDIRECTED, ServerAnswer
 
 MAX_HELD_BODY_BYTES = 64 * 1024  # a longer answer is passed on before it is whole
 FALLBACK_RETRY_AFTER_S = 0.2
--- a/ochrespan/data_plane/front.py
+++ b/ochrespan/data_plane/front.py
@@ -19,7 +19,7 @@
 from .decision_record import DecisionRecord, milliseconds
 from .decisions import Request
 from .exchange import Exchange, ExchangeTools
-from .own_answers import OwnAnswer, StartResponse, over_quota
+from .local_responses import OwnAnswer, StartResponse, over_quota
 from .placement import shared_prefix
 from .quota_ticket import Quotas, QuotaTicket, TicketDesk
 from .request_head import BAD_REQUEST, ClientGone, RequestHead, RequestRefused
--- a/ochrespan/data_plane/ingress.py
+++ b/ochrespan/data_plane/ingress.py
@@ -25,7 +25,7 @@
 from .deadlines import DeadlineHeap
 from .exchange import AnswerBroken
 from .front import CONNECTION_KEY, HEAD_KEY, Front
-from .own_answers import OwnAnswer
+from .local_responses import OwnAnswer
 from .request_head import ClientGone, RequestHead, RequestRefused
 
 log = logging.getLogger(__name__)
--- a/ochrespan/data_plane/readiness.py
+++ b/ochrespan/data_plane/readiness.py
@@ -12,7 +12,7 @@
 from ochrespan.common.validation import Finding, Findings, ValidationError, flag
 from ochrespan.observability.metrics import CONTENT_TYPE, MetricsRegistry
 
-from .own_answers import OwnAnswer, StartResponse
+from .local_responses import OwnAnswer, StartResponse
 
 READY_PATH = "/api/readyz"
 FIGURES_PATH = "/api/metrics"
--- a/tests/golden/router_heads.py
+++ b/tests/golden/router_heads.py
@@ -8,7 +8,7 @@
 import random
 
 from ochrespan.data_plane.decisions import Fail, Refuse
-from ochrespan.data_plane.own_answers import OwnAnswer, answer_for, over_quota
+from ochrespan.data_plane.local_responses import OwnAnswer, answer_for, over_quota
 from ochrespan.data_plane.request_head import RequestRefused, parse_chunk_size, parse_head
 from ochrespan.data_plane.server_request import ServerRequest, end_to_end_headers
 
