--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -15,7 +15,7 @@
 from statistics import mean, stdev
 
 from benchmarks.engine_model import Engine, EngineFigures, Work
-from ochrespan.data_plane.front import LEAST_SHARED_TOKENS
+from ochrespan.data_plane.front import MIN_SHARED_TOKENS
 from ochrespan.data_plane.placement import shared_prefix
 from ochrespan.data_plane.scheduler import Fail, Outcome, Refuse, Request, Scheduler, Send, Server
 
@@ -180,7 +180,7 @@
     def _home(self, parts: list[tuple[str, int]]) -> tuple[str, bool]:
         """The server that keeps the shared parts, the one with the fewest tokens at first; and whether that is new."""
         shared = sum(tokens for _, tokens in parts[:-1])
-        if shared < LEAST_SHARED_TOKENS:
+        if shared < MIN_SHARED_TOKENS:
             return "", False
         key = shared_prefix(parts)
         if key in self.placements:
--- a/ochrespan/data_plane/attempt.py
+++ b/ochrespan/data_plane/attempt.py
@@ -8,7 +8,7 @@
 from .connection_pool import ServerConnection, ServerPool
 from .deadlines import DeadlineHeap
 from .decisions import Outcome
-from .server_response import AnswerGarbled, ServerAnswer
+from .server_response import MalformedResponse, ServerResponse
 from .wakeup import Wakeup
 from .watched_socket import ignore_event
 
@@ -26,12 +26,12 @@
 class Attempt:
     """Runs in the greenlet of the request. `interruption` says why to stop: the client has gone, or time is over."""
 
-    __slots__ = ("answer", "sent_at", "_pool", "_deadlines", "_wakeup", "_interruption", "_connection", "_expired")
+    __slots__ = ("response", "sent_at", "_pool", "_deadlines", "_wakeup", "_interruption", "_connection", "_expired")
 
     def __init__(
         self, pool: ServerPool, deadlines: DeadlineHeap, wakeup: Wakeup, interruption: Callable[[], Outcome | None]
     ) -> None:
-        self.answer: ServerAnswer | None = None
+        self.response: ServerResponse | None = None
         self.sent_at = 0.0
         self._pool = pool
         self._deadlines = deadlines
@@ -40,13 +40,13 @@
         self._connection: ServerConnection | None = None
         self._expired = False
 
-    def send(self, message: Callable[[], bytes], answer: ServerAnswer, unsafe: bool) -> None:
+    def send(self, encode_request: Callable[[], bytes], response: ServerResponse, unsafe: bool) -> None:
         """Sends the request; raises AttemptEnded where its last byte was not written."""
-        self.answer = answer
+        self.response = response
         self.sent_at = time.monotonic()
         try:
             connection = self._connect(unsafe)
-            self._write(connection, message())
+            self._write(connection, encode_request())
         except OSError as error:
             raise AttemptEnded(Outcome.NOT_SENT) from error
         connection.requests += 1
@@ -61,8 +61,8 @@
                 raise AttemptEnded(interruption)
             self._wakeup.wait()
         try:
-            self.answer.receive(socket.take())
-        except AnswerGarbled as error:
+            self.response.receive(socket.take_received())
+        except MalformedResponse as error:
             raise AttemptEnded(Outcome.GARBLED) from error
 
     def release(self) -> None:
@@ -71,8 +71,8 @@
         if connection is None:
             return
         connection.socket.on_event = ignore_event
-        if self.answer.reusable:
-            self._pool.give_back(connection, self.answer.keep_alive_s)
+        if self.response.reusable:
+            self._pool.release(connection, self.response.keep_alive_s)
         else:
             self._pool.discard(connection)
 
@@ -89,38 +89,38 @@
         self._connection = connection
         if not connection.requests:
             connection.socket.watch_writable()
-            self._wait(lambda: not connection.socket.waits_for_writable, until)
+            self._wait(lambda: not connection.socket.awaiting_writable, until)
             if error := connection.socket.connect_error():
                 raise OSError(error, "connection refused")
         return connection
 
     def _take_connection(self, unsafe: bool, until: float) -> ServerConnection:
         pool = self._pool
-        connection = pool.take(unsafe)
+        connection = pool.acquire(unsafe)
         if connection is not None:
             return connection
-        pool.wait_for_room(self._wakeup)
+        pool.add_waiter(self._wakeup)
         try:
-            self._wait(lambda: pool.has_room, until)
+            self._wait(lambda: pool.has_capacity, until)
         finally:
-            pool.stop_waiting(self._wakeup)
-        connection = pool.take(unsafe)
+            pool.remove_waiter(self._wakeup)
+        connection = pool.acquire(unsafe)
         if connection is None:
             raise AttemptEnded(Outcome.NOT_SENT)
         return connection
 
     def _write(self, connection: ServerConnection, data: bytes) -> None:
         socket = connection.socket
-        rest = memoryview(data)[socket.send_some(data) :]
-        while rest:
+        remaining = memoryview(data)[socket.try_send(data) :]
+        while remaining:
             socket.watch_writable()
-            while socket.waits_for_writable:
+            while socket.awaiting_writable:
                 if interruption := self._interruption():
                     raise AttemptEnded(Outcome.CANCELLED if interruption is Outcome.CANCELLED else Outcome.NOT_SENT)
                 if socket.ended:
                     raise AttemptEnded(Outcome.NOT_SENT)
                 self._wakeup.wait()
-            rest = rest[socket.send_some(rest) :]
+            remaining = remaining[socket.try_send(remaining) :]
 
     def _wait(self, condition: Callable[[], bool], until: float) -> None:
         """Waits for `condition`; raises AttemptEnded where that takes too long."""
--- a/ochrespan/data_plane/client_connection.py
+++ b/ochrespan/data_plane/client_connection.py
@@ -14,7 +14,7 @@
     TIMED_OUT,
     TOO_LARGE,
     UNAVAILABLE,
-    ClientGone,
+    ClientDisconnected,
     RequestHead,
     RequestRefused,
     parse_chunk_size,
@@ -23,11 +23,11 @@
 from .wakeup import Wakeup
 from .watched_socket import WatchedSocket
 
-RECEIVED_BOUND = 256 * 1024  # bytes of pipelined requests that may wait
+RECEIVED_LIMIT_BYTES = 256 * 1024  # bytes of pipelined requests that may wait
 MAX_CHUNK_LINE_BYTES = 4096
 MAX_TRAILER_BYTES = 16 * 1024
 LINGER_S = 1.0
-NO_ROOM_RETRY_AFTER_S = 0.5
+BODY_MEMORY_RETRY_AFTER_S = 0.5
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 _HEAD_END = b"\r\n\r\n"
 
@@ -42,39 +42,39 @@
     idle_timeout_s: float
 
 
-class BodyRoom:
+class BodyMemoryBudget:
     """Bounds the memory for the bodies of all requests that are under way."""
 
-    def __init__(self, bound_bytes: int) -> None:
-        self.bound_bytes = bound_bytes
-        self.taken_bytes = 0
+    def __init__(self, limit_bytes: int) -> None:
+        self.limit_bytes = limit_bytes
+        self.reserved_bytes = 0
 
-    def take(self, size: int) -> None:
+    def reserve(self, size: int) -> None:
         """Raises RequestRefused where there is no room now."""
-        together = self.taken_bytes + size
-        if together > self.bound_bytes:
-            found, allowed = f"{together} bytes with those of other requests", f"{self.bound_bytes} bytes"
-            raise RequestRefused(UNAVAILABLE, "body", found, allowed, NO_ROOM_RETRY_AFTER_S)
-        self.taken_bytes = together
+        total = self.reserved_bytes + size
+        if total > self.limit_bytes:
+            found, allowed = f"{total} bytes with those of other requests", f"{self.limit_bytes} bytes"
+            raise RequestRefused(UNAVAILABLE, "body", found, allowed, BODY_MEMORY_RETRY_AFTER_S)
+        self.reserved_bytes = total
 
-    def give_back(self, size: int) -> None:
-        self.taken_bytes -= size
+    def release(self, size: int) -> None:
+        self.reserved_bytes -= size
 
 
 class ClientConnection:
     """Owned by the greenlet that serves it; `wakeup` is where that greenlet waits."""
 
-    def __init__(self, sock: socket.socket, deadlines: DeadlineHeap, room: BodyRoom) -> None:
+    def __init__(self, sock: socket.socket, deadlines: DeadlineHeap, body_memory: BodyMemoryBudget) -> None:
         self.wakeup = Wakeup()
-        self.answer_until = 0.0  # when the answer has to be written at the latest
+        self.write_deadline = 0.0  # when the answer has to be written at the latest
         self._deadlines = deadlines
-        self._room = room
+        self._body_memory = body_memory
         self._body_bytes = 0  # taken of the room
-        self._socket = WatchedSocket(sock, RECEIVED_BOUND, self.wakeup.notify)
+        self._socket = WatchedSocket(sock, RECEIVED_LIMIT_BYTES, self.wakeup.notify)
         self._expired = False
 
     @property
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
         """Whether the connection has ended."""
         return self._socket.ended or self._socket.closed
 
@@ -83,20 +83,20 @@
         return self._socket.closed
 
     @property
-    def has_received(self) -> bool:
+    def has_unread_bytes(self) -> bool:
         """Whether bytes of a request have been read that it has not been served for."""
         return bool(self._socket.received)
 
     def read_head(self, limits: ReadLimits) -> RequestHead | None:
         """The next request's head; None where the client has gone or sent nothing for the idle time-out."""
         received = self._socket.received
-        self._socket.bound = max(RECEIVED_BOUND, 2 * limits.max_header_bytes)
+        self._socket.received_limit = max(RECEIVED_LIMIT_BYTES, 2 * limits.max_header_bytes)
         if not self._wait_until(lambda: received, time.monotonic() + limits.idle_timeout_s):
             return None
-        return self._read_started_head(limits)
+        return self._read_partial_head(limits)
 
     def read_body(self, head: RequestHead, limits: ReadLimits) -> bytes:
-        """The whole body; raises RequestRefused or ClientGone."""
+        """The whole body; raises RequestRefused or ClientDisconnected."""
         if head.content_length is not None and head.content_length > limits.max_body_bytes:
             raise RequestRefused(TOO_LARGE, "body", f"{head.content_length} bytes", f"{limits.max_body_bytes} bytes")
         if not head.chunked and not head.content_length:
@@ -105,35 +105,35 @@
             self.write(_CONTINUE, time.monotonic() + limits.idle_timeout_s)
         if head.chunked:
             return self._read_chunks(limits)
-        self._take_room(head.content_length)
+        self._reserve_body_memory(head.content_length)
         return self._read_exactly(head.content_length, limits)
 
     def release_body(self) -> None:
         """The request is over, and so is the need for its body."""
-        self._room.give_back(self._body_bytes)
+        self._body_memory.release(self._body_bytes)
         self._body_bytes = 0
 
     def write(self, data: bytes | bytearray, until: float) -> None:
-        """Sends all of `data`; raises ClientGone, or TimeoutError once `until` has passed."""
+        """Sends all of `data`; raises ClientDisconnected, or TimeoutError once `until` has passed."""
         try:
-            sent = self._socket.send_some(data)
+            sent = self._socket.try_send(data)
             if sent < len(data):
-                self._write_rest(memoryview(data)[sent:], until)
+                self._write_remaining(memoryview(data)[sent:], until)
         except OSError as error:
             if isinstance(error, TimeoutError):
                 raise
-            raise ClientGone(str(error)) from error
+            raise ClientDisconnected(str(error)) from error
 
-    def pause(self, seconds: float) -> None:
-        """Waits; raises ClientGone where the client leaves meanwhile."""
+    def sleep(self, seconds: float) -> None:
+        """Waits; raises ClientDisconnected where the client leaves meanwhile."""
         self._wait_until(lambda: False, time.monotonic() + seconds)
-        if self.gone:
-            raise ClientGone("while its request waited")
+        if self.disconnected:
+            raise ClientDisconnected("while its request waited")
 
     def close(self) -> None:
         self._socket.close()
 
-    def end(self) -> None:
+    def close_and_notify(self) -> None:
         """Closes the connection under the greenlet that serves it."""
         self._socket.close()
         self.wakeup.notify()
@@ -147,10 +147,10 @@
         self._socket.shutdown_write()
         until = time.monotonic() + LINGER_S
         while not self._socket.ended and self._wait_until(lambda: self._socket.received, until):
-            self._socket.take()
+            self._socket.take_received()
         self._socket.close()
 
-    def _read_started_head(self, limits: ReadLimits) -> RequestHead | None:
+    def _read_partial_head(self, limits: ReadLimits) -> RequestHead | None:
         received = self._socket.received
         searched = 0
         until = time.monotonic() + limits.header_timeout_s
@@ -183,46 +183,46 @@
             data = bytes(received[:size])
             self._consume(size)
             return data
-        parts = bytearray()
-        while len(parts) < size:
+        collected = bytearray()
+        while len(collected) < size:
             self._await_more(lambda: received, limits)
-            part = received[: size - len(parts)]
-            parts += part
-            self._consume(len(part))
-        return bytes(parts)
+            segment = received[: size - len(collected)]
+            collected += segment
+            self._consume(len(segment))
+        return bytes(collected)
 
     def _read_chunks(self, limits: ReadLimits) -> bytes:
         body = bytearray()
         while size := parse_chunk_size(self._read_line(MAX_CHUNK_LINE_BYTES, limits)):
             if len(body) + size > limits.max_body_bytes:
                 raise RequestRefused(TOO_LARGE, "body", "more", f"{limits.max_body_bytes} bytes")
-            self._take_room(size)
+            self._reserve_body_memory(size)
             body += self._read_exactly(size, limits)
             if self._read_exactly(2, limits) != b"\r\n":
                 raise RequestRefused(BAD_REQUEST, "chunk", "more bytes than its size", "a line end behind it")
         self._skip_trailers(limits)
         return bytes(body)
 
-    def _take_room(self, size: int) -> None:
-        self._room.take(size)
+    def _reserve_body_memory(self, size: int) -> None:
+        self._body_memory.reserve(size)
         self._body_bytes += size
 
     def _skip_trailers(self, limits: ReadLimits) -> None:
-        room = MAX_TRAILER_BYTES
-        while line := self._read_line(room, limits):
-            room -= len(line)
+        body_memory = MAX_TRAILER_BYTES
+        while line := self._read_line(body_memory, limits):
+            body_memory -= len(line)
             if b":" not in line or line[:1] in b" \t":
                 raise RequestRefused(BAD_REQUEST, "trailer", repr(line[:40]), "a header")
 
-    def _read_line(self, bound: int, limits: ReadLimits) -> bytes:
+    def _read_line(self, max_bytes: int, limits: ReadLimits) -> bytes:
         received = self._socket.received
         while (end := received.find(b"\r\n")) < 0:
             size = len(received)
-            if size > bound:
+            if size > max_bytes:
                 break
             self._await_more(lambda size=size: len(received) > size, limits)
-        if end < 0 or end > bound:
-            raise RequestRefused(BAD_REQUEST, "line of a chunked body", "more", f"{bound} bytes")
+        if end < 0 or end > max_bytes:
+            raise RequestRefused(BAD_REQUEST, "line of a chunked body", "more", f"{max_bytes} bytes")
         line = bytes(received[:end])
         self._consume(end + 2)
         return line
@@ -230,21 +230,21 @@
     def _await_more(self, arrived: Callable[[], object], limits: ReadLimits) -> None:
         if not self._wait_until(arrived, time.monotonic() + limits.idle_timeout_s):
             if self._socket.ended:
-                raise ClientGone("within a body")
+                raise ClientDisconnected("within a body")
             raise RequestRefused(TIMED_OUT, "body", "no bytes in time", f"{limits.idle_timeout_s:g} s")
 
     def _consume(self, size: int) -> None:
         del self._socket.received[:size]
-        self._socket.resume()
+        self._socket.resume_reading()
 
-    def _write_rest(self, rest: memoryview, until: float) -> None:
-        while rest:
+    def _write_remaining(self, remaining: memoryview, until: float) -> None:
+        while remaining:
             self._socket.watch_writable()
-            if not self._wait_until(lambda: not self._socket.waits_for_writable, until):
+            if not self._wait_until(lambda: not self._socket.awaiting_writable, until):
                 if self._socket.ended:
-                    raise ClientGone("while an answer was written")
+                    raise ClientDisconnected("while an answer was written")
                 raise TimeoutError("the client reads too slowly")
-            rest = rest[self._socket.send_some(rest) :]
+            remaining = remaining[self._socket.try_send(remaining) :]
 
     def _wait_until(self, condition: Callable[[], object], until: float) -> bool:
         """Whether the condition came true before the client had gone and before `until`."""
--- a/ochrespan/data_plane/connection_pool.py
+++ b/ochrespan/data_plane/connection_pool.py
@@ -15,18 +15,20 @@
 
 Address = tuple[str, int]
 
-RECEIVED_BOUND = 256 * 1024  # bytes of an answer that may wait for a slow client
+RECEIVED_LIMIT_BYTES = 256 * 1024  # bytes of an answer that may wait for a slow client
 DEFAULT_KEEP_ALIVE_S = 4.0  # where a server does not say how long it keeps an idle connection
 KEEP_ALIVE_MARGIN_S = 0.8  # an idle connection is closed this much before the server would do it
-SHORT_KEEP_ALIVE_SHARE = 0.5  # of a time-out that leaves no room for the margin
-FRESH_S = 1.0  # rest after which an unsafe request takes a new connection, where the server tells no time-out
+SHORT_KEEP_ALIVE_FRACTION = 0.5  # of a time-out that leaves no room for the margin
+UNSAFE_REUSE_MAX_IDLE_S = (
+    1.0  # rest after which an unsafe request takes a new connection, where the server tells no time-out
+)
 USER_TIMEOUT_MS = 3000  # unacknowledged data ends a connection after this long
 
 
 class ServerConnection:
     """A connection to one server, which carries one request at a time."""
 
-    __slots__ = ("socket", "requests", "kept_until", "fresh_until")
+    __slots__ = ("socket", "requests", "reusable_until", "unsafe_reusable_until")
 
     def __init__(self, address: Address) -> None:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -39,16 +41,16 @@
         except OSError:
             sock.close()
             raise
-        self.socket = WatchedSocket(sock, RECEIVED_BOUND)
+        self.socket = WatchedSocket(sock, RECEIVED_LIMIT_BYTES)
         self.requests = 0
-        self.kept_until = 0.0
-        self.fresh_until = 0.0
+        self.reusable_until = 0.0
+        self.unsafe_reusable_until = 0.0
 
     def is_usable(self, now: float, unsafe: bool) -> bool:
         """Whether the server surely still waits for a request here; a request that must not run twice asks for more."""
-        if now >= self.kept_until or (unsafe and now >= self.fresh_until):
+        if now >= self.reusable_until or (unsafe and now >= self.unsafe_reusable_until):
             return False
-        self.socket.poll()
+        self.socket.receive_available()
         return not self.socket.ended and not self.socket.received
 
 
@@ -58,19 +60,19 @@
     def __init__(self, address: Address, limit: int, deadlines: DeadlineHeap) -> None:
         self.address = address
         self.limit = max(1, limit)
-        self.open = 0  # idle ones and those in use
+        self.open_count = 0  # idle ones and those in use
         self.closed = False
         self._deadlines = deadlines
         self._idle: list[ServerConnection] = []  # the one that was used last stands last
         self._expiry: Deadline | None = None
-        self._waiting: list[Wakeup] = []
+        self._waiters: list[Wakeup] = []
 
     @property
-    def has_room(self) -> bool:
-        """Whether `take` may succeed."""
-        return bool(self._idle) or self.open < self.limit
+    def has_capacity(self) -> bool:
+        """Whether `acquire` may succeed."""
+        return bool(self._idle) or self.open_count < self.limit
 
-    def take(self, unsafe: bool) -> ServerConnection | None:
+    def acquire(self, unsafe: bool) -> ServerConnection | None:
         """An idle connection, or a new one that is still being opened; None where the limit is reached.
 
         Raises OSError where the address cannot be reached at all.
@@ -82,32 +84,34 @@
             if connection.is_usable(now, unsafe):
                 return connection
             self.discard(connection)
-        if self.open >= self.limit:
+        if self.open_count >= self.limit:
             return None
         connection = ServerConnection(self.address)
-        self.open += 1
+        self.open_count += 1
         return connection
 
-    def give_back(self, connection: ServerConnection, keep_alive_s: float | None) -> None:
+    def release(self, connection: ServerConnection, keep_alive_s: float | None) -> None:
         """The connection has carried a whole answer and may be used again."""
-        if self.closed or connection.socket.ended or connection.socket.received or self.open > self.limit:
+        if self.closed or connection.socket.ended or connection.socket.received or self.open_count > self.limit:
             self.discard(connection)
             return
         now = time.monotonic()
-        connection.kept_until = now + _time_to_keep(keep_alive_s)
-        connection.fresh_until = now + FRESH_S if keep_alive_s is None else connection.kept_until
+        connection.reusable_until = now + _reusable_for_s(keep_alive_s)
+        connection.unsafe_reusable_until = (
+            now + UNSAFE_REUSE_MAX_IDLE_S if keep_alive_s is None else connection.reusable_until
+        )
         connection.socket.on_event = lambda: self._drop_idle(connection)
         self._idle.append(connection)
         if self._expiry is None:
-            self._expiry = self._deadlines.schedule(connection.kept_until, self._close_expired)
-        self._wake_next()
+            self._expiry = self._deadlines.schedule(connection.reusable_until, self._close_expired)
+        self._notify_next_waiter()
 
     def discard(self, connection: ServerConnection) -> None:
         """Closes a connection that was taken."""
         if not connection.socket.closed:
             connection.socket.close()
-            self.open -= 1
-            self._wake_next()
+            self.open_count -= 1
+            self._notify_next_waiter()
 
     def close(self) -> None:
         """Closes what is idle, now and when it is given back."""
@@ -117,17 +121,17 @@
         if self._expiry is not None:
             self._expiry.cancel()
 
-    def wait_for_room(self, wakeup: Wakeup) -> None:
-        """`wakeup` is told once `take` may succeed."""
-        self._waiting.append(wakeup)
+    def add_waiter(self, wakeup: Wakeup) -> None:
+        """`wakeup` is told once `acquire` may succeed."""
+        self._waiters.append(wakeup)
 
-    def stop_waiting(self, wakeup: Wakeup) -> None:
+    def remove_waiter(self, wakeup: Wakeup) -> None:
         with contextlib.suppress(ValueError):
-            self._waiting.remove(wakeup)
+            self._waiters.remove(wakeup)
 
-    def _wake_next(self) -> None:
-        if self._waiting:
-            self._waiting.pop(0).notify()
+    def _notify_next_waiter(self) -> None:
+        if self._waiters:
+            self._waiters.pop(0).notify()
 
     def _drop_idle(self, connection: ServerConnection) -> None:
         """An idle connection has ended, or bytes that belong to no request have come."""
@@ -137,13 +141,13 @@
     def _close_expired(self) -> None:
         self._expiry = None
         now = time.monotonic()
-        for connection in [idle for idle in self._idle if idle.kept_until <= now]:
+        for connection in [idle for idle in self._idle if idle.reusable_until <= now]:
             self._drop_idle(connection)
         if self._idle:
-            earliest = min(connection.kept_until for connection in self._idle)
+            earliest = min(connection.reusable_until for connection in self._idle)
             self._expiry = self._deadlines.schedule(earliest, self._close_expired)
 
 
-def _time_to_keep(keep_alive_s: float | None) -> float:
-    told = DEFAULT_KEEP_ALIVE_S if keep_alive_s is None else keep_alive_s
-    return max(told - KEEP_ALIVE_MARGIN_S, told * SHORT_KEEP_ALIVE_SHARE)
+def _reusable_for_s(keep_alive_s: float | None) -> float:
+    timeout_s = DEFAULT_KEEP_ALIVE_S if keep_alive_s is None else keep_alive_s
+    return max(timeout_s - KEEP_ALIVE_MARGIN_S, timeout_s * SHORT_KEEP_ALIVE_FRACTION)
--- a/ochrespan/data_plane/dispatcher.py
+++ b/ochrespan/data_plane/dispatcher.py
@@ -12,7 +12,7 @@
 from .decisions import Action, Outcome, Request, Server
 from .router_figures import RouterFigures
 
-EARLIEST_TICK_S = 0.001
+MIN_TICK_DELAY_S = 0.001
 
 
 class SchedulerLike(Protocol):
@@ -29,7 +29,7 @@
     def next_tick(self, now: float) -> float: ...
 
 
-class DecisionTaker(Protocol):
+class DecisionReceiver(Protocol):
     """Whoever waits for the scheduler's decisions about a request."""
 
     def decide(self, action: Action) -> None: ...
@@ -39,18 +39,18 @@
 class Dispatcher:
     """Owns the scheduler. Each request is known here from `submit` to `close`."""
 
-    def __init__(self, scheduler: SchedulerLike, deadlines: DeadlineHeap, figures: RouterFigures | None = None) -> None:
+    def __init__(self, scheduler: SchedulerLike, deadlines: DeadlineHeap, metrics: RouterFigures | None = None) -> None:
         self._scheduler = scheduler
         self._deadlines = deadlines
-        self._figures = figures or RouterFigures(MetricsRegistry())
-        self._takers: dict[str, DecisionTaker] = {}
+        self._metrics = metrics or RouterFigures(MetricsRegistry())
+        self._receivers: dict[str, DecisionReceiver] = {}
         self._tick: Deadline | None = None
         self._tick_at = float("inf")
 
     @property
-    def running(self) -> int:
+    def in_flight_requests(self) -> int:
         """The number of requests that are known."""
-        return len(self._takers)
+        return len(self._receivers)
 
     def set_servers(
         self, servers: list[Server], routers: int, rank: int, services: Collection[str] | None = None
@@ -59,8 +59,8 @@
         now = time.monotonic()
         self._apply(now, self._scheduler.set_servers(now, servers, routers, rank, services))
 
-    def submit(self, request: Request, taker: DecisionTaker) -> None:
-        self._takers[request.id] = taker
+    def submit(self, request: Request, receiver: DecisionReceiver) -> None:
+        self._receivers[request.id] = receiver
         now = time.monotonic()
         self._apply(now, self._scheduler.submit(now, request))
 
@@ -68,7 +68,7 @@
         self._scheduler.first_event(time.monotonic(), request_id, latency_s)
 
     def ended(self, request_id: str, outcome: Outcome) -> None:
-        self._figures.ended(outcome)
+        self._metrics.ended(outcome)
         now = time.monotonic()
         self._apply(now, self._scheduler.ended(now, request_id, outcome))
 
@@ -79,28 +79,28 @@
 
     def close(self, request_id: str) -> None:
         """The request is over, whether the scheduler knows it or not; no decision about it is told any more."""
-        if self._takers.pop(request_id, None) is not None:
+        if self._receivers.pop(request_id, None) is not None:
             self.cancel(request_id)
 
     def refuse_unsent(self) -> None:
         """Gives up the requests that no server has been tried for."""
-        for taker in list(self._takers.values()):
-            taker.refuse_unsent()
+        for receiver in list(self._receivers.values()):
+            receiver.refuse_unsent()
 
     def _apply(self, now: float, actions: Iterable[Action]) -> None:
         for action in actions:
-            self._figures.decided(action)
-            if taker := self._takers.get(action.request_id):
-                taker.decide(action)
-        self._plan_tick(now)
+            self._metrics.decided(action)
+            if receiver := self._receivers.get(action.request_id):
+                receiver.decide(action)
+        self._schedule_tick(now)
 
-    def _plan_tick(self, now: float) -> None:
+    def _schedule_tick(self, now: float) -> None:
         at = self._scheduler.next_tick(now)
         if at < self._tick_at:
             if self._tick is not None:
                 self._tick.cancel()
             self._tick_at = at
-            self._tick = self._deadlines.schedule(max(at, now + EARLIEST_TICK_S), self._run_tick)
+            self._tick = self._deadlines.schedule(max(at, now + MIN_TICK_DELAY_S), self._run_tick)
 
     def _run_tick(self) -> None:
         self._tick, self._tick_at = None, float("inf")
--- a/ochrespan/data_plane/front.py
+++ b/ochrespan/data_plane/front.py
@@ -18,11 +18,11 @@
 from .client_connection import ClientConnection, ReadLimits
 from .decision_record import DecisionRecord, milliseconds
 from .decisions import Request
-from .exchange import Exchange, ExchangeTools
-from .local_responses import OwnAnswer, StartResponse, over_quota
+from .exchange import Exchange, ExchangeContext
+from .local_responses import LocalResponse, StartResponse, quota_exceeded_response
 from .placement import shared_prefix
 from .quota_ticket import Quotas, QuotaTicket, TicketDesk
-from .request_head import BAD_REQUEST, ClientGone, RequestHead, RequestRefused
+from .request_head import BAD_REQUEST, ClientDisconnected, RequestHead, RequestRefused
 from .routing_table import RouteEntry, RoutingTable
 from .server_request import ServerRequest
 
@@ -35,28 +35,30 @@
 CONNECTION_KEY, HEAD_KEY = "ochrespan.connection", "ochrespan.head"  # in the WSGI environment
 DEFAULT_LIMITS = ReadLimits(16 * 1024, 4 * 1024 * 1024, 3.0, 15.0)
 FIRST_TABLE_WAIT_S = 1.0  # for which a request that comes before the first table waits for it, at most
-FIRST_TABLE_WAIT_SHARE = 0.2  # of the request's time, likewise
+FIRST_TABLE_WAIT_FRACTION = 0.2  # of the request's time, likewise
 NOT_READY_RETRY_AFTER_S = 0.3
 STALE_RETRY_AFTER_S = 0.5
-LEAST_SHARED_TOKENS = 1000  # of a prompt: shorter ones are soon read anywhere
-ROUTE_RANKS = 1000  # a tenant's priority counts before its route's
-TOKEN_WAIT_AIMS = 0.25  # part of its aim for which a request waits for tokens of its tenant: a late answer wastes them
-TOKEN_WAIT_SHARE = 0.35  # of the request's time, at most
-ANSWER_GRACE_S = 0.5  # beyond a request's deadline, for the end of its answer to be written
-LONGEST_DEADLINE_MS = 24 * 3600 * 1000.0
+MIN_SHARED_TOKENS = 1000  # of a prompt: shorter ones are soon read anywhere
+ROUTE_PRIORITY_LEVELS = 1000  # a tenant's priority counts before its route's
+TOKEN_WAIT_TARGET_FRACTION = (
+    0.25  # part of its aim for which a request waits for tokens of its tenant: a late answer wastes them
+)
+TOKEN_WAIT_TIMEOUT_FRACTION = 0.35  # of the request's time, at most
+RESPONSE_GRACE_S = 0.5  # beyond a request's deadline, for the end of its answer to be written
+MAX_DEADLINE_MS = 24 * 3600 * 1000.0
 _MILLISECONDS = re.compile(r"[0-9]{1,12}(\.[0-9]{1,6})?")
 _TOKEN_USAGE = re.compile(r"([0-9]{1,12}), ?([0-9]{1,12})")
-_PROMPT_PART = re.compile(r"([0-9A-Fa-f]{1,32}):([0-9]{1,12})")
+_PROMPT_SEGMENT = re.compile(r"([0-9A-Fa-f]{1,32}):([0-9]{1,12})")
 
 
-class Homes(Protocol):
+class PrefixLocator(Protocol):
     """What is used of `control_plane.prefix_placement.client.PrefixPlacementClient`; the call may wait a short time."""
 
     def locate(self, service: str, prefix: str, tokens: float) -> PrefixPlacement: ...
 
 
 @dataclass(slots=True)
-class Admitted:
+class AdmittedRequest:
     """A request that may be served once its body has come."""
 
     request_id: str  # the client's
@@ -69,16 +71,16 @@
 
     def __init__(
         self,
-        tools: ExchangeTools,
+        context: ExchangeContext,
         is_fresh: Callable[[], bool],
         quotas: Quotas | None = None,
-        homes: Homes | None = None,
+        prefix_locator: PrefixLocator | None = None,
     ) -> None:
-        self._tools = tools
+        self._context = context
         self._is_fresh = is_fresh
-        self._homes = homes
+        self._prefix_locator = prefix_locator
         self._tickets = TicketDesk(quotas) if quotas is not None else None
-        self._numbers = itertools.count(1)
+        self._request_ids = itertools.count(1)
         self.table: RoutingTable | None = None
         self._first_table = Event()
 
@@ -102,60 +104,60 @@
             client.read_body(head, self.limits)
             raise
         body = self._read_body(client, head, found)
-        if isinstance(found, OwnAnswer):
+        if isinstance(found, LocalResponse):
             return found.respond(start_response)
         server_request = ServerRequest(head, found.request_id, body, found.request.tenant or None)
-        return Exchange(self._tools, client, found.request, server_request, found.ticket).respond(start_response)
+        return Exchange(self._context, client, found.request, server_request, found.ticket).respond(start_response)
 
-    def _read_body(self, client: ClientConnection, head: RequestHead, found: Admitted | OwnAnswer) -> bytes:
+    def _read_body(self, client: ClientConnection, head: RequestHead, found: AdmittedRequest | LocalResponse) -> bytes:
         """The whole body; where it does not come, what was admitted is given up."""
         try:
             return client.read_body(head, self.limits)
         except BaseException:
-            if isinstance(found, Admitted):
-                self._give_up(found)
+            if isinstance(found, AdmittedRequest):
+                self._abandon(found)
             raise
 
-    def _give_up(self, admitted: Admitted) -> None:
+    def _abandon(self, admitted: AdmittedRequest) -> None:
         """The request will not be sent."""
         if admitted.ticket is not None:
             admitted.ticket.release()
         self._finish_record(admitted.request, status=0)
 
-    def _admit(self, client: ClientConnection, head: RequestHead, arrived: float) -> Admitted | OwnAnswer:
+    def _admit(self, client: ClientConnection, head: RequestHead, arrived: float) -> AdmittedRequest | LocalResponse:
         if self.table is None:
-            share_s = FIRST_TABLE_WAIT_SHARE * _deadline_ms(head) / 1000
-            self._first_table.wait(min(FIRST_TABLE_WAIT_S, share_s))
+            max_wait_s = FIRST_TABLE_WAIT_FRACTION * _deadline_ms(head) / 1000
+            self._first_table.wait(min(FIRST_TABLE_WAIT_S, max_wait_s))
         table = self.table
-        request_id = _only_value(head, "x-request-id")
+        request_id = _single_value(head, "x-request-id")
         if request_id is None:
             raise RequestRefused(BAD_REQUEST, "X-Request-Id", "nothing", "one id")
         if table is None:
-            return OwnAnswer(503, "no configuration yet", request_id, NOT_READY_RETRY_AFTER_S)
+            return LocalResponse(503, "no configuration yet", request_id, NOT_READY_RETRY_AFTER_S)
         entry = table.find(head.host, head.path)
         if entry is None:
             return self._deny(404, "no such route", request_id)
         tenant = None
         if table.has_tenants:
-            key = _only_value(head, "x-credential")
+            key = _single_value(head, "x-credential")
             tenant = table.tenant_of(key) if key is not None else None
             if tenant is None and not entry.route.public:
                 return self._deny(401, "a key that is not known" if key else "no key", request_id)
         usage = _token_usage(head)
         request = self._request(head, request_id, entry, tenant, usage or (0, 0), arrived)
         request.record = self._record(request_id, request)
-        client.answer_until = request.deadline + ANSWER_GRACE_S
+        client.write_deadline = request.deadline + RESPONSE_GRACE_S
         ticket = None
         if tenant is not None and self._tickets is not None:
             ticket = self._take_tokens(client, request, request_cost(tenant, usage))
             if not ticket.is_valid:
-                return over_quota(request_id, ticket.retry_after_s)
-        self._find_home(request)
-        return Admitted(request_id, request, ticket)
+                return quota_exceeded_response(request_id, ticket.retry_after_s)
+        self._locate_prefix_owner(request)
+        return AdmittedRequest(request_id, request, ticket)
 
     def _record(self, request_id: str, request: Request) -> DecisionRecord | None:
         """The begun record of a request that is sampled."""
-        record = self._tools.decision_log.begin(request_id, request.arrived)
+        record = self._context.decision_log.begin(request_id, request.arrived)
         if record is None:
             return None
         record.route, record.service, record.tenant = request.route, request.service, request.tenant
@@ -166,10 +168,10 @@
         return record
 
     def _take_tokens(self, client: ClientConnection, request: Request, tokens: float) -> QuotaTicket:
-        """A ticket, valid or not; raises ClientGone where the client leaves meanwhile, which ends the record too."""
+        """A valid or denied ticket; raises ClientDisconnected, after finishing the record, if the client leaves."""
         try:
             ticket = self._tickets.take(client, request.tenant, tokens, _wait_for_tokens_until(request))
-        except ClientGone:
+        except ClientDisconnected:
             self._finish_record(request, status=0)
             raise
         self._record_quota(request, ticket)
@@ -178,7 +180,7 @@
     def _finish_record(self, request: Request, status: int, retry_after: float | None = None) -> None:
         """The request is over before it has an exchange."""
         if request.record is not None:
-            self._tools.decision_log.finish(request.record, request.arrived, status, retry_after)
+            self._context.decision_log.finish(request.record, request.arrived, status, retry_after)
 
     def _record_quota(self, request: Request, ticket: QuotaTicket) -> None:
         """Notes how the tokens were had; a refusal ends the record."""
@@ -190,18 +192,18 @@
         if not ticket.is_valid:
             self._finish_record(request, HTTPStatus.TOO_MANY_REQUESTS, ticket.retry_after_s)
 
-    def _find_home(self, request: Request) -> None:
+    def _locate_prefix_owner(self, request: Request) -> None:
         """Names the server that keeps the shared parts of a prompt, where these are worth asking."""
         shared = request.shared_tokens
-        if self._homes is not None and shared >= LEAST_SHARED_TOKENS:
-            home = self._homes.locate(request.service, shared_prefix(request.prefix), shared)
+        if self._prefix_locator is not None and shared >= MIN_SHARED_TOKENS:
+            home = self._prefix_locator.locate(request.service, shared_prefix(request.prefix), shared)
             request.home, request.is_unread = home.instance, home.is_new or not home.instance
 
-    def _deny(self, status: int, text: str, request_id: str) -> OwnAnswer:
+    def _deny(self, status: int, text: str, request_id: str) -> LocalResponse:
         """A denial; where the table may be old, the client is told to come back instead."""
         if self._is_fresh():
-            return OwnAnswer(status, text, request_id)
-        return OwnAnswer(503, f"{text}, as far as is known", request_id, STALE_RETRY_AFTER_S)
+            return LocalResponse(status, text, request_id)
+        return LocalResponse(503, f"{text}, as far as is known", request_id, STALE_RETRY_AFTER_S)
 
     def _request(
         self,
@@ -215,17 +217,17 @@
         route = entry.route
         streaming = route.route_type == "streaming"
         timeout_ms = min(route.timeout_ms, _deadline_ms(head))
-        aim_ms = route.target_latency_ms or route.timeout_ms
+        latency_target_ms = route.target_latency_ms or route.timeout_ms
         return Request(
-            id=str(next(self._numbers)),
+            id=str(next(self._request_ids)),
             service=entry.service_for(request_id),
             tenant=tenant.name if tenant else "",
             route=route.name,
-            priority=(tenant.priority * ROUTE_RANKS if tenant else 0) + route.priority,
+            priority=(tenant.priority * ROUTE_PRIORITY_LEVELS if tenant else 0) + route.priority,
             safe=route.route_type == "safe",
             resumable=streaming and route.resumable,
             streaming=streaming,
-            aim=aim_ms / 1000,
+            aim=latency_target_ms / 1000,
             deadline=arrived + timeout_ms / 1000,
             max_servers=max(1, route.max_retries),
             tokens_in=tokens[0],
@@ -236,11 +238,11 @@
 
 
 def _wait_for_tokens_until(request: Request) -> float:
-    most = TOKEN_WAIT_SHARE * (request.deadline - request.arrived)
-    return request.arrived + min(TOKEN_WAIT_AIMS * request.aim, most)
+    max_wait_s = TOKEN_WAIT_TIMEOUT_FRACTION * (request.deadline - request.arrived)
+    return request.arrived + min(TOKEN_WAIT_TARGET_FRACTION * request.aim, max_wait_s)
 
 
-def _only_value(head: RequestHead, name: str) -> str | None:
+def _single_value(head: RequestHead, name: str) -> str | None:
     values = head.values(name)
     if len(values) > 1:
         raise RequestRefused(BAD_REQUEST, name, f"{len(values)} headers", "one")
@@ -248,16 +250,16 @@
 
 
 def _deadline_ms(head: RequestHead) -> float:
-    text = _only_value(head, "x-deadline-ms")
+    text = _single_value(head, "x-deadline-ms")
     if text is None:
-        return LONGEST_DEADLINE_MS
+        return MAX_DEADLINE_MS
     if not _MILLISECONDS.fullmatch(text):
         raise RequestRefused(BAD_REQUEST, "X-Deadline-Ms", repr(text[:40]), "a number of milliseconds")
     return float(text)
 
 
 def _token_usage(head: RequestHead) -> tuple[int, int] | None:
-    text = _only_value(head, "x-token-usage")
+    text = _single_value(head, "x-token-usage")
     if text is None:
         return None
     found = _TOKEN_USAGE.fullmatch(text)
@@ -267,13 +269,13 @@
 
 
 def _prompt_prefix(head: RequestHead) -> tuple[tuple[str, int], ...]:
-    text = _only_value(head, "x-prompt-prefix")
+    text = _single_value(head, "x-prompt-prefix")
     if text is None:
         return ()
-    parts = []
-    for part in text.split(","):
-        found = _PROMPT_PART.fullmatch(part.strip())
+    segments = []
+    for segment in text.split(","):
+        found = _PROMPT_SEGMENT.fullmatch(segment.strip())
         if found is None:
-            raise RequestRefused(BAD_REQUEST, "X-Prompt-Prefix", repr(part[:40]), "ID:TOKENS, with the ID in hex")
-        parts.append((found[1].lower(), int(found[2])))
-    return tuple(parts)
+            raise RequestRefused(BAD_REQUEST, "X-Prompt-Prefix", repr(segment[:40]), "ID:TOKENS, with the ID in hex")
+        segments.append((found[1].lower(), int(found[2])))
+    return tuple(segments)
--- a/ochrespan/data_plane/ingress.py
+++ b/ochrespan/data_plane/ingress.py
@@ -21,18 +21,18 @@
 
 from gevent.pywsgi import WSGIHandler, WSGIServer
 
-from .client_connection import BodyRoom, ClientConnection
+from .client_connection import BodyMemoryBudget, ClientConnection
 from .deadlines import DeadlineHeap
-from .exchange import AnswerBroken
+from .exchange import ResponseAborted
 from .front import CONNECTION_KEY, HEAD_KEY, Front
-from .local_responses import OwnAnswer
-from .request_head import ClientGone, RequestHead, RequestRefused
+from .local_responses import LocalResponse
+from .request_head import ClientDisconnected, RequestHead, RequestRefused
 
 log = logging.getLogger(__name__)
 
 BACKLOG = 1024
-KEEP_ALIVE_SHARE = 0.8  # of the idle time-out, which is what clients may count on
-JOINED_WRITE_BYTES = 64 * 1024  # a body up to this size is written together with its head
+KEEP_ALIVE_FRACTION = 0.8  # of the idle time-out, which is what clients may count on
+MAX_COALESCED_WRITE_BYTES = 64 * 1024  # a body up to this size is written together with its head
 
 
 class _NoInput:
@@ -48,9 +48,9 @@
     server: IngressServer
 
     def __init__(self, sock: Any, address: Any, server: IngressServer) -> None:
-        raw = socket.socket(fileno=sock.detach())
-        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.connection = ClientConnection(raw, server.deadlines, server.body_room)
+        client_socket = socket.socket(fileno=sock.detach())
+        client_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        self.connection = ClientConnection(client_socket, server.deadlines, server.body_memory)
         self.socket = self.connection
         self.client_address = address
         self.server = server
@@ -62,7 +62,7 @@
         server.connection_opened(connection)
         try:
             while self._handle_next():
-                server.connection_rests(connection)
+                server.connection_idle(connection)
         finally:
             server.connection_closed(connection)
             connection.close()
@@ -74,28 +74,28 @@
             self.head = connection.read_head(self.server.front.limits)
             if self.head is None:
                 return False
-            self.server.connection_busy(connection)
-            self._take_head(self.head)
+            self.server.connection_active(connection)
+            self._apply_head(self.head)
             self.environ = self.get_environ()
             self.application = self.server.application
             self.handle_one_response()
             return not self.close_connection and not connection.closed
-        except RequestRefused as refused:
-            self._refuse(refused)
+        except RequestRefused as error:
+            self._refuse(error)
             return False
-        except (ClientGone, TimeoutError):
+        except (ClientDisconnected, TimeoutError):
             return False
         finally:
             connection.release_body()
 
-    def _take_head(self, head: RequestHead) -> None:
+    def _apply_head(self, head: RequestHead) -> None:
         """What the library's own reading would have set."""
         self.command, self.path, self.request_version = head.method, head.target, head.version
         self.requestline = f"{head.method} {head.target} {head.version}"
         self.close_connection = not head.keep_alive
         self.content_length = head.content_length
         self.wsgi_input = _NoInput()
-        self.connection.answer_until = time.monotonic() + self.server.front.limits.idle_timeout_s
+        self.connection.write_deadline = time.monotonic() + self.server.front.limits.idle_timeout_s
 
     def get_environ(self) -> dict[str, Any]:
         environ = self.server.get_environ()
@@ -129,14 +129,14 @@
             data = b""
         if self.response_use_chunked and data:
             data = b"%x\r\n%b\r\n" % (len(data), data)
-        if len(data) <= JOINED_WRITE_BYTES:
+        if len(data) <= MAX_COALESCED_WRITE_BYTES:
             self._sendall(head + data)
         else:
             self._sendall(head)
             self._sendall(data)
 
     def _sendall(self, data: bytes | bytearray) -> None:
-        self.connection.write(data, self.connection.answer_until)
+        self.connection.write(data, self.connection.write_deadline)
         self.response_length += len(data)
 
     def handle_error(self, t: Any, v: Any, tb: Any) -> None:
@@ -144,17 +144,17 @@
         self.close_connection = True
         if isinstance(v, RequestRefused) and not self.headers_sent:
             self._refuse(v)
-        elif isinstance(v, ClientGone | TimeoutError):
+        elif isinstance(v, ClientDisconnected | TimeoutError):
             self.connection.close()
-        elif isinstance(v, AnswerBroken):
+        elif isinstance(v, ResponseAborted):
             log.info("answer broken off path=%s reason=%s", self.path, v)
-            self._break_off()
+            self._abort_response()
         else:
             log.error("request failed path=%s", self.path, exc_info=(t, v, tb))
             if self.headers_sent:
-                self._break_off()
+                self._abort_response()
             else:
-                self._answer(OwnAnswer(500, "internal error"))
+                self._send_local_response(LocalResponse(500, "internal error"))
 
     def log_request(self) -> None:
         """Requests are not logged one by one: that costs more than serving them."""
@@ -163,23 +163,23 @@
         """Whether the client can tell the end of the answer from an early end of the connection."""
         return self.response_use_chunked or any(name.lower() == b"content-length" for name, _ in self.response_headers)
 
-    def _break_off(self) -> None:
+    def _abort_response(self) -> None:
         """Closes the connection within an answer, so that it cannot look complete."""
         if self._has_length():
             self.connection.close()
         else:
             self.connection.reset()
 
-    def _refuse(self, refused: RequestRefused) -> None:
+    def _refuse(self, error: RequestRefused) -> None:
         """Answers a request that could not be read, and closes: what follows it could be anything."""
-        self._answer(OwnAnswer(refused.status, str(refused), retry_after=refused.retry_after))
+        self._send_local_response(LocalResponse(error.status, str(error), retry_after=error.retry_after))
         self.connection.linger_and_close()
 
-    def _answer(self, answer: OwnAnswer) -> None:
+    def _send_local_response(self, response: LocalResponse) -> None:
         self.command, self.request_version, self.close_connection = "GET", "HTTP/1.1", True
         self.headers_sent, self.response_use_chunked, self.response_length = False, False, 0
-        with contextlib.suppress(ClientGone, TimeoutError):
-            self.result = answer.respond(self.start_response)
+        with contextlib.suppress(ClientDisconnected, TimeoutError):
+            self.result = response.respond(self.start_response)
             self.process_result()
         self.result = None
 
@@ -198,9 +198,9 @@
         self.front = front
         self.deadlines = deadlines
         self.max_connections = max_connections
-        self.body_room = BodyRoom(max_body_bytes)
+        self.body_memory = BodyMemoryBudget(max_body_bytes)
         self.draining = False
-        self._resting: OrderedDict[ClientConnection, None] = OrderedDict()  # longest first
+        self._idle: OrderedDict[ClientConnection, None] = OrderedDict()  # longest first
         self._open: set[ClientConnection] = set()
 
     @property
@@ -208,44 +208,44 @@
         return len(self._open)
 
     @property
-    def connections_with_unserved_bytes(self) -> int:
+    def idle_connections_with_request_bytes(self) -> int:
         """The number of resting connections on which a request has begun to arrive."""
-        return sum(connection.has_received for connection in self._resting)
+        return sum(connection.has_unread_bytes for connection in self._idle)
 
     @property
     def keep_alive_value(self) -> bytes:
-        return b"timeout=%d" % max(1, int(self.front.limits.idle_timeout_s * KEEP_ALIVE_SHARE))
+        return b"timeout=%d" % max(1, int(self.front.limits.idle_timeout_s * KEEP_ALIVE_FRACTION))
 
     def connection_opened(self, connection: ClientConnection) -> None:
         self._open.add(connection)
-        self._resting[connection] = None
+        self._idle[connection] = None
         if len(self._open) > self.max_connections:
-            self._end_resting(next((each for each in self._resting if not each.has_received), connection))
+            self._close_idle(next((each for each in self._idle if not each.has_unread_bytes), connection))
 
-    def connection_rests(self, connection: ClientConnection) -> None:
-        self._resting[connection] = None
-        if self.draining and not connection.has_received:
-            self._end_resting(connection)
+    def connection_idle(self, connection: ClientConnection) -> None:
+        self._idle[connection] = None
+        if self.draining and not connection.has_unread_bytes:
+            self._close_idle(connection)
 
-    def connection_busy(self, connection: ClientConnection) -> None:
-        self._resting.pop(connection, None)
+    def connection_active(self, connection: ClientConnection) -> None:
+        self._idle.pop(connection, None)
 
     def connection_closed(self, connection: ClientConnection) -> None:
         self._open.discard(connection)
-        self._resting.pop(connection, None)
+        self._idle.pop(connection, None)
 
     def drain(self) -> None:
         """Answers carry `Connection: close` from now on, and connections that rest are closed."""
         self.draining = True
-        for connection in list(self._resting):
-            if not connection.has_received:  # what has been read has to be answered
-                self._end_resting(connection)
+        for connection in list(self._idle):
+            if not connection.has_unread_bytes:  # what has been read has to be answered
+                self._close_idle(connection)
 
-    def break_off(self) -> None:
+    def abort_connections(self) -> None:
         """Closes all connections, whatever they carry."""
         for connection in list(self._open):
-            connection.end()
+            connection.close_and_notify()
 
-    def _end_resting(self, connection: ClientConnection) -> None:
-        self._resting.pop(connection, None)
-        connection.end()
+    def _close_idle(self, connection: ClientConnection) -> None:
+        self._idle.pop(connection, None)
+        connection.close_and_notify()
--- a/ochrespan/data_plane/local_responses.py
+++ b/ochrespan/data_plane/local_responses.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OwnAnswer:
+class LocalResponse:
     """A status with a line of text; `retry_after` in seconds where the request has not run and may come back."""
 
     status: int
@@ -32,13 +32,13 @@
         return [body]
 
 
-def over_quota(request_id: str, retry_after: float) -> OwnAnswer:
+def quota_exceeded_response(request_id: str, retry_after: float) -> LocalResponse:
     """The answer to a request beyond its tenant's quota."""
-    return OwnAnswer(HTTPStatus.TOO_MANY_REQUESTS, "over the tenant's quota", request_id, retry_after)
+    return LocalResponse(HTTPStatus.TOO_MANY_REQUESTS, "over the tenant's quota", request_id, retry_after)
 
 
-def answer_for(decision: Refuse | Fail, request_id: str) -> OwnAnswer:
+def response_for(decision: Refuse | Fail, request_id: str) -> LocalResponse:
     """The answer that tells a client what the scheduler has decided."""
     if isinstance(decision, Refuse):
-        return OwnAnswer(decision.status, "not run", request_id, decision.retry_after)
-    return OwnAnswer(decision.status, "no whole answer from a server", request_id)
+        return LocalResponse(decision.status, "not run", request_id, decision.retry_after)
+    return LocalResponse(decision.status, "no whole answer from a server", request_id)
--- a/ochrespan/data_plane/quota_ticket.py
+++ b/ochrespan/data_plane/quota_ticket.py
@@ -67,13 +67,13 @@
         self._asked_at: dict[str, float] = {}
 
     def take(self, client: ClientConnection, tenant: str, tokens: float, wait_until: float) -> QuotaTicket:
-        """A ticket, valid or not; raises ClientGone where the client leaves while its request waits."""
+        """A ticket, valid or not; raises ClientDisconnected where the client leaves while its request waits."""
         ticket = self._ask(tenant, tokens)
         while not ticket.is_valid:
             pause = max(ticket.retry_after_s, ASK_INTERVAL_S)
             if time.monotonic() + pause > wait_until:
                 break
-            client.pause(pause)
+            client.sleep(pause)
             if time.monotonic() - self._asked_at[tenant] >= ASK_INTERVAL_S:
                 ticket = self._ask(tenant, tokens, ticket.asked + 1)
         return ticket
--- a/ochrespan/data_plane/readiness.py
+++ b/ochrespan/data_plane/readiness.py
@@ -12,10 +12,10 @@
 from ochrespan.common.validation import Finding, Findings, ValidationError, flag
 from ochrespan.observability.metrics import CONTENT_TYPE, MetricsRegistry
 
-from .local_responses import OwnAnswer, StartResponse
+from .local_responses import LocalResponse, StartResponse
 
 READY_PATH = "/api/readyz"
-FIGURES_PATH = "/api/metrics"
+METRICS_PATH = "/api/metrics"
 READINESS_PATH = "/api/readiness"
 MAX_BODY_BYTES = 1024
 
@@ -45,25 +45,25 @@
         self._registry = registry
 
     def _respond(self, environ: Environment, start_response: StartResponse) -> Iterable[bytes]:
-        asked = environ["REQUEST_METHOD"], environ["PATH_INFO"]
-        if asked == ("GET", READY_PATH):
-            answer = OwnAnswer(200, "ready") if self._is_ready() else OwnAnswer(503, "not ready")
-            return answer.respond(start_response)
-        if asked == ("GET", FIGURES_PATH):
+        endpoint = environ["REQUEST_METHOD"], environ["PATH_INFO"]
+        if endpoint == ("GET", READY_PATH):
+            response = LocalResponse(200, "ready") if self._is_ready() else LocalResponse(503, "not ready")
+            return response.respond(start_response)
+        if endpoint == ("GET", METRICS_PATH):
             return _respond_with(start_response, HTTPStatus.OK, CONTENT_TYPE, self._registry.render())
-        if asked == ("PUT", READINESS_PATH):
+        if endpoint == ("PUT", READINESS_PATH):
             return self._change(environ, start_response)
-        allowed = f"GET {READY_PATH}, GET {FIGURES_PATH}, PUT {READINESS_PATH}"
-        return OwnAnswer(404, f"found nothing, allowed {allowed}").respond(start_response)
+        allowed = f"GET {READY_PATH}, GET {METRICS_PATH}, PUT {READINESS_PATH}"
+        return LocalResponse(404, f"found nothing, allowed {allowed}").respond(start_response)
 
     def _change(self, environ: Environment, start_response: StartResponse) -> Iterable[bytes]:
         try:
-            wanted = _read_readiness(environ)
+            requested = _read_readiness(environ)
         except ValidationError as error:
             findings = [each.fields() for each in error.findings]
             return _respond_with_json(start_response, HTTPStatus.BAD_REQUEST, {"findings": findings})
-        self._set_drained(wanted["drained"])
-        return _respond_with_json(start_response, HTTPStatus.OK, wanted)
+        self._set_drained(requested["drained"])
+        return _respond_with_json(start_response, HTTPStatus.OK, requested)
 
 
 def _read_readiness(environ: Environment) -> Readiness:
--- a/ochrespan/data_plane/request_head.py
+++ b/ochrespan/data_plane/request_head.py
@@ -24,7 +24,7 @@
         self.retry_after = retry_after
 
 
-class ClientGone(ConnectionError):
+class ClientDisconnected(ConnectionError):
     """The client has closed its connection."""
 
 
@@ -53,25 +53,27 @@
 
 def parse_head(data: bytes) -> RequestHead:
     """The head in `data`, which ends before the empty line; raises RequestRefused."""
-    if fault := _FORBIDDEN_BYTES.search(data):
-        raise RequestRefused(BAD_REQUEST, f"byte {fault.start()} of the head", repr(fault.group()), "printable text")
+    if forbidden := _FORBIDDEN_BYTES.search(data):
+        raise RequestRefused(
+            BAD_REQUEST, f"byte {forbidden.start()} of the head", repr(forbidden.group()), "printable text"
+        )
     lines = data.decode("latin-1").split("\r\n")
     method, target, version = _request_line(lines[0])
     headers = [_header(line) for line in lines[1:]]
-    found: dict[str, list[str]] = {}
+    values_by_name: dict[str, list[str]] = {}
     for name, value in headers:
-        found.setdefault(name.lower(), []).append(value)
-    chunked = _is_chunked(found, version)
+        values_by_name.setdefault(name.lower(), []).append(value)
+    chunked = _is_chunked(values_by_name, version)
     return RequestHead(
         method,
         target,
         version,
         headers,
-        host=_host(found, version),
-        content_length=_content_length(found),
+        host=_host(values_by_name, version),
+        content_length=_content_length(values_by_name),
         chunked=chunked,
-        keep_alive=_keeps_alive(found, version),
-        expects_continue=_expects_continue(found),
+        keep_alive=_keep_alive(values_by_name, version),
+        expects_continue=_expects_continue(values_by_name),
     )
 
 
@@ -105,26 +107,26 @@
     return name, value.strip(" \t")
 
 
-def _host(found: dict[str, list[str]], version: str) -> str:
-    hosts = found.get("host", [])
+def _host(values_by_name: dict[str, list[str]], version: str) -> str:
+    hosts = values_by_name.get("host", [])
     if len(hosts) != 1 and not (version == "HTTP/1.0" and not hosts):
         raise RequestRefused(BAD_REQUEST, "Host", f"{len(hosts)} headers", "one")
     return hosts[0].lower() if hosts else ""
 
 
-def _is_chunked(found: dict[str, list[str]], version: str) -> bool:
-    encodings = found.get("transfer-encoding")
+def _is_chunked(values_by_name: dict[str, list[str]], version: str) -> bool:
+    encodings = values_by_name.get("transfer-encoding")
     if encodings is None:
         return False
-    if "content-length" in found:
+    if "content-length" in values_by_name:
         raise RequestRefused(BAD_REQUEST, "Transfer-Encoding", "Content-Length as well", "one of both")
     if len(encodings) != 1 or encodings[0].lower() != "chunked" or version == "HTTP/1.0":
         raise RequestRefused(BAD_REQUEST, "Transfer-Encoding", repr(", ".join(encodings)[:40]), "chunked")
     return True
 
 
-def _content_length(found: dict[str, list[str]]) -> int | None:
-    lengths = found.get("content-length")
+def _content_length(values_by_name: dict[str, list[str]]) -> int | None:
+    lengths = values_by_name.get("content-length")
     if lengths is None:
         return None
     if len(lengths) != 1 or not _DIGITS.fullmatch(lengths[0]):
@@ -132,13 +134,13 @@
     return int(lengths[0])
 
 
-def _keeps_alive(found: dict[str, list[str]], version: str) -> bool:
-    options = {option.strip().lower() for value in found.get("connection", ()) for option in value.split(",")}
+def _keep_alive(values_by_name: dict[str, list[str]], version: str) -> bool:
+    options = {option.strip().lower() for value in values_by_name.get("connection", ()) for option in value.split(",")}
     return "close" not in options and (version == "HTTP/1.1" or "keep-alive" in options)
 
 
-def _expects_continue(found: dict[str, list[str]]) -> bool:
-    expectations = found.get("expect")
+def _expects_continue(values_by_name: dict[str, list[str]]) -> bool:
+    expectations = values_by_name.get("expect")
     if expectations is None:
         return False
     if [value.lower() for value in expectations] != ["100-continue"]:
--- a/ochrespan/data_plane/router_node.py
+++ b/ochrespan/data_plane/router_node.py
@@ -18,8 +18,8 @@
 from .decision_record import DecisionLog
 from .decisions import Server
 from .dispatcher import Dispatcher, SchedulerLike
-from .exchange import ExchangeTools
-from .front import Front, Homes
+from .exchange import ExchangeContext
+from .front import Front, PrefixLocator
 from .ingress import IngressServer
 from .quota_ticket import Quotas
 from .readiness import ReadinessServer
@@ -32,9 +32,9 @@
 
 log = logging.getLogger(__name__)
 
-KEPT_DESCRIPTORS = 264  # of the limit: files, listening sockets, the feed
-CLIENT_SHARE = 0.5  # of the other descriptors; the rest is for connections to servers
-BODY_SHARE = 0.2  # of the memory, for the bodies of requests
+RESERVED_DESCRIPTORS = 264  # of the limit: files, listening sockets, the feed
+CLIENT_CONNECTION_FRACTION = 0.5  # of the other descriptors; the rest is for connections to servers
+BODY_MEMORY_FRACTION = 0.2  # of the memory, for the bodies of requests
 DRAINING = "draining"
 CLIENT_CHECK_INTERVAL_S = 0.05
 
@@ -43,15 +43,15 @@
 class DrainTimes:
     """Seconds from SIGTERM."""
 
-    serve_on: float  # the platform sends new connections until it has missed the readiness twice
-    refuse: float  # what has not been sent to a server is refused
-    give_up: float  # what still runs is broken off
+    accept_for_s: float  # the platform sends new connections until it has missed the readiness twice
+    refuse_unsent_after_s: float  # what has not been sent to a server is refused
+    abort_after_s: float  # what still runs is broken off
 
     @classmethod
     def within(cls, grace_s: float) -> DrainTimes:
         """Times that leave room to end before the platform kills the process."""
-        give_up = grace_s - min(0.7, 0.2 * grace_s)
-        return cls(min(2.5, 0.4 * give_up), 0.9 * give_up, give_up)
+        abort_after_s = grace_s - min(0.7, 0.2 * grace_s)
+        return cls(min(2.5, 0.4 * abort_after_s), 0.9 * abort_after_s, abort_after_s)
 
 
 @dataclass(frozen=True)
@@ -64,12 +64,12 @@
     @property
     def client_connections(self) -> int:
         """The most connections of clients."""
-        return max(16, int((self.descriptors - KEPT_DESCRIPTORS) * CLIENT_SHARE))
+        return max(16, int((self.descriptors - RESERVED_DESCRIPTORS) * CLIENT_CONNECTION_FRACTION))
 
     @property
     def body_bytes(self) -> int:
         """The most memory for the bodies of requests."""
-        return int(self.memory_bytes * BODY_SHARE)
+        return int(self.memory_bytes * BODY_MEMORY_FRACTION)
 
 
 class RouterNode:
@@ -82,7 +82,7 @@
         limits: MachineLimits,
         scheduler: SchedulerLike,
         quotas: Quotas | None = None,
-        homes: Homes | None = None,
+        prefix_locator: PrefixLocator | None = None,
         table_is_fresh: Callable[[], bool] = lambda: True,
     ) -> None:
         deadlines = DeadlineHeap(gevent.get_hub().loop)
@@ -90,8 +90,8 @@
         self._dispatcher = Dispatcher(scheduler, deadlines, RouterFigures(registry))
         self._pools = ServerPools(deadlines)
         self.decision_log = DecisionLog()
-        tools = ExchangeTools(self._dispatcher, self._pools, deadlines, self.decision_log)
-        self._front = Front(tools, table_is_fresh, quotas, homes)
+        context = ExchangeContext(self._dispatcher, self._pools, deadlines, self.decision_log)
+        self._front = Front(context, table_is_fresh, quotas, prefix_locator)
         self.ingress = IngressServer(front, self._front, deadlines, limits.client_connections, limits.body_bytes)
         self._readiness = ReadinessServer(ready, self.is_ready, self.set_drained, registry)
         self._stopping = False
@@ -100,7 +100,9 @@
         self._add_gauges(registry)
 
     def _add_gauges(self, registry: MetricsRegistry) -> None:
-        registry.gauge("ochrespan_router_requests", "Requests that are held.", lambda: self._dispatcher.running)
+        registry.gauge(
+            "ochrespan_router_requests", "Requests that are held.", lambda: self._dispatcher.in_flight_requests
+        )
         registry.gauge("ochrespan_router_connections", "Connections of clients.", lambda: self.ingress.open_connections)
         registry.gauge("ochrespan_router_ready", "Whether new connections are welcome.", self.is_ready)
         registry.gauge("ochrespan_configuration_version", "The configuration in force.", lambda: self._version)
@@ -127,7 +129,7 @@
         if self._front.table is None:
             self._front.set_first_table(RoutingTable(table.configuration))
         elif change.routes or change.tenants or change.limits:
-            self._front.table = self._front.table.changed_to(table.configuration, change.routes, change.tenants)
+            self._front.table = self._front.table.updated(table.configuration, change.routes, change.tenants)
         if change.version:
             log.info("configuration in force version=%d routes=%d", table.version, len(table.configuration.routes))
         services = change.instances | change.services
@@ -140,15 +142,19 @@
         """Stops being ready, serves on for a while, lets what runs end, and closes everything in time."""
         started = time.monotonic()
         self._stopping = True
-        log.info("stopping requests=%d connections=%d", self._dispatcher.running, self.ingress.open_connections)
-        gevent.sleep(times.serve_on)
+        log.info(
+            "stopping requests=%d connections=%d", self._dispatcher.in_flight_requests, self.ingress.open_connections
+        )
+        gevent.sleep(times.accept_for_s)
         self.ingress.drain()
         self.ingress.close()
-        self._wait_for_clients(started + times.refuse)
+        self._wait_for_clients(started + times.refuse_unsent_after_s)
         self._dispatcher.refuse_unsent()
-        self._wait_for_clients(started + times.give_up)
-        log.info("stopped requests=%d connections=%d", self._dispatcher.running, self.ingress.open_connections)
-        self.ingress.break_off()
+        self._wait_for_clients(started + times.abort_after_s)
+        log.info(
+            "stopped requests=%d connections=%d", self._dispatcher.in_flight_requests, self.ingress.open_connections
+        )
+        self.ingress.abort_connections()
         self._pools.close()
         gevent.sleep(0)  # requests that were broken off tell their servers
         self._readiness.close()
--- a/ochrespan/data_plane/routing_table.py
+++ b/ochrespan/data_plane/routing_table.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from ochrespan.control_plane.config.views import ConfigurationView, Route, Tenant
 
-_SPLIT_STEPS = 1 << 32
+_HASH_RANGE = 1 << 32
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,22 +73,22 @@
     def __init__(self, configuration: ConfigurationView) -> None:
         self._hosts: dict[str, _HostRoutes] = {}
         self._tenants_by_key: dict[str, Tenant] = {}
-        self._take_over(configuration)
+        self._apply(configuration)
         for route in configuration.routes.values():
             self._hosts.setdefault(route.hostname.lower(), _HostRoutes()).add(route.path_prefix, _entry(route))
         for tenant in configuration.tenants.values():
             self._tenants_by_key.update(dict.fromkeys(tenant.api_keys, tenant))
 
-    def changed_to(
+    def updated(
         self, configuration: ConfigurationView, routes: Collection[str], tenants: Collection[str]
     ) -> RoutingTable:
         """The table of another configuration that differs in these routes and tenants; shares what has not changed."""
         changed = copy(self)
         if routes:
-            changed._hosts = self._hosts_with(configuration, routes)
+            changed._hosts = self._updated_hosts(configuration, routes)
         if tenants:
-            changed._tenants_by_key = self._keys_with(configuration, tenants)
-        changed._take_over(configuration)
+            changed._tenants_by_key = self._updated_tenant_keys(configuration, tenants)
+        changed._apply(configuration)
         return changed
 
     def find(self, host: str, path: str) -> RouteEntry | None:
@@ -99,7 +99,7 @@
     def tenant_of(self, key: str) -> Tenant | None:
         return self._tenants_by_key.get(key)
 
-    def _take_over(self, configuration: ConfigurationView) -> None:
+    def _apply(self, configuration: ConfigurationView) -> None:
         limits = configuration.limits
         self.version = configuration.version
         self.limits = ReadLimits(
@@ -111,7 +111,7 @@
         self.has_tenants = bool(configuration.tenants)
         self._configuration = configuration
 
-    def _hosts_with(self, configuration: ConfigurationView, names: Collection[str]) -> dict[str, _HostRoutes]:
+    def _updated_hosts(self, configuration: ConfigurationView, names: Collection[str]) -> dict[str, _HostRoutes]:
         before = [route for name in names if (route := self._configuration.routes.get(name))]
         after = [route for name in names if (route := configuration.routes.get(name))]
         hosts = dict(self._hosts)
@@ -123,7 +123,7 @@
             hosts[route.hostname.lower()].add(route.path_prefix, _entry(route))
         return {hostname: routes for hostname, routes in hosts.items() if routes.by_prefix}
 
-    def _keys_with(self, configuration: ConfigurationView, names: Collection[str]) -> dict[str, Tenant]:
+    def _updated_tenant_keys(self, configuration: ConfigurationView, names: Collection[str]) -> dict[str, Tenant]:
         keys = dict(self._tenants_by_key)
         for name in names:
             if tenant := self._configuration.tenants.get(name):
@@ -138,8 +138,8 @@
 def _entry(route: Route) -> RouteEntry:
     weighted = [split for split in route.splits if split.weight > 0]
     total = sum(split.weight for split in weighted)
-    ends, reached = [], 0.0
+    ends, cumulative_weight = [], 0.0
     for split in weighted:
-        reached += split.weight
-        ends.append(_SPLIT_STEPS * reached / total)
+        cumulative_weight += split.weight
+        ends.append(_HASH_RANGE * cumulative_weight / total)
     return RouteEntry(route, tuple(split.service for split in weighted), tuple(ends))
--- a/ochrespan/data_plane/server_pools.py
+++ b/ochrespan/data_plane/server_pools.py
@@ -18,7 +18,7 @@
         self._deadlines = deadlines
         self._routers = 1
         self._pools: dict[str, ServerPool] = {}
-        self._most: dict[str, int] = {}  # connections that each server accepts from all callers together
+        self._max_connections: dict[str, int] = {}  # connections that each server accepts from all callers together
         self._ids: dict[str, set[str]] = {}  # by service
 
     def set_servers(self, servers: Iterable[Server], routers: int, services: Collection[str] | None = None) -> None:
@@ -30,15 +30,15 @@
         for server in servers:
             ids.setdefault(server.service, set()).add(server.id)
             self._set_server(server)
-        for service, present in ids.items():
-            for gone in self._ids.get(service, set()) - present:
-                self._drop(gone)
-            self._ids[service] = present
+        for service, current in ids.items():
+            for removed in self._ids.get(service, set()) - current:
+                self._remove(removed)
+            self._ids[service] = current
         if routers_changed:
             for server_id, pool in self._pools.items():
-                pool.limit = _share(self._most[server_id], routers)
+                pool.limit = _connection_limit(self._max_connections[server_id], routers)
 
-    def of(self, server_id: str) -> ServerPool | None:
+    def get(self, server_id: str) -> ServerPool | None:
         return self._pools.get(server_id)
 
     def close(self) -> None:
@@ -50,18 +50,18 @@
         if pool is not None and pool.address != server.address:
             pool.close()
             pool = None
-        limit = _share(server.max_connections, self._routers)
+        limit = _connection_limit(server.max_connections, self._routers)
         if pool is None:
             pool = self._pools[server.id] = ServerPool(server.address, limit, self._deadlines)
         pool.limit = limit
-        self._most[server.id] = server.max_connections
+        self._max_connections[server.id] = server.max_connections
 
-    def _drop(self, server_id: str) -> None:
+    def _remove(self, server_id: str) -> None:
         self._pools.pop(server_id).close()
-        del self._most[server_id]
+        del self._max_connections[server_id]
 
 
-def _share(max_connections: int, routers: int) -> int:
+def _connection_limit(max_connections: int, routers: int) -> int:
     """This router's part of the connections that a server accepts from all callers together."""
     if not max_connections:
         return DEFAULT_CONNECTIONS
--- a/ochrespan/data_plane/server_request.py
+++ b/ochrespan/data_plane/server_request.py
@@ -10,44 +10,44 @@
     {"connection", "keep-alive", "proxy-connection", "proxy-authenticate", "proxy-authorization", "te", "trailer",
      "transfer-encoding", "upgrade", "expect"}
 )  # fmt: skip
-_SET_HERE = frozenset(
+_SET_BY_ROUTER = frozenset(
     {"content-length", "x-credential", "x-tenant", "x-expect-instance", "x-deadline-ms", "priority", "last-event-id"}
 )
-_NOT_SENT = _HOP_BY_HOP | _SET_HERE
-_NEVER_NAMED_AWAY = frozenset({"host", "x-request-id", "x-model", "x-token-usage", "x-prompt-prefix", "expect-version"})
+_NOT_SENT = _HOP_BY_HOP | _SET_BY_ROUTER
+_ALWAYS_FORWARDED = frozenset({"host", "x-request-id", "x-model", "x-token-usage", "x-prompt-prefix", "expect-version"})
 
 
 class ServerRequest:
     """What every attempt for a request has in common, encoded once."""
 
-    __slots__ = ("method", "request_id", "_start", "_body", "_last_event_id")
+    __slots__ = ("method", "request_id", "_prefix", "_body", "_last_event_id")
 
     def __init__(self, head: RequestHead, request_id: str, body: bytes, tenant: str | None) -> None:
         self.method = head.method
         self.request_id = request_id
-        named = _named_by_connection(head)
+        connection_options = _connection_options(head)
         lines = [f"{head.method} {head.target} HTTP/1.1"]
         last_event_id = None
         for name, value in head.headers:
             key = name.lower()
             if key == "last-event-id":
                 last_event_id = value
-            elif key not in _NOT_SENT and key not in named:
+            elif key not in _NOT_SENT and key not in connection_options:
                 lines.append(f"{name}: {value}")
         if tenant is not None:
             lines.append(f"X-Tenant: {tenant}")
         if body or head.content_length is not None or head.chunked:
             lines.append(f"Content-Length: {len(body)}")
-        self._start = "\r\n".join(lines)
+        self._prefix = "\r\n".join(lines)
         self._body = body
         self._last_event_id = last_event_id
 
-    def encode(self, server_id: str, left_s: float, priority: int, last_event_id: int | None) -> bytes:
+    def encode(self, server_id: str, remaining_s: float, priority: int, last_event_id: int | None) -> bytes:
         """The bytes for one server; `last_event_id` is where a stream is to be taken up, unless the client said so."""
         resume_at = self._last_event_id if last_event_id is None else last_event_id
         resume_line = "" if resume_at is None else f"\r\nLast-Event-Id: {resume_at}"
         text = (
-            f"{self._start}\r\nX-Expect-Instance: {server_id}\r\nX-Deadline-Ms: {max(1, int(left_s * 1000))}\r\n"
+            f"{self._prefix}\r\nX-Expect-Instance: {server_id}\r\nX-Deadline-Ms: {max(1, int(remaining_s * 1000))}\r\n"
             f"Priority: {priority}{resume_line}\r\n\r\n"
         )
         return text.encode("latin-1") + self._body
@@ -58,6 +58,6 @@
     return [header for header in headers if header[0].lower() not in _HOP_BY_HOP]
 
 
-def _named_by_connection(head: RequestHead) -> set[str]:
+def _connection_options(head: RequestHead) -> set[str]:
     options = {option.strip().lower() for value in head.values("connection") for option in value.split(",")}
-    return options - _NEVER_NAMED_AWAY
+    return options - _ALWAYS_FORWARDED
--- a/ochrespan/data_plane/server_response.py
+++ b/ochrespan/data_plane/server_response.py
@@ -9,11 +9,11 @@
 _MAY_HAVE_BODY = False
 
 
-class AnswerGarbled(Exception):
+class MalformedResponse(Exception):
     """Bytes that are no answer, or no answer to the request that was sent."""
 
 
-class ServerAnswer(HTTPResponseParser):
+class ServerResponse(HTTPResponseParser):
     """One answer: its head, and the part of its body that has arrived and was not taken yet.
 
     geventhttpclient's own HTTPResponse would start over with the bytes behind a whole answer; here they make the
@@ -23,18 +23,18 @@
 
     def __init__(self, method: str, request_id: str) -> None:
         super().__init__()
-        self._skips_body = method == "HEAD"
+        self._is_head_request = method == "HEAD"
         self._request_id = request_id
         self.status = 0
         self.reason = ""
         self.headers: list[tuple[str, str]] = []
-        self.values: dict[str, str] = {}  # by name in lower case; the last one of duplicates
+        self.headers_by_name: dict[str, str] = {}  # by name in lower case; the last one of duplicates
         self.head_complete = False
         self.complete = False
         self.body = bytearray()
-        self._out_of_step = False  # an answer to another request, or bytes that belong to none, have come
-        self._skipping = False
-        self._kept_alive = False
+        self._desynchronized = False  # an answer to another request, or bytes that belong to none, have come
+        self._skipping_message = False
+        self._keep_alive = False
         self._name = ""
         self._value: str | None = None
 
@@ -44,8 +44,8 @@
             self.feed(data)
         except HTTPParseError as error:
             if not self.complete:
-                raise AnswerGarbled(str(error)) from error
-            self._out_of_step = True
+                raise MalformedResponse(str(error)) from error
+            self._desynchronized = True
 
     def take_body(self) -> bytes:
         data = bytes(self.body)
@@ -55,21 +55,21 @@
     @property
     def reusable(self) -> bool:
         """Whether the connection may carry another request."""
-        return self.complete and self._kept_alive and not self._out_of_step
+        return self.complete and self._keep_alive and not self._desynchronized
 
     @property
     def not_executed(self) -> bool:
         """Whether the server says that it has not run the request."""
-        return "x-not-executed" in self.values or self.get_code() == MISDIRECTED
+        return "x-not-executed" in self.headers_by_name or self.get_code() == MISDIRECTED
 
     @property
     def is_event_stream(self) -> bool:
-        return self.values.get("content-type", "").partition(";")[0].strip().lower() == "text/event-stream"
+        return self.headers_by_name.get("content-type", "").partition(";")[0].strip().lower() == "text/event-stream"
 
     @property
     def keep_alive_s(self) -> float | None:
         """How long the server keeps the idle connection, as far as it says so."""
-        for parameter in self.values.get("keep-alive", "").split(","):
+        for parameter in self.headers_by_name.get("keep-alive", "").split(","):
             name, _, value = parameter.strip().partition("=")
             if name.lower() == "timeout" and value.isdecimal():
                 return float(value)
@@ -97,30 +97,30 @@
             self._add_header()
         status = self.get_code()
         if status < 200:
-            self._skipping = True
+            self._skipping_message = True
             return _HAS_NO_BODY
-        if self._answers_another_request():
-            self._skipping = self._out_of_step = True
+        if self._is_for_another_request():
+            self._skipping_message = self._desynchronized = True
         else:
             self.status = status
             self.head_complete = True
-        return _HAS_NO_BODY if self._skips_body else _MAY_HAVE_BODY
+        return _HAS_NO_BODY if self._is_head_request else _MAY_HAVE_BODY
 
     def _on_body(self, data: bytearray) -> None:
-        if not self._skipping:
+        if not self._skipping_message:
             self.body += data
 
     def _on_message_complete(self) -> None:
-        if self._skipping:
-            self._start_over()
+        if self._skipping_message:
+            self._reset()
             return
         self.complete = True
-        self._kept_alive = self.should_keep_alive()
+        self._keep_alive = self.should_keep_alive()
 
-    def _answers_another_request(self) -> bool:
-        answered = self.values.get("x-request-id")
-        if answered is not None:
-            return answered != self._request_id
+    def _is_for_another_request(self) -> bool:
+        response_id = self.headers_by_name.get("x-request-id")
+        if response_id is not None:
+            return response_id != self._request_id
         if self.not_executed:  # a server that sheds at its door has not read the id
             return False
         raise HTTPParseError("an answer without X-Request-Id")
@@ -128,11 +128,11 @@
     def _add_header(self) -> None:
         value = self._value or ""
         self.headers.append((self._name, value))
-        self.values[self._name.lower()] = value
+        self.headers_by_name[self._name.lower()] = value
         self._name, self._value = "", None
 
-    def _start_over(self) -> None:
-        self._skipping = False
+    def _reset(self) -> None:
+        self._skipping_message = False
         self.reason = ""
         self.headers.clear()
-        self.values.clear()
+        self.headers_by_name.clear()
--- a/ochrespan/data_plane/watched_socket.py
+++ b/ochrespan/data_plane/watched_socket.py
@@ -19,19 +19,30 @@
 
 
 class WatchedSocket:
-    """Collects what arrives in `received`, up to a bound, and tells `on_event` of it in the event loop.
+    """Buffers incoming data in `received`, up to `received_limit` bytes, and calls `on_event` in the event loop.
 
-    Reading pauses while `received` is full, until `take` empties it. `ended` is set once the peer has closed its side
-    or the connection has failed.
+    Reading pauses while `received` is full, until `take_received` empties it. `ended` is set once the peer has closed
+    its side or the connection has failed.
     """
 
-    __slots__ = ("_sock", "_loop", "_reader", "_writer", "_paused", "bound", "received", "ended", "failed", "on_event")
-
-    def __init__(self, sock: socket.socket, received_bound: int, on_event: Callable[[], None] = ignore_event) -> None:
+    __slots__ = (
+        "_sock",
+        "_loop",
+        "_reader",
+        "_writer",
+        "_reading_paused",
+        "received_limit",
+        "received",
+        "ended",
+        "failed",
+        "on_event",
+    )
+
+    def __init__(self, sock: socket.socket, received_limit: int, on_event: Callable[[], None] = ignore_event) -> None:
         self._sock = sock
         self._loop = gevent.get_hub().loop
-        self.bound = received_bound
-        self._paused = False
+        self.received_limit = received_limit
+        self._reading_paused = False
         self._writer = None
         self.received = bytearray()
         self.ended = False
@@ -44,25 +55,25 @@
     def closed(self) -> bool:
         return self._reader is None
 
-    def take(self) -> bytes:
+    def take_received(self) -> bytes:
         """All bytes that have arrived."""
         data = bytes(self.received)
         self.received.clear()
-        self.resume()
+        self.resume_reading()
         return data
 
-    def resume(self) -> None:
+    def resume_reading(self) -> None:
         """Reads on if reading has paused and there is room again."""
-        if self._paused and len(self.received) < self.bound and self._reader is not None:
-            self._paused = False
+        if self._reading_paused and len(self.received) < self.received_limit and self._reader is not None:
+            self._reading_paused = False
             self._reader.start(self._readable)
 
-    def poll(self) -> None:
+    def receive_available(self) -> None:
         """Reads what has arrived but has not been seen by the event loop yet."""
-        if not self.ended and not self._paused and self._reader is not None:
+        if not self.ended and not self._reading_paused and self._reader is not None:
             self._receive()
 
-    def send_some(self, data: bytes | bytearray | memoryview) -> int:
+    def try_send(self, data: bytes | bytearray | memoryview) -> int:
         """The number of bytes that were taken at once; raises OSError where the connection has failed."""
         try:
             return self._sock.send(data)
@@ -76,7 +87,7 @@
         self._writer.start(self._writable)
 
     @property
-    def waits_for_writable(self) -> bool:
+    def awaiting_writable(self) -> bool:
         return self._writer is not None and self._writer.active
 
     def connect_error(self) -> int:
@@ -121,8 +132,8 @@
             self.failed = True
         if data:
             self.received += data
-            if len(self.received) >= self.bound:
-                self._paused = True
+            if len(self.received) >= self.received_limit:
+                self._reading_paused = True
                 self._reader.stop()
         else:
             self.ended = True
--- a/tests/fleet_standins.py
+++ b/tests/fleet_standins.py
@@ -25,7 +25,7 @@
 from ochrespan.data_plane.decision_record import DecisionLog
 from ochrespan.data_plane.decisions import Fail, Outcome, Refuse, Request, Send, Server
 from ochrespan.data_plane.dispatcher import Dispatcher
-from ochrespan.data_plane.exchange import ExchangeTools
+from ochrespan.data_plane.exchange import ExchangeContext
 from ochrespan.data_plane.front import Front
 from ochrespan.data_plane.ingress import IngressServer
 from ochrespan.data_plane.routing_table import RoutingTable
@@ -316,7 +316,7 @@
     deadlines = DeadlineHeap(gevent.get_hub().loop)
     scheduler = scheduler or PlainScheduler()
     dispatcher, pools = Dispatcher(scheduler, deadlines), ServerPools(deadlines)
-    tools = ExchangeTools(dispatcher, pools, deadlines, decision_log or DecisionLog())
+    tools = ExchangeContext(dispatcher, pools, deadlines, decision_log or DecisionLog())
     front = Front(tools, lambda: made.fresh, quotas)
     server = IngressServer(("127.0.0.1", 0), front, deadlines, max_connections, max_body_bytes)
     made = Router(scheduler, front, server, pools, dispatcher)
--- a/tests/golden/router_heads.py
+++ b/tests/golden/router_heads.py
@@ -8,7 +8,7 @@
 import random
 
 from ochrespan.data_plane.decisions import Fail, Refuse
-from ochrespan.data_plane.local_responses import OwnAnswer, answer_for, over_quota
+from ochrespan.data_plane.local_responses import LocalResponse, quota_exceeded_response, response_for
 from ochrespan.data_plane.request_head import RequestRefused, parse_chunk_size, parse_head
 from ochrespan.data_plane.server_request import ServerRequest, end_to_end_headers
 
@@ -107,13 +107,13 @@
 def describe_own_responses() -> list[str]:
     """A line for each kind of response that the router makes itself, with its headers."""
     answers = [
-        over_quota("q1", 0.25),
-        answer_for(Refuse("q1", 503, 0.1234567), "q1"),
-        answer_for(Refuse("q1", 429, -1.0), "q1"),
-        answer_for(Fail("q1", 502), "q1"),
-        answer_for(Fail("q1", 504), "q1"),
-        OwnAnswer(404, "no route"),
-        OwnAnswer(401, "no such key", "q1"),
+        quota_exceeded_response("q1", 0.25),
+        response_for(Refuse("q1", 503, 0.1234567), "q1"),
+        response_for(Refuse("q1", 429, -1.0), "q1"),
+        response_for(Fail("q1", 502), "q1"),
+        response_for(Fail("q1", 504), "q1"),
+        LocalResponse(404, "no route"),
+        LocalResponse(401, "no such key", "q1"),
     ]
     lines = []
     for answer in answers:
--- a/tests/test_attempt_ends.py
+++ b/tests/test_attempt_ends.py
@@ -177,7 +177,7 @@
         client.ask()
         got = client.read_answer()
         assert got.status == 503 and float(got.value("Retry-After")) > 0
-        assert made.scheduler.cancelled and not made.dispatcher.running
+        assert made.scheduler.cancelled and not made.dispatcher.in_flight_requests
 
 
 def test_a_late_answer_to_another_request_is_skipped_and_the_connection_is_not_used_again():
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -334,7 +334,7 @@
     assert made.scheduler.submit_seen.wait(5)
     begun.send(request_bytes(id="q2")[:20])
     with gevent.Timeout(5):
-        while made.server.open_connections < 3 or not made.server.connections_with_unserved_bytes:
+        while made.server.open_connections < 3 or not made.server.idle_connections_with_request_bytes:
             gevent.idle()
     made.server.drain()
     assert resting.is_closed()
@@ -374,7 +374,7 @@
         first.close()
         assert server.peer_gone.wait(5)
         wait_for_no_connections(made)
-        assert made.server.body_room.taken_bytes == 0
+        assert made.server.body_memory.reserved_bytes == 0
 
 
 def wait_for_no_connections(made, but: int = 0) -> None:
--- a/tests/test_router_quotas.py
+++ b/tests/test_router_quotas.py
@@ -110,7 +110,7 @@
         client = made.client()
         client.ask(headers=USAGE)
         assert client.read_answer().status == 429
-        assert not server.requests and not made.dispatcher.running
+        assert not server.requests and not made.dispatcher.in_flight_requests
         assert made.scheduler.cancelled
 
 
--- a/tests/test_router_tables.py
+++ b/tests/test_router_tables.py
@@ -111,13 +111,13 @@
 
     pools = ServerPools(DeadlineHeap(gevent.get_hub().loop))
     pools.set_servers([*servers("a", 1, 2), *servers("b", 1)], 2)
-    kept, gone = pools.of("b1"), pools.of("a2")
+    kept, gone = pools.get("b1"), pools.get("a2")
     pools.set_servers(servers("a", 1, 3), 2, {"a"})
-    assert pools.of("b1") is kept and pools.of("a2") is None and gone.closed and not kept.closed
+    assert pools.get("b1") is kept and pools.get("a2") is None and gone.closed and not kept.closed
     pools.set_servers([], 4, ())
-    assert [pools.of(each).limit for each in ("a1", "a3", "b1")] == [10, 10, 10]
+    assert [pools.get(each).limit for each in ("a1", "a3", "b1")] == [10, 10, 10]
     pools.set_servers(servers("a", 1), 4)
-    assert pools.of("b1") is None and pools.of("a1") is not None
+    assert pools.get("b1") is None and pools.get("a1") is not None
 
 
 def test_a_change_of_a_route_makes_no_entry_anew_but_its_own(monkeypatch):
@@ -130,7 +130,7 @@
     made.clear()
     changed = replace(routes[7], timeout_ms=1.0)
     after = replace(before, version=2, routes={**before.routes, "r7": changed})
-    table = table.changed_to(after, {"r7"}, ())
+    table = table.updated(after, {"r7"}, ())
     assert made == ["r7"] and table.version == 2
     assert table.find("h7.example", "/p7/x").route is changed
     assert table.find("h8.example", "/p8/x").route is routes[8]
@@ -165,7 +165,7 @@
     table, before = RoutingTable(steps[0]), steps[0]
     for view in steps[1:]:
         routes, tenants = changed_names(before.routes, view.routes), changed_names(before.tenants, view.tenants)
-        table, before = table.changed_to(view, routes, tenants), view
+        table, before = table.updated(view, routes, tenants), view
         anew = RoutingTable(view)
         assert table.version == anew.version and table.has_tenants == anew.has_tenants
         assert [table.tenant_of(key) for key in KEYS] == [anew.tenant_of(key) for key in KEYS]
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -49,7 +49,7 @@
             passed[number].set()
             assert client.read_chunk() == event(number)
         assert client.read_chunk() == b""
-        assert made.scheduler.outcomes == [Outcome.DONE] and not made.dispatcher.running
+        assert made.scheduler.outcomes == [Outcome.DONE] and not made.dispatcher.in_flight_requests
 
 
 @pytest.mark.parametrize("name", BREAKS)
@@ -79,7 +79,7 @@
         got = client.read_answer()
         assert got.body == event(1) + event(2) and not got.whole
         assert client.is_closed()
-        assert not second.requests and not made.dispatcher.running
+        assert not second.requests and not made.dispatcher.in_flight_requests
 
 
 def test_a_stream_on_a_safe_route_is_not_taken_up_once_it_has_begun():
@@ -90,7 +90,7 @@
         client.ask()
         got = client.read_answer()
         assert got.body == event(1) + event(2) and not got.whole
-        assert not second.requests and not made.dispatcher.running
+        assert not second.requests and not made.dispatcher.in_flight_requests
 
 
 def test_a_stream_that_breaks_before_its_first_event_starts_anew_elsewhere():
@@ -143,7 +143,7 @@
         client.ask()
         got = client.read_answer()
         assert got.body == event(1) and not got.whole
-        assert not made.dispatcher.running
+        assert not made.dispatcher.in_flight_requests
 
 
 def test_a_stream_whose_last_server_was_done_but_for_the_end_ends_whole():
