--- a/ochrespan/data_plane/attempt.py
+++ b/ochrespan/data_plane/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a request is sent to one server, and its answer is read. Every end is told as an outcome."""
+"""One attempt: sends a request to one server and reads the response. Every failure is raised with its outcome."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from .wakeup import Wakeup
 from .watched_socket import ignore_event
 
-CONNECT_TIMEOUT_S = 1.0  # to have a connection, the wait for room included
+CONNECT_TIMEOUT_S = 1.0  # includes the wait for a free connection in the pool
 
 
 class AttemptEnded(Exception):
-    """The attempt has ended without a whole answer."""
+    """The attempt has ended without a complete response."""
 
     def __init__(self, outcome: Outcome) -> None:
         super().__init__(outcome.value)
@@ -24,7 +24,7 @@
 
 
 class Attempt:
-    """Runs in the greenlet of the request. `interruption` says why to stop: the client has gone, or time is over."""
+    """Runs in the request's greenlet. `interruption` returns CANCELLED or TIMED_OUT if the attempt has to stop."""
 
     __slots__ = ("response", "sent_at", "_pool", "_deadlines", "_wakeup", "_interruption", "_connection", "_expired")
 
@@ -41,7 +41,7 @@
         self._expired = False
 
     def send(self, encode_request: Callable[[], bytes], response: ServerResponse, unsafe: bool) -> None:
-        """Sends the request; raises AttemptEnded where its last byte was not written."""
+        """Sends the request; raises AttemptEnded if it was not written completely."""
         self.response = response
         self.sent_at = time.monotonic()
         try:
@@ -52,7 +52,7 @@
         connection.requests += 1
 
     def receive(self) -> None:
-        """Waits for the next bytes of the answer and reads them; raises AttemptEnded."""
+        """Waits for the next bytes of the response and parses them; raises AttemptEnded."""
         socket = self._connection.socket
         while not socket.received:
             if socket.ended:
@@ -66,7 +66,7 @@
             raise AttemptEnded(Outcome.GARBLED) from error
 
     def release(self) -> None:
-        """The answer is whole: its connection is kept where that is safe."""
+        """Returns the connection of a complete response to the pool, or closes it if it cannot be reused."""
         connection, self._connection = self._connection, None
         if connection is None:
             return
@@ -77,7 +77,7 @@
             self._pool.discard(connection)
 
     def abandon(self) -> None:
-        """Closes the connection, which tells the server to stop."""
+        """Closes the connection, so that the server stops processing the request."""
         connection, self._connection = self._connection, None
         if connection is not None:
             self._pool.discard(connection)
@@ -123,7 +123,7 @@
             remaining = remaining[socket.try_send(remaining) :]
 
     def _wait(self, condition: Callable[[], bool], until: float) -> None:
-        """Waits for `condition`; raises AttemptEnded where that takes too long."""
+        """Waits for `condition`; raises AttemptEnded if it is interrupted or not met by `until`."""
         if condition():
             return
         self._expired = False
--- a/ochrespan/data_plane/client_connection.py
+++ b/ochrespan/data_plane/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection: requests are read from it in order, answers are written, and its end is noticed at once."""
+"""A client's connection: reads requests in order, writes responses, and detects a disconnect immediately."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from .wakeup import Wakeup
 from .watched_socket import WatchedSocket
 
-RECEIVED_LIMIT_BYTES = 256 * 1024  # bytes of pipelined requests that may wait
+RECEIVED_LIMIT_BYTES = 256 * 1024  # read ahead of the request being served; reading pauses beyond this
 MAX_CHUNK_LINE_BYTES = 4096
 MAX_TRAILER_BYTES = 16 * 1024
 LINGER_S = 1.0
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadLimits:
-    """What a client may send, and how long it may take."""
+    """Limits on the size of a request and on the time to receive it."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -43,14 +43,14 @@
 
 
 class BodyMemoryBudget:
-    """Bounds the memory for the bodies of all requests that are under way."""
+    """Limits the total memory for the bodies of all requests in flight."""
 
     def __init__(self, limit_bytes: int) -> None:
         self.limit_bytes = limit_bytes
         self.reserved_bytes = 0
 
     def reserve(self, size: int) -> None:
-        """Raises RequestRefused where there is no room now."""
+        """Reserves `size` bytes; raises RequestRefused if that exceeds the limit."""
         total = self.reserved_bytes + size
         if total > self.limit_bytes:
             found, allowed = f"{total} bytes with those of other requests", f"{self.limit_bytes} bytes"
@@ -62,14 +62,14 @@
 
 
 class ClientConnection:
-    """Owned by the greenlet that serves it; `wakeup` is where that greenlet waits."""
+    """Owned by the greenlet that serves it, which waits on `wakeup`."""
 
     def __init__(self, sock: socket.socket, deadlines: DeadlineHeap, body_memory: BodyMemoryBudget) -> None:
         self.wakeup = Wakeup()
-        self.write_deadline = 0.0  # when the answer has to be written at the latest
+        self.write_deadline = 0.0  # monotonic time by which the response must be written
         self._deadlines = deadlines
         self._body_memory = body_memory
-        self._body_bytes = 0  # taken of the room
+        self._body_bytes = 0  # reserved for the current request's body
         self._socket = WatchedSocket(sock, RECEIVED_LIMIT_BYTES, self.wakeup.notify)
         self._expired = False
 
@@ -84,11 +84,11 @@
 
     @property
     def has_unread_bytes(self) -> bool:
-        """Whether bytes of a request have been read that it has not been served for."""
+        """Whether bytes of a request that is not being served yet have been received."""
         return bool(self._socket.received)
 
     def read_head(self, limits: ReadLimits) -> RequestHead | None:
-        """The next request's head; None where the client has gone or sent nothing for the idle time-out."""
+        """Reads the next request's head; None if the client disconnects or sends nothing within the idle timeout."""
         received = self._socket.received
         self._socket.received_limit = max(RECEIVED_LIMIT_BYTES, 2 * limits.max_header_bytes)
         if not self._wait_until(lambda: received, time.monotonic() + limits.idle_timeout_s):
@@ -96,7 +96,7 @@
         return self._read_partial_head(limits)
 
     def read_body(self, head: RequestHead, limits: ReadLimits) -> bytes:
-        """The whole body; raises RequestRefused or ClientDisconnected."""
+        """Reads the complete body; raises RequestRefused or ClientDisconnected."""
         if head.content_length is not None and head.content_length > limits.max_body_bytes:
             raise RequestRefused(TOO_LARGE, "body", f"{head.content_length} bytes", f"{limits.max_body_bytes} bytes")
         if not head.chunked and not head.content_length:
@@ -109,7 +109,7 @@
         return self._read_exactly(head.content_length, limits)
 
     def release_body(self) -> None:
-        """The request is over, and so is the need for its body."""
+        """Returns the memory reserved for the request's body."""
         self._body_memory.release(self._body_bytes)
         self._body_bytes = 0
 
@@ -125,25 +125,28 @@
             raise ClientDisconnected(str(error)) from error
 
     def sleep(self, seconds: float) -> None:
-        """Waits; raises ClientDisconnected where the client leaves meanwhile."""
+        """Waits for `seconds`; raises ClientDisconnected if the client disconnects."""
         self._wait_until(lambda: False, time.monotonic() + seconds)
         if self.disconnected:
-            raise ClientDisconnected("while its request waited")
+            raise ClientDisconnected("while its request was waiting")
 
     def close(self) -> None:
         self._socket.close()
 
     def close_and_notify(self) -> None:
-        """Closes the connection under the greenlet that serves it."""
+        """Closes the connection from another greenlet and wakes the one that serves it."""
         self._socket.close()
         self.wakeup.notify()
 
     def reset(self) -> None:
-        """Ends an answer so that it cannot look complete."""
+        """Resets the connection, so that a truncated response cannot look complete."""
         self._socket.reset()
 
     def linger_and_close(self) -> None:
-        """Closes after the client has had time to read the last answer, whatever it still sends."""
+        """Closes after the client had time to read the last response.
+
+        Closing with unread bytes sends a reset, which could destroy that response; so input is discarded for LINGER_S.
+        """
         self._socket.shutdown_write()
         until = time.monotonic() + LINGER_S
         while not self._socket.ended and self._wait_until(lambda: self._socket.received, until):
@@ -208,9 +211,9 @@
         self._body_bytes += size
 
     def _skip_trailers(self, limits: ReadLimits) -> None:
-        body_memory = MAX_TRAILER_BYTES
-        while line := self._read_line(body_memory, limits):
-            body_memory -= len(line)
+        remaining = MAX_TRAILER_BYTES
+        while line := self._read_line(remaining, limits):
+            remaining -= len(line)
             if b":" not in line or line[:1] in b" \t":
                 raise RequestRefused(BAD_REQUEST, "trailer", repr(line[:40]), "a header")
 
@@ -230,7 +233,7 @@
     def _await_more(self, arrived: Callable[[], object], limits: ReadLimits) -> None:
         if not self._wait_until(arrived, time.monotonic() + limits.idle_timeout_s):
             if self._socket.ended:
-                raise ClientDisconnected("within a body")
+                raise ClientDisconnected("while its request body was read")
             raise RequestRefused(TIMED_OUT, "body", "no bytes in time", f"{limits.idle_timeout_s:g} s")
 
     def _consume(self, size: int) -> None:
@@ -242,12 +245,12 @@
             self._socket.watch_writable()
             if not self._wait_until(lambda: not self._socket.awaiting_writable, until):
                 if self._socket.ended:
-                    raise ClientDisconnected("while an answer was written")
+                    raise ClientDisconnected("while a response was written")
                 raise TimeoutError("the client reads too slowly")
             remaining = remaining[self._socket.try_send(remaining) :]
 
     def _wait_until(self, condition: Callable[[], object], until: float) -> bool:
-        """Whether the condition came true before the client had gone and before `until`."""
+        """Whether the condition was met before the client disconnected and before `until`."""
         if condition():
             return True
         self._expired = False
--- a/ochrespan/data_plane/connection_pool.py
+++ b/ochrespan/data_plane/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to servers, kept for reuse: bounded for each server, and closed before the server closes them."""
+"""Keep-alive connections to servers: limited per server, and closed before the server would close them."""
 
 from __future__ import annotations
 
@@ -15,18 +15,16 @@
 
 Address = tuple[str, int]
 
-RECEIVED_LIMIT_BYTES = 256 * 1024  # bytes of an answer that may wait for a slow client
-DEFAULT_KEEP_ALIVE_S = 4.0  # where a server does not say how long it keeps an idle connection
-KEEP_ALIVE_MARGIN_S = 0.8  # an idle connection is closed this much before the server would do it
-SHORT_KEEP_ALIVE_FRACTION = 0.5  # of a time-out that leaves no room for the margin
-UNSAFE_REUSE_MAX_IDLE_S = (
-    1.0  # rest after which an unsafe request takes a new connection, where the server tells no time-out
-)
-USER_TIMEOUT_MS = 3000  # unacknowledged data ends a connection after this long
+RECEIVED_LIMIT_BYTES = 256 * 1024  # buffered per response for a slow client; reading pauses beyond this
+DEFAULT_KEEP_ALIVE_S = 4.0  # used if a server does not announce its keep-alive timeout
+KEEP_ALIVE_MARGIN_S = 0.8  # an idle connection is closed this long before the server's timeout
+SHORT_KEEP_ALIVE_FRACTION = 0.5  # of the timeout; used if it is too short for the margin
+UNSAFE_REUSE_MAX_IDLE_S = 1.0  # idle limit for reuse by an unsafe request if the server announces no timeout
+USER_TIMEOUT_MS = 3000  # TCP_USER_TIMEOUT: the connection fails once data is unacknowledged for this long
 
 
 class ServerConnection:
-    """A connection to one server, which carries one request at a time."""
+    """A connection to one server; it carries one request at a time."""
 
     __slots__ = ("socket", "requests", "reusable_until", "unsafe_reusable_until")
 
@@ -47,7 +45,7 @@
         self.unsafe_reusable_until = 0.0
 
     def is_usable(self, now: float, unsafe: bool) -> bool:
-        """Whether the server surely still waits for a request here; a request that must not run twice asks for more."""
+        """Whether the connection can be reused; `unsafe` requests, which must not run twice, use a shorter limit."""
         if now >= self.reusable_until or (unsafe and now >= self.unsafe_reusable_until):
             return False
         self.socket.receive_available()
@@ -60,22 +58,22 @@
     def __init__(self, address: Address, limit: int, deadlines: DeadlineHeap) -> None:
         self.address = address
         self.limit = max(1, limit)
-        self.open_count = 0  # idle ones and those in use
+        self.open_count = 0  # idle and in use
         self.closed = False
         self._deadlines = deadlines
-        self._idle: list[ServerConnection] = []  # the one that was used last stands last
+        self._idle: list[ServerConnection] = []  # the most recently used one last
         self._expiry: Deadline | None = None
         self._waiters: list[Wakeup] = []
 
     @property
     def has_capacity(self) -> bool:
-        """Whether `acquire` may succeed."""
+        """Whether `acquire` can return a connection."""
         return bool(self._idle) or self.open_count < self.limit
 
     def acquire(self, unsafe: bool) -> ServerConnection | None:
-        """An idle connection, or a new one that is still being opened; None where the limit is reached.
+        """Returns an idle connection, or a new one that is still connecting; None if the limit is reached.
 
-        Raises OSError where the address cannot be reached at all.
+        Raises OSError if the connection attempt fails immediately.
         """
         now = time.monotonic()
         while self._idle:
@@ -91,7 +89,7 @@
         return connection
 
     def release(self, connection: ServerConnection, keep_alive_s: float | None) -> None:
-        """The connection has carried a whole answer and may be used again."""
+        """Makes a connection idle after a complete response, or closes it if it cannot be reused."""
         if self.closed or connection.socket.ended or connection.socket.received or self.open_count > self.limit:
             self.discard(connection)
             return
@@ -107,14 +105,14 @@
         self._notify_next_waiter()
 
     def discard(self, connection: ServerConnection) -> None:
-        """Closes a connection that was taken."""
+        """Closes a connection that is not to be reused."""
         if not connection.socket.closed:
             connection.socket.close()
             self.open_count -= 1
             self._notify_next_waiter()
 
     def close(self) -> None:
-        """Closes what is idle, now and when it is given back."""
+        """Closes idle connections, and those in use once they are released."""
         self.closed = True
         while self._idle:
             self.discard(self._idle.pop())
@@ -122,7 +120,7 @@
             self._expiry.cancel()
 
     def add_waiter(self, wakeup: Wakeup) -> None:
-        """`wakeup` is told once `acquire` may succeed."""
+        """Notifies `wakeup` once `acquire` may succeed."""
         self._waiters.append(wakeup)
 
     def remove_waiter(self, wakeup: Wakeup) -> None:
@@ -134,7 +132,7 @@
             self._waiters.pop(0).notify()
 
     def _drop_idle(self, connection: ServerConnection) -> None:
-        """An idle connection has ended, or bytes that belong to no request have come."""
+        """Closes an idle connection after a disconnect, unexpected bytes or the keep-alive timeout."""
         self._idle.remove(connection)
         self.discard(connection)
 
--- a/ochrespan/data_plane/dispatcher.py
+++ b/ochrespan/data_plane/dispatcher.py
@@ -1,4 +1,4 @@
-"""Between the scheduler, which has no sockets, and the exchanges: hands events over and actions to their owners."""
+"""Connects the scheduler, which does no I/O, to the exchanges: forwards events to it and its actions to them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class SchedulerLike(Protocol):
-    """What is used of `scheduler.Scheduler`."""
+    """The methods of `scheduler.Scheduler` that the dispatcher calls."""
 
     def set_servers(
         self, now: float, servers: list[Server], routers: int, rank: int, services: Collection[str] | None = None
@@ -30,14 +30,14 @@
 
 
 class DecisionReceiver(Protocol):
-    """Whoever waits for the scheduler's decisions about a request."""
+    """Receives the scheduler's decisions about one request."""
 
     def decide(self, action: Action) -> None: ...
     def refuse_unsent(self) -> None: ...
 
 
 class Dispatcher:
-    """Owns the scheduler. Each request is known here from `submit` to `close`."""
+    """Owns the scheduler. A request is registered here from `submit` to `close`."""
 
     def __init__(self, scheduler: SchedulerLike, deadlines: DeadlineHeap, metrics: RouterFigures | None = None) -> None:
         self._scheduler = scheduler
@@ -49,13 +49,13 @@
 
     @property
     def in_flight_requests(self) -> int:
-        """The number of requests that are known."""
+        """The number of requests between `submit` and `close`, queued ones included."""
         return len(self._receivers)
 
     def set_servers(
         self, servers: list[Server], routers: int, rank: int, services: Collection[str] | None = None
     ) -> None:
-        """All servers of these services, or of every service, and this router's place among the live ones."""
+        """Replaces the servers of `services` (None: all services); `rank` is this router's index among `routers`."""
         now = time.monotonic()
         self._apply(now, self._scheduler.set_servers(now, servers, routers, rank, services))
 
@@ -73,17 +73,17 @@
         self._apply(now, self._scheduler.ended(now, request_id, outcome))
 
     def cancel(self, request_id: str) -> None:
-        """The request is over for the client; a request that has ended already is no error."""
+        """Cancels a request on the client's side; one that has already ended is ignored."""
         now = time.monotonic()
         self._apply(now, self._scheduler.cancel(now, request_id))
 
     def close(self, request_id: str) -> None:
-        """The request is over, whether the scheduler knows it or not; no decision about it is told any more."""
+        """Unregisters a request and cancels it at the scheduler; it receives no further decisions."""
         if self._receivers.pop(request_id, None) is not None:
             self.cancel(request_id)
 
     def refuse_unsent(self) -> None:
-        """Gives up the requests that no server has been tried for."""
+        """Refuses all requests for which no server has been tried."""
         for receiver in list(self._receivers.values()):
             receiver.refuse_unsent()
 
--- a/ochrespan/data_plane/event_stream.py
+++ b/ochrespan/data_plane/event_stream.py
@@ -1,4 +1,4 @@
-"""The events of a stream: only whole ones are passed on, and their ids have to rise."""
+"""Server-sent events: only complete ones are forwarded, and their ids must increase."""
 
 from __future__ import annotations
 
@@ -11,36 +11,36 @@
 
 
 class EventStream:
-    """What has been passed on of one stream, over all servers that it was taken up at."""
+    """The forwarding state of one client's stream, across all servers that have served it."""
 
     __slots__ = ("last_id", "error", "_ids_consecutive", "_pending", "_resumed")
 
     def __init__(self) -> None:
         self.last_id: int | None = None
-        self.error = ""  # why nothing more of this server's events may be passed on
-        self._ids_consecutive = True  # every id so far was the one before plus 1
+        self.error = ""  # why no more events of the current server may be forwarded
+        self._ids_consecutive = True  # every id so far was its predecessor plus 1
         self._pending = b""
         self._resumed = False
 
     @property
     def has_partial_event(self) -> bool:
-        """Whether a part of an event has come that was not passed on."""
+        """Whether an incomplete event is buffered."""
         return bool(self._pending)
 
     def start_continuation(self) -> None:
-        """The next bytes come from another server, which continues behind `last_id`."""
+        """Prepares for bytes of another server, which must continue after `last_id`."""
         self.error = ""
         self._pending = b""
         self._resumed = self.last_id is not None
 
     def take_complete_events(self, data: bytes) -> bytes:
-        """The events that are whole now that `data` has come, up to the first one that may not be passed on."""
+        """Returns the events that `data` completes, up to the first one that violates the order of ids."""
         if self._pending:
             data = self._pending + data
         end = len(data) if data.endswith(_EVENT_END) else _end_of_events(data, len(data))
         self._pending = data[end:]
         if len(self._pending) > MAX_EVENT_BYTES:
-            self.error = "an event that does not end"
+            self.error = "event too long"
         for match in _EVENT_ID.finditer(data, 0, end):
             if not self._follows(int(match[1])):
                 return data[: _end_of_events(data, match.start() + 1)]
@@ -50,7 +50,7 @@
         last = self.last_id
         if last is not None and event_id != last + 1:
             if event_id <= last or (self._resumed and self._ids_consecutive):
-                self.error = f"event {event_id} behind event {last}"
+                self.error = f"event {event_id} after event {last}"
                 return False
             self._ids_consecutive = False
         self.last_id = event_id
@@ -59,7 +59,7 @@
 
 
 def _end_of_events(data: bytes, before: int) -> int:
-    """The end of the last event that ends at `before` or earlier."""
+    """Returns the end offset of the last event that ends at `before` or earlier."""
     end = 0
     for terminator in (_EVENT_END, _EVENT_END_CRLF):
         start = data.rfind(terminator, 0, before)
--- a/ochrespan/data_plane/exchange.py
+++ b/ochrespan/data_plane/exchange.py
@@ -1,4 +1,4 @@
-"""One client request, from its admission to the end of its answer."""
+"""Runs one admitted client request: waits for scheduling, makes attempts at servers and relays the response."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 from .server_request import ServerRequest, end_to_end_headers
 from .server_response import MISDIRECTED, ServerResponse
 
-MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a longer answer is passed on before it is whole
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a longer response is forwarded before it is complete
 FALLBACK_RETRY_AFTER_S = 0.2
 FIRST_SERVER_FAILURE = 500
 _IMPLIES_NOT_EXECUTED = frozenset({408, 421, 429, 503})
 
 
 class ResponseAborted(Exception):
-    """An answer that has begun can't be finished, which the end of the connection has to show."""
+    """A response that has started cannot be completed; the connection must end so that the client notices."""
 
 
 @dataclass(frozen=True, slots=True)
 class ExchangeContext:
-    """What all exchanges of a router share."""
+    """Objects that all exchanges of a router share."""
 
     dispatcher: Dispatcher
     pools: ServerPools
@@ -41,7 +41,7 @@
 
 
 class Exchange:
-    """Runs in the greenlet of the client's connection."""
+    """One client request and its attempts; runs in the greenlet of the client's connection."""
 
     def __init__(
         self,
@@ -64,14 +64,14 @@
         self._expired = False
         self._was_sent = False
         self._send_started = False
-        self._attempt: Attempt | None = None  # the one that runs
+        self._attempt: Attempt | None = None  # the attempt in flight
         self._events = EventStream()
-        self._ready_events = b""  # whole events that are to be passed on
-        self._failure: Outcome | None = None  # the attempt has failed behind what is ready
-        self._final_response: LocalResponse | ServerResponse | None = None  # the final answer, once it has left whole
+        self._ready_events = b""  # complete events that have not been forwarded yet
+        self._failure: Outcome | None = None  # how the attempt failed, after the events in `_ready_events`
+        self._final_response: LocalResponse | ServerResponse | None = None  # set once it is sent completely
 
     def respond(self, start_response: StartResponse) -> Iterable[bytes]:
-        """The answer as a WSGI result; raises ClientDisconnected."""
+        """Returns the response as a WSGI result; raises ClientDisconnected."""
         expiry = self._deadlines.schedule(self._request.deadline, self._expire)
         relay: Iterator[bytes] | None = None
         try:
@@ -85,7 +85,7 @@
                 self._final_response = self._bad_gateway_response(response)
                 return self._final_response.respond(start_response)
             headers = end_to_end_headers(response.headers)
-            if _is_event_response(response):  # the stream may be taken up elsewhere, so its length is not known
+            if _is_event_response(response):  # the stream may resume at another server, so its length is unknown
                 headers = [header for header in headers if header[0].lower() != "content-length"]
             start_response(f"{response.status} {response.reason}", headers)
             if self._attempt is None:
@@ -98,12 +98,12 @@
                 self._close(expiry)
 
     def decide(self, action: Action) -> None:
-        """Takes the scheduler's decision; called from any greenlet."""
+        """Receives the scheduler's decision; may be called from any greenlet."""
         self._decision = action
         self._client.wakeup.notify()
 
     def refuse_unsent(self) -> None:
-        """Gives the request up if no server has been tried, since the router ends."""
+        """Refuses the request with 503 if no server has been tried, because the router is shutting down."""
         if not self._was_sent and self._attempt is None and self._decision is None:
             self.decide(Refuse(self._request.id, 503, FALLBACK_RETRY_AFTER_S))
 
@@ -120,7 +120,7 @@
     def _next_decision(self) -> Action:
         while self._decision is None:
             if self._client.disconnected:
-                raise ClientDisconnected("while the request waited")
+                raise ClientDisconnected("while the request was queued")
             if self._expired:
                 return self._decide_at_deadline()
             self._client.wakeup.wait()
@@ -128,14 +128,14 @@
         return decision
 
     def _decide_at_deadline(self) -> Action:
-        """The deadline has passed before the scheduler has said anything."""
+        """Cancels the request, whose deadline passed before a decision, and returns the matching action."""
         self._dispatcher.cancel(self._request.id)
         if self._was_sent and self._unsafe:
             return Fail(self._request.id, 504)
         return Refuse(self._request.id, 503, FALLBACK_RETRY_AFTER_S)
 
     def _start_attempt(self, send: Send) -> Attempt | None:
-        """An attempt whose answer can be passed on; None where it has ended, as the scheduler knows by then."""
+        """Returns an attempt whose response can be forwarded, or None if it failed; the scheduler is then notified."""
         pool = self._pools.get(send.server_id)
         if pool is None:
             self._dispatcher.ended(self._request.id, Outcome.NOT_SENT)
@@ -168,7 +168,7 @@
         self._was_sent = True
 
     def _read_until_forwardable(self, attempt: Attempt) -> None:
-        """Reads until the answer can be passed on: it is whole, its first event is, or it is long."""
+        """Reads until the response is complete, has a complete event, or exceeds MAX_BUFFERED_BODY_BYTES."""
         response = attempt.response
         first_event_reported = False
         while not (response.complete or self._ready_events or len(response.body) > MAX_BUFFERED_BODY_BYTES):
@@ -179,20 +179,20 @@
                 raise AttemptEnded(self._failure)
 
     def _report_first_event(self, attempt: Attempt) -> bool:
-        """Whether the first piece has come, which the scheduler is told."""
+        """Notifies the scheduler once the first event, or the head of another response, has arrived; True if so."""
         if _is_event_response(attempt.response) and not self._ready_events:
             return False
         self._dispatcher.first_event(self._request.id, time.monotonic() - attempt.sent_at)
         return True
 
     def _receive(self, attempt: Attempt) -> None:
-        """Reads on. Events that came whole before a failure are ready to be passed on, and `_break` tells of it."""
+        """Reads the next bytes; a failure is stored in `_failure`, so that events completed before it are forwarded."""
         response = attempt.response
         try:
             attempt.receive()
         except AttemptEnded as end:
             if end.outcome is Outcome.CANCELLED:
-                raise ClientDisconnected("while a server worked on the request") from end
+                raise ClientDisconnected("while a server processed the request") from end
             self._failure = end.outcome
         if response.head_complete and _is_event_response(response):
             self._ready_events += self._events.take_complete_events(response.take_body())
@@ -200,7 +200,7 @@
                 self._failure = Outcome.GARBLED
 
     def _relay_body(self, attempt: Attempt) -> Iterator[bytes]:
-        """Passes a long body on as it comes."""
+        """Forwards a long body as it arrives."""
         response = attempt.response
         while True:
             if data := response.take_body():
@@ -215,7 +215,7 @@
                 raise ResponseAborted(self._failure.value)
 
     def _relay_events(self, attempt: Attempt) -> Iterator[bytes]:
-        """Passes events on as they come, and takes the stream up at another server where that is allowed."""
+        """Forwards events as they arrive, and resumes the stream at another server if the route allows it."""
         while True:
             complete = attempt.response.complete and self._failure is None
             if complete:
@@ -234,7 +234,7 @@
                 attempt = self._resume(self._failure)
 
     def _resume(self, outcome: Outcome) -> Attempt:
-        """The attempt that continues the stream; raises AnswerBroken where none does."""
+        """Returns the attempt that continues the stream; raises ResponseAborted if there is none."""
         self._end_attempt(outcome)
         if not self._request.resumable:
             raise ResponseAborted(outcome.value)
@@ -246,10 +246,10 @@
             if attempt is not None:
                 if _is_event_response(attempt.response):
                     return attempt
-                raise ResponseAborted(f"status {attempt.response.status} where a stream was to be continued")
+                raise ResponseAborted(f"status {attempt.response.status} instead of the rest of the stream")
 
     def _bad_gateway_response(self, response: ServerResponse) -> LocalResponse:
-        """A server's status that would promise that the request has not run, though the server does not say so."""
+        """Replaces a status that implies that the request was not executed, which the server has not stated."""
         return LocalResponse(502, f"a server answered {response.status}", self._server_request.request_id)
 
     def _interruption(self) -> Outcome | None:
@@ -258,14 +258,14 @@
         return Outcome.TIMED_OUT if self._expired else None
 
     def _end_attempt(self, outcome: Outcome) -> None:
-        """Frees the attempt's connection and tells the scheduler; raises ClientDisconnected."""
+        """Releases the attempt's connection and reports the outcome to the scheduler; raises ClientDisconnected."""
         attempt, self._attempt = self._attempt, None
         if attempt.response is not None and attempt.response.complete:
             attempt.release()
         else:
             attempt.abandon()
         if outcome is Outcome.CANCELLED:
-            raise ClientDisconnected("while a server worked on the request")
+            raise ClientDisconnected("while a server processed the request")
         self._dispatcher.ended(self._request.id, outcome)
 
     def _expire(self) -> None:
@@ -273,7 +273,7 @@
         self._client.wakeup.notify()
 
     def _close(self, expiry) -> None:
-        """Ends what still runs; the scheduler forgets the request."""
+        """Ends the exchange: drops a running attempt, returns unused quota tokens and finishes the decision record."""
         expiry.cancel()
         if self._attempt is not None:
             self._attempt.abandon()
@@ -288,7 +288,7 @@
 
 
 class _ClosingIterable:
-    """An answer's pieces, with what is to be done once they are over or given up."""
+    """A response's chunks with a `close` callback, which the WSGI server calls at the end or on an early stop."""
 
     def __init__(self, chunks: Iterator[bytes], close) -> None:
         self._chunks = chunks
--- a/ochrespan/data_plane/ingress.py
+++ b/ochrespan/data_plane/ingress.py
@@ -1,13 +1,13 @@
-"""gevent's WSGI server, fitted to a router that faces clients directly.
+"""gevent's WSGI server, adapted to a router that faces clients directly.
 
-gevent.pywsgi accepts, keeps the order of pipelined requests, calls the application, and frames answers. It is too
-little here in these points, where the handler takes its place:
+gevent.pywsgi accepts connections, keeps the order of pipelined requests, calls the application and frames responses.
+The handler here replaces it in these respects:
 
-- it reads heads leniently and drops duplicates; `request_head` reads them strictly and keeps them as they came;
-- it has no bounds on sizes and times; `client_connection` has;
-- it does not notice that a client has gone while the application waits; the connection's socket is watched;
-- it does not tell clients how long an idle connection lasts, nor that it will close one;
-- it ends an answer that failed half-way as if it were whole, or with a second head; here the connection just ends.
+- it parses headers leniently and drops duplicates; `request_head` parses strictly and preserves them;
+- it does not limit sizes and times; `client_connection` does;
+- it does not notice that a client disconnects while the application waits; here the connection's socket is watched;
+- it does not tell clients how long an idle connection stays open, nor that it is about to close one;
+- it ends a response that failed midway as if it were complete, or with a second head; here the connection is closed.
 """
 
 from __future__ import annotations
@@ -31,15 +31,15 @@
 log = logging.getLogger(__name__)
 
 BACKLOG = 1024
-KEEP_ALIVE_FRACTION = 0.8  # of the idle time-out, which is what clients may count on
-MAX_COALESCED_WRITE_BYTES = 64 * 1024  # a body up to this size is written together with its head
+KEEP_ALIVE_FRACTION = 0.8  # of the idle timeout; announced to clients in the `Keep-Alive` header
+MAX_COALESCED_WRITE_BYTES = 64 * 1024  # data up to this size is written in one call with the headers
 
 
 class _NoInput:
-    """The body is read by the application before anything else, so there is nothing to throw away."""
+    """Replaces the library's input: the application reads the body itself, so there is nothing to discard."""
 
     def _discard(self) -> None:
-        """Called by the library after the application."""
+        """Called by the library after the application has returned."""
 
 
 class IngressHandler(WSGIHandler):
@@ -57,7 +57,7 @@
         self.rfile = self.connection
 
     def handle(self) -> None:
-        """Answers requests until the connection is to end."""
+        """Serves requests until the connection has to be closed."""
         connection, server = self.connection, self.server
         server.connection_opened(connection)
         try:
@@ -68,7 +68,7 @@
             connection.close()
 
     def _handle_next(self) -> bool:
-        """Whether the connection may carry a further request."""
+        """Serves one request; returns whether the connection may carry another one."""
         connection = self.connection
         try:
             self.head = connection.read_head(self.server.front.limits)
@@ -89,7 +89,7 @@
             connection.release_body()
 
     def _apply_head(self, head: RequestHead) -> None:
-        """What the library's own reading would have set."""
+        """Sets the attributes that the library's own parser would have set."""
         self.command, self.path, self.request_version = head.method, head.target, head.version
         self.requestline = f"{head.method} {head.target} {head.version}"
         self.close_connection = not head.keep_alive
@@ -119,7 +119,7 @@
             self.response_headers.append((b"Keep-Alive", self.server.keep_alive_value))
 
     def _write_with_headers(self, data: bytes) -> None:
-        """Writes head and first piece at once."""
+        """Writes the headers together with the first chunk of the body if that is small."""
         self.headers_sent = True
         self.finalize_headers()
         lines = [b"HTTP/1.1 " + self.status]
@@ -140,14 +140,14 @@
         self.response_length += len(data)
 
     def handle_error(self, t: Any, v: Any, tb: Any) -> None:
-        """An exception of the application."""
+        """Handles an exception raised by the application."""
         self.close_connection = True
         if isinstance(v, RequestRefused) and not self.headers_sent:
             self._refuse(v)
         elif isinstance(v, ClientDisconnected | TimeoutError):
             self.connection.close()
         elif isinstance(v, ResponseAborted):
-            log.info("answer broken off path=%s reason=%s", self.path, v)
+            log.info("response aborted path=%s reason=%s", self.path, v)
             self._abort_response()
         else:
             log.error("request failed path=%s", self.path, exc_info=(t, v, tb))
@@ -157,21 +157,21 @@
                 self._send_local_response(LocalResponse(500, "internal error"))
 
     def log_request(self) -> None:
-        """Requests are not logged one by one: that costs more than serving them."""
+        """Does nothing: logging each request costs more than serving it."""
 
     def _has_length(self) -> bool:
-        """Whether the client can tell the end of the answer from an early end of the connection."""
+        """Whether the framing lets the client distinguish a complete response from a truncated one."""
         return self.response_use_chunked or any(name.lower() == b"content-length" for name, _ in self.response_headers)
 
     def _abort_response(self) -> None:
-        """Closes the connection within an answer, so that it cannot look complete."""
+        """Ends the connection in the middle of a response, so that the client sees that it is incomplete."""
         if self._has_length():
             self.connection.close()
         else:
             self.connection.reset()
 
     def _refuse(self, error: RequestRefused) -> None:
-        """Answers a request that could not be read, and closes: what follows it could be anything."""
+        """Responds to a malformed request and closes: the start of the next request cannot be found reliably."""
         self._send_local_response(LocalResponse(error.status, str(error), retry_after=error.retry_after))
         self.connection.linger_and_close()
 
@@ -185,22 +185,22 @@
 
 
 class IngressServer(WSGIServer):
-    """Accepts clients' connections, up to a bound, and knows which of them rest."""
+    """Accepts client connections up to a limit, and tracks which of them are idle."""
 
     handler_class = IngressHandler
 
     def __init__(
         self, listener: Any, front: Front, deadlines: DeadlineHeap, max_connections: int, max_body_bytes: int
     ) -> None:
-        environment = {"SERVER_NAME": "router"}  # else the library would look the name up
-        backlog = None if isinstance(listener, socket.socket) else BACKLOG  # a socket that listens has its own
+        environment = {"SERVER_NAME": "router"}  # otherwise the library resolves the host name
+        backlog = None if isinstance(listener, socket.socket) else BACKLOG  # a listening socket has its own backlog
         super().__init__(listener, front, log=None, error_log=None, environ=environment, backlog=backlog)
         self.front = front
         self.deadlines = deadlines
         self.max_connections = max_connections
         self.body_memory = BodyMemoryBudget(max_body_bytes)
         self.draining = False
-        self._idle: OrderedDict[ClientConnection, None] = OrderedDict()  # longest first
+        self._idle: OrderedDict[ClientConnection, None] = OrderedDict()  # the longest idle one first
         self._open: set[ClientConnection] = set()
 
     @property
@@ -209,7 +209,7 @@
 
     @property
     def idle_connections_with_request_bytes(self) -> int:
-        """The number of resting connections on which a request has begun to arrive."""
+        """The number of idle connections that have received part of a request."""
         return sum(connection.has_unread_bytes for connection in self._idle)
 
     @property
@@ -235,14 +235,14 @@
         self._idle.pop(connection, None)
 
     def drain(self) -> None:
-        """Answers carry `Connection: close` from now on, and connections that rest are closed."""
+        """Sends `Connection: close` with responses from now on, and closes idle connections."""
         self.draining = True
         for connection in list(self._idle):
-            if not connection.has_unread_bytes:  # what has been read has to be answered
+            if not connection.has_unread_bytes:  # a request that has started to arrive must be served
                 self._close_idle(connection)
 
     def abort_connections(self) -> None:
-        """Closes all connections, whatever they carry."""
+        """Closes all connections, including those with requests in flight."""
         for connection in list(self._open):
             connection.close_and_notify()
 
