--- a/ochrespan/data_plane/__init__.py
+++ b/ochrespan/data_plane/__init__.py
@@ -1,1 +1,1 @@
-"""Routing, admission, placement and the relay of requests and streams."""
+"""The router's data plane: routing, admission, scheduling, placement, and the relaying of requests and streams."""
--- a/ochrespan/data_plane/front.py
+++ b/ochrespan/data_plane/front.py
@@ -1,4 +1,4 @@
-"""The WSGI application for clients: reads a request whole, finds its route and tenant, and starts its exchange."""
+"""The WSGI application for clients: reads a complete request, resolves its route and tenant, starts its exchange."""
 
 from __future__ import annotations
 
@@ -32,19 +32,18 @@
 
 log = logging.getLogger(__name__)
 
-CONNECTION_KEY, HEAD_KEY = "ochrespan.connection", "ochrespan.head"  # in the WSGI environment
+CONNECTION_KEY, HEAD_KEY = "ochrespan.connection", "ochrespan.head"  # keys in the WSGI environment
 DEFAULT_LIMITS = ReadLimits(16 * 1024, 4 * 1024 * 1024, 3.0, 15.0)
-FIRST_TABLE_WAIT_S = 1.0  # for which a request that comes before the first table waits for it, at most
-FIRST_TABLE_WAIT_FRACTION = 0.2  # of the request's time, likewise
+FIRST_TABLE_WAIT_S = 1.0  # maximum wait for the first routing table
+FIRST_TABLE_WAIT_FRACTION = 0.2  # of the request's timeout; limits the same wait
 NOT_READY_RETRY_AFTER_S = 0.3
 STALE_RETRY_AFTER_S = 0.5
-MIN_SHARED_TOKENS = 1000  # of a prompt: shorter ones are soon read anywhere
-ROUTE_PRIORITY_LEVELS = 1000  # a tenant's priority counts before its route's
-TOKEN_WAIT_TARGET_FRACTION = (
-    0.25  # part of its aim for which a request waits for tokens of its tenant: a late answer wastes them
-)
-TOKEN_WAIT_TIMEOUT_FRACTION = 0.35  # of the request's time, at most
-RESPONSE_GRACE_S = 0.5  # beyond a request's deadline, for the end of its answer to be written
+MIN_SHARED_TOKENS = 1000  # shorter shared prefixes are cheap to prefill on any server
+ROUTE_PRIORITY_LEVELS = 1000  # a tenant's priority takes precedence over its route's
+# Maximum wait for quota tokens, of the latency target and of the timeout: a late response would waste the tokens.
+TOKEN_WAIT_TARGET_FRACTION = 0.25
+TOKEN_WAIT_TIMEOUT_FRACTION = 0.35
+RESPONSE_GRACE_S = 0.5  # after a request's deadline, to finish writing its response
 MAX_DEADLINE_MS = 24 * 3600 * 1000.0
 _MILLISECONDS = re.compile(r"[0-9]{1,12}(\.[0-9]{1,6})?")
 _TOKEN_USAGE = re.compile(r"([0-9]{1,12}), ?([0-9]{1,12})")
@@ -52,22 +51,22 @@
 
 
 class PrefixLocator(Protocol):
-    """What is used of `control_plane.prefix_placement.client.PrefixPlacementClient`; the call may wait a short time."""
+    """The part of `control_plane.prefix_placement.client.PrefixPlacementClient` used here; calls may block briefly."""
 
     def locate(self, service: str, prefix: str, tokens: float) -> PrefixPlacement: ...
 
 
 @dataclass(slots=True)
 class AdmittedRequest:
-    """A request that may be served once its body has come."""
+    """A request that may be served once its body has been received."""
 
-    request_id: str  # the client's
+    request_id: str  # the client's `X-Request-Id`; `request.id` is local to this router
     request: Request
     ticket: QuotaTicket | None
 
 
 class Front:
-    """Serves by the table in force, which is replaced whole. `is_fresh` tells whether the table surely is current."""
+    """Serves requests by the current routing table, which is immutable. `is_fresh` tells whether it is up to date."""
 
     def __init__(
         self,
@@ -85,13 +84,13 @@
         self._first_table = Event()
 
     def set_first_table(self, table: RoutingTable) -> None:
-        """From now on requests are served; those that came just before have waited for this."""
+        """Starts serving requests, including those that are waiting for the first table."""
         self.table = table
         self._first_table.set()
 
     @property
     def limits(self) -> ReadLimits:
-        """The limits in force."""
+        """The limits of the current configuration, or the defaults before the first one."""
         return self.table.limits if self.table is not None else DEFAULT_LIMITS
 
     def __call__(self, environ: dict[str, Any], start_response: StartResponse) -> Iterable[bytes]:
@@ -99,7 +98,7 @@
         head: RequestHead = environ[HEAD_KEY]
         arrived = time.monotonic()
         try:
-            found = self._admit(client, head, arrived)  # asks the owners while the body comes
+            found = self._admit(client, head, arrived)  # queries the quota owner while the body arrives
         except RequestRefused:
             client.read_body(head, self.limits)
             raise
@@ -110,7 +109,7 @@
         return Exchange(self._context, client, found.request, server_request, found.ticket).respond(start_response)
 
     def _read_body(self, client: ClientConnection, head: RequestHead, found: AdmittedRequest | LocalResponse) -> bytes:
-        """The whole body; where it does not come, what was admitted is given up."""
+        """Reads the complete body; abandons an admitted request if that fails."""
         try:
             return client.read_body(head, self.limits)
         except BaseException:
@@ -119,7 +118,7 @@
             raise
 
     def _abandon(self, admitted: AdmittedRequest) -> None:
-        """The request will not be sent."""
+        """Releases the tokens and finishes the record of a request that will not be sent."""
         if admitted.ticket is not None:
             admitted.ticket.release()
         self._finish_record(admitted.request, status=0)
@@ -156,7 +155,7 @@
         return AdmittedRequest(request_id, request, ticket)
 
     def _record(self, request_id: str, request: Request) -> DecisionRecord | None:
-        """The begun record of a request that is sampled."""
+        """Starts the decision record of a request; None if it is not sampled."""
         record = self._context.decision_log.begin(request_id, request.arrived)
         if record is None:
             return None
@@ -168,7 +167,7 @@
         return record
 
     def _take_tokens(self, client: ClientConnection, request: Request, tokens: float) -> QuotaTicket:
-        """A valid or denied ticket; raises ClientDisconnected, after finishing the record, if the client leaves."""
+        """Returns a valid or denied ticket; raises ClientDisconnected, with the record finished, on a disconnect."""
         try:
             ticket = self._tickets.take(client, request.tenant, tokens, _wait_for_tokens_until(request))
         except ClientDisconnected:
@@ -178,12 +177,12 @@
         return ticket
 
     def _finish_record(self, request: Request, status: int, retry_after: float | None = None) -> None:
-        """The request is over before it has an exchange."""
+        """Finishes the record of a request that ends before its exchange starts."""
         if request.record is not None:
             self._context.decision_log.finish(request.record, request.arrived, status, retry_after)
 
     def _record_quota(self, request: Request, ticket: QuotaTicket) -> None:
-        """Notes how the tokens were had; a refusal ends the record."""
+        """Records how the tokens were obtained; a refusal finishes the record."""
         record = request.record
         if record is None:
             return
@@ -193,14 +192,14 @@
             self._finish_record(request, HTTPStatus.TOO_MANY_REQUESTS, ticket.retry_after_s)
 
     def _locate_prefix_owner(self, request: Request) -> None:
-        """Names the server that keeps the shared parts of a prompt, where these are worth asking."""
+        """Sets the server that caches the shared prefix of the prompt, if the prefix is long enough for a look-up."""
         shared = request.shared_tokens
         if self._prefix_locator is not None and shared >= MIN_SHARED_TOKENS:
             home = self._prefix_locator.locate(request.service, shared_prefix(request.prefix), shared)
             request.home, request.is_unread = home.instance, home.is_new or not home.instance
 
     def _deny(self, status: int, text: str, request_id: str) -> LocalResponse:
-        """A denial; where the table may be old, the client is told to come back instead."""
+        """Returns a denial, or 503 with a retry time if the table may be out of date."""
         if self._is_fresh():
             return LocalResponse(status, text, request_id)
         return LocalResponse(503, f"{text}, as far as is known", request_id, STALE_RETRY_AFTER_S)
--- a/ochrespan/data_plane/local_responses.py
+++ b/ochrespan/data_plane/local_responses.py
@@ -1,4 +1,4 @@
-"""Answers that the router gives by itself."""
+"""Responses that the router generates itself."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalResponse:
-    """A status with a line of text; `retry_after` in seconds where the request has not run and may come back."""
+    """A status with a line of text; `retry_after` (s) is set if the request was not executed and may be retried."""
 
     status: int
     text: str
@@ -21,7 +21,7 @@
     retry_after: float | None = None
 
     def respond(self, start_response: StartResponse) -> Iterable[bytes]:
-        """The answer as a WSGI result."""
+        """Returns the response as a WSGI result."""
         body = f"{self.text}\n".encode()
         headers = [("Content-Type", "text/plain; charset=utf-8"), ("Content-Length", str(len(body)))]
         if self.request_id is not None:
@@ -33,12 +33,12 @@
 
 
 def quota_exceeded_response(request_id: str, retry_after: float) -> LocalResponse:
-    """The answer to a request beyond its tenant's quota."""
+    """The response to a request that exceeds its tenant's quota."""
     return LocalResponse(HTTPStatus.TOO_MANY_REQUESTS, "over the tenant's quota", request_id, retry_after)
 
 
 def response_for(decision: Refuse | Fail, request_id: str) -> LocalResponse:
-    """The answer that tells a client what the scheduler has decided."""
+    """The response for a request that the scheduler has refused or failed."""
     if isinstance(decision, Refuse):
         return LocalResponse(decision.status, "not run", request_id, decision.retry_after)
     return LocalResponse(decision.status, "no whole answer from a server", request_id)
--- a/ochrespan/data_plane/readiness.py
+++ b/ochrespan/data_plane/readiness.py
@@ -1,4 +1,4 @@
-"""The platform's question whether this router wants new connections, an operator's drain, and the figures."""
+"""HTTP server for the platform's readiness probe, an operator's drain and the metrics."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 
 class Readiness(TypedDict):
-    """What an operator sends to READINESS_PATH."""
+    """The body of a PUT request to READINESS_PATH."""
 
     drained: bool
 
 
 class ReadinessServer(WSGIServer):
-    """Answers 200 while `is_ready` says so, else 503. The library's own handler does for a question a second."""
+    """Responds 200 while `is_ready` returns True, else 503. gevent's handler suffices for one probe a second."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         set_drained: Callable[[bool], None],
         registry: MetricsRegistry,
     ) -> None:
-        environment = {"SERVER_NAME": "router"}  # else the library would look the name up
+        environment = {"SERVER_NAME": "router"}  # otherwise the library resolves the host name
         super().__init__(listener, self._respond, log=None, error_log=None, environ=environment)
         self._is_ready = is_ready
         self._set_drained = set_drained
--- a/ochrespan/data_plane/request_head.py
+++ b/ochrespan/data_plane/request_head.py
@@ -1,4 +1,4 @@
-"""The head of a request, read strictly: what could be understood in two ways is refused."""
+"""Strict parser for the head of a request (request line and headers): ambiguous input is refused."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RequestRefused(ValueError):
-    """A request that is not read: the status of the answer, where the fault lies, what was found and is allowed."""
+    """A malformed or oversized request: the response's status, the faulty part, what was found and what is allowed."""
 
     def __init__(self, status: int, where: str, found: str, allowed: str, retry_after: float | None = None) -> None:
         super().__init__(f"{where}: found {found}, allowed {allowed}")
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class RequestHead:
-    """Request line and headers. Header names keep their spelling, their order and their duplicates."""
+    """Request line and headers. Headers keep their case, order and duplicates."""
 
     method: str
     target: str
@@ -47,12 +47,12 @@
         return self.target.partition("?")[0]
 
     def values(self, name: str) -> list[str]:
-        """All values of a header, whose name is given in lower case."""
+        """All values of a header; `name` is in lower case."""
         return [value for key, value in self.headers if key.lower() == name]
 
 
 def parse_head(data: bytes) -> RequestHead:
-    """The head in `data`, which ends before the empty line; raises RequestRefused."""
+    """Parses the head in `data`, without the final empty line; raises RequestRefused."""
     if forbidden := _FORBIDDEN_BYTES.search(data):
         raise RequestRefused(
             BAD_REQUEST, f"byte {forbidden.start()} of the head", repr(forbidden.group()), "printable text"
@@ -78,7 +78,7 @@
 
 
 def parse_chunk_size(line: bytes) -> int:
-    """The size in the line before a chunk; raises RequestRefused."""
+    """Parses the size line of a chunk; raises RequestRefused."""
     digits = line.partition(b";")[0].rstrip(b" \t")
     if not _CHUNK_SIZE.fullmatch(digits) or _FORBIDDEN_BYTES.search(line):
         raise RequestRefused(BAD_REQUEST, "chunk size", repr(line[:40]), "hexadecimal digits")
--- a/ochrespan/data_plane/router_node.py
+++ b/ochrespan/data_plane/router_node.py
@@ -1,4 +1,4 @@
-"""The data plane of one router, put together: the table from the feed, the scheduler, and the ingress."""
+"""The assembled data plane of one router: ingress, scheduler, connection pools and readiness server."""
 
 from __future__ import annotations
 
@@ -32,48 +32,48 @@
 
 log = logging.getLogger(__name__)
 
-RESERVED_DESCRIPTORS = 264  # of the limit: files, listening sockets, the feed
-CLIENT_CONNECTION_FRACTION = 0.5  # of the other descriptors; the rest is for connections to servers
-BODY_MEMORY_FRACTION = 0.2  # of the memory, for the bodies of requests
+RESERVED_DESCRIPTORS = 264  # for files, listening sockets and the feed
+CLIENT_CONNECTION_FRACTION = 0.5  # of the remaining descriptors; the others are for connections to servers
+BODY_MEMORY_FRACTION = 0.2  # of the memory, for request bodies
 DRAINING = "draining"
 CLIENT_CHECK_INTERVAL_S = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class DrainTimes:
-    """Seconds from SIGTERM."""
+    """Phases of a shutdown, in seconds after SIGTERM."""
 
-    accept_for_s: float  # the platform sends new connections until it has missed the readiness twice
-    refuse_unsent_after_s: float  # what has not been sent to a server is refused
-    abort_after_s: float  # what still runs is broken off
+    accept_for_s: float  # the platform sends new connections until two readiness probes have failed
+    refuse_unsent_after_s: float  # requests that no server has received are then refused
+    abort_after_s: float  # requests in flight are then aborted
 
     @classmethod
     def within(cls, grace_s: float) -> DrainTimes:
-        """Times that leave room to end before the platform kills the process."""
+        """Phases that end before the platform kills the process after `grace_s`."""
         abort_after_s = grace_s - min(0.7, 0.2 * grace_s)
         return cls(min(2.5, 0.4 * abort_after_s), 0.9 * abort_after_s, abort_after_s)
 
 
 @dataclass(frozen=True)
 class MachineLimits:
-    """What the machine grants this process."""
+    """The resources available to this process."""
 
     descriptors: int = 1024
     memory_bytes: int = 256 * 1024 * 1024
 
     @property
     def client_connections(self) -> int:
-        """The most connections of clients."""
+        """The maximum number of client connections."""
         return max(16, int((self.descriptors - RESERVED_DESCRIPTORS) * CLIENT_CONNECTION_FRACTION))
 
     @property
     def body_bytes(self) -> int:
-        """The most memory for the bodies of requests."""
+        """The memory limit for request bodies."""
         return int(self.memory_bytes * BODY_MEMORY_FRACTION)
 
 
 class RouterNode:
-    """Serves clients by the latest table that it was told of. `front` may be a socket that listens already."""
+    """Serves clients by the latest table passed to `table_changed`. `front` may be a socket that already listens."""
 
     def __init__(
         self,
@@ -108,23 +108,23 @@
         registry.gauge("ochrespan_configuration_version", "The configuration in force.", lambda: self._version)
 
     def start(self) -> None:
-        """Begins to listen; requests are refused until there is a table."""
+        """Starts listening; requests are refused until there is a table."""
         self._readiness.start()
         self.ingress.start()
         log.info("listening front=%s:%d", *self.ingress.address[:2])
 
     def is_ready(self) -> bool:
-        """Whether new connections are welcome: with a table, not drained, until the process is told to stop."""
+        """Whether to accept new connections: there is a table, and the router is neither drained nor stopping."""
         return self._front.table is not None and not self._drained and not self._stopping
 
     def set_drained(self, drained: bool) -> None:
-        """An operator wants no new connections here, or wants them again; the present ones are served on."""
+        """Drains the router for an operator, or activates it again; open connections are still served."""
         if drained != self._drained:
             self._drained = drained
             log.info("drained by an operator" if drained else "activated by an operator")
 
     def table_changed(self, table: FleetTable, change: FleetChange) -> None:
-        """Takes over a new table."""
+        """Applies a new table: updates routes, connection pools and the scheduler's servers as far as they changed."""
         self._version = table.version
         if self._front.table is None:
             self._front.set_first_table(RoutingTable(table.configuration))
@@ -139,7 +139,7 @@
             self._dispatcher.set_servers(servers, table.router_count, table.router_rank, services)
 
     def drain(self, times: DrainTimes) -> None:
-        """Stops being ready, serves on for a while, lets what runs end, and closes everything in time."""
+        """Shuts down: becomes unready, serves for `accept_for_s`, waits for requests in flight, closes everything."""
         started = time.monotonic()
         self._stopping = True
         log.info(
@@ -156,7 +156,7 @@
         )
         self.ingress.abort_connections()
         self._pools.close()
-        gevent.sleep(0)  # requests that were broken off tell their servers
+        gevent.sleep(0)  # lets aborted requests close their connections to servers
         self._readiness.close()
 
     def _wait_for_clients(self, until: float) -> None:
@@ -165,7 +165,7 @@
 
 
 def servers_of(table: FleetTable, name: str) -> list[Server]:
-    """The servers of a service as the scheduler knows them."""
+    """Converts the instances of a service to the scheduler's servers."""
     service = table.configuration.services.get(name)
     runtime = service.runtime if service is not None else {}
     return [
--- a/ochrespan/data_plane/routing_table.py
+++ b/ochrespan/data_plane/routing_table.py
@@ -1,4 +1,4 @@
-"""The routes, keys and limits of one configuration, indexed for look-ups. A new configuration makes a new table."""
+"""The routes, API keys and limits of one configuration, indexed for look-ups. Tables are immutable."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteEntry:
-    """A route with its splits as upper ends of ranges of the hash of a request's id."""
+    """A route; `range_ends` are the upper ends of the services' ranges of the hash of a request's id."""
 
     route: Route
     services: tuple[str, ...]
     range_ends: tuple[float, ...]
 
     def service_for(self, request_id: str) -> str:
-        """The service that serves a request; the same one each time for the same id."""
+        """The service for a request, chosen by weight; the same id always gets the same service."""
         if len(self.services) == 1:
             return self.services[0]
         position = zlib.crc32(request_id.encode("latin-1"))
@@ -36,7 +36,7 @@
 
 
 class _HostRoutes:
-    """The routes of one host by prefix."""
+    """The routes of one host by path prefix."""
 
     __slots__ = ("by_prefix", "longest")
 
@@ -45,7 +45,7 @@
         self.longest = 0
 
     def copy(self) -> _HostRoutes:
-        """The same routes, to be changed apart."""
+        """Returns an independent copy."""
         copied = _HostRoutes()
         copied.by_prefix, copied.longest = dict(self.by_prefix), self.longest
         return copied
@@ -68,7 +68,7 @@
 
 
 class RoutingTable:
-    """Answers which route a request takes and which tenant holds a key."""
+    """Finds the route of a request and the tenant of an API key."""
 
     def __init__(self, configuration: ConfigurationView) -> None:
         self._hosts: dict[str, _HostRoutes] = {}
@@ -82,7 +82,7 @@
     def updated(
         self, configuration: ConfigurationView, routes: Collection[str], tenants: Collection[str]
     ) -> RoutingTable:
-        """The table of another configuration that differs in these routes and tenants; shares what has not changed."""
+        """Returns the table of a configuration that differs in these routes and tenants; shares unchanged parts."""
         changed = copy(self)
         if routes:
             changed._hosts = self._updated_hosts(configuration, routes)
@@ -92,7 +92,7 @@
         return changed
 
     def find(self, host: str, path: str) -> RouteEntry | None:
-        """The route of the host with the longest prefix of the path. `host` is in lower case and may name a port."""
+        """The host's route with the longest matching path prefix. `host` is in lower case and may include a port."""
         routes = self._hosts.get(host) or self._hosts.get(host.partition(":")[0])
         return routes.find(path) if routes is not None else None
 
--- a/ochrespan/data_plane/server_pools.py
+++ b/ochrespan/data_plane/server_pools.py
@@ -1,4 +1,4 @@
-"""The connection pools of all servers of the routing table, by the ids of their instances."""
+"""The connection pools of all servers in the routing table, by instance id."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 from .deadlines import DeadlineHeap
 from .decisions import Server
 
-DEFAULT_CONNECTIONS = 64  # to one server, where its service names no limit
+DEFAULT_CONNECTIONS = 64  # per server, if its service sets no limit
 
 
 class ServerPools:
-    """Keeps one pool for each incarnation of a server."""
+    """One connection pool per server instance."""
 
     def __init__(self, deadlines: DeadlineHeap) -> None:
         self._deadlines = deadlines
         self._routers = 1
         self._pools: dict[str, ServerPool] = {}
-        self._max_connections: dict[str, int] = {}  # connections that each server accepts from all callers together
+        self._max_connections: dict[str, int] = {}  # connections each server accepts from all routers
         self._ids: dict[str, set[str]] = {}  # by service
 
     def set_servers(self, servers: Iterable[Server], routers: int, services: Collection[str] | None = None) -> None:
-        """All servers of these services, or of every service: opens pools for new incarnations, closes those gone."""
+        """Replaces the servers of `services` (None: all): opens pools for new instances, closes the others."""
         if services is None:
             services = list(self._ids)
         ids: dict[str, set[str]] = {service: set() for service in services}
@@ -62,7 +62,7 @@
 
 
 def _connection_limit(max_connections: int, routers: int) -> int:
-    """This router's part of the connections that a server accepts from all callers together."""
+    """This router's quota of the connections that a server accepts from all routers."""
     if not max_connections:
         return DEFAULT_CONNECTIONS
     return max(1, max_connections // max(1, routers))
--- a/ochrespan/data_plane/server_request.py
+++ b/ochrespan/data_plane/server_request.py
@@ -1,4 +1,4 @@
-"""The bytes of a client's request as they are sent to a server."""
+"""Encodes a client's request for a server."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ServerRequest:
-    """What every attempt for a request has in common, encoded once."""
+    """The bytes that all attempts of a request have in common, encoded once."""
 
     __slots__ = ("method", "request_id", "_prefix", "_body", "_last_event_id")
 
@@ -43,7 +43,7 @@
         self._last_event_id = last_event_id
 
     def encode(self, server_id: str, remaining_s: float, priority: int, last_event_id: int | None) -> bytes:
-        """The bytes for one server; `last_event_id` is where a stream is to be taken up, unless the client said so."""
+        """Encodes the request for one server; `last_event_id` overrides the client's own for a resumed stream."""
         resume_at = self._last_event_id if last_event_id is None else last_event_id
         resume_line = "" if resume_at is None else f"\r\nLast-Event-Id: {resume_at}"
         text = (
@@ -54,7 +54,7 @@
 
 
 def end_to_end_headers(headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
-    """The headers of an answer that concern more than one connection."""
+    """Returns the headers of a response without the hop-by-hop ones."""
     return [header for header in headers if header[0].lower() not in _HOP_BY_HOP]
 
 
--- a/ochrespan/data_plane/server_response.py
+++ b/ochrespan/data_plane/server_response.py
@@ -1,4 +1,4 @@
-"""A server's answer, read by geventhttpclient's parser and checked by its framing and its request id."""
+"""A server's response, parsed by geventhttpclient and checked for its framing and its request id."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class MalformedResponse(Exception):
-    """Bytes that are no answer, or no answer to the request that was sent."""
+    """The received bytes are not a valid response to the request that was sent."""
 
 
 class ServerResponse(HTTPResponseParser):
-    """One answer: its head, and the part of its body that has arrived and was not taken yet.
+    """One response: its head, and the part of its body that has arrived and was not taken yet.
 
-    geventhttpclient's own HTTPResponse would start over with the bytes behind a whole answer; here they make the
-    connection unfit for further use. Interim answers (1xx) are skipped, and so is a late answer to another request that
-    comes in the place of the expected one.
+    geventhttpclient's own HTTPResponse would parse bytes after a complete response as a new one; here they make the
+    connection unusable for further requests. Interim responses (1xx) are skipped, and so is a late response to another
+    request that arrives in place of the expected one.
     """
 
     def __init__(self, method: str, request_id: str) -> None:
@@ -28,18 +28,18 @@
         self.status = 0
         self.reason = ""
         self.headers: list[tuple[str, str]] = []
-        self.headers_by_name: dict[str, str] = {}  # by name in lower case; the last one of duplicates
+        self.headers_by_name: dict[str, str] = {}  # names in lower case; of duplicates, the last
         self.head_complete = False
         self.complete = False
         self.body = bytearray()
-        self._desynchronized = False  # an answer to another request, or bytes that belong to none, have come
+        self._desynchronized = False  # a response to another request, or extra bytes, arrived
         self._skipping_message = False
         self._keep_alive = False
         self._name = ""
         self._value: str | None = None
 
     def receive(self, data: bytes) -> None:
-        """Reads on in the answer; raises AnswerGarbled."""
+        """Parses the next bytes; raises MalformedResponse."""
         try:
             self.feed(data)
         except HTTPParseError as error:
@@ -59,7 +59,7 @@
 
     @property
     def not_executed(self) -> bool:
-        """Whether the server says that it has not run the request."""
+        """Whether the server states that it has not executed the request."""
         return "x-not-executed" in self.headers_by_name or self.get_code() == MISDIRECTED
 
     @property
@@ -68,18 +68,18 @@
 
     @property
     def keep_alive_s(self) -> float | None:
-        """How long the server keeps the idle connection, as far as it says so."""
+        """The server's announced keep-alive timeout, or None."""
         for parameter in self.headers_by_name.get("keep-alive", "").split(","):
             name, _, value = parameter.strip().partition("=")
             if name.lower() == "timeout" and value.isdecimal():
                 return float(value)
         return None
 
-    # Callbacks of the parser.
+    # Callbacks of HTTPResponseParser.
 
     def _on_message_begin(self) -> None:
         if self.complete:
-            raise HTTPParseError("bytes behind a whole answer")
+            raise HTTPParseError("bytes after a complete response")
 
     def _on_status(self, reason: str) -> None:
         self.reason += reason
@@ -121,9 +121,9 @@
         response_id = self.headers_by_name.get("x-request-id")
         if response_id is not None:
             return response_id != self._request_id
-        if self.not_executed:  # a server that sheds at its door has not read the id
+        if self.not_executed:  # a server that sheds load before parsing the request does not know the id
             return False
-        raise HTTPParseError("an answer without X-Request-Id")
+        raise HTTPParseError("response without X-Request-Id")
 
     def _add_header(self) -> None:
         value = self._value or ""
--- a/ochrespan/data_plane/wakeup.py
+++ b/ochrespan/data_plane/wakeup.py
@@ -1,4 +1,4 @@
-"""The one place where a request's greenlet waits, whatever it waits for."""
+"""The only primitive on which a request's greenlet waits, for sockets, deadlines and scheduler decisions alike."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class Wakeup:
-    """Lets one greenlet wait until anything of interest to it has happened.
+    """Lets one greenlet wait for any of several events.
 
-    Sockets, deadlines and the scheduler note what happened in state of their own and call `notify`; the greenlet looks
-    at that state each time it wakes. A notification that comes while it does not wait ends its next wait at once.
+    Sockets, deadlines and the scheduler store what happened in their own state and call `notify`; the greenlet checks
+    that state each time it wakes. A notification that arrives while it does not wait ends its next wait immediately.
     """
 
     __slots__ = ("_hub", "_greenlet", "_notified", "_resuming")
--- a/ochrespan/data_plane/watched_socket.py
+++ b/ochrespan/data_plane/watched_socket.py
@@ -1,4 +1,4 @@
-"""Non-blocking sockets whose read watcher stays armed, so that waiting for the next bytes costs no system call."""
+"""Non-blocking sockets whose read watcher stays registered, so that waiting for more bytes costs no system call."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 import gevent
 
-READ, WRITE = 1, 2  # events of a watcher
+READ, WRITE = 1, 2  # event masks of gevent io watchers
 RECEIVE_BYTES = 64 * 1024
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 def ignore_event() -> None:
-    """For a socket that nobody waits for."""
+    """The `on_event` of a socket on which no greenlet waits."""
 
 
 class WatchedSocket:
@@ -56,32 +56,32 @@
         return self._reader is None
 
     def take_received(self) -> bytes:
-        """All bytes that have arrived."""
+        """Removes and returns all buffered bytes."""
         data = bytes(self.received)
         self.received.clear()
         self.resume_reading()
         return data
 
     def resume_reading(self) -> None:
-        """Reads on if reading has paused and there is room again."""
+        """Resumes reading if it was paused and the buffer is below its limit again."""
         if self._reading_paused and len(self.received) < self.received_limit and self._reader is not None:
             self._reading_paused = False
             self._reader.start(self._readable)
 
     def receive_available(self) -> None:
-        """Reads what has arrived but has not been seen by the event loop yet."""
+        """Reads bytes that have arrived but that the event loop has not processed yet."""
         if not self.ended and not self._reading_paused and self._reader is not None:
             self._receive()
 
     def try_send(self, data: bytes | bytearray | memoryview) -> int:
-        """The number of bytes that were taken at once; raises OSError where the connection has failed."""
+        """Sends without blocking; returns the number of bytes sent, and raises OSError if the connection has failed."""
         try:
             return self._sock.send(data)
         except BlockingIOError:
             return 0
 
     def watch_writable(self) -> None:
-        """Tells `on_event` once, as soon as more can be sent."""
+        """Calls `on_event` once, as soon as more can be sent."""
         if self._writer is None:
             self._writer = self._loop.io(self._sock.fileno(), WRITE)
         self._writer.start(self._writable)
@@ -91,7 +91,7 @@
         return self._writer is not None and self._writer.active
 
     def connect_error(self) -> int:
-        """The error number of a connection attempt that has ended, 0 for success."""
+        """The errno of a finished connection attempt, 0 for success."""
         return self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
 
     def shutdown_write(self) -> None:
@@ -99,7 +99,7 @@
             self._sock.shutdown(socket.SHUT_WR)
 
     def close(self) -> None:
-        """Closes the connection; with unread bytes, the peer sees a reset."""
+        """Closes the connection; if there are unread bytes, the kernel sends a reset."""
         if self._reader is None:
             return
         self._reader.close()
@@ -112,7 +112,7 @@
             self._sock.close()
 
     def reset(self) -> None:
-        """Closes the connection so that the peer sees that it was broken off."""
+        """Closes the connection with a reset, so that the peer sees that it was aborted."""
         if self._reader is not None:
             with contextlib.suppress(OSError):
                 self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
