--- a/tests/fleet_standins.py
+++ b/tests/fleet_standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the data plane's tests: servers that answer by script, clients on raw sockets, a plain scheduler."""
+"""Test doubles for the data plane: scripted servers, clients on raw sockets, a simple scheduler."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 from ochrespan.data_plane.routing_table import RoutingTable
 from ochrespan.data_plane.server_pools import ServerPools
 
-CLIENT_TIMEOUT_S = 5.0  # for what must happen; nothing waits that long in a passing test
+CLIENT_TIMEOUT_S = 5.0  # a passing test never waits this long
 HOST = "models.example"
 
 
 @dataclass
 class Received:
-    """A request as a stand-in server has read it."""
+    """A request received by a stand-in server."""
 
     line: str
     headers: list[tuple[str, str]]
@@ -54,11 +54,11 @@
 
 
 class StandInServer:
-    """Answers each request by the next step of its script; the last step is repeated."""
+    """A server that handles each request with the next step of its script; the last step is repeated."""
 
     def __init__(self, *script: Callable[[Received], None]) -> None:
         self.script = list(script)
-        self.before_request: Callable[[Received], None] | None = None  # in place of reading the first request
+        self.before_request: Callable[[Received], None] | None = None  # runs before the first request is read
         self.requests: list[Received] = []
         self.connections = 0
         self.disconnect_count = 0
@@ -113,7 +113,7 @@
     return Received(line.decode().strip(), headers, reader.read(length), sock)
 
 
-# Steps of scripts.
+# Script steps.
 
 
 def respond(body: bytes = b"hello", status: str = "200 OK", extra: str = "") -> Callable[[Received], None]:
@@ -143,9 +143,9 @@
 
 
 def stall(received: Received) -> None:
-    """Says nothing; ends when the caller has gone."""
+    """Sends nothing until the peer disconnects."""
     if received.connection.recv(1):
-        raise AssertionError("bytes behind a request")
+        raise AssertionError("unexpected bytes after a request")
     raise ConnectionResetError
 
 
@@ -166,7 +166,7 @@
 def stream(
     *numbers: int, end: Callable[[Received], None] | None = None, stamp: str = "stamp", gate: Any = None
 ) -> Callable[[Received], None]:
-    """Events with these ids, then an orderly end, or `end` in its place; `gate` is waited for before each event."""
+    """Streams events with these ids, then runs `end` or ends in order; calls `gate` before each event."""
 
     def step(received: Received) -> None:
         received.connection.sendall(STREAM_HEAD.format(id=received.id, stamp=stamp).encode())
@@ -182,7 +182,7 @@
 
 
 class PlainScheduler:
-    """Sends to the servers in the order of the table; keeps what it was told."""
+    """Sends attempts to the servers in table order, and records its calls."""
 
     def __init__(self, max_attempts: int = 3) -> None:
         self.servers: list[Server] = []
@@ -195,7 +195,7 @@
         self.may_have_run: set[str] = set()
         self.max_attempts = max_attempts
         self.holds_requests = False
-        self.cancel_seen, self.submit_seen = Event(), Event()
+        self.cancelled_event, self.submitted_event = Event(), Event()
 
     def set_servers(
         self, now: float, servers: list[Server], routers: int, rank: int, services: Collection[str] | None = None
@@ -206,7 +206,7 @@
     def submit(self, now: float, request: Request) -> list[Any]:
         self.requests[request.id] = request
         self.submitted.append(request)
-        self.submit_seen.set()
+        self.submitted_event.set()
         return [] if self.holds_requests else self._send(now, request)
 
     def release(self) -> list[Any]:
@@ -216,7 +216,7 @@
     def cancel(self, now: float, request_id: str) -> list[Any]:
         if self.requests.pop(request_id, None):
             self.cancelled.append(request_id)
-            self.cancel_seen.set()
+            self.cancelled_event.set()
         return []
 
     def first_event(self, now: float, request_id: str, latency_s: float) -> None:
@@ -283,7 +283,7 @@
 
 @dataclass
 class Router:
-    """An ingress with its scheduler and pools, all in this process."""
+    """An ingress with its scheduler and connection pools in the test process."""
 
     scheduler: Any
     front: Front
@@ -332,7 +332,7 @@
 
 @dataclass
 class ClientResponse:
-    """An answer as a client has read it; `whole` tells whether it came to its end."""
+    """A response as read by a client; `complete` is False if it was truncated."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -373,14 +373,14 @@
         return ClientResponse(int(line.split()[1]), headers)
 
     def read_chunk(self) -> bytes:
-        """The next chunk; nothing at an orderly end. Raises ConnectionError where the answer is broken off."""
+        """Reads the next chunk, empty at the end. Raises ConnectionError if the response is truncated."""
         line = self.reader.readline()
         if not line.endswith(b"\r\n"):
-            raise ConnectionError("broken off")
+            raise ConnectionError("response truncated")
         size = int(line, 16)
         data = self.reader.read(size + 2)
         if len(data) != size + 2:
-            raise ConnectionError("broken off")
+            raise ConnectionError("response truncated")
         return data[:-2]
 
     def read_response(self) -> ClientResponse | None:
@@ -401,7 +401,7 @@
         return response
 
     def is_closed(self) -> bool:
-        """Waits for the router to end the connection; bytes before that are an error."""
+        """Waits for the router to close the connection; False if bytes arrive before."""
         try:
             return self.reader.read(1) == b""
         except ConnectionError:
--- a/tests/golden/router_heads.py
+++ b/tests/golden/router_heads.py
@@ -1,6 +1,6 @@
-"""Drawn request heads, and what the router makes of each: a refusal, or the bytes that go to a server.
+"""Generated request heads and the router's result for each: a refusal, or the bytes sent to a server.
 
-All that depends on the router's own names stands in this module.
+Only this module depends on the names of the router's functions and classes.
 """
 
 from __future__ import annotations
@@ -60,10 +60,10 @@
 CHUNK_LINES = [b"5", b"5;a=b", b"5 ;a", b"0", b"fF", b"", b"-1", b"0x5", b"5\x00", b"g", b"1" * 15, b"1" * 16, b" 5"]
 
 
-def _draw_head(draw: random.Random) -> bytes:
-    start = f"{draw.choice(METHODS)} {draw.choice(TARGETS)} {draw.choice(VERSIONS)}"
-    lines = draw.sample(LINES, draw.choice([0, 1, 2, 3, 4, 6, 9]))
-    if draw.random() < 0.7:
+def _generate_head(rng: random.Random) -> bytes:
+    start = f"{rng.choice(METHODS)} {rng.choice(TARGETS)} {rng.choice(VERSIONS)}"
+    lines = rng.sample(LINES, rng.choice([0, 1, 2, 3, 4, 6, 9]))
+    if rng.random() < 0.7:
         lines = [LINES[0], *(line for line in lines if not line.startswith("Host"))]
     return "\r\n".join([start, *lines]).encode("latin-1")
 
@@ -73,20 +73,20 @@
 
 
 def describe_heads() -> list[str]:
-    """A line for each drawn head."""
-    draw = random.Random(38)
+    """Returns one line per generated head."""
+    rng = random.Random(38)
     lines = []
     for _ in range(HEADS):
-        data = _draw_head(draw)
+        data = _generate_head(rng)
         try:
             head = parse_head(data)
         except RequestRefused as error:
             lines.append(_refusal(error))
             continue
-        tenant = draw.choice([None, "acme"])
-        body = draw.choice([b"", BODY])
+        tenant = rng.choice([None, "acme"])
+        body = rng.choice([b"", BODY])
         sent = ServerRequest(head, "9c41", body, tenant).encode(
-            "i-7f3a", draw.choice([0.0, 0.0014, 9.8765]), draw.randint(0, 9), draw.choice([None, None, 0, 41])
+            "i-7f3a", rng.choice([0.0, 0.0014, 9.8765]), rng.randint(0, 9), rng.choice([None, None, 0, 41])
         )
         facts = (head.path, head.host, head.content_length, head.chunked, head.keep_alive, head.expects_continue)
         lines.append(f"accepted {facts} {end_to_end_headers(head.headers)} {sent!r}")
@@ -94,7 +94,7 @@
 
 
 def describe_chunk_sizes() -> list[str]:
-    """A line for each line before a chunk."""
+    """Returns one line per size line of a chunk."""
     lines = []
     for line in CHUNK_LINES:
         try:
@@ -105,7 +105,7 @@
 
 
 def describe_own_responses() -> list[str]:
-    """A line for each kind of response that the router makes itself, with its headers."""
+    """Returns one line, with headers, per kind of response that the router generates itself."""
     responses = [
         quota_exceeded_response("q1", 0.25),
         response_for(Refuse("q1", 503, 0.1234567), "q1"),
--- a/tests/golden/test_router_heads.py
+++ b/tests/golden/test_router_heads.py
@@ -1,7 +1,6 @@
-"""Request heads, requests to servers and the router's own responses are byte for byte what they were when recorded.
+"""Parsed request heads, requests to servers and the router's own responses equal the recorded ones byte for byte.
 
-`python -m tests.golden.test_router_heads` records them anew: for a change of what is sent, never for one of how the
-code is written.
+`python -m tests.golden.test_router_heads` updates the record: only for a change of behavior, never for a refactoring.
 """
 
 from __future__ import annotations
@@ -16,27 +15,27 @@
 from tests.golden.scheduler_schedules import digest_of
 
 RECORD = Path(__file__).parent / "data" / "router_heads.json"
-GROUP = 50  # heads under one digest
-READABLE = 40  # heads whose lines are on record as they are
+DIGEST_SIZE = 50  # heads per digest
+VERBATIM_HEADS = 40  # heads recorded as text instead of a digest
 
 
 def describe() -> dict[str, list[str]]:
-    """All that is on record."""
+    """Returns the lines and digests that are recorded."""
     heads = describe_heads()
     return {
-        "heads": [digest_of(heads[first : first + GROUP]) for first in range(0, len(heads), GROUP)],
-        "first heads": heads[:READABLE],
+        "heads": [digest_of(heads[first : first + DIGEST_SIZE]) for first in range(0, len(heads), DIGEST_SIZE)],
+        "first heads": heads[:VERBATIM_HEADS],
         "chunk sizes": describe_chunk_sizes(),
         "own responses": describe_own_responses(),
     }
 
 
 @pytest.mark.parametrize("part", ["heads", "first heads", "chunk sizes", "own responses"])
-def test_the_router_reads_and_writes_the_recorded_bytes(part):
+def test_parsed_heads_and_sent_bytes_match_the_record(part):
     assert describe()[part] == json.loads(RECORD.read_text())[part]
 
 
-def test_the_drawn_heads_reach_every_refusal_and_enough_requests():
+def test_generated_heads_cover_every_refusal_and_enough_accepted_requests():
     lines = describe_heads()
     kinds = Counter(line.split()[0] for line in lines)
     assert min(kinds["accepted"], kinds["refused"]) > 200
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -1,4 +1,4 @@
-"""What clients send: every form of framing, limits of size and time, order, and clients that leave."""
+"""Requests of clients: framing, size and time limits, pipelining, header forwarding, and clients that disconnect."""
 
 import gevent
 import pytest
@@ -39,21 +39,21 @@
 MALFORMED = {
     "no version": b"POST /a\r\nHost: h\r\n\r\n",
     "two spaces": b"POST  /a HTTP/1.1\r\nHost: h\r\n\r\n",
-    "a path with a blank": b"POST /a b HTTP/1.1\r\nHost: h\r\n\r\n",
-    "a method that is no token": b"PO(ST /a HTTP/1.1\r\nHost: h\r\n\r\n",
+    "a path with a space": b"POST /a b HTTP/1.1\r\nHost: h\r\n\r\n",
+    "a method that is not a token": b"PO(ST /a HTTP/1.1\r\nHost: h\r\n\r\n",
     "an absolute path": b"POST http://h/a HTTP/1.1\r\nHost: h\r\n\r\n",
     "no path": b"OPTIONS * HTTP/1.1\r\nHost: h\r\n\r\n",
     "another protocol": b"POST /a SPDY/3\r\nHost: h\r\n\r\n",
     "no host": b"POST /a HTTP/1.1\r\nX-Request-Id: q1\r\n\r\n",
     "two hosts": b"POST /a HTTP/1.1\r\nHost: h\r\nHost: h\r\n\r\n",
     "a folded header": START.encode() + b"X-A: b\r\n c\r\n\r\n",
-    "a blank before the colon": START.encode() + b"Content-Length : 5\r\n\r\nhello",
+    "a space before the colon": START.encode() + b"Content-Length : 5\r\n\r\nhello",
     "a header without a colon": START.encode() + b"nothing\r\n\r\n",
     "a header without a name": START.encode() + b": nothing\r\n\r\n",
     "a NUL": START.encode() + b"X-A: b\0c\r\n\r\n",
     "a bare line feed": START.encode() + b"X-A: b\nContent-Length: 5\r\n\r\nhello",
     "a bare carriage return": START.encode() + b"X-A: b\rContent-Length: 5\r\n\r\nhello",
-    "length and chunks": START.encode() + b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+    "both length and chunked": START.encode() + b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
     "two lengths": START.encode() + b"Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello",
     "two equal lengths": START.encode() + b"Content-Length: 5\r\nContent-Length: 5\r\n\r\nhello",
     "a list of lengths": START.encode() + b"Content-Length: 5, 5\r\n\r\nhello",
@@ -65,28 +65,28 @@
     "two encodings": START.encode() + b"Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
     "chunked twice": START.encode() + b"Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
     "a disguised encoding": START.encode() + b"Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n",
-    "chunks in HTTP/1.0": START.replace("1.1", "1.0").encode() + b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+    "chunked in HTTP/1.0": START.replace("1.1", "1.0").encode() + b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
     "no digits in a chunk's size": START.encode() + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n",
     "an empty chunk size": START.encode() + b"Transfer-Encoding: chunked\r\n\r\n\r\n",
     "a signed chunk size": START.encode() + b"Transfer-Encoding: chunked\r\n\r\n+5\r\nhello\r\n0\r\n\r\n",
     "a chunk longer than its size": START.encode() + b"Transfer-Encoding: chunked\r\n\r\n4\r\nhello\r\n0\r\n\r\n",
-    "a line feed behind a chunk": START.encode() + b"Transfer-Encoding: chunked\r\n\r\n5\r\nhello\n0\r\n\r\n",
+    "a bare line feed after a chunk": START.encode() + b"Transfer-Encoding: chunked\r\n\r\n5\r\nhello\n0\r\n\r\n",
     "a trailer without a colon": START.encode() + b"Transfer-Encoding: chunked\r\n\r\n0\r\nnothing\r\n\r\n",
     "no request id": f"POST /a HTTP/1.1\r\nHost: {HOST}\r\n\r\n".encode(),
     "two request ids": START.encode() + b"X-Request-Id: q2\r\n\r\n",
-    "a deadline that is no number": START.encode() + b"X-Deadline-Ms: soon\r\n\r\n",
-    "a token usage that is none": START.encode() + b"X-Token-Usage: 5\r\n\r\n",
-    "a prompt prefix that is none": START.encode() + b"X-Prompt-Prefix: xyz\r\n\r\n",
+    "a deadline that is not a number": START.encode() + b"X-Deadline-Ms: soon\r\n\r\n",
+    "a malformed token usage": START.encode() + b"X-Token-Usage: 5\r\n\r\n",
+    "a malformed prompt prefix": START.encode() + b"X-Prompt-Prefix: xyz\r\n\r\n",
 }
 
 
 @pytest.mark.parametrize("name", MALFORMED)
-def test_what_could_be_read_in_two_ways_is_refused_and_the_connection_closed(harness, server, name):
+def test_malformed_requests_are_refused_and_the_connection_closed(harness, server, name):
     client = harness.client()
     client.send(MALFORMED[name] + request_bytes(id="smuggled"))
-    got = client.read_response()
-    assert (got.status, got.value("Connection")) == (400, "close")
-    assert b"found" in got.body and b"allowed" in got.body
+    response = client.read_response()
+    assert (response.status, response.value("Connection")) == (400, "close")
+    assert b"found" in response.body and b"allowed" in response.body
     assert client.is_closed()
     assert not server.requests
 
@@ -102,7 +102,7 @@
         (505, b"POST /a HTTP/2.0\r\nHost: h\r\n\r\n"),
     ],
 )
-def test_what_is_too_much_is_refused_and_the_connection_closed(harness, server, status, data):
+def test_oversized_and_unsupported_requests_are_refused_and_the_connection_closed(harness, server, status, data):
     client = harness.client()
     client.send(data)
     assert client.read_response().status == status
@@ -110,7 +110,7 @@
     assert not server.requests
 
 
-def test_a_refusal_reaches_a_client_that_still_sends(harness, server):
+def test_a_refusal_reaches_a_client_that_is_still_sending(harness, server):
     client = harness.client()
     client.send(START.encode() + b"Content-Length: 5000000\r\n\r\n")
     sender = gevent.spawn(client.send, b"x" * 5_000_000)
@@ -124,7 +124,7 @@
     "chunks": START.encode() + b"Transfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n",
     "chunks with extensions and trailers": START.encode()
     + b"Transfer-Encoding: Chunked\r\n\r\n2;a=b\r\nhe\r\n03 \r\nllo\r\n0\r\nX-T: u\r\n\r\n",
-    "an empty line before it": b"\r\n" + START.encode() + b"Content-Length: 5\r\n\r\nhello",
+    "an empty line before the request": b"\r\n" + START.encode() + b"Content-Length: 5\r\n\r\nhello",
 }
 
 
@@ -142,7 +142,7 @@
     assert client.read_response().status == 200
 
 
-def test_a_client_that_expects_it_is_told_to_continue(harness, server):
+def test_expect_100_continue_gets_an_interim_response(harness, server):
     client = harness.client()
     client.send(START.encode() + b"Expect: 100-continue\r\nContent-Length: 5\r\n\r\n")
     assert client.read_head().status == 100
@@ -159,7 +159,7 @@
     assert [client.read_response().body for _ in range(20)] == [f"q{number}".encode() for number in range(20)]
 
 
-def test_headers_pass_with_duplicates_but_for_those_of_one_connection_and_those_set_here(harness):
+def test_headers_are_forwarded_except_hop_by_hop_and_router_headers(harness):
     server = StandInServer(respond())
     harness.use(configuration(route(), tenants=(tenant("acme", "key"),)), server)
     client = harness.client()
@@ -183,7 +183,7 @@
     assert 0 < int(received.value("X-Deadline-Ms")) <= 1500
 
 
-def test_the_tenant_that_a_client_claims_never_passes(harness):
+def test_a_tenant_header_of_the_client_is_not_forwarded(harness):
     server = StandInServer(respond())
     harness.use(configuration(route(public=True), tenants=(tenant("acme", "key"),)), server)
     client = harness.client()
@@ -193,7 +193,7 @@
 
 
 @pytest.mark.parametrize(("fresh", "statuses"), [(True, (404, 401, 401)), (False, (503, 503, 503))])
-def test_denials_need_a_table_that_is_surely_current(harness, server, fresh, statuses):
+def test_denials_become_503_while_the_table_may_be_out_of_date(harness, server, fresh, statuses):
     harness.use(configuration(route(prefix="/a/"), tenants=(tenant("acme", "key"),)), server)
     harness.fresh = fresh
     client = harness.client()
@@ -203,55 +203,55 @@
         ("/a/", "", statuses[2]),
     ):
         client.send_request(path, headers=headers)
-        got = client.read_response()
-        assert got.status == status
-        assert (got.value("Retry-After") is not None) == (status == 503)
+        response = client.read_response()
+        assert response.status == status
+        assert (response.value("Retry-After") is not None) == (status == 503)
     client.send_request("/a/x", headers="X-Credential: key\r\n")
     assert client.read_response().status == 200
     assert len(server.requests) == 1
 
 
-def test_without_a_table_requests_are_told_to_come_back():
+def test_requests_without_a_table_get_503_with_retry_after():
     with router() as harness:
         client = harness.client()
         client.send_request()
-        got = client.read_response()
-        assert got.status == 503 and float(got.value("Retry-After")) > 0
+        response = client.read_response()
+        assert response.status == 503 and float(response.value("Retry-After")) > 0
 
 
-def test_connections_tell_how_long_they_may_rest_and_whether_they_end(harness, server):
+def test_responses_announce_the_keep_alive_timeout_or_the_close(harness, server):
     harness.use(configuration(route(), idle_timeout_ms=10_000.0), server)
     client = harness.client()
     client.send_request()
     assert client.read_response().value("Keep-Alive") == "timeout=8"
     client.send_request(headers="Connection: close\r\n", id="q2")
-    got = client.read_response()
-    assert (got.value("Connection"), got.value("Keep-Alive")) == ("close", None)
+    response = client.read_response()
+    assert (response.value("Connection"), response.value("Keep-Alive")) == ("close", None)
     assert client.is_closed()
 
 
-def test_a_client_of_the_older_protocol_gets_its_answer_and_the_end(harness, server):
+def test_an_http_1_0_client_gets_its_response_and_a_close(harness, server):
     client = harness.client()
     client.send(START.replace("1.1", "1.0").encode() + b"\r\n")
-    got = client.read_response()
-    assert got.status == 200 and got.body == b"hello"
+    response = client.read_response()
+    assert response.status == 200 and response.body == b"hello"
     assert client.is_closed()
 
 
 @pytest.mark.parametrize("data", [b"", b"POST /a HT", START.encode(), START.encode() + b"Content-Length: 9\r\n\r\nhel"])
-def test_a_client_that_takes_too_long_loses_its_connection(harness, server, data):
+def test_a_client_that_sends_too_slowly_is_disconnected(harness, server, data):
     harness.use(configuration(route(), idle_timeout_ms=60.0, header_timeout_ms=50.0), server)
     client = harness.client()
     client.send(data)
-    got = client.read_response()
-    assert got is None if not data else got.status == 408
+    response = client.read_response()
+    assert response is None if not data else response.status == 408
     assert client.is_closed()
     assert not server.requests
 
 
 @pytest.mark.parametrize("data", [b"", b"POST /a HT", START.encode(), START.encode() + b"Content-Length: 9\r\n\r\nhel",
                                   START.encode() + b"Transfer-Encoding: chunked\r\n\r\n5\r\nhe"])  # fmt: skip
-def test_a_client_that_leaves_within_its_request_leaves_nothing_behind(harness, server, data):
+def test_a_client_that_disconnects_while_sending_leaves_no_connection(harness, server, data):
     client = harness.client()
     client.send(data)
     client.close()
@@ -262,19 +262,19 @@
     assert len(server.requests) == 1
 
 
-def test_a_client_that_leaves_while_its_request_waits_is_noticed(harness, server):
+def test_a_client_that_disconnects_while_queued_cancels_its_request(harness, server):
     harness.scheduler.holds_requests = True
     client = harness.client()
     client.send_request()
-    assert harness.scheduler.submit_seen.wait(5)
+    assert harness.scheduler.submitted_event.wait(5)
     client.close()
-    assert harness.scheduler.cancel_seen.wait(5)
+    assert harness.scheduler.cancelled_event.wait(5)
     assert not server.requests
     wait_for_no_connections(harness)
 
 
 @pytest.mark.parametrize("step", [stall, stream(1, end=stall)])
-def test_a_client_that_leaves_while_a_server_works_ends_the_work(harness, step):
+def test_a_client_that_disconnects_during_an_attempt_aborts_it(harness, step):
     server = StandInServer(step)
     harness.use(configuration(route(kind="streaming", resumable=True)), server, server)
     client = harness.client()
@@ -282,12 +282,12 @@
     assert server.arrived.wait(5)
     client.close()
     assert server.peer_disconnected.wait(5)
-    assert harness.scheduler.cancel_seen.wait(5)
+    assert harness.scheduler.cancelled_event.wait(5)
     assert len(server.requests) == 1 and Outcome.LOST not in harness.scheduler.outcomes
     wait_for_no_connections(harness)
 
 
-def test_a_client_that_leaves_without_reading_a_stream_ends_the_work(harness):
+def test_a_client_that_disconnects_without_reading_a_stream_aborts_it(harness):
     def endless(received):
         for number in range(2, 1000):
             received.connection.sendall(chunk(event(number, "x" * 100_000)))
@@ -298,12 +298,12 @@
     client.send_request()
     assert server.arrived.wait(5)
     client.close()
-    assert harness.scheduler.cancel_seen.wait(5)
+    assert harness.scheduler.cancelled_event.wait(5)
     assert server.peer_disconnected.wait(5)
     wait_for_no_connections(harness)
 
 
-def test_a_client_that_never_reads_is_cut_off_at_its_deadline(harness):
+def test_a_client_that_never_reads_is_disconnected_at_its_deadline(harness):
     server = StandInServer(respond(b"x" * 20_000_000))
     harness.use(configuration(route(timeout_ms=100.0)), server)
     client = harness.client()
@@ -312,7 +312,7 @@
     wait_for_no_connections(harness)
 
 
-def test_beyond_the_bound_the_connection_that_rested_longest_makes_room(server):
+def test_the_longest_idle_connection_is_closed_beyond_the_limit(server):
     with router(max_connections=2) as harness:
         harness.use(configuration(route()), server)
         first, second = harness.client(), harness.client()
@@ -327,21 +327,21 @@
         assert second.read_response().status == 200
 
 
-def test_a_drain_refuses_nothing_that_was_read_and_closes_what_rests(harness, server):
+def test_a_drain_closes_idle_connections_and_serves_partial_requests(harness, server):
     harness.scheduler.holds_requests = True
-    waiting, resting, partial = harness.client(), harness.client(), harness.client()
-    waiting.send_request()
-    assert harness.scheduler.submit_seen.wait(5)
+    queued, idle, partial = harness.client(), harness.client(), harness.client()
+    queued.send_request()
+    assert harness.scheduler.submitted_event.wait(5)
     partial.send(request_bytes(id="q2")[:20])
     with gevent.Timeout(5):
         while harness.server.open_connections < 3 or not harness.server.idle_connections_with_request_bytes:
             gevent.idle()
     harness.server.drain()
-    assert resting.is_closed()
+    assert idle.is_closed()
     harness.dispatcher.refuse_unsent()
-    got = waiting.read_response()
+    got = queued.read_response()
     assert (got.status, got.value("Connection")) == (503, "close") and float(got.value("Retry-After")) > 0
-    assert waiting.is_closed() and harness.scheduler.cancelled
+    assert queued.is_closed() and harness.scheduler.cancelled
     harness.scheduler.holds_requests = False
     partial.send(request_bytes(id="q2")[20:])
     got = partial.read_response()
@@ -349,7 +349,7 @@
     assert partial.is_closed()
 
 
-def test_a_head_may_be_as_long_as_the_configuration_says(harness, server):
+def test_a_head_may_be_as_long_as_the_configured_limit(harness, server):
     harness.use(configuration(route(), max_header_bytes=400_000), server)
     client = harness.client()
     client.send(START.encode() + b"X-A: " + b"b" * 390_000 + b"\r\n\r\n")
@@ -360,7 +360,7 @@
     "start",
     [b"Content-Length: 900\r\n\r\n", b"Transfer-Encoding: chunked\r\n\r\n384\r\n"],
 )
-def test_bodies_share_a_bounded_memory(start):
+def test_all_request_bodies_share_one_memory_limit(start):
     server = StandInServer(stall)
     with router(max_body_bytes=1500) as harness:
         harness.use(configuration(route()), server)
@@ -368,8 +368,8 @@
         first.send_request(body=b"x" * 900)
         assert server.arrived.wait(5)
         second.send(START.encode() + start)
-        got = second.read_response()
-        assert got.status == 503 and float(got.value("Retry-After")) > 0
+        response = second.read_response()
+        assert response.status == 503 and float(response.value("Retry-After")) > 0
         assert second.is_closed()
         first.close()
         assert server.peer_disconnected.wait(5)
@@ -377,7 +377,7 @@
         assert harness.server.body_memory.reserved_bytes == 0
 
 
-def wait_for_no_connections(harness, but: int = 0) -> None:
+def wait_for_no_connections(harness, expected: int = 0) -> None:
     with gevent.Timeout(5):
-        while harness.server.open_connections > but:
+        while harness.server.open_connections > expected:
             gevent.idle()
--- a/tests/test_router_process.py
+++ b/tests/test_router_process.py
@@ -1,4 +1,4 @@
-"""The router as a process: start, table, readiness, drain on SIGTERM, settings, and controllers without a quorum."""
+"""The router process: start-up, first table, readiness, drain on SIGTERM, settings, controllers without a quorum."""
 
 import os
 import signal
@@ -19,7 +19,7 @@
 
 
 class RouterProcess:
-    """A router on loopback, whose log lines can be waited for."""
+    """A router process on the loopback interface; tests can wait for its log lines."""
 
     def __init__(self, directory, seed: tuple[str, int], **other) -> None:
         self.front, self.ready = unused_address(), unused_address()
@@ -47,10 +47,10 @@
 
     def wait_for(self, text: str) -> None:
         """Waits until a log line contains the text."""
-        seen = Event()
-        self._waiting.append((text, seen))
+        found = Event()
+        self._waiting.append((text, found))
         if not any(text in line for line in self.lines):
-            assert seen.wait(10), "".join(self.lines)
+            assert found.wait(10), "".join(self.lines)
 
     def is_ready(self) -> bool:
         """Whether its readiness check succeeds."""
@@ -61,7 +61,7 @@
         return status == 200
 
     def put_readiness(self, body: bytes) -> int:
-        """The status of a request to drain it or to end that."""
+        """Returns the status of a request to drain or activate the router."""
         client = Client(self.ready)
         client.send(b"PUT /api/readiness HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
         status = client.read_response().status
@@ -97,9 +97,9 @@
     def _read(self) -> None:
         for line in self._process.stderr:
             self.lines.append(line)
-            for text, seen in self._waiting:
+            for text, found in self._waiting:
                 if text in line:
-                    seen.set()
+                    found.set()
 
 
 @pytest.fixture
@@ -171,26 +171,28 @@
 
 
 def test_sigterm_ends_readiness_first_then_connections_and_completes_requests_in_flight(world, start):
-    go_on = Event()
-    server = StandInServer(stream(1, 2, gate=lambda number: go_on.wait() if number > 1 else None), respond(b"late"))
+    continue_stream = Event()
+    server = StandInServer(
+        stream(1, 2, gate=lambda number: continue_stream.wait() if number > 1 else None), respond(b"late")
+    )
     register(world, server)
     configure(world)
     router = start()
     router.wait_for("configuration in force")
-    running, resting = router.client(), router.client()
-    running.send_request("/r1/x")
-    running.read_head()
-    assert running.read_chunk() == event(1)
+    streaming_client, idle_client = router.client(), router.client()
+    streaming_client.send_request("/r1/x")
+    streaming_client.read_head()
+    assert streaming_client.read_chunk() == event(1)
     router.signal(signal.SIGTERM)
     router.wait_for("stopping")
     assert not router.is_ready()
-    resting.send_request("/plain/x", id="q2")  # still served
-    assert resting.read_response().body == b"late"
-    assert resting.is_closed()
-    go_on.set()
-    assert running.read_chunk() == event(2)
-    assert running.read_chunk() == b""
-    assert running.is_closed()
+    idle_client.send_request("/plain/x", id="q2")  # still served
+    assert idle_client.read_response().body == b"late"
+    assert idle_client.is_closed()
+    continue_stream.set()
+    assert streaming_client.read_chunk() == event(2)
+    assert streaming_client.read_chunk() == b""
+    assert streaming_client.is_closed()
     assert router.exit_code() == 0
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(router.front)
@@ -231,14 +233,14 @@
 
 
 @pytest.mark.parametrize(
-    ("other", "place"),
+    ("other", "setting"),
     [({"zone": 7}, "zone"), ({"listen": {"front": "nowhere"}}, "listen.front"), ({"listen": {}}, "listen.front")],
 )
-def test_invalid_settings_are_reported_with_where_found_and_allowed(start, other, place):
+def test_invalid_settings_are_reported_with_where_found_and_allowed(start, other, setting):
     router = start(**other)
     assert router.exit_code() == 78
-    router.wait_for(place)
-    assert any(place in line and "found" in line and "allowed" in line for line in router.lines)
+    router.wait_for(setting)
+    assert any(setting in line and "found" in line and "allowed" in line for line in router.lines)
 
 
 def test_metrics_of_a_router_count_its_decisions(world, start):
--- a/tests/test_router_quotas.py
+++ b/tests/test_router_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas at the front: tokens are taken when a request comes, renewed when it is sent late, and refused with 429."""
+"""Quotas: a request takes tokens on arrival, renews them before it is sent, and is refused with 429 without them."""
 
 from dataclasses import replace
 
@@ -14,7 +14,7 @@
 
 
 class ScriptedQuotas:
-    """Answers by script; the last entry is repeated."""
+    """Returns scripted reservations; the last entry is repeated."""
 
     def __init__(self, takes: list[TokenReservation], renewals: list[TokenReservation] | None = None) -> None:
         self.takes, self.renewals = takes, renewals or [UNLIMITED]
@@ -44,7 +44,7 @@
         (QuotaUnit.REQUESTS, USAGE, 1),
     ],
 )
-def test_a_request_costs_its_tokens_or_one(unit, headers, tokens):
+def test_a_request_is_charged_its_tokens_or_one_request(unit, headers, tokens):
     quotas = ScriptedQuotas([UNLIMITED])
     with router(quotas=quotas) as harness:
         harness.use(configuration(route(), tenants=(limited(unit),)), StandInServer(respond()))
@@ -54,20 +54,20 @@
     assert quotas.taken == [("acme", tokens)]
 
 
-def test_a_request_beyond_the_quota_is_told_when_to_come_back():
+def test_a_request_beyond_the_quota_gets_429_with_retry_after():
     server = StandInServer(respond())
     with router(quotas=ScriptedQuotas([REFUSED, UNLIMITED])) as harness:
         harness.use(configuration(route(), tenants=(limited(),)), server)
         client = harness.client()
         client.send_request(headers=USAGE)
-        got = client.read_response()
-        assert (got.status, got.value("Retry-After")) == (429, "0.750")
+        response = client.read_response()
+        assert (response.status, response.value("Retry-After")) == (429, "0.750")
         assert not harness.scheduler.submitted
         client.send_request(headers=USAGE, id="q2")
         assert client.read_response().status == 200
 
 
-def test_a_request_waits_for_tokens_that_are_there_soon():
+def test_a_request_waits_for_tokens_that_are_available_soon():
     quotas = ScriptedQuotas([TokenReservation(False, 0.01), TokenReservation(False, 0.01), UNLIMITED])
     with router(quotas=quotas) as harness:
         harness.use(configuration(route(target_latency_ms=5000.0), tenants=(limited(),)), StandInServer(respond()))
@@ -87,7 +87,7 @@
     assert 1 <= len(quotas.taken) <= 2
 
 
-def test_a_client_that_leaves_while_its_request_waits_for_tokens_is_noticed():
+def test_a_disconnect_ends_the_wait_for_tokens():
     quotas = ScriptedQuotas([TokenReservation(False, 1.0)])
     with router(quotas=quotas) as harness:
         harness.use(configuration(route(target_latency_ms=50_000.0), tenants=(limited(),)), StandInServer(respond()))
@@ -103,7 +103,7 @@
     assert len(quotas.taken) == 1
 
 
-def test_tokens_that_can_not_be_renewed_before_the_send_refuse_the_request():
+def test_a_request_whose_tokens_cannot_be_renewed_before_the_send_is_refused():
     server = StandInServer(respond())
     with router(quotas=ScriptedQuotas([UNLIMITED], [REFUSED])) as harness:
         harness.use(configuration(route(), tenants=(limited(),)), server)
@@ -114,7 +114,7 @@
         assert harness.scheduler.cancelled
 
 
-def test_a_stream_that_has_begun_is_taken_up_whatever_the_quota_says():
+def test_a_started_stream_resumes_even_beyond_the_quota():
     def reset(received):
         raise ConnectionResetError
 
@@ -126,7 +126,7 @@
         assert client.read_response().complete
 
 
-def test_tokens_of_a_request_that_was_refused_unsent_are_released_and_those_of_a_sent_one_are_not():
+def test_only_tokens_of_unsent_requests_are_released():
     quotas = ScriptedQuotas([UNLIMITED])
     with router(quotas=quotas) as harness:
         harness.use(configuration(route(), tenants=(limited(),)))
@@ -149,7 +149,7 @@
 
 
 def send_partial_request(harness, quotas, headers: str = USAGE):
-    """Sends a head and half of the body, and waits until tokens were asked for."""
+    """Sends a head and half of the body, and waits until the router has requested tokens."""
     client = harness.client()
     client.send((HEAD + headers + "\r\n").encode() + BODY[:500])
     with gevent.Timeout(5):
@@ -158,7 +158,7 @@
     return client
 
 
-def test_tokens_are_asked_for_while_the_body_comes():
+def test_tokens_are_requested_while_the_body_arrives():
     quotas, server = ScriptedQuotas([UNLIMITED]), StandInServer(respond())
     with router(quotas=quotas) as harness:
         harness.use(configuration(route(), tenants=(limited(),)), server)
@@ -169,7 +169,7 @@
     assert server.requests[0].body == BODY
 
 
-def test_tokens_of_a_request_whose_body_does_not_come_are_released():
+def test_tokens_of_a_request_with_an_incomplete_body_are_released():
     quotas = ScriptedQuotas([UNLIMITED])
     with router(quotas=quotas) as harness:
         harness.use(configuration(route(), tenants=(limited(),)), StandInServer(respond()))
@@ -184,7 +184,7 @@
     ("takes", "headers", "status"),
     [([REFUSED], USAGE, 429), ([UNLIMITED], "X-Credential: other\r\n", 401)],
 )
-def test_a_refusal_leaves_the_connection_in_step_behind_the_body(takes, headers, status):
+def test_a_refusal_consumes_the_body_and_the_connection_stays_usable(takes, headers, status):
     quotas = ScriptedQuotas([*takes, UNLIMITED])
     with router(quotas=quotas) as harness:
         harness.use(configuration(route(), tenants=(limited(),)), StandInServer(respond()))
@@ -197,7 +197,7 @@
         assert client.read_response().status == 200
 
 
-def test_a_bad_field_is_answered_behind_the_body():
+def test_a_malformed_header_is_refused_after_the_body_was_read():
     with router(quotas=ScriptedQuotas([UNLIMITED])) as harness:
         harness.use(configuration(route(), tenants=(limited(),)), StandInServer(respond()))
         client = harness.client()
--- a/tests/test_router_tables.py
+++ b/tests/test_router_tables.py
@@ -1,4 +1,4 @@
-"""A router's tables follow changes by the work that a change needs, and end up as if made anew."""
+"""Incremental updates of a router's tables: each does only the work it needs and equals a complete rebuild."""
 
 from dataclasses import replace
 
@@ -46,7 +46,7 @@
 
 
 class RecordingScheduler(Scheduler):
-    """Keeps which servers were handed over."""
+    """Records the server ids of each `set_servers` call."""
 
     def __init__(self) -> None:
         super().__init__("z0", 7, retry_ratio=0.2, retry_slack=10.0, retry_window=10.0)
@@ -57,12 +57,12 @@
         return super().set_servers(now, servers, routers, rank, services)
 
     def server_caps(self) -> dict[str, float]:
-        """The cap of each server that can be used."""
+        """The capacity limit of each usable server."""
         return {state.server.id: state.cap for pool in self._pools.values() for state in pool.usable}
 
 
 class Tables:
-    """A router's tables with three servers of each of three services."""
+    """A router node whose table has three servers for each of three services."""
 
     def __init__(self) -> None:
         self.scheduler = RecordingScheduler()
@@ -74,12 +74,12 @@
         self.table, change = with_instances_change(self.table, InstancesChange(upserted, tuple(removed)), NOW)
         self.node.table_changed(self.table, change)
 
-    def count(self, routers: int) -> None:
+    def set_router_count(self, routers: int) -> None:
         self.table, change = with_router_count(self.table, routers, 0)
         self.node.table_changed(self.table, change)
 
 
-def test_a_change_of_a_server_hands_over_the_servers_of_its_service_alone():
+def test_a_server_change_updates_only_the_servers_of_its_service():
     tables = Tables()
     tables.change(record(1, "b", "draining"))
     assert tables.scheduler.server_updates[-1] == ["i-b-0", "i-b-1", "i-b-2"]
@@ -91,10 +91,10 @@
     assert not any(name.startswith("i-c") for name in tables.scheduler.server_caps())
 
 
-def test_another_count_of_routers_hands_over_no_servers_and_changes_every_share():
+def test_a_changed_router_count_updates_all_caps_without_server_updates():
     tables = Tables()
     before = tables.scheduler.server_caps()
-    tables.count(8)
+    tables.set_router_count(8)
     assert tables.scheduler.server_updates[-1] == []
     after = tables.scheduler.server_caps()
     assert before.keys() == after.keys() and all(after[name] < before[name] for name in before)
@@ -102,7 +102,7 @@
     assert {tables.scheduler.server_caps()[name] for name in ("i-a-0", "i-b-0")} == {after["i-b-0"]}
 
 
-def test_pools_of_other_services_stay_and_follow_the_count_of_routers():
+def test_pools_of_other_services_persist_and_follow_the_router_count():
     def servers(service: str, *numbers: int) -> list[Server]:
         return [
             Server(f"{service}{number}", service, ("127.0.0.1", 8000 + number), "z", 8, max_connections=40)
@@ -111,27 +111,27 @@
 
     pools = ServerPools(DeadlineHeap(gevent.get_hub().loop))
     pools.set_servers([*servers("a", 1, 2), *servers("b", 1)], 2)
-    kept, gone = pools.get("b1"), pools.get("a2")
+    retained, removed = pools.get("b1"), pools.get("a2")
     pools.set_servers(servers("a", 1, 3), 2, {"a"})
-    assert pools.get("b1") is kept and pools.get("a2") is None and gone.closed and not kept.closed
+    assert pools.get("b1") is retained and pools.get("a2") is None and removed.closed and not retained.closed
     pools.set_servers([], 4, ())
     assert [pools.get(each).limit for each in ("a1", "a3", "b1")] == [10, 10, 10]
     pools.set_servers(servers("a", 1), 4)
     assert pools.get("b1") is None and pools.get("a1") is not None
 
 
-def test_a_change_of_a_route_makes_no_entry_anew_but_its_own(monkeypatch):
-    made = []
+def test_a_route_change_rebuilds_only_its_own_entry(monkeypatch):
+    rebuilt_names = []
     original = routing_table._entry
-    monkeypatch.setattr(routing_table, "_entry", lambda each: made.append(each.name) or original(each))
+    monkeypatch.setattr(routing_table, "_entry", lambda each: rebuilt_names.append(each.name) or original(each))
     routes = [route(f"r{n}", f"/p{n}/", hostname=f"h{n % 50}.example") for n in range(1000)]
     before = configuration(*routes, tenants=(tenant("t", "k"),))
     table = RoutingTable(before)
-    made.clear()
+    rebuilt_names.clear()
     changed = replace(routes[7], timeout_ms=1.0)
     after = replace(before, version=2, routes={**before.routes, "r7": changed})
     table = table.updated(after, {"r7"}, ())
-    assert made == ["r7"] and table.version == 2
+    assert rebuilt_names == ["r7"] and table.version == 2
     assert table.find("h7.example", "/p7/x").route is changed
     assert table.find("h8.example", "/p8/x").route is routes[8]
 
@@ -141,17 +141,17 @@
 
 @st.composite
 def views(draw, version: int) -> ConfigurationView:
-    """Routes with places of their own, and tenants with keys of their own."""
+    """Configurations whose routes have distinct hosts and prefixes and whose tenants have distinct keys."""
     names = draw(st.lists(st.sampled_from(NAMES), unique=True))
-    every_place = [(host, prefix) for host in HOSTS for prefix in PREFIXES]
-    places = draw(st.permutations(every_place))
+    all_locations = [(host, prefix) for host in HOSTS for prefix in PREFIXES]
+    locations = draw(st.permutations(all_locations))
     routes = [
         route(name, prefix, hostname=host, timeout_ms=float(draw(st.integers(1, 2))))
-        for name, (host, prefix) in zip(names, places, strict=False)
+        for name, (host, prefix) in zip(names, locations, strict=False)
     ]
-    holders = [draw(st.sampled_from(("t1", "t2", None))) for _ in KEYS]
-    keys = {name: [key for key, holder in zip(KEYS, holders, strict=True) if holder == name] for name in ("t1", "t2")}
-    tenants = tuple(tenant(name, *held) for name, held in keys.items() if held)
+    key_tenants = [draw(st.sampled_from(("t1", "t2", None))) for _ in KEYS]
+    keys = {name: [key for key, owner in zip(KEYS, key_tenants, strict=True) if owner == name] for name in ("t1", "t2")}
+    tenants = tuple(tenant(name, *tenant_keys) for name, tenant_keys in keys.items() if tenant_keys)
     return configuration(*routes, tenants=tenants, version=version)
 
 
@@ -161,7 +161,7 @@
 
 @settings(max_examples=150, deadline=None)
 @given(st.tuples(*(views(version) for version in range(1, 5))))
-def test_a_table_that_followed_changes_answers_like_one_made_anew(steps):
+def test_an_updated_table_equals_a_rebuilt_one(steps):
     table, before = RoutingTable(steps[0]), steps[0]
     for view in steps[1:]:
         routes, tenants = changed_names(before.routes, view.routes), changed_names(before.tenants, view.tenants)
@@ -175,7 +175,7 @@
 
 
 class MessageBatch:
-    """A connection on which some messages have arrived at once; then it ends."""
+    """A connection on which all given messages are available at once; then it is closed."""
 
     def __init__(self, *messages) -> None:
         self._messages = list(messages)
@@ -216,7 +216,7 @@
 
 @pytest.fixture
 def follow(monkeypatch):
-    """Lets a feed client take the messages of some connections, one after the other, to its end."""
+    """Returns a function that lets a feed client process the messages of several connections in turn."""
     monkeypatch.setattr(table_publisher, "PUBLISH_INTERVAL_FACTOR", 0.0)
 
     def take(client: FeedClient, *connections: MessageBatch) -> None:
@@ -229,7 +229,7 @@
     return take
 
 
-def test_changes_that_arrive_together_are_published_as_one(follow):
+def test_changes_that_arrive_together_are_published_together(follow):
     published: list[tuple[FleetTable, FleetChange]] = []
     client = FeedClient("edge-1", "z", [ADDRESS], lambda table, change: published.append((table, change)))
     follow(client, MessageBatch(*full_snapshot()), MessageBatch(*deltas("a", 200), *deltas("b", 100)))
@@ -257,7 +257,7 @@
     assert [change.instances for change in published[1:]] == [{"a"}, {"a", "b"}]
 
 
-def test_changes_of_a_burst_are_published_together_where_callbacks_take_long(follow, monkeypatch):
+def test_a_burst_of_changes_is_batched_when_callbacks_are_slow(follow, monkeypatch):
     clock = [100.0]
     for module in (feed_client, table_publisher):
         monkeypatch.setattr(module, "monotonic", lambda: clock[0])
@@ -274,14 +274,14 @@
         clock[0] += 0.001
         client._draft.apply_delta(list(deltas("a", number + 1))[-1], clock[0])
         client._publisher.publish_changes()
-    assert len(published) <= 3  # of 0.1 s at 20 times 5 ms
+    assert len(published) <= 3  # within 0.1 s: callbacks take 5 ms, so publications are 20 * 5 ms apart
     clock[0] += 0.2
     client._publisher.publish_delayed()
     assert len(published[-1][1].instances_of("a")) == 100
     client.stop()
 
 
-def test_the_pause_between_tables_is_bounded(follow, monkeypatch):
+def test_the_publish_interval_is_bounded(follow, monkeypatch):
     clock = [100.0]
     for module in (feed_client, table_publisher):
         monkeypatch.setattr(module, "monotonic", lambda: clock[0])
--- a/tests/test_routing_table.py
+++ b/tests/test_routing_table.py
@@ -1,4 +1,4 @@
-"""Routes by host and longest prefix, splits by weight, keys; events, deadlines and connections on their own."""
+"""The routing table (hosts, longest prefix, weighted splits, API keys) and the heap of deadlines."""
 
 import zlib
 
@@ -35,17 +35,17 @@
     assert (entry.route.name if entry else None) == found
 
 
-def test_hosts_are_compared_without_their_port_and_apart():
+def test_hosts_are_matched_without_their_port_and_kept_separate():
     routes = table("/a/")
     assert routes.find(f"{HOST}:8080", "/a/") is not None
     assert routes.find("other.example", "/a/") is None
 
 
-def test_the_root_takes_what_no_other_route_takes():
+def test_the_root_route_matches_what_no_other_route_matches():
     assert table("/", "/a/").find(HOST, "/x/y").route.name == "/"
 
 
-def test_a_split_follows_its_weights_and_is_stable_for_an_id():
+def test_a_split_follows_its_weights_and_is_stable_per_request_id():
     splits = (Split("big", 90), Split("none", 0), Split("small", 10))
     entry = table("/", splits=splits).find(HOST, "/")
     ids = [f"{zlib.crc32(str(number).encode()):08x}" for number in range(20_000)]
@@ -55,13 +55,13 @@
     assert chosen.count("none") == 0
 
 
-def test_keys_name_their_tenants():
+def test_api_keys_identify_their_tenants():
     routes = RoutingTable(configuration(tenants=(tenant("acme", "k1", "k2"), tenant("other", "k3"))))
     assert [routes.tenant_of(key).name for key in ("k1", "k2", "k3")] == ["acme", "acme", "other"]
     assert routes.tenant_of("k4") is None
 
 
-def test_thousands_of_routes_are_found_by_index():
+def test_each_of_thousands_of_routes_is_found():
     routes = RoutingTable(
         configuration(*(route(name=str(n), prefix=f"/p{n}/", hostname=f"h{n % 50}.example") for n in range(5000)))
     )
@@ -69,7 +69,7 @@
 
 
 class FakeLoop:
-    """Timers that fire when the test says so."""
+    """An event loop whose timers fire when the test advances the clock."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -116,7 +116,7 @@
     assert ran == [(1.0, 1.0), (1.5, 1.5), (2.0, 2.0), "from within", (3.0, 3.0)]
 
 
-def test_a_thousand_cancelled_deadlines_cost_one_wake_up():
+def test_a_thousand_cancelled_deadlines_cause_one_wake_up():
     loop = FakeLoop()
     heap = DeadlineHeap(loop, lambda: loop.now)
     for number in range(1000):
