--- a/ochrespan/data_plane/attempt.py
+++ b/ochrespan/data_plane/attempt.py
@@ -49,7 +49,7 @@
             self._write(connection, encode_request())
         except OSError as error:
             raise AttemptEnded(Outcome.NOT_SENT) from error
-        connection.requests += 1
+        connection.requests_sent += 1
 
     def receive(self) -> None:
         """Waits for the next bytes of the response and parses them; raises AttemptEnded."""
@@ -83,25 +83,25 @@
             self._pool.discard(connection)
 
     def _connect(self, unsafe: bool) -> ServerConnection:
-        until = self.sent_at + CONNECT_TIMEOUT_S
-        connection = self._take_connection(unsafe, until)
+        deadline = self.sent_at + CONNECT_TIMEOUT_S
+        connection = self._take_connection(unsafe, deadline)
         connection.socket.on_event = self._wakeup.notify
         self._connection = connection
-        if not connection.requests:
+        if not connection.requests_sent:
             connection.socket.watch_writable()
-            self._wait(lambda: not connection.socket.awaiting_writable, until)
+            self._wait(lambda: not connection.socket.awaiting_writable, deadline)
             if error := connection.socket.connect_error():
                 raise OSError(error, "connection refused")
         return connection
 
-    def _take_connection(self, unsafe: bool, until: float) -> ServerConnection:
+    def _take_connection(self, unsafe: bool, deadline: float) -> ServerConnection:
         pool = self._pool
         connection = pool.acquire(unsafe)
         if connection is not None:
             return connection
         pool.add_waiter(self._wakeup)
         try:
-            self._wait(lambda: pool.has_capacity, until)
+            self._wait(lambda: pool.has_capacity, deadline)
         finally:
             pool.remove_waiter(self._wakeup)
         connection = pool.acquire(unsafe)
@@ -122,12 +122,12 @@
                 self._wakeup.wait()
             remaining = remaining[socket.try_send(remaining) :]
 
-    def _wait(self, condition: Callable[[], bool], until: float) -> None:
-        """Waits for `condition`; raises AttemptEnded if it is interrupted or not met by `until`."""
+    def _wait(self, condition: Callable[[], bool], deadline: float) -> None:
+        """Waits for `condition`; raises AttemptEnded if it is interrupted or not met by `deadline`."""
         if condition():
             return
         self._expired = False
-        deadline = self._deadlines.schedule(until, self._expire)
+        timer = self._deadlines.schedule(deadline, self._expire)
         try:
             while not condition():
                 if interruption := self._interruption():
@@ -136,7 +136,7 @@
                     raise AttemptEnded(Outcome.NOT_SENT)
                 self._wakeup.wait()
         finally:
-            deadline.cancel()
+            timer.cancel()
 
     def _expire(self) -> None:
         self._expired = True
--- a/ochrespan/data_plane/client_connection.py
+++ b/ochrespan/data_plane/client_connection.py
@@ -84,7 +84,7 @@
 
     @property
     def has_unread_bytes(self) -> bool:
-        """Whether bytes of a request that is not being served yet have been received."""
+        """Whether bytes have been received that no request has consumed yet."""
         return bool(self._socket.received)
 
     def read_head(self, limits: ReadLimits) -> RequestHead | None:
@@ -113,12 +113,12 @@
         self._body_memory.release(self._body_bytes)
         self._body_bytes = 0
 
-    def write(self, data: bytes | bytearray, until: float) -> None:
-        """Sends all of `data`; raises ClientDisconnected, or TimeoutError once `until` has passed."""
+    def write(self, data: bytes | bytearray, deadline: float) -> None:
+        """Sends all of `data`; raises ClientDisconnected, or TimeoutError once `deadline` has passed."""
         try:
             sent = self._socket.try_send(data)
             if sent < len(data):
-                self._write_remaining(memoryview(data)[sent:], until)
+                self._write_remaining(memoryview(data)[sent:], deadline)
         except OSError as error:
             if isinstance(error, TimeoutError):
                 raise
@@ -148,15 +148,15 @@
         Closing with unread bytes sends a reset, which could destroy that response; so input is discarded for LINGER_S.
         """
         self._socket.shutdown_write()
-        until = time.monotonic() + LINGER_S
-        while not self._socket.ended and self._wait_until(lambda: self._socket.received, until):
+        deadline = time.monotonic() + LINGER_S
+        while not self._socket.ended and self._wait_until(lambda: self._socket.received, deadline):
             self._socket.take_received()
         self._socket.close()
 
     def _read_partial_head(self, limits: ReadLimits) -> RequestHead | None:
         received = self._socket.received
         searched = 0
-        until = time.monotonic() + limits.header_timeout_s
+        deadline = time.monotonic() + limits.header_timeout_s
         while True:
             while received.startswith(b"\r\n"):  # an empty line before a request is allowed
                 del received[:2]
@@ -167,7 +167,7 @@
             searched = len(received)
             if searched > limits.max_header_bytes:
                 self._refuse_head(limits)
-            if not self._wait_until(lambda size=searched: len(received) > size, until):
+            if not self._wait_until(lambda size=searched: len(received) > size, deadline):
                 if self._socket.ended:
                     return None
                 raise RequestRefused(TIMED_OUT, "head", "no end in time", f"{limits.header_timeout_s:g} s")
@@ -240,21 +240,21 @@
         del self._socket.received[:size]
         self._socket.resume_reading()
 
-    def _write_remaining(self, remaining: memoryview, until: float) -> None:
+    def _write_remaining(self, remaining: memoryview, deadline: float) -> None:
         while remaining:
             self._socket.watch_writable()
-            if not self._wait_until(lambda: not self._socket.awaiting_writable, until):
+            if not self._wait_until(lambda: not self._socket.awaiting_writable, deadline):
                 if self._socket.ended:
                     raise ClientDisconnected("while a response was written")
                 raise TimeoutError("the client reads too slowly")
             remaining = remaining[self._socket.try_send(remaining) :]
 
-    def _wait_until(self, condition: Callable[[], object], until: float) -> bool:
-        """Whether the condition was met before the client disconnected and before `until`."""
+    def _wait_until(self, condition: Callable[[], object], deadline: float) -> bool:
+        """Whether the condition was met before the client disconnected and before `deadline`."""
         if condition():
             return True
         self._expired = False
-        deadline = self._deadlines.schedule(until, self._expire)
+        timer = self._deadlines.schedule(deadline, self._expire)
         try:
             while not self._socket.ended and not self._expired and not self._socket.closed:
                 self.wakeup.wait()
@@ -262,7 +262,7 @@
                     return True
             return False
         finally:
-            deadline.cancel()
+            timer.cancel()
 
     def _expire(self) -> None:
         self._expired = True
--- a/ochrespan/data_plane/connection_pool.py
+++ b/ochrespan/data_plane/connection_pool.py
@@ -26,7 +26,7 @@
 class ServerConnection:
     """A connection to one server; it carries one request at a time."""
 
-    __slots__ = ("socket", "requests", "reusable_until", "unsafe_reusable_until")
+    __slots__ = ("socket", "requests_sent", "reusable_until", "unsafe_reusable_until")
 
     def __init__(self, address: Address) -> None:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -40,7 +40,7 @@
             sock.close()
             raise
         self.socket = WatchedSocket(sock, RECEIVED_LIMIT_BYTES)
-        self.requests = 0
+        self.requests_sent = 0
         self.reusable_until = 0.0
         self.unsafe_reusable_until = 0.0
 
@@ -55,20 +55,20 @@
 class ServerPool:
     """The connections to one server."""
 
-    def __init__(self, address: Address, limit: int, deadlines: DeadlineHeap) -> None:
+    def __init__(self, address: Address, max_connections: int, deadlines: DeadlineHeap) -> None:
         self.address = address
-        self.limit = max(1, limit)
+        self.max_connections = max(1, max_connections)
         self.open_count = 0  # idle and in use
         self.closed = False
         self._deadlines = deadlines
         self._idle: list[ServerConnection] = []  # the most recently used one last
-        self._expiry: Deadline | None = None
+        self._expiry_timer: Deadline | None = None
         self._waiters: list[Wakeup] = []
 
     @property
     def has_capacity(self) -> bool:
         """Whether `acquire` can return a connection."""
-        return bool(self._idle) or self.open_count < self.limit
+        return bool(self._idle) or self.open_count < self.max_connections
 
     def acquire(self, unsafe: bool) -> ServerConnection | None:
         """Returns an idle connection, or a new one that is still connecting; None if the limit is reached.
@@ -82,7 +82,7 @@
             if connection.is_usable(now, unsafe):
                 return connection
             self.discard(connection)
-        if self.open_count >= self.limit:
+        if self.open_count >= self.max_connections:
             return None
         connection = ServerConnection(self.address)
         self.open_count += 1
@@ -90,7 +90,12 @@
 
     def release(self, connection: ServerConnection, keep_alive_s: float | None) -> None:
         """Makes a connection idle after a complete response, or closes it if it cannot be reused."""
-        if self.closed or connection.socket.ended or connection.socket.received or self.open_count > self.limit:
+        if (
+            self.closed
+            or connection.socket.ended
+            or connection.socket.received
+            or self.open_count > self.max_connections
+        ):
             self.discard(connection)
             return
         now = time.monotonic()
@@ -100,8 +105,8 @@
         )
         connection.socket.on_event = lambda: self._drop_idle(connection)
         self._idle.append(connection)
-        if self._expiry is None:
-            self._expiry = self._deadlines.schedule(connection.reusable_until, self._close_expired)
+        if self._expiry_timer is None:
+            self._expiry_timer = self._deadlines.schedule(connection.reusable_until, self._close_expired)
         self._notify_next_waiter()
 
     def discard(self, connection: ServerConnection) -> None:
@@ -116,8 +121,8 @@
         self.closed = True
         while self._idle:
             self.discard(self._idle.pop())
-        if self._expiry is not None:
-            self._expiry.cancel()
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
 
     def add_waiter(self, wakeup: Wakeup) -> None:
         """Notifies `wakeup` once `acquire` may succeed."""
@@ -137,13 +142,13 @@
         self.discard(connection)
 
     def _close_expired(self) -> None:
-        self._expiry = None
+        self._expiry_timer = None
         now = time.monotonic()
         for connection in [idle for idle in self._idle if idle.reusable_until <= now]:
             self._drop_idle(connection)
         if self._idle:
             earliest = min(connection.reusable_until for connection in self._idle)
-            self._expiry = self._deadlines.schedule(earliest, self._close_expired)
+            self._expiry_timer = self._deadlines.schedule(earliest, self._close_expired)
 
 
 def _reusable_for_s(keep_alive_s: float | None) -> float:
--- a/ochrespan/data_plane/dispatcher.py
+++ b/ochrespan/data_plane/dispatcher.py
@@ -32,7 +32,7 @@
 class DecisionReceiver(Protocol):
     """Receives the scheduler's decisions about one request."""
 
-    def decide(self, action: Action) -> None: ...
+    def receive_decision(self, action: Action) -> None: ...
     def refuse_unsent(self) -> None: ...
 
 
@@ -67,7 +67,7 @@
     def first_event(self, request_id: str, latency_s: float) -> None:
         self._scheduler.first_event(time.monotonic(), request_id, latency_s)
 
-    def ended(self, request_id: str, outcome: Outcome) -> None:
+    def attempt_ended(self, request_id: str, outcome: Outcome) -> None:
         self._metrics.ended(outcome)
         now = time.monotonic()
         self._apply(now, self._scheduler.ended(now, request_id, outcome))
@@ -91,7 +91,7 @@
         for action in actions:
             self._metrics.decided(action)
             if receiver := self._receivers.get(action.request_id):
-                receiver.decide(action)
+                receiver.receive_decision(action)
         self._schedule_tick(now)
 
     def _schedule_tick(self, now: float) -> None:
--- a/ochrespan/data_plane/event_stream.py
+++ b/ochrespan/data_plane/event_stream.py
@@ -42,11 +42,11 @@
         if len(self._pending) > MAX_EVENT_BYTES:
             self.error = "event too long"
         for match in _EVENT_ID.finditer(data, 0, end):
-            if not self._follows(int(match[1])):
+            if not self._accept_id(int(match[1])):
                 return data[: _end_of_events(data, match.start() + 1)]
         return data[:end]
 
-    def _follows(self, event_id: int) -> bool:
+    def _accept_id(self, event_id: int) -> bool:
         last = self.last_id
         if last is not None and event_id != last + 1:
             if event_id <= last or (self._resumed and self._ids_consecutive):
--- a/ochrespan/data_plane/exchange.py
+++ b/ochrespan/data_plane/exchange.py
@@ -23,7 +23,7 @@
 MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a longer response is forwarded before it is complete
 FALLBACK_RETRY_AFTER_S = 0.2
 FIRST_SERVER_FAILURE = 500
-_IMPLIES_NOT_EXECUTED = frozenset({408, 421, 429, 503})
+_IMPLIES_NOT_EXECUTED = frozenset({408, 421, 429, 503})  # as clients read them
 
 
 class ResponseAborted(Exception):
@@ -72,7 +72,7 @@
 
     def respond(self, start_response: StartResponse) -> Iterable[bytes]:
         """Returns the response as a WSGI result; raises ClientDisconnected."""
-        expiry = self._deadlines.schedule(self._request.deadline, self._expire)
+        deadline_timer = self._deadlines.schedule(self._request.deadline, self._on_deadline)
         relay: Iterator[bytes] | None = None
         try:
             self._dispatcher.submit(self._request, self)
@@ -92,12 +92,12 @@
                 self._final_response = response
                 return [response.take_body()]
             relay = self._relay_events(result) if _is_event_response(response) else self._relay_body(result)
-            return _ClosingIterable(relay, lambda: self._close(expiry))
+            return _ClosingIterable(relay, lambda: self._close(deadline_timer))
         finally:
             if relay is None:
-                self._close(expiry)
+                self._close(deadline_timer)
 
-    def decide(self, action: Action) -> None:
+    def receive_decision(self, action: Action) -> None:
         """Receives the scheduler's decision; may be called from any greenlet."""
         self._decision = action
         self._client.wakeup.notify()
@@ -105,7 +105,7 @@
     def refuse_unsent(self) -> None:
         """Refuses the request with 503 if no server has been tried, because the router is shutting down."""
         if not self._was_sent and self._attempt is None and self._decision is None:
-            self.decide(Refuse(self._request.id, 503, FALLBACK_RETRY_AFTER_S))
+            self.receive_decision(Refuse(self._request.id, 503, FALLBACK_RETRY_AFTER_S))
 
     def _obtain_response(self) -> Attempt | LocalResponse:
         while True:
@@ -138,14 +138,14 @@
         """Returns an attempt whose response can be forwarded, or None if it failed; the scheduler is then notified."""
         pool = self._pools.get(send.server_id)
         if pool is None:
-            self._dispatcher.ended(self._request.id, Outcome.NOT_SENT)
+            self._dispatcher.attempt_ended(self._request.id, Outcome.NOT_SENT)
             return None
-        attempt = self._attempt = Attempt(pool, self._deadlines, self._client.wakeup, self._interruption)
+        attempt = self._attempt = Attempt(pool, self._deadlines, self._client.wakeup, self._interruption_outcome)
         try:
             self._send(attempt, send)
             self._read_until_forwardable(attempt)
-        except AttemptEnded as end:
-            self._end_attempt(end.outcome)
+        except AttemptEnded as error:
+            self._end_attempt(error.outcome)
             return None
         response = attempt.response
         if response.not_executed:
@@ -190,10 +190,10 @@
         response = attempt.response
         try:
             attempt.receive()
-        except AttemptEnded as end:
-            if end.outcome is Outcome.CANCELLED:
-                raise ClientDisconnected("while a server processed the request") from end
-            self._failure = end.outcome
+        except AttemptEnded as error:
+            if error.outcome is Outcome.CANCELLED:
+                raise ClientDisconnected("while a server processed the request") from error
+            self._failure = error.outcome
         if response.head_complete and _is_event_response(response):
             self._ready_events += self._events.take_complete_events(response.take_body())
             if self._events.error or (response.complete and self._events.has_partial_event):
@@ -252,7 +252,7 @@
         """Replaces a status that implies that the request was not executed, which the server has not stated."""
         return LocalResponse(502, f"a server answered {response.status}", self._server_request.request_id)
 
-    def _interruption(self) -> Outcome | None:
+    def _interruption_outcome(self) -> Outcome | None:
         if self._client.disconnected:
             return Outcome.CANCELLED
         return Outcome.TIMED_OUT if self._expired else None
@@ -266,15 +266,15 @@
             attempt.abandon()
         if outcome is Outcome.CANCELLED:
             raise ClientDisconnected("while a server processed the request")
-        self._dispatcher.ended(self._request.id, outcome)
+        self._dispatcher.attempt_ended(self._request.id, outcome)
 
-    def _expire(self) -> None:
+    def _on_deadline(self) -> None:
         self._expired = True
         self._client.wakeup.notify()
 
-    def _close(self, expiry) -> None:
+    def _close(self, deadline_timer) -> None:
         """Ends the exchange: drops a running attempt, returns unused quota tokens and finishes the decision record."""
-        expiry.cancel()
+        deadline_timer.cancel()
         if self._attempt is not None:
             self._attempt.abandon()
             self._attempt = None
--- a/ochrespan/data_plane/front.py
+++ b/ochrespan/data_plane/front.py
@@ -98,23 +98,27 @@
         head: RequestHead = environ[HEAD_KEY]
         arrived = time.monotonic()
         try:
-            found = self._admit(client, head, arrived)  # queries the quota owner while the body arrives
+            admission = self._admit(client, head, arrived)  # queries the quota owner while the body arrives
         except RequestRefused:
             client.read_body(head, self.limits)
             raise
-        body = self._read_body(client, head, found)
-        if isinstance(found, LocalResponse):
-            return found.respond(start_response)
-        server_request = ServerRequest(head, found.request_id, body, found.request.tenant or None)
-        return Exchange(self._context, client, found.request, server_request, found.ticket).respond(start_response)
+        body = self._read_body(client, head, admission)
+        if isinstance(admission, LocalResponse):
+            return admission.respond(start_response)
+        server_request = ServerRequest(head, admission.request_id, body, admission.request.tenant or None)
+        return Exchange(self._context, client, admission.request, server_request, admission.ticket).respond(
+            start_response
+        )
 
-    def _read_body(self, client: ClientConnection, head: RequestHead, found: AdmittedRequest | LocalResponse) -> bytes:
+    def _read_body(
+        self, client: ClientConnection, head: RequestHead, admission: AdmittedRequest | LocalResponse
+    ) -> bytes:
         """Reads the complete body; abandons an admitted request if that fails."""
         try:
             return client.read_body(head, self.limits)
         except BaseException:
-            if isinstance(found, AdmittedRequest):
-                self._abandon(found)
+            if isinstance(admission, AdmittedRequest):
+                self._abandon(admission)
             raise
 
     def _abandon(self, admitted: AdmittedRequest) -> None:
@@ -143,8 +147,8 @@
             if tenant is None and not entry.route.public:
                 return self._deny(401, "a key that is not known" if key else "no key", request_id)
         usage = _token_usage(head)
-        request = self._request(head, request_id, entry, tenant, usage or (0, 0), arrived)
-        request.record = self._record(request_id, request)
+        request = self._build_request(head, request_id, entry, tenant, usage or (0, 0), arrived)
+        request.record = self._start_record(request_id, request)
         client.write_deadline = request.deadline + RESPONSE_GRACE_S
         ticket = None
         if tenant is not None and self._tickets is not None:
@@ -154,7 +158,7 @@
         self._locate_prefix_owner(request)
         return AdmittedRequest(request_id, request, ticket)
 
-    def _record(self, request_id: str, request: Request) -> DecisionRecord | None:
+    def _start_record(self, request_id: str, request: Request) -> DecisionRecord | None:
         """Starts the decision record of a request; None if it is not sampled."""
         record = self._context.decision_log.begin(request_id, request.arrived)
         if record is None:
@@ -195,8 +199,8 @@
         """Sets the server that caches the shared prefix of the prompt, if the prefix is long enough for a look-up."""
         shared = request.shared_tokens
         if self._prefix_locator is not None and shared >= MIN_SHARED_TOKENS:
-            home = self._prefix_locator.locate(request.service, shared_prefix(request.prefix), shared)
-            request.home, request.is_unread = home.instance, home.is_new or not home.instance
+            placement = self._prefix_locator.locate(request.service, shared_prefix(request.prefix), shared)
+            request.home, request.is_unread = placement.instance, placement.is_new or not placement.instance
 
     def _deny(self, status: int, text: str, request_id: str) -> LocalResponse:
         """Returns a denial, or 503 with a retry time if the table may be out of date."""
@@ -204,7 +208,7 @@
             return LocalResponse(status, text, request_id)
         return LocalResponse(503, f"{text}, as far as is known", request_id, STALE_RETRY_AFTER_S)
 
-    def _request(
+    def _build_request(
         self,
         head: RequestHead,
         request_id: str,
@@ -261,10 +265,10 @@
     text = _single_value(head, "x-token-usage")
     if text is None:
         return None
-    found = _TOKEN_USAGE.fullmatch(text)
-    if found is None:
+    match = _TOKEN_USAGE.fullmatch(text)
+    if match is None:
         raise RequestRefused(BAD_REQUEST, "X-Token-Usage", repr(text[:40]), "two whole numbers, split by a comma")
-    return int(found[1]), int(found[2])
+    return int(match[1]), int(match[2])
 
 
 def _prompt_prefix(head: RequestHead) -> tuple[tuple[str, int], ...]:
@@ -273,8 +277,8 @@
         return ()
     segments = []
     for segment in text.split(","):
-        found = _PROMPT_SEGMENT.fullmatch(segment.strip())
-        if found is None:
+        match = _PROMPT_SEGMENT.fullmatch(segment.strip())
+        if match is None:
             raise RequestRefused(BAD_REQUEST, "X-Prompt-Prefix", repr(segment[:40]), "ID:TOKENS, with the ID in hex")
-        segments.append((found[1].lower(), int(found[2])))
+        segments.append((match[1].lower(), int(match[2])))
     return tuple(segments)
--- a/ochrespan/data_plane/ingress.py
+++ b/ochrespan/data_plane/ingress.py
@@ -30,12 +30,12 @@
 
 log = logging.getLogger(__name__)
 
-BACKLOG = 1024
+LISTEN_BACKLOG = 1024
 KEEP_ALIVE_FRACTION = 0.8  # of the idle timeout; announced to clients in the `Keep-Alive` header
 MAX_COALESCED_WRITE_BYTES = 64 * 1024  # data up to this size is written in one call with the headers
 
 
-class _NoInput:
+class _EmptyInput:
     """Replaces the library's input: the application reads the body itself, so there is nothing to discard."""
 
     def _discard(self) -> None:
@@ -94,7 +94,7 @@
         self.requestline = f"{head.method} {head.target} {head.version}"
         self.close_connection = not head.keep_alive
         self.content_length = head.content_length
-        self.wsgi_input = _NoInput()
+        self.wsgi_input = _EmptyInput()
         self.connection.write_deadline = time.monotonic() + self.server.front.limits.idle_timeout_s
 
     def get_environ(self) -> dict[str, Any]:
@@ -193,7 +193,8 @@
         self, listener: Any, front: Front, deadlines: DeadlineHeap, max_connections: int, max_body_bytes: int
     ) -> None:
         environment = {"SERVER_NAME": "router"}  # otherwise the library resolves the host name
-        backlog = None if isinstance(listener, socket.socket) else BACKLOG  # a listening socket has its own backlog
+        # A socket that already listens has its own backlog.
+        backlog = None if isinstance(listener, socket.socket) else LISTEN_BACKLOG
         super().__init__(listener, front, log=None, error_log=None, environ=environment, backlog=backlog)
         self.front = front
         self.deadlines = deadlines
--- a/ochrespan/data_plane/router_node.py
+++ b/ochrespan/data_plane/router_node.py
@@ -159,8 +159,8 @@
         gevent.sleep(0)  # lets aborted requests close their connections to servers
         self._readiness.close()
 
-    def _wait_for_clients(self, until: float) -> None:
-        while self.ingress.open_connections and time.monotonic() < until:
+    def _wait_for_clients(self, deadline: float) -> None:
+        while self.ingress.open_connections and time.monotonic() < deadline:
             gevent.sleep(CLIENT_CHECK_INTERVAL_S)
 
 
--- a/ochrespan/data_plane/server_pools.py
+++ b/ochrespan/data_plane/server_pools.py
@@ -36,7 +36,7 @@
             self._ids[service] = current
         if routers_changed:
             for server_id, pool in self._pools.items():
-                pool.limit = _connection_limit(self._max_connections[server_id], routers)
+                pool.max_connections = _connection_limit(self._max_connections[server_id], routers)
 
     def get(self, server_id: str) -> ServerPool | None:
         return self._pools.get(server_id)
@@ -50,10 +50,10 @@
         if pool is not None and pool.address != server.address:
             pool.close()
             pool = None
-        limit = _connection_limit(server.max_connections, self._routers)
+        max_connections = _connection_limit(server.max_connections, self._routers)
         if pool is None:
-            pool = self._pools[server.id] = ServerPool(server.address, limit, self._deadlines)
-        pool.limit = limit
+            pool = self._pools[server.id] = ServerPool(server.address, max_connections, self._deadlines)
+        pool.max_connections = max_connections
         self._max_connections[server.id] = server.max_connections
 
     def _remove(self, server_id: str) -> None:
--- a/tests/test_attempt_ends.py
+++ b/tests/test_attempt_ends.py
@@ -119,11 +119,7 @@
         client = harness.client()
         client.send_request()
         got = client.read_response()
-        assert (got.status, got.body, got.value("X-Server-Stamp")) == (
-            int(status[:3]),
-            b"broken",
-            "stamp",
-        )
+        assert (got.status, got.body, got.value("X-Server-Stamp")) == (int(status[:3]), b"broken", "stamp")
         assert harness.scheduler.outcomes == [Outcome.FAILED_STATUS]
 
 
--- a/tests/test_router_tables.py
+++ b/tests/test_router_tables.py
@@ -115,7 +115,7 @@
     pools.set_servers(servers("a", 1, 3), 2, {"a"})
     assert pools.get("b1") is retained and pools.get("a2") is None and removed.closed and not retained.closed
     pools.set_servers([], 4, ())
-    assert [pools.get(each).limit for each in ("a1", "a3", "b1")] == [10, 10, 10]
+    assert [pools.get(each).max_connections for each in ("a1", "a3", "b1")] == [10, 10, 10]
     pools.set_servers(servers("a", 1), 4)
     assert pools.get("b1") is None and pools.get("a1") is not None
 
