--- a/ochrespan/data_plane/routing_table.py
+++ b/ochrespan/data_plane/routing_table.py
@@ -38,28 +38,28 @@
 class _HostRoutes:
     """The routes of one host by path prefix."""
 
-    __slots__ = ("by_prefix", "longest")
+    __slots__ = ("by_prefix", "max_prefix_length")
 
     def __init__(self) -> None:
         self.by_prefix: dict[str, RouteEntry] = {}
-        self.longest = 0
+        self.max_prefix_length = 0
 
     def copy(self) -> _HostRoutes:
         """Returns an independent copy."""
         copied = _HostRoutes()
-        copied.by_prefix, copied.longest = dict(self.by_prefix), self.longest
+        copied.by_prefix, copied.max_prefix_length = dict(self.by_prefix), self.max_prefix_length
         return copied
 
     def remove(self, prefix: str) -> None:
         self.by_prefix.pop(prefix, None)
-        self.longest = max(map(len, self.by_prefix), default=0)
+        self.max_prefix_length = max(map(len, self.by_prefix), default=0)
 
     def add(self, prefix: str, entry: RouteEntry) -> None:
         self.by_prefix[prefix] = entry
-        self.longest = max(self.longest, len(prefix))
+        self.max_prefix_length = max(self.max_prefix_length, len(prefix))
 
     def find(self, path: str) -> RouteEntry | None:
-        end = min(len(path), self.longest)
+        end = min(len(path), self.max_prefix_length)
         while (slash := path.rfind("/", 0, end)) >= 0:
             if entry := self.by_prefix.get(path[: slash + 1]):
                 return entry
--- a/tests/fleet_standins.py
+++ b/tests/fleet_standins.py
@@ -390,8 +390,8 @@
             return None
         try:
             if response.value("Transfer-Encoding") == "chunked":
-                while piece := self.read_chunk():
-                    response.body += piece
+                while data := self.read_chunk():
+                    response.body += data
                 response.complete = True
             else:
                 length = int(response.value("Content-Length") or 0)
