--- a/ochrespan/data_plane/connection_pool.py
+++ b/ochrespan/data_plane/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to servers, kept for reuse: bounded for each server, and closed before the server closes them."""
+"""Keep-alive connections to servers: limited per server, and closed before the server would close them."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 Address = tuple[str, int]
 
-RECEIVED_BOUND = 256 * 1024  # bytes of an answer that may wait for a slow client
-DEFAULT_KEEP_ALIVE_S = 4.0  # where a server does not say how long it keeps an idle connection
-KEEP_ALIVE_MARGIN_S = 0.8  # an idle connection is closed this much before the server would do it
-SHORT_KEEP_ALIVE_SHARE = 0.5  # of a time-out that leaves no room for the margin
-FRESH_S = 1.0  # rest after which an unsafe request takes a new connection, where the server tells no time-out
-USER_TIMEOUT_MS = 3000  # unacknowledged data ends a connection after this long
+RECEIVED_LIMIT_BYTES = 256 * 1024  # buffered per response for a slow client; reading pauses beyond this
+DEFAULT_KEEP_ALIVE_S = 4.0  # used if a server does not announce its keep-alive timeout
+KEEP_ALIVE_MARGIN_S = 0.8  # an idle connection is closed this long before the server's timeout
+SHORT_KEEP_ALIVE_FRACTION = 0.5  # of the timeout; used if it is too short for the margin
+UNSAFE_REUSE_MAX_IDLE_S = 1.0  # idle limit for reuse by an unsafe request if the server announces no timeout
+USER_TIMEOUT_MS = 3000  # TCP_USER_TIMEOUT: the connection fails once data is unacknowledged for this long
 
 
 class ServerConnection:
-    """A connection to one server, which carries one request at a time."""
+    """A connection to one server; it carries one request at a time."""
 
-    __slots__ = ("socket", "requests", "kept_until", "fresh_until")
+    __slots__ = ("socket", "requests_sent", "reusable_until", "unsafe_reusable_until")
 
     def __init__(self, address: Address) -> None:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -39,41 +39,41 @@
         except OSError:
             sock.close()
             raise
-        self.socket = WatchedSocket(sock, RECEIVED_BOUND)
-        self.requests = 0
-        self.kept_until = 0.0
-        self.fresh_until = 0.0
+        self.socket = WatchedSocket(sock, RECEIVED_LIMIT_BYTES)
+        self.requests_sent = 0
+        self.reusable_until = 0.0
+        self.unsafe_reusable_until = 0.0
 
     def is_usable(self, now: float, unsafe: bool) -> bool:
-        """Whether the server surely still waits for a request here; a request that must not run twice asks for more."""
-        if now >= self.kept_until or (unsafe and now >= self.fresh_until):
+        """Whether the connection can be reused; `unsafe` requests, which must not run twice, use a shorter limit."""
+        if now >= self.reusable_until or (unsafe and now >= self.unsafe_reusable_until):
             return False
-        self.socket.poll()
+        self.socket.receive_available()
         return not self.socket.ended and not self.socket.received
 
 
 class ServerPool:
     """The connections to one server."""
 
-    def __init__(self, address: Address, limit: int, deadlines: DeadlineHeap) -> None:
+    def __init__(self, address: Address, max_connections: int, deadlines: DeadlineHeap) -> None:
         self.address = address
-        self.limit = max(1, limit)
-        self.open = 0  # idle ones and those in use
+        self.max_connections = max(1, max_connections)
+        self.open_count = 0  # idle and in use
         self.closed = False
         self._deadlines = deadlines
-        self._idle: list[ServerConnection] = []  # the one that was used last stands last
-        self._expiry: Deadline | None = None
-        self._waiting: list[Wakeup] = []
+        self._idle: list[ServerConnection] = []  # the most recently used one last
+        self._expiry_timer: Deadline | None = None
+        self._waiters: list[Wakeup] = []
 
     @property
-    def has_room(self) -> bool:
-        """Whether `take` may succeed."""
-        return bool(self._idle) or self.open < self.limit
+    def has_capacity(self) -> bool:
+        """Whether `acquire` can return a connection."""
+        return bool(self._idle) or self.open_count < self.max_connections
 
-    def take(self, unsafe: bool) -> ServerConnection | None:
-        """An idle connection, or a new one that is still being opened; None where the limit is reached.
+    def acquire(self, unsafe: bool) -> ServerConnection | None:
+        """Returns an idle connection, or a new one that is still connecting; None if the limit is reached.
 
-        Raises OSError where the address cannot be reached at all.
+        Raises OSError if the connection attempt fails immediately.
         """
         now = time.monotonic()
         while self._idle:
@@ -82,68 +82,75 @@
             if connection.is_usable(now, unsafe):
                 return connection
             self.discard(connection)
-        if self.open >= self.limit:
+        if self.open_count >= self.max_connections:
             return None
         connection = ServerConnection(self.address)
-        self.open += 1
+        self.open_count += 1
         return connection
 
-    def give_back(self, connection: ServerConnection, keep_alive_s: float | None) -> None:
-        """The connection has carried a whole answer and may be used again."""
-        if self.closed or connection.socket.ended or connection.socket.received or self.open > self.limit:
+    def release(self, connection: ServerConnection, keep_alive_s: float | None) -> None:
+        """Makes a connection idle after a complete response, or closes it if it cannot be reused."""
+        if (
+            self.closed
+            or connection.socket.ended
+            or connection.socket.received
+            or self.open_count > self.max_connections
+        ):
             self.discard(connection)
             return
         now = time.monotonic()
-        connection.kept_until = now + _time_to_keep(keep_alive_s)
-        connection.fresh_until = now + FRESH_S if keep_alive_s is None else connection.kept_until
+        connection.reusable_until = now + _reusable_for_s(keep_alive_s)
+        connection.unsafe_reusable_until = (
+            now + UNSAFE_REUSE_MAX_IDLE_S if keep_alive_s is None else connection.reusable_until
+        )
         connection.socket.on_event = lambda: self._drop_idle(connection)
         self._idle.append(connection)
-        if self._expiry is None:
-            self._expiry = self._deadlines.schedule(connection.kept_until, self._close_expired)
-        self._wake_next()
+        if self._expiry_timer is None:
+            self._expiry_timer = self._deadlines.schedule(connection.reusable_until, self._close_expired)
+        self._notify_next_waiter()
 
     def discard(self, connection: ServerConnection) -> None:
-        """Closes a connection that was taken."""
+        """Closes a connection that is not to be reused."""
         if not connection.socket.closed:
             connection.socket.close()
-            self.open -= 1
-            self._wake_next()
+            self.open_count -= 1
+            self._notify_next_waiter()
 
     def close(self) -> None:
-        """Closes what is idle, now and when it is given back."""
+        """Closes idle connections, and those in use once they are released."""
         self.closed = True
         while self._idle:
             self.discard(self._idle.pop())
-        if self._expiry is not None:
-            self._expiry.cancel()
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
 
-    def wait_for_room(self, wakeup: Wakeup) -> None:
-        """`wakeup` is told once `take` may succeed."""
-        self._waiting.append(wakeup)
+    def add_waiter(self, wakeup: Wakeup) -> None:
+        """Notifies `wakeup` once `acquire` may succeed."""
+        self._waiters.append(wakeup)
 
-    def stop_waiting(self, wakeup: Wakeup) -> None:
+    def remove_waiter(self, wakeup: Wakeup) -> None:
         with contextlib.suppress(ValueError):
-            self._waiting.remove(wakeup)
+            self._waiters.remove(wakeup)
 
-    def _wake_next(self) -> None:
-        if self._waiting:
-            self._waiting.pop(0).notify()
+    def _notify_next_waiter(self) -> None:
+        if self._waiters:
+            self._waiters.pop(0).notify()
 
     def _drop_idle(self, connection: ServerConnection) -> None:
-        """An idle connection has ended, or bytes that belong to no request have come."""
+        """Closes an idle connection after a disconnect, unexpected bytes or the keep-alive timeout."""
         self._idle.remove(connection)
         self.discard(connection)
 
     def _close_expired(self) -> None:
-        self._expiry = None
+        self._expiry_timer = None
         now = time.monotonic()
-        for connection in [idle for idle in self._idle if idle.kept_until <= now]:
+        for connection in [idle for idle in self._idle if idle.reusable_until <= now]:
             self._drop_idle(connection)
         if self._idle:
-            earliest = min(connection.kept_until for connection in self._idle)
-            self._expiry = self._deadlines.schedule(earliest, self._close_expired)
+            earliest = min(connection.reusable_until for connection in self._idle)
+            self._expiry_timer = self._deadlines.schedule(earliest, self._close_expired)
 
 
-def _time_to_keep(keep_alive_s: float | None) -> float:
-    told = DEFAULT_KEEP_ALIVE_S if keep_alive_s is None else keep_alive_s
-    return max(told - KEEP_ALIVE_MARGIN_S, told * SHORT_KEEP_ALIVE_SHARE)
+def _reusable_for_s(keep_alive_s: float | None) -> float:
+    timeout_s = DEFAULT_KEEP_ALIVE_S if keep_alive_s is None else keep_alive_s
+    return max(timeout_s - KEEP_ALIVE_MARGIN_S, timeout_s * SHORT_KEEP_ALIVE_FRACTION)
--- a/ochrespan/data_plane/dispatcher.py
+++ b/ochrespan/data_plane/dispatcher.py
@@ -1,4 +1,4 @@
-"""Between the scheduler, which has no sockets, and the exchanges: hands events over and actions to their owners."""
+"""Connects the scheduler, which does no I/O, to the exchanges: forwards events to it and its actions to them."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from .decisions import Action, Outcome, Request, Server
 from .router_metrics import RouterMetrics
 
-EARLIEST_TICK_S = 0.001
+MIN_TICK_DELAY_S = 0.001
 
 
 class SchedulerLike(Protocol):
-    """What is used of `scheduler.Scheduler`."""
+    """The methods of `scheduler.Scheduler` that the dispatcher calls."""
 
     def set_servers(
         self, now: float, servers: list[Server], routers: int, rank: int, services: Collection[str] | None = None
@@ -29,78 +29,78 @@
     def next_tick(self, now: float) -> float: ...
 
 
-class DecisionTaker(Protocol):
-    """Whoever waits for the scheduler's decisions about a request."""
+class DecisionReceiver(Protocol):
+    """Receives the scheduler's decisions about one request."""
 
-    def decide(self, action: Action) -> None: ...
+    def receive_decision(self, action: Action) -> None: ...
     def refuse_unsent(self) -> None: ...
 
 
 class Dispatcher:
-    """Owns the scheduler. Each request is known here from `submit` to `close`."""
+    """Owns the scheduler. A request is registered here from `submit` to `close`."""
 
-    def __init__(self, scheduler: SchedulerLike, deadlines: DeadlineHeap, figures: RouterMetrics | None = None) -> None:
+    def __init__(self, scheduler: SchedulerLike, deadlines: DeadlineHeap, metrics: RouterMetrics | None = None) -> None:
         self._scheduler = scheduler
         self._deadlines = deadlines
-        self._figures = figures or RouterMetrics(MetricsRegistry())
-        self._takers: dict[str, DecisionTaker] = {}
+        self._metrics = metrics or RouterMetrics(MetricsRegistry())
+        self._receivers: dict[str, DecisionReceiver] = {}
         self._tick: Deadline | None = None
         self._tick_at = float("inf")
 
     @property
-    def running(self) -> int:
-        """The number of requests that are known."""
-        return len(self._takers)
+    def in_flight_requests(self) -> int:
+        """The number of requests between `submit` and `close`, queued ones included."""
+        return len(self._receivers)
 
     def set_servers(
         self, servers: list[Server], routers: int, rank: int, services: Collection[str] | None = None
     ) -> None:
-        """All servers of these services, or of every service, and this router's place among the live ones."""
+        """Replaces the servers of `services` (None: all services); `rank` is this router's index among `routers`."""
         now = time.monotonic()
         self._apply(now, self._scheduler.set_servers(now, servers, routers, rank, services))
 
-    def submit(self, request: Request, taker: DecisionTaker) -> None:
-        self._takers[request.id] = taker
+    def submit(self, request: Request, receiver: DecisionReceiver) -> None:
+        self._receivers[request.id] = receiver
         now = time.monotonic()
         self._apply(now, self._scheduler.submit(now, request))
 
     def first_event(self, request_id: str, latency_s: float) -> None:
         self._scheduler.first_event(time.monotonic(), request_id, latency_s)
 
-    def ended(self, request_id: str, outcome: Outcome) -> None:
-        self._figures.record_attempt_end(outcome)
+    def attempt_ended(self, request_id: str, outcome: Outcome) -> None:
+        self._metrics.record_attempt_end(outcome)
         now = time.monotonic()
         self._apply(now, self._scheduler.ended(now, request_id, outcome))
 
     def cancel(self, request_id: str) -> None:
-        """The request is over for the client; a request that has ended already is no error."""
+        """Cancels a request on the client's side; one that has already ended is ignored."""
         now = time.monotonic()
         self._apply(now, self._scheduler.cancel(now, request_id))
 
     def close(self, request_id: str) -> None:
-        """The request is over, whether the scheduler knows it or not; no decision about it is told any more."""
-        if self._takers.pop(request_id, None) is not None:
+        """Unregisters a request and cancels it at the scheduler; it receives no further decisions."""
+        if self._receivers.pop(request_id, None) is not None:
             self.cancel(request_id)
 
     def refuse_unsent(self) -> None:
-        """Gives up the requests that no server has been tried for."""
-        for taker in list(self._takers.values()):
-            taker.refuse_unsent()
+        """Refuses all requests for which no server has been tried."""
+        for receiver in list(self._receivers.values()):
+            receiver.refuse_unsent()
 
     def _apply(self, now: float, actions: Iterable[Action]) -> None:
         for action in actions:
-            self._figures.record_decision(action)
-            if taker := self._takers.get(action.request_id):
-                taker.decide(action)
-        self._plan_tick(now)
+            self._metrics.record_decision(action)
+            if receiver := self._receivers.get(action.request_id):
+                receiver.receive_decision(action)
+        self._schedule_tick(now)
 
-    def _plan_tick(self, now: float) -> None:
+    def _schedule_tick(self, now: float) -> None:
         at = self._scheduler.next_tick(now)
         if at < self._tick_at:
             if self._tick is not None:
                 self._tick.cancel()
             self._tick_at = at
-            self._tick = self._deadlines.schedule(max(at, now + EARLIEST_TICK_S), self._run_tick)
+            self._tick = self._deadlines.schedule(max(at, now + MIN_TICK_DELAY_S), self._run_tick)
 
     def _run_tick(self) -> None:
         self._tick, self._tick_at = None, float("inf")
--- a/ochrespan/data_plane/ingress.py
+++ b/ochrespan/data_plane/ingress.py
@@ -1,13 +1,13 @@
-"""gevent's WSGI server, fitted to a router that faces clients directly.
+"""gevent's WSGI server, adapted to a router that faces clients directly.
 
-gevent.pywsgi accepts, keeps the order of pipelined requests, calls the application, and frames answers. It is too
-little here in these points, where the handler takes its place:
+gevent.pywsgi accepts connections, keeps the order of pipelined requests, calls the application and frames responses.
+The handler here replaces it in these respects:
 
-- it reads heads leniently and drops duplicates; `request_head` reads them strictly and keeps them as they came;
-- it has no bounds on sizes and times; `client_connection` has;
-- it does not notice that a client has gone while the application waits; the connection's socket is watched;
-- it does not tell clients how long an idle connection lasts, nor that it will close one;
-- it ends an answer that failed half-way as if it were whole, or with a second head; here the connection just ends.
+- it parses headers leniently and drops duplicates; `request_head` parses strictly and preserves them;
+- it does not limit sizes and times; `client_connection` does;
+- it does not notice that a client disconnects while the application waits; here the connection's socket is watched;
+- it does not tell clients how long an idle connection stays open, nor that it is about to close one;
+- it ends a response that failed midway as if it were complete, or with a second head; here the connection is closed.
 """
 
 from __future__ import annotations
@@ -21,25 +21,25 @@
 
 from gevent.pywsgi import WSGIHandler, WSGIServer
 
-from .client_connection import BodyRoom, ClientConnection
+from .client_connection import BodyMemoryBudget, ClientConnection
 from .deadlines import DeadlineHeap
-from .exchange import AnswerBroken
+from .exchange import ResponseAborted
 from .front import CONNECTION_KEY, HEAD_KEY, Front
-from .own_answers import OwnAnswer
-from .request_head import ClientGone, RequestHead, RequestRefused
+from .local_responses import LocalResponse
+from .request_head import ClientDisconnected, RequestHead, RequestRefused
 
 log = logging.getLogger(__name__)
 
-BACKLOG = 1024
-KEEP_ALIVE_SHARE = 0.8  # of the idle time-out, which is what clients may count on
-JOINED_WRITE_BYTES = 64 * 1024  # a body up to this size is written together with its head
+LISTEN_BACKLOG = 1024
+KEEP_ALIVE_FRACTION = 0.8  # of the idle timeout; announced to clients in the `Keep-Alive` header
+MAX_COALESCED_WRITE_BYTES = 64 * 1024  # data up to this size is written in one call with the headers
 
 
-class _NoInput:
-    """The body is read by the application before anything else, so there is nothing to throw away."""
+class _EmptyInput:
+    """Replaces the library's input: the application reads the body itself, so there is nothing to discard."""
 
     def _discard(self) -> None:
-        """Called by the library after the application."""
+        """Called by the library after the application has returned."""
 
 
 class IngressHandler(WSGIHandler):
@@ -48,54 +48,54 @@
     server: IngressServer
 
     def __init__(self, sock: Any, address: Any, server: IngressServer) -> None:
-        raw = socket.socket(fileno=sock.detach())
-        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.connection = ClientConnection(raw, server.deadlines, server.body_room)
+        client_socket = socket.socket(fileno=sock.detach())
+        client_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        self.connection = ClientConnection(client_socket, server.deadlines, server.body_memory)
         self.socket = self.connection
         self.client_address = address
         self.server = server
         self.rfile = self.connection
 
     def handle(self) -> None:
-        """Answers requests until the connection is to end."""
+        """Serves requests until the connection has to be closed."""
         connection, server = self.connection, self.server
         server.connection_opened(connection)
         try:
             while self._handle_next():
-                server.connection_rests(connection)
+                server.connection_idle(connection)
         finally:
             server.connection_closed(connection)
             connection.close()
 
     def _handle_next(self) -> bool:
-        """Whether the connection may carry a further request."""
+        """Serves one request; returns whether the connection may carry another one."""
         connection = self.connection
         try:
             self.head = connection.read_head(self.server.front.limits)
             if self.head is None:
                 return False
-            self.server.connection_busy(connection)
-            self._take_head(self.head)
+            self.server.connection_active(connection)
+            self._apply_head(self.head)
             self.environ = self.get_environ()
             self.application = self.server.application
             self.handle_one_response()
             return not self.close_connection and not connection.closed
-        except RequestRefused as refused:
-            self._refuse(refused)
+        except RequestRefused as error:
+            self._refuse(error)
             return False
-        except (ClientGone, TimeoutError):
+        except (ClientDisconnected, TimeoutError):
             return False
         finally:
             connection.release_body()
 
-    def _take_head(self, head: RequestHead) -> None:
-        """What the library's own reading would have set."""
+    def _apply_head(self, head: RequestHead) -> None:
+        """Sets the attributes that the library's own parser would have set."""
         self.command, self.path, self.request_version = head.method, head.target, head.version
         self.requestline = f"{head.method} {head.target} {head.version}"
         self.close_connection = not head.keep_alive
         self.content_length = head.content_length
-        self.wsgi_input = _NoInput()
-        self.connection.answer_until = time.monotonic() + self.server.front.limits.idle_timeout_s
+        self.wsgi_input = _EmptyInput()
+        self.connection.write_deadline = time.monotonic() + self.server.front.limits.idle_timeout_s
 
     def get_environ(self) -> dict[str, Any]:
         environ = self.server.get_environ()
@@ -119,7 +119,7 @@
             self.response_headers.append((b"Keep-Alive", self.server.keep_alive_value))
 
     def _write_with_headers(self, data: bytes) -> None:
-        """Writes head and first piece at once."""
+        """Writes the headers together with the first chunk of the body if that is small."""
         self.headers_sent = True
         self.finalize_headers()
         lines = [b"HTTP/1.1 " + self.status]
@@ -129,78 +129,79 @@
             data = b""
         if self.response_use_chunked and data:
             data = b"%x\r\n%b\r\n" % (len(data), data)
-        if len(data) <= JOINED_WRITE_BYTES:
+        if len(data) <= MAX_COALESCED_WRITE_BYTES:
             self._sendall(head + data)
         else:
             self._sendall(head)
             self._sendall(data)
 
     def _sendall(self, data: bytes | bytearray) -> None:
-        self.connection.write(data, self.connection.answer_until)
+        self.connection.write(data, self.connection.write_deadline)
         self.response_length += len(data)
 
     def handle_error(self, t: Any, v: Any, tb: Any) -> None:
-        """An exception of the application."""
+        """Handles an exception raised by the application."""
         self.close_connection = True
         if isinstance(v, RequestRefused) and not self.headers_sent:
             self._refuse(v)
-        elif isinstance(v, ClientGone | TimeoutError):
+        elif isinstance(v, ClientDisconnected | TimeoutError):
             self.connection.close()
-        elif isinstance(v, AnswerBroken):
-            log.info("answer broken off path=%s reason=%s", self.path, v)
-            self._break_off()
+        elif isinstance(v, ResponseAborted):
+            log.info("response aborted path=%s reason=%s", self.path, v)
+            self._abort_response()
         else:
             log.error("request failed path=%s", self.path, exc_info=(t, v, tb))
             if self.headers_sent:
-                self._break_off()
+                self._abort_response()
             else:
-                self._answer(OwnAnswer(500, "internal error"))
+                self._send_local_response(LocalResponse(500, "internal error"))
 
     def log_request(self) -> None:
-        """Requests are not logged one by one: that costs more than serving them."""
+        """Does nothing: logging each request costs more than serving it."""
 
     def _has_length(self) -> bool:
-        """Whether the client can tell the end of the answer from an early end of the connection."""
+        """Whether the framing lets the client distinguish a complete response from a truncated one."""
         return self.response_use_chunked or any(name.lower() == b"content-length" for name, _ in self.response_headers)
 
-    def _break_off(self) -> None:
-        """Closes the connection within an answer, so that it cannot look complete."""
+    def _abort_response(self) -> None:
+        """Ends the connection in the middle of a response, so that the client sees that it is incomplete."""
         if self._has_length():
             self.connection.close()
         else:
             self.connection.reset()
 
-    def _refuse(self, refused: RequestRefused) -> None:
-        """Answers a request that could not be read, and closes: what follows it could be anything."""
-        self._answer(OwnAnswer(refused.status, str(refused), retry_after=refused.retry_after))
+    def _refuse(self, error: RequestRefused) -> None:
+        """Responds to a malformed request and closes: the start of the next request cannot be found reliably."""
+        self._send_local_response(LocalResponse(error.status, str(error), retry_after=error.retry_after))
         self.connection.linger_and_close()
 
-    def _answer(self, answer: OwnAnswer) -> None:
+    def _send_local_response(self, response: LocalResponse) -> None:
         self.command, self.request_version, self.close_connection = "GET", "HTTP/1.1", True
         self.headers_sent, self.response_use_chunked, self.response_length = False, False, 0
-        with contextlib.suppress(ClientGone, TimeoutError):
-            self.result = answer.respond(self.start_response)
+        with contextlib.suppress(ClientDisconnected, TimeoutError):
+            self.result = response.respond(self.start_response)
             self.process_result()
         self.result = None
 
 
 class IngressServer(WSGIServer):
-    """Accepts clients' connections, up to a bound, and knows which of them rest."""
+    """Accepts client connections up to a limit, and tracks which of them are idle."""
 
     handler_class = IngressHandler
 
     def __init__(
         self, listener: Any, front: Front, deadlines: DeadlineHeap, max_connections: int, max_body_bytes: int
     ) -> None:
-        environment = {"SERVER_NAME": "router"}  # else the library would look the name up
-        backlog = None if isinstance(listener, socket.socket) else BACKLOG  # a socket that listens has its own
+        environment = {"SERVER_NAME": "router"}  # otherwise the library resolves the host name
+        # A socket that already listens has its own backlog.
+        backlog = None if isinstance(listener, socket.socket) else LISTEN_BACKLOG
         super().__init__(listener, front, log=None, error_log=None, environ=environment, backlog=backlog)
         self.front = front
         self.deadlines = deadlines
         self.max_connections = max_connections
-        self.body_room = BodyRoom(max_body_bytes)
+        self.body_memory = BodyMemoryBudget(max_body_bytes)
         self.draining = False
-        self._resting: OrderedDict[ClientConnection, None] = OrderedDict()  # longest first
+        self._idle: OrderedDict[ClientConnection, None] = OrderedDict()  # the longest idle one first
         self._open: set[ClientConnection] = set()
 
     @property
@@ -208,44 +209,44 @@
         return len(self._open)
 
     @property
-    def connections_with_unserved_bytes(self) -> int:
-        """The number of resting connections on which a request has begun to arrive."""
-        return sum(connection.has_received for connection in self._resting)
+    def idle_connections_with_request_bytes(self) -> int:
+        """The number of idle connections that have received part of a request."""
+        return sum(connection.has_unread_bytes for connection in self._idle)
 
     @property
     def keep_alive_value(self) -> bytes:
-        return b"timeout=%d" % max(1, int(self.front.limits.idle_timeout_s * KEEP_ALIVE_SHARE))
+        return b"timeout=%d" % max(1, int(self.front.limits.idle_timeout_s * KEEP_ALIVE_FRACTION))
 
     def connection_opened(self, connection: ClientConnection) -> None:
         self._open.add(connection)
-        self._resting[connection] = None
+        self._idle[connection] = None
         if len(self._open) > self.max_connections:
-            self._end_resting(next((each for each in self._resting if not each.has_received), connection))
+            self._close_idle(next((each for each in self._idle if not each.has_unread_bytes), connection))
 
-    def connection_rests(self, connection: ClientConnection) -> None:
-        self._resting[connection] = None
-        if self.draining and not connection.has_received:
-            self._end_resting(connection)
+    def connection_idle(self, connection: ClientConnection) -> None:
+        self._idle[connection] = None
+        if self.draining and not connection.has_unread_bytes:
+            self._close_idle(connection)
 
-    def connection_busy(self, connection: ClientConnection) -> None:
-        self._resting.pop(connection, None)
+    def connection_active(self, connection: ClientConnection) -> None:
+        self._idle.pop(connection, None)
 
     def connection_closed(self, connection: ClientConnection) -> None:
         self._open.discard(connection)
-        self._resting.pop(connection, None)
+        self._idle.pop(connection, None)
 
     def drain(self) -> None:
-        """Answers carry `Connection: close` from now on, and connections that rest are closed."""
+        """Sends `Connection: close` with responses from now on, and closes idle connections."""
         self.draining = True
-        for connection in list(self._resting):
-            if not connection.has_received:  # what has been read has to be answered
-                self._end_resting(connection)
+        for connection in list(self._idle):
+            if not connection.has_unread_bytes:  # a request that has started to arrive must be served
+                self._close_idle(connection)
 
-    def break_off(self) -> None:
-        """Closes all connections, whatever they carry."""
+    def abort_connections(self) -> None:
+        """Closes all connections, including those with requests in flight."""
         for connection in list(self._open):
-            connection.end()
+            connection.close_and_notify()
 
-    def _end_resting(self, connection: ClientConnection) -> None:
-        self._resting.pop(connection, None)
-        connection.end()
+    def _close_idle(self, connection: ClientConnection) -> None:
+        self._idle.pop(connection, None)
+        connection.close_and_notify()
--- a/ochrespan/data_plane/quota_admission.py
+++ b/ochrespan/data_plane/quota_admission.py
@@ -71,13 +71,13 @@
         self._requested_at: dict[str, float] = {}
 
     def take(self, client: ClientConnection, tenant: str, tokens: float, wait_until: float) -> QuotaReservation:
-        """Returns a reservation, valid or not; raises ClientGone if the client leaves while its request waits."""
+        """Returns a reservation, valid or not; raises ClientDisconnected if the client leaves while it waits."""
         reservation = self._request_tokens(tenant, tokens)
         while not reservation.is_valid:
             delay_s = max(reservation.retry_after_s, REQUEST_INTERVAL_S)
             if time.monotonic() + delay_s > wait_until:
                 break
-            client.pause(delay_s)
+            client.sleep(delay_s)
             if time.monotonic() - self._requested_at[tenant] >= REQUEST_INTERVAL_S:
                 reservation = self._request_tokens(tenant, tokens, reservation.request_count + 1)
         return reservation
--- a/ochrespan/data_plane/readiness.py
+++ b/ochrespan/data_plane/readiness.py
@@ -1,4 +1,4 @@
-"""The platform's question whether this router wants new connections, an operator's drain, and the figures."""
+"""HTTP server for the platform's readiness probe, an operator's drain and the metrics."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from ochrespan.common.validation import Finding, Findings, ValidationError, flag
 from ochrespan.observability.metrics import CONTENT_TYPE, MetricsRegistry
 
-from .own_answers import OwnAnswer, StartResponse
+from .local_responses import LocalResponse, StartResponse
 
 READY_PATH = "/api/readyz"
-FIGURES_PATH = "/api/metrics"
+METRICS_PATH = "/api/metrics"
 READINESS_PATH = "/api/readiness"
 MAX_BODY_BYTES = 1024
 
@@ -23,13 +23,13 @@
 
 
 class Readiness(TypedDict):
-    """What an operator sends to READINESS_PATH."""
+    """The body of a PUT request to READINESS_PATH."""
 
     drained: bool
 
 
 class ReadinessServer(WSGIServer):
-    """Answers 200 while `is_ready` says so, else 503. The library's own handler does for a question a second."""
+    """Responds 200 while `is_ready` returns True, else 503. gevent's handler suffices for one probe a second."""
 
     def __init__(
         self,
@@ -38,32 +38,32 @@
         set_drained: Callable[[bool], None],
         registry: MetricsRegistry,
     ) -> None:
-        environment = {"SERVER_NAME": "router"}  # else the library would look the name up
+        environment = {"SERVER_NAME": "router"}  # otherwise the library resolves the host name
         super().__init__(listener, self._respond, log=None, error_log=None, environ=environment)
         self._is_ready = is_ready
         self._set_drained = set_drained
         self._registry = registry
 
     def _respond(self, environ: Environment, start_response: StartResponse) -> Iterable[bytes]:
-        asked = environ["REQUEST_METHOD"], environ["PATH_INFO"]
-        if asked == ("GET", READY_PATH):
-            answer = OwnAnswer(200, "ready") if self._is_ready() else OwnAnswer(503, "not ready")
-            return answer.respond(start_response)
-        if asked == ("GET", FIGURES_PATH):
+        endpoint = environ["REQUEST_METHOD"], environ["PATH_INFO"]
+        if endpoint == ("GET", READY_PATH):
+            response = LocalResponse(200, "ready") if self._is_ready() else LocalResponse(503, "not ready")
+            return response.respond(start_response)
+        if endpoint == ("GET", METRICS_PATH):
             return _respond_with(start_response, HTTPStatus.OK, CONTENT_TYPE, self._registry.render())
-        if asked == ("PUT", READINESS_PATH):
+        if endpoint == ("PUT", READINESS_PATH):
             return self._change(environ, start_response)
-        allowed = f"GET {READY_PATH}, GET {FIGURES_PATH}, PUT {READINESS_PATH}"
-        return OwnAnswer(404, f"found nothing, allowed {allowed}").respond(start_response)
+        allowed = f"GET {READY_PATH}, GET {METRICS_PATH}, PUT {READINESS_PATH}"
+        return LocalResponse(404, f"found nothing, allowed {allowed}").respond(start_response)
 
     def _change(self, environ: Environment, start_response: StartResponse) -> Iterable[bytes]:
         try:
-            wanted = _read_readiness(environ)
+            requested = _read_readiness(environ)
         except ValidationError as error:
             findings = [each.fields() for each in error.findings]
             return _respond_with_json(start_response, HTTPStatus.BAD_REQUEST, {"findings": findings})
-        self._set_drained(wanted["drained"])
-        return _respond_with_json(start_response, HTTPStatus.OK, wanted)
+        self._set_drained(requested["drained"])
+        return _respond_with_json(start_response, HTTPStatus.OK, requested)
 
 
 def _read_readiness(environ: Environment) -> Readiness:
--- a/ochrespan/data_plane/request_head.py
+++ b/ochrespan/data_plane/request_head.py
@@ -1,4 +1,4 @@
-"""The head of a request, read strictly: what could be understood in two ways is refused."""
+"""Strict parser for the head of a request (request line and headers): ambiguous input is refused."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RequestRefused(ValueError):
-    """A request that is not read: the status of the answer, where the fault lies, what was found and is allowed."""
+    """A malformed or oversized request: the response's status, the faulty part, what was found and what is allowed."""
 
     def __init__(self, status: int, where: str, found: str, allowed: str, retry_after: float | None = None) -> None:
         super().__init__(f"{where}: found {found}, allowed {allowed}")
@@ -24,13 +24,13 @@
         self.retry_after = retry_after
 
 
-class ClientGone(ConnectionError):
+class ClientDisconnected(ConnectionError):
     """The client has closed its connection."""
 
 
 @dataclass(slots=True)
 class RequestHead:
-    """Request line and headers. Header names keep their spelling, their order and their duplicates."""
+    """Request line and headers. Headers keep their case, order and duplicates."""
 
     method: str
     target: str
@@ -47,36 +47,38 @@
         return self.target.partition("?")[0]
 
     def values(self, name: str) -> list[str]:
-        """All values of a header, whose name is given in lower case."""
+        """All values of a header; `name` is in lower case."""
         return [value for key, value in self.headers if key.lower() == name]
 
 
 def parse_head(data: bytes) -> RequestHead:
-    """The head in `data`, which ends before the empty line; raises RequestRefused."""
-    if fault := _FORBIDDEN_BYTES.search(data):
-        raise RequestRefused(BAD_REQUEST, f"byte {fault.start()} of the head", repr(fault.group()), "printable text")
+    """Parses the head in `data`, without the final empty line; raises RequestRefused."""
+    if forbidden := _FORBIDDEN_BYTES.search(data):
+        raise RequestRefused(
+            BAD_REQUEST, f"byte {forbidden.start()} of the head", repr(forbidden.group()), "printable text"
+        )
     lines = data.decode("latin-1").split("\r\n")
     method, target, version = _request_line(lines[0])
     headers = [_header(line) for line in lines[1:]]
-    found: dict[str, list[str]] = {}
+    values_by_name: dict[str, list[str]] = {}
     for name, value in headers:
-        found.setdefault(name.lower(), []).append(value)
-    chunked = _is_chunked(found, version)
+        values_by_name.setdefault(name.lower(), []).append(value)
+    chunked = _is_chunked(values_by_name, version)
     return RequestHead(
         method,
         target,
         version,
         headers,
-        host=_host(found, version),
-        content_length=_content_length(found),
+        host=_host(values_by_name, version),
+        content_length=_content_length(values_by_name),
         chunked=chunked,
-        keep_alive=_keeps_alive(found, version),
-        expects_continue=_expects_continue(found),
+        keep_alive=_keep_alive(values_by_name, version),
+        expects_continue=_expects_continue(values_by_name),
     )
 
 
 def parse_chunk_size(line: bytes) -> int:
-    """The size in the line before a chunk; raises RequestRefused."""
+    """Parses the size line of a chunk; raises RequestRefused."""
     digits = line.partition(b";")[0].rstrip(b" \t")
     if not _CHUNK_SIZE.fullmatch(digits) or _FORBIDDEN_BYTES.search(line):
         raise RequestRefused(BAD_REQUEST, "chunk size", repr(line[:40]), "hexadecimal digits")
@@ -105,26 +107,26 @@
     return name, value.strip(" \t")
 
 
-def _host(found: dict[str, list[str]], version: str) -> str:
-    hosts = found.get("host", [])
+def _host(values_by_name: dict[str, list[str]], version: str) -> str:
+    hosts = values_by_name.get("host", [])
     if len(hosts) != 1 and not (version == "HTTP/1.0" and not hosts):
         raise RequestRefused(BAD_REQUEST, "Host", f"{len(hosts)} headers", "one")
     return hosts[0].lower() if hosts else ""
 
 
-def _is_chunked(found: dict[str, list[str]], version: str) -> bool:
-    encodings = found.get("transfer-encoding")
+def _is_chunked(values_by_name: dict[str, list[str]], version: str) -> bool:
+    encodings = values_by_name.get("transfer-encoding")
     if encodings is None:
         return False
-    if "content-length" in found:
+    if "content-length" in values_by_name:
         raise RequestRefused(BAD_REQUEST, "Transfer-Encoding", "Content-Length as well", "one of both")
     if len(encodings) != 1 or encodings[0].lower() != "chunked" or version == "HTTP/1.0":
         raise RequestRefused(BAD_REQUEST, "Transfer-Encoding", repr(", ".join(encodings)[:40]), "chunked")
     return True
 
 
-def _content_length(found: dict[str, list[str]]) -> int | None:
-    lengths = found.get("content-length")
+def _content_length(values_by_name: dict[str, list[str]]) -> int | None:
+    lengths = values_by_name.get("content-length")
     if lengths is None:
         return None
     if len(lengths) != 1 or not _DIGITS.fullmatch(lengths[0]):
@@ -132,13 +134,13 @@
     return int(lengths[0])
 
 
-def _keeps_alive(found: dict[str, list[str]], version: str) -> bool:
-    options = {option.strip().lower() for value in found.get("connection", ()) for option in value.split(",")}
+def _keep_alive(values_by_name: dict[str, list[str]], version: str) -> bool:
+    options = {option.strip().lower() for value in values_by_name.get("connection", ()) for option in value.split(",")}
     return "close" not in options and (version == "HTTP/1.1" or "keep-alive" in options)
 
 
-def _expects_continue(found: dict[str, list[str]]) -> bool:
-    expectations = found.get("expect")
+def _expects_continue(values_by_name: dict[str, list[str]]) -> bool:
+    expectations = values_by_name.get("expect")
     if expectations is None:
         return False
     if [value.lower() for value in expectations] != ["100-continue"]:
--- a/ochrespan/data_plane/watched_socket.py
+++ b/ochrespan/data_plane/watched_socket.py
@@ -1,4 +1,4 @@
-"""Non-blocking sockets whose read watcher stays armed, so that waiting for the next bytes costs no system call."""
+"""Non-blocking sockets whose read watcher stays registered, so that waiting for more bytes costs no system call."""
 
 from __future__ import annotations
 
@@ -9,29 +9,40 @@
 
 import gevent
 
-READ, WRITE = 1, 2  # events of a watcher
+READ, WRITE = 1, 2  # event masks of gevent io watchers
 RECEIVE_BYTES = 64 * 1024
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 def ignore_event() -> None:
-    """For a socket that nobody waits for."""
+    """The `on_event` of a socket on which no greenlet waits."""
 
 
 class WatchedSocket:
-    """Collects what arrives in `received`, up to a bound, and tells `on_event` of it in the event loop.
+    """Buffers incoming data in `received`, up to `received_limit` bytes, and calls `on_event` in the event loop.
 
-    Reading pauses while `received` is full, until `take` empties it. `ended` is set once the peer has closed its side
-    or the connection has failed.
+    Reading pauses while `received` is full, until `take_received` empties it. `ended` is set once the peer has closed
+    its side or the connection has failed.
     """
 
-    __slots__ = ("_sock", "_loop", "_reader", "_writer", "_paused", "bound", "received", "ended", "failed", "on_event")
-
-    def __init__(self, sock: socket.socket, received_bound: int, on_event: Callable[[], None] = ignore_event) -> None:
+    __slots__ = (
+        "_sock",
+        "_loop",
+        "_reader",
+        "_writer",
+        "_reading_paused",
+        "received_limit",
+        "received",
+        "ended",
+        "failed",
+        "on_event",
+    )
+
+    def __init__(self, sock: socket.socket, received_limit: int, on_event: Callable[[], None] = ignore_event) -> None:
         self._sock = sock
         self._loop = gevent.get_hub().loop
-        self.bound = received_bound
-        self._paused = False
+        self.received_limit = received_limit
+        self._reading_paused = False
         self._writer = None
         self.received = bytearray()
         self.ended = False
@@ -44,43 +55,43 @@
     def closed(self) -> bool:
         return self._reader is None
 
-    def take(self) -> bytes:
-        """All bytes that have arrived."""
+    def take_received(self) -> bytes:
+        """Removes and returns all buffered bytes."""
         data = bytes(self.received)
         self.received.clear()
-        self.resume()
+        self.resume_reading()
         return data
 
-    def resume(self) -> None:
-        """Reads on if reading has paused and there is room again."""
-        if self._paused and len(self.received) < self.bound and self._reader is not None:
-            self._paused = False
+    def resume_reading(self) -> None:
+        """Resumes reading if it was paused and the buffer is below its limit again."""
+        if self._reading_paused and len(self.received) < self.received_limit and self._reader is not None:
+            self._reading_paused = False
             self._reader.start(self._readable)
 
-    def poll(self) -> None:
-        """Reads what has arrived but has not been seen by the event loop yet."""
-        if not self.ended and not self._paused and self._reader is not None:
+    def receive_available(self) -> None:
+        """Reads bytes that have arrived but that the event loop has not processed yet."""
+        if not self.ended and not self._reading_paused and self._reader is not None:
             self._receive()
 
-    def send_some(self, data: bytes | bytearray | memoryview) -> int:
-        """The number of bytes that were taken at once; raises OSError where the connection has failed."""
+    def try_send(self, data: bytes | bytearray | memoryview) -> int:
+        """Sends without blocking; returns the number of bytes sent, and raises OSError if the connection has failed."""
         try:
             return self._sock.send(data)
         except BlockingIOError:
             return 0
 
     def watch_writable(self) -> None:
-        """Tells `on_event` once, as soon as more can be sent."""
+        """Calls `on_event` once, as soon as more can be sent."""
         if self._writer is None:
             self._writer = self._loop.io(self._sock.fileno(), WRITE)
         self._writer.start(self._writable)
 
     @property
-    def waits_for_writable(self) -> bool:
+    def awaiting_writable(self) -> bool:
         return self._writer is not None and self._writer.active
 
     def connect_error(self) -> int:
-        """The error number of a connection attempt that has ended, 0 for success."""
+        """The errno of a finished connection attempt, 0 for success."""
         return self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
 
     def shutdown_write(self) -> None:
@@ -88,7 +99,7 @@
             self._sock.shutdown(socket.SHUT_WR)
 
     def close(self) -> None:
-        """Closes the connection; with unread bytes, the peer sees a reset."""
+        """Closes the connection; if there are unread bytes, the kernel sends a reset."""
         if self._reader is None:
             return
         self._reader.close()
@@ -101,7 +112,7 @@
             self._sock.close()
 
     def reset(self) -> None:
-        """Closes the connection so that the peer sees that it was broken off."""
+        """Closes the connection with a reset, so that the peer sees that it was aborted."""
         if self._reader is not None:
             with contextlib.suppress(OSError):
                 self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
@@ -121,8 +132,8 @@
             self.failed = True
         if data:
             self.received += data
-            if len(self.received) >= self.bound:
-                self._paused = True
+            if len(self.received) >= self.received_limit:
+                self._reading_paused = True
                 self._reader.stop()
         else:
             self.ended = True
--- a/tests/fleet_standins.py
+++ b/tests/fleet_standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the data plane's tests: servers that answer by script, clients on raw sockets, a plain scheduler."""
+"""Test doubles for the data plane: scripted servers, clients on raw sockets, a simple scheduler."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 from ochrespan.data_plane.decision_record import DecisionLog
 from ochrespan.data_plane.decisions import Fail, Outcome, Refuse, Request, Send, Server
 from ochrespan.data_plane.dispatcher import Dispatcher
-from ochrespan.data_plane.exchange import ExchangeTools
+from ochrespan.data_plane.exchange import ExchangeContext
 from ochrespan.data_plane.front import Front
 from ochrespan.data_plane.ingress import IngressServer
 from ochrespan.data_plane.routing_table import RoutingTable
 from ochrespan.data_plane.server_pools import ServerPools
 
-PATIENCE_S = 5.0  # for what must happen; nothing waits that long in a passing test
+CLIENT_TIMEOUT_S = 5.0  # a passing test never waits this long
 HOST = "models.example"
 
 
 @dataclass
 class Received:
-    """A request as a stand-in server has read it."""
+    """A request received by a stand-in server."""
 
     line: str
     headers: list[tuple[str, str]]
@@ -54,16 +54,16 @@
 
 
 class StandInServer:
-    """Answers each request by the next step of its script; the last step is repeated."""
+    """A server that handles each request with the next step of its script; the last step is repeated."""
 
     def __init__(self, *script: Callable[[Received], None]) -> None:
         self.script = list(script)
-        self.before_request: Callable[[Received], None] | None = None  # in place of reading the first request
+        self.before_request: Callable[[Received], None] | None = None  # runs before the first request is read
         self.requests: list[Received] = []
         self.connections = 0
-        self.peers_gone = 0
+        self.disconnect_count = 0
         self.arrived = Event()
-        self.peer_gone = Event()
+        self.peer_disconnected = Event()
         self._server = StreamServer(("127.0.0.1", 0), self._serve)
         self._server.start()
 
@@ -85,11 +85,11 @@
                 self.arrived.set()
                 step = self.script.pop(0) if len(self.script) > 1 else self.script[0]
                 step(received)
-            self.peers_gone += 1
-            self.peer_gone.set()
+            self.disconnect_count += 1
+            self.peer_disconnected.set()
         except OSError:
-            self.peers_gone += 1
-            self.peer_gone.set()
+            self.disconnect_count += 1
+            self.peer_disconnected.set()
         finally:
             sock.close()
 
@@ -113,10 +113,10 @@
     return Received(line.decode().strip(), headers, reader.read(length), sock)
 
 
-# Steps of scripts.
+# Script steps.
 
 
-def answer(body: bytes = b"hello", status: str = "200 OK", extra: str = "") -> Callable[[Received], None]:
+def respond(body: bytes = b"hello", status: str = "200 OK", extra: str = "") -> Callable[[Received], None]:
     def step(received: Received) -> None:
         head = f"HTTP/1.1 {status}\r\nX-Request-Id: {received.id}\r\nX-Server-Stamp: stamp\r\n{extra}"
         received.connection.sendall(f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body)
@@ -142,10 +142,10 @@
     raise ConnectionResetError
 
 
-def hold(received: Received) -> None:
-    """Says nothing; ends when the caller has gone."""
+def stall(received: Received) -> None:
+    """Sends nothing until the peer disconnects."""
     if received.connection.recv(1):
-        raise AssertionError("bytes behind a request")
+        raise AssertionError("unexpected bytes after a request")
     raise ConnectionResetError
 
 
@@ -166,7 +166,7 @@
 def stream(
     *numbers: int, end: Callable[[Received], None] | None = None, stamp: str = "stamp", gate: Any = None
 ) -> Callable[[Received], None]:
-    """Events with these ids, then an orderly end, or `end` in its place; `gate` is waited for before each event."""
+    """Streams events with these ids, then runs `end` or ends in order; calls `gate` before each event."""
 
     def step(received: Received) -> None:
         received.connection.sendall(STREAM_HEAD.format(id=received.id, stamp=stamp).encode())
@@ -182,20 +182,20 @@
 
 
 class PlainScheduler:
-    """Sends to the servers in the order of the table; keeps what it was told."""
+    """Sends attempts to the servers in table order, and records its calls."""
 
     def __init__(self, max_attempts: int = 3) -> None:
         self.servers: list[Server] = []
         self.requests: dict[str, Request] = {}
         self.submitted: list[Request] = []
-        self.tried: dict[str, int] = {}
+        self.attempt_counts: dict[str, int] = {}
         self.outcomes: list[Outcome] = []
         self.first_events: list[str] = []
         self.cancelled: list[str] = []
         self.may_have_run: set[str] = set()
         self.max_attempts = max_attempts
-        self.holds = False
-        self.cancel_seen, self.submit_seen = Event(), Event()
+        self.holds_requests = False
+        self.cancelled_event, self.submitted_event = Event(), Event()
 
     def set_servers(
         self, now: float, servers: list[Server], routers: int, rank: int, services: Collection[str] | None = None
@@ -206,17 +206,17 @@
     def submit(self, now: float, request: Request) -> list[Any]:
         self.requests[request.id] = request
         self.submitted.append(request)
-        self.submit_seen.set()
-        return [] if self.holds else self._send(now, request)
+        self.submitted_event.set()
+        return [] if self.holds_requests else self._send(now, request)
 
     def release(self) -> list[Any]:
-        self.holds = False
+        self.holds_requests = False
         return [action for request in self.submitted for action in self._send(request.arrived_at, request)]
 
     def cancel(self, now: float, request_id: str) -> list[Any]:
         if self.requests.pop(request_id, None):
             self.cancelled.append(request_id)
-            self.cancel_seen.set()
+            self.cancelled_event.set()
         return []
 
     def first_event(self, now: float, request_id: str, latency_s: float) -> None:
@@ -232,7 +232,7 @@
         if ran:
             self.may_have_run.add(request_id)
         repeatable = request.safe or request.resumable
-        in_time = now < request.deadline and self.tried[request_id] < min(self.max_attempts, len(self.servers))
+        in_time = now < request.deadline and self.attempt_counts[request_id] < min(self.max_attempts, len(self.servers))
         if in_time and (repeatable or request_id not in self.may_have_run):
             return self._send(now, request)
         del self.requests[request_id]
@@ -247,11 +247,11 @@
         return float("inf")
 
     def _send(self, now: float, request: Request) -> list[Any]:
-        attempt = self.tried.get(request.id, 0)
+        attempt = self.attempt_counts.get(request.id, 0)
         if not self.servers:
             del self.requests[request.id]
             return [Refuse(request.id, 503, 0.25)]
-        self.tried[request.id] = attempt + 1
+        self.attempt_counts[request.id] = attempt + 1
         server = self.servers[attempt % len(self.servers)]
         return [Send(request.id, server.id, attempt + 1, 3, request.deadline - now)]
 
@@ -282,25 +282,26 @@
 
 
 @dataclass
-class Router:
-    """An ingress with its scheduler and pools, all in this process."""
+class RouterHarness:
+    """An ingress with its scheduler and connection pools in the test process."""
 
     scheduler: Any
     front: Front
     server: IngressServer
     pools: ServerPools
     dispatcher: Dispatcher
-    fresh: bool = True
+    table_is_fresh: bool = True
     clients: list[Any] = field(default_factory=list)
 
-    def use(self, view: ConfigurationView, *servers: StandInServer | tuple[str, int]) -> None:
-        listed = [
+    def load(self, view: ConfigurationView, *servers: StandInServer | tuple[str, int]) -> None:
+        """Loads a configuration and its servers in place of the previous ones."""
+        server_list = [
             Server(f"i-{number}", "service", getattr(server, "address", server), "zone", 8)
             for number, server in enumerate(servers)
         ]
         self.front.set_first_table(RoutingTable(view))
-        self.pools.set_servers(listed, 1)
-        self.dispatcher.set_servers(listed, 1, 0)
+        self.pools.set_servers(server_list, 1)
+        self.dispatcher.set_servers(server_list, 1, 0)
 
     def client(self) -> Client:
         client = Client(("127.0.0.1", self.server.server_port))
@@ -312,32 +313,32 @@
 def router(
     scheduler: Any = None, max_connections: int = 100, quotas: Any = None, max_body_bytes: int = 10_000_000,
     decision_log: DecisionLog | None = None,
-) -> Iterator[Router]:  # fmt: skip
+) -> Iterator[RouterHarness]:  # fmt: skip
     deadlines = DeadlineHeap(gevent.get_hub().loop)
     scheduler = scheduler or PlainScheduler()
     dispatcher, pools = Dispatcher(scheduler, deadlines), ServerPools(deadlines)
-    tools = ExchangeTools(dispatcher, pools, deadlines, decision_log or DecisionLog())
-    front = Front(tools, lambda: made.fresh, quotas)
+    context = ExchangeContext(dispatcher, pools, deadlines, decision_log or DecisionLog())
+    front = Front(context, lambda: harness.table_is_fresh, quotas)
     server = IngressServer(("127.0.0.1", 0), front, deadlines, max_connections, max_body_bytes)
-    made = Router(scheduler, front, server, pools, dispatcher)
+    harness = RouterHarness(scheduler, front, server, pools, dispatcher)
     server.start()
     try:
-        yield made
+        yield harness
     finally:
-        for client in made.clients:
+        for client in harness.clients:
             client.close()
         server.stop()
         pools.close()
 
 
 @dataclass
-class Answer:
-    """An answer as a client has read it; `whole` tells whether it came to its end."""
+class ClientResponse:
+    """A response as read by a client; `complete` is False if it was truncated."""
 
     status: int
     headers: list[tuple[str, str]]
     body: bytes = b""
-    whole: bool = False
+    complete: bool = False
 
     def value(self, name: str) -> str | None:
         values = [value for key, value in self.headers if key.lower() == name.lower()]
@@ -348,16 +349,18 @@
     """A client on a raw socket."""
 
     def __init__(self, address: tuple[str, int]) -> None:
-        self.sock = socket.create_connection(address, timeout=PATIENCE_S)
+        self.sock = socket.create_connection(address, timeout=CLIENT_TIMEOUT_S)
         self.reader = self.sock.makefile("rb")
 
     def send(self, data: bytes) -> None:
         self.sock.sendall(data)
 
-    def ask(self, path: str = "/a", method: str = "POST", body: bytes = b"", headers: str = "", id: str = "q1") -> None:
+    def send_request(
+        self, path: str = "/a", method: str = "POST", body: bytes = b"", headers: str = "", id: str = "q1"
+    ) -> None:
         self.send(request_bytes(path, method, body, headers, id))
 
-    def read_head(self) -> Answer | None:
+    def read_head(self) -> ClientResponse | None:
         try:
             line = self.reader.readline()
         except OSError:
@@ -368,38 +371,38 @@
         while (header := self.reader.readline()) not in (b"\r\n", b""):
             name, _, value = header.decode("latin-1").strip().partition(":")
             headers.append((name, value.strip()))
-        return Answer(int(line.split()[1]), headers)
+        return ClientResponse(int(line.split()[1]), headers)
 
     def read_chunk(self) -> bytes:
-        """The next chunk; nothing at an orderly end. Raises ConnectionError where the answer is broken off."""
+        """Reads the next chunk, empty at the end. Raises ConnectionError if the response is truncated."""
         line = self.reader.readline()
         if not line.endswith(b"\r\n"):
-            raise ConnectionError("broken off")
+            raise ConnectionError("response truncated")
         size = int(line, 16)
         data = self.reader.read(size + 2)
         if len(data) != size + 2:
-            raise ConnectionError("broken off")
+            raise ConnectionError("response truncated")
         return data[:-2]
 
-    def read_answer(self) -> Answer | None:
-        found = self.read_head()
-        if found is None:
+    def read_response(self) -> ClientResponse | None:
+        response = self.read_head()
+        if response is None:
             return None
         try:
-            if found.value("Transfer-Encoding") == "chunked":
-                while piece := self.read_chunk():
-                    found.body += piece
-                found.whole = True
+            if response.value("Transfer-Encoding") == "chunked":
+                while data := self.read_chunk():
+                    response.body += data
+                response.complete = True
             else:
-                length = int(found.value("Content-Length") or 0)
-                found.body = self.reader.read(length)
-                found.whole = len(found.body) == length
+                length = int(response.value("Content-Length") or 0)
+                response.body = self.reader.read(length)
+                response.complete = len(response.body) == length
         except OSError:
             pass
-        return found
+        return response
 
     def is_closed(self) -> bool:
-        """Waits for the router to end the connection; bytes before that are an error."""
+        """Waits for the router to close the connection; False if bytes arrive before."""
         try:
             return self.reader.read(1) == b""
         except ConnectionError:
--- a/tests/golden/test_decision_record_fields.py
+++ b/tests/golden/test_decision_record_fields.py
@@ -2,7 +2,7 @@
 
 from ochrespan.control_plane.quota.client import UNLIMITED, TokenReservation
 from ochrespan.data_plane.decision_record import ANY, HOME, MOVED, AttemptRecord, DecisionLog
-from tests.fleet_standins import StandInServer, answer, configuration, route, router, stream
+from tests.fleet_standins import StandInServer, configuration, respond, route, router, stream
 from tests.test_decision_record import LIMITED, PROMPT, USAGE, CapturedRecords, real_scheduler, send_request
 from tests.test_router_quotas import ScriptedQuotas
 
@@ -54,7 +54,7 @@
     captured = CapturedRecords()
     with router(real_scheduler(), decision_log=captured.log, quotas=ScriptedQuotas([UNLIMITED])) as made:
         view = configuration(route(kind="streaming"), tenants=(LIMITED,))
-        assert send_request(made, view, StandInServer(stream(1, 2, 3))).read_answer().whole
+        assert send_request(made, view, StandInServer(stream(1, 2, 3))).read_response().complete
     assert shape_of(captured.only_record()) == snapshot
 
 
@@ -63,7 +63,7 @@
     quotas = ScriptedQuotas([TokenReservation(False, 0.01), TokenReservation(False, 0.75)])
     with router(decision_log=captured.log, quotas=quotas) as made:
         client = send_request(
-            made, configuration(route(), tenants=(LIMITED,)), StandInServer(answer()), headers=USAGE + PROMPT
+            made, configuration(route(), tenants=(LIMITED,)), StandInServer(respond()), headers=USAGE + PROMPT
         )
-        assert client.read_answer().status == 429
+        assert client.read_response().status == 429
     assert shape_of(captured.only_record()) == snapshot
--- a/tests/test_decision_record.py
+++ b/tests/test_decision_record.py
@@ -10,9 +10,9 @@
 from ochrespan.control_plane.quota.client import UNLIMITED, TokenReservation
 from ochrespan.data_plane.decision_record import ANY, HOME, MOVED, DecisionLog, DecisionRecord
 from ochrespan.data_plane.scheduler import Outcome, Scheduler
-from tests.fleet_standins import StandInServer, answer, close, configuration, hold, route, router, stream, tenant
+from tests.fleet_standins import StandInServer, close, configuration, respond, route, router, stall, stream, tenant
 from tests.scheduling import PLAIN, scheduler, submit
-from tests.test_router_quotas import USAGE, ScriptedQuotas, part_of_a_request
+from tests.test_router_quotas import USAGE, ScriptedQuotas, send_partial_request
 
 LIMITED = replace(tenant("acme", "key"), unit=QuotaUnit.TOKENS, rate_per_s=1000.0)
 PROMPT = "X-Prompt-Prefix: aa:400,bb:300,cc:760\r\n"
@@ -38,9 +38,9 @@
 
 
 def send_request(fixture, view, *servers, headers: str = USAGE + PROMPT):
-    fixture.use(view, *servers)
+    fixture.load(view, *servers)
     client = fixture.client()
-    client.ask(headers=headers)
+    client.send_request(headers=headers)
     return client
 
 
@@ -48,7 +48,7 @@
     captured = CapturedRecords()
     with router(real_scheduler(), decision_log=captured.log, quotas=ScriptedQuotas([UNLIMITED])) as fixture:
         view = configuration(route(kind="streaming"), tenants=(LIMITED,))
-        assert send_request(fixture, view, StandInServer(stream(1, 2, 3))).read_answer().whole
+        assert send_request(fixture, view, StandInServer(stream(1, 2, 3))).read_response().complete
     record = captured.only_record()
     summary = {name: record[name] for name in ("id", "route", "tenant", "tokens_in", "tokens_out", "shared", "prefix")}
     assert summary == {
@@ -68,7 +68,7 @@
     servers = [StandInServer(lambda received: next(steps)(received)) for _ in range(2)]
     with router(real_scheduler(), decision_log=captured.log) as fixture:
         view = configuration(route(kind="streaming", resumable=True))
-        assert send_request(fixture, view, *servers, headers="").read_answer().whole
+        assert send_request(fixture, view, *servers, headers="").read_response().complete
     record = captured.only_record()
     assert record["status"] == 200
     assert [attempt["outcome"] for attempt in record["attempts"]] == ["lost", "done"]
@@ -79,8 +79,8 @@
     captured = CapturedRecords()
     quotas = ScriptedQuotas([TokenReservation(False, 0.01), TokenReservation(False, 0.75)])
     with router(decision_log=captured.log, quotas=quotas) as fixture:
-        client = send_request(fixture, configuration(route(), tenants=(LIMITED,)), StandInServer(answer()))
-        assert client.read_answer().status == 429
+        client = send_request(fixture, configuration(route(), tenants=(LIMITED,)), StandInServer(respond()))
+        assert client.read_response().status == 429
     record = captured.only_record()
     assert (record["status"], record["retry_after"], record["attempts"]) == (429, 0.75, [])
     assert record["quota_asked"] == 2 and record["quota_wait"] >= 10
@@ -88,7 +88,7 @@
 
 def test_a_client_that_leaves_is_recorded_without_a_status():
     captured = CapturedRecords()
-    server = StandInServer(hold)
+    server = StandInServer(stall)
     with router(real_scheduler(), decision_log=captured.log) as fixture:
         client = send_request(fixture, configuration(route()), server, headers="")
         with gevent.Timeout(5):
@@ -105,7 +105,7 @@
     quotas = ScriptedQuotas([TokenReservation(False, 1.0)])
     with router(decision_log=captured.log, quotas=quotas) as fixture:
         view = configuration(route(target_latency_ms=50_000.0), tenants=(LIMITED,))
-        client = send_request(fixture, view, StandInServer(answer()))
+        client = send_request(fixture, view, StandInServer(respond()))
         with gevent.Timeout(5):
             while not quotas.taken:
                 gevent.idle()
@@ -118,8 +118,8 @@
     captured = CapturedRecords()
     quotas = ScriptedQuotas([UNLIMITED])
     with router(decision_log=captured.log, quotas=quotas) as fixture:
-        fixture.use(configuration(route(), tenants=(LIMITED,)), StandInServer(answer()))
-        part_of_a_request(fixture, quotas).close()
+        fixture.load(configuration(route(), tenants=(LIMITED,)), StandInServer(respond()))
+        send_partial_request(fixture, quotas).close()
         assert captured.only_record()["status"] == 0
 
 
@@ -127,15 +127,15 @@
     captured = CapturedRecords()
     with router(decision_log=captured.log) as fixture:
         client = send_request(fixture, configuration(route()), headers="")
-        assert client.read_answer().status == 503
+        assert client.read_response().status == 503
     assert (captured.only_record()["status"], captured.only_record()["retry_after"]) == (503, 0.25)
 
 
 def test_nothing_is_recorded_by_default():
     captured = CapturedRecords(sample_rate=0.0)
     with router(decision_log=captured.log) as fixture:
-        client = send_request(fixture, configuration(route()), StandInServer(answer()), headers="")
-        assert client.read_answer().status == 200
+        client = send_request(fixture, configuration(route()), StandInServer(respond()), headers="")
+        assert client.read_response().status == 200
         assert fixture.scheduler.submitted[0].record is None
     assert not captured.lines and DecisionLog().begin("q", 0.0) is None
 
