--- a/benchmarks/front_parts.py
+++ b/benchmarks/front_parts.py
@@ -14,8 +14,8 @@
 import random
 from collections import deque
 
+from ochrespan.contracts.adaptive_quota import FrontShare
 from ochrespan.contracts.admission import Admission, Demand, Grant
-from ochrespan.contracts.front_share import FrontShare
 from ochrespan.contracts.terms import Book, Budget, Contract, Terms
 
 from .machine import machine
--- a/ochrespan/contracts/accounts.py
+++ b/ochrespan/contracts/accounts.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 
 from .admission import Admission
-from .amounts import PARTS, micros, units
-from .bucket import Bucket
+from .fixed_point import PARTS, micros, units
 from .levels import Level
+from .token_bucket import Bucket
 from .window import NAMES
 
 
--- a/ochrespan/contracts/admission.py
+++ b/ochrespan/contracts/admission.py
@@ -5,16 +5,16 @@
 budgets run low; then each repeat is paid for by `extend` before it is sent, or not sent. Every grant is settled once,
 with what the request did cost: a unit budget pays each attempt that may have run, an attempt budget each one sent.
 
-Amounts and times inside are whole numbers (`amounts.py`); `now` is Unix time in seconds.
+Amounts and times inside are whole numbers (`fixed_point.py`); `now` is Unix time in seconds.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-from . import coverage
-from .amounts import micros, parts
-from .funding import LEAST_WAIT, Bound, Query, secure
+from . import authorization
+from .allocation import LEAST_WAIT, Bound, Query, secure
+from .fixed_point import micros, parts
 from .grants import Demand, Funding, Grant, NotCovered, OverBudget
 from .levels import Level
 from .terms import Book, Contract
@@ -56,11 +56,11 @@
 
     def identify(self, demand: Demand) -> Contract | NotCovered:
         """The contract that a request comes under. A wrong token is told nothing of what others own."""
-        return coverage.identify(self.book, demand)
+        return authorization.identify(self.book, demand)
 
     def covered(self, contract: Contract, demand: Demand, now: float) -> NotCovered | None:
         """Why a contract does not cover the request; None: it does."""
-        return coverage.check(contract, demand, now)
+        return authorization.check(contract, demand, now)
 
     # ---- requests ----
 
--- a/ochrespan/contracts/funding.py
+++ b/ochrespan/contracts/allocation.py
@@ -1,19 +1,19 @@
 """How many attempts of a request fit under every bound on its path, and what pays for them.
 
 A request that its own reserve pays for is not held up by what others spent: bounds above its own level count it but
-ask only of what is borrowed. Amounts and times are whole numbers (`amounts.py`).
+ask only of what is borrowed. Amounts and times are whole numbers (`fixed_point.py`).
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from .amounts import MICROS, PARTS
-from .bucket import Bucket
+from .borrowing import TimerQueue
+from .fixed_point import MICROS, PARTS
 from .grants import Funding, NotCovered, OverBudget
-from .lending import TimerQueue
 from .levels import Draw, Level
 from .terms import Contract
+from .token_bucket import Bucket
 from .window import NAMES
 
 LEAST_WAIT = 1000  # microseconds: a time to come back that is not at once
--- a/ochrespan/contracts/lending.py
+++ b/ochrespan/contracts/borrowing.py
@@ -7,7 +7,7 @@
 
 Dealing costs the same however many children ask: the pool keeps a running sum of what one weight has got since the
 start, and a child that asks is given its weight times what came since it last did (as in the fluid model of
-generalized processor sharing; Parekh and Gallager, 1993). Amounts and times: see `amounts.py`.
+generalized processor sharing; Parekh and Gallager, 1993). Amounts and times: see `fixed_point.py`.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 from itertools import count
 
-from .amounts import MICROS
+from .fixed_point import MICROS
 
 SCALE = 1 << 32  # parts of the running sum
 ASKING = 1 * MICROS  # so long after its last ask a child is dealt a share
--- a/ochrespan/contracts/gate.py
+++ b/ochrespan/contracts/gate.py
@@ -12,8 +12,8 @@
 from ..figures import Reading, plain
 from . import admission
 from .accounts import accounts, figures
+from .adaptive_quota import FrontShare
 from .admission import Admission, Demand, Grant
-from .front_share import FrontShare
 from .terms import Book, Contract
 
 log = structlog.get_logger(__name__)
--- a/ochrespan/contracts/grants.py
+++ b/ochrespan/contracts/grants.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass, field
 
-from .amounts import PARTS
-from .bucket import Bucket
+from .fixed_point import PARTS
 from .levels import Draw, Level
 from .terms import Contract
+from .token_bucket import Bucket
 from .window import Window
 
 
--- a/ochrespan/contracts/levels.py
+++ b/ochrespan/contracts/levels.py
@@ -2,7 +2,7 @@
 
 A request is paid at every level from its service up: budgets bound it, and where the installation states its
 capacity the request also needs funds, from its own reserve first and then from what others lend. Amounts and times:
-see `amounts.py`.
+see `fixed_point.py`.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 from dataclasses import dataclass, field
 
 from . import window
-from .amounts import PARTS, parts, rate
-from .bucket import Bucket
-from .lending import LendingPool, Share, TimerQueue
+from .borrowing import LendingPool, Share, TimerQueue
+from .fixed_point import PARTS, parts, rate
 from .terms import Budget, Terms
+from .token_bucket import Bucket
 from .window import Window
 
 EXTRAS = 10  # attempts beyond the first that a contract can save up
--- a/ochrespan/contracts/start.py
+++ b/ochrespan/contracts/start.py
@@ -6,7 +6,7 @@
 import gc
 
 from ..running import Core, Running
-from .front_share import STEP
+from .adaptive_quota import STEP
 from .gate import ContractGate
 from .section import Contracts
 
--- a/ochrespan/contracts/bucket.py
+++ b/ochrespan/contracts/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket with escrow. Amounts and times: see `amounts.py`.
+"""A token bucket with escrow. Amounts and times: see `fixed_point.py`.
 
 What flows in is granted; it is left until it is held for a request, and held until the request ends, when what it
 cost is spent and the rest is left again. So granted = spent + held + left at any moment.
--- a/ochrespan/contracts/tree.py
+++ b/ochrespan/contracts/tree.py
@@ -1,13 +1,13 @@
 """One front's tree of levels under a book of contracts, and how a new book is put in force.
 
 What was granted, held and spent carries over a change of the book, by the levels' paths. Amounts and times inside are
-whole numbers (`amounts.py`); `now` is Unix time in seconds.
+whole numbers (`fixed_point.py`); `now` is Unix time in seconds.
 """
 
 from __future__ import annotations
 
-from .amounts import micros, parts, rate
-from .lending import LendingPool, TimerQueue
+from .borrowing import LendingPool, TimerQueue
+from .fixed_point import micros, parts, rate
 from .levels import Level
 from .terms import Book, Terms
 
--- a/ochrespan/contracts/window.py
+++ b/ochrespan/contracts/window.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from .amounts import MICROS
+from .fixed_point import MICROS
 
 HOUR, DAY = 3600 * MICROS, 86400 * MICROS
 NAMES = {HOUR: "hour", DAY: "day"}
--- a/ochrespan/metrics/start.py
+++ b/ochrespan/metrics/start.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from ..running import Core, Running
+from .core_metrics import readings
 from .exporters import Collectd, Graphite
-from .readings import readings
 from .section import Metrics
 
 
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -7,11 +7,11 @@
 from hypothesis import strategies as st
 
 from ochrespan.contracts.accounts import accounts, figures
+from ochrespan.contracts.adaptive_quota import FrontShare
 from ochrespan.contracts.admission import Admission, Demand, Grant, NotCovered, OverBudget
-from ochrespan.contracts.front_share import FrontShare
 from ochrespan.contracts.terms import Budget, Terms
 
-from .books import Site, book, team
+from .contract_helpers import Site, book, team
 from .helpers import count_calls
 
 VOLUME = "v-a"
