--- a/benchmarks/admission_cost.py
+++ b/benchmarks/admission_cost.py
@@ -22,7 +22,7 @@
 
 from examples.teams import TEAMS, Testbed, play
 from ochrespan.contracts.admission import Admission, Demand, Grant
-from ochrespan.contracts.terms import Book, Budget, Contract, Reserve, Terms
+from ochrespan.contracts.terms import Budget, Contract, ContractRegistry, Reserve, Terms
 
 from .machine import machine
 
@@ -31,7 +31,7 @@
 
 def make(teams: int) -> Admission:
     """Admissions with so many teams."""
-    book = Book(Reserve(100_000.0 + 5.0 * teams), 3, 8.0, 3)
+    book = ContractRegistry(Reserve(100_000.0 + 5.0 * teams), 3, 8.0, 3)
     for i in range(10):
         book.levels[f"o{i}"] = Terms(f"o{i}", "organisation", budget=Budget(units_per_s=1e7))
     for i in range(teams):
@@ -45,7 +45,7 @@
         )
         contract = Contract(terms, "gold", frozenset({"read"}), volumes=frozenset({f"{i:016x}"}))
         book.add(contract)
-        book.own(contract.path, contract.volumes, ())
+        book.set_owner(contract.path, contract.volumes, ())
     return Admission(book, 1_000_000.0)
 
 
@@ -67,7 +67,7 @@
             grant = self.admission.admit(self.now, demand)
             if isinstance(grant, Grant):
                 admitted += 1
-                self.admission.settle(self.now + 0.0005, grant, 1, 1)
+                self.admission.complete(self.now + 0.0005, grant, 1, 1)
         assert admitted > 0.9 * EACH, admitted
         return (time.process_time() - began) / EACH
 
--- a/benchmarks/front_parts.py
+++ b/benchmarks/front_parts.py
@@ -14,9 +14,9 @@
 import random
 from collections import deque
 
-from ochrespan.contracts.adaptive_quota import FrontShare
+from ochrespan.contracts.adaptive_quota import AdaptiveQuota
 from ochrespan.contracts.admission import Admission, Demand, Grant
-from ochrespan.contracts.terms import Book, Budget, Contract, Terms
+from ochrespan.contracts.terms import Budget, Contract, ContractRegistry, Terms
 
 from .machine import machine
 
@@ -27,11 +27,11 @@
     """One front with its admissions, and what it has heard of the others."""
 
     def __init__(self, fronts: int, parts: str) -> None:
-        book = Book(None, fronts, 2.0, 1)
+        book = ContractRegistry(None, fronts, 2.0, 1)
         book.add(Contract(Terms("a", "team", budget=Budget(units_per_s=RATE)), "gold", frozenset({"read"})))
-        book.own("a", ["v"], ())
+        book.set_owner("a", ["v"], ())
         self.admission = Admission(book, 0.0)
-        self.part = FrontShare(RATE, fronts) if parts == "heard" else None
+        self.part = AdaptiveQuota(RATE, fronts) if parts == "heard" else None
         self.told = 0.0  # of what all were served, as of its last answer
         self.mine = 0.0  # of that, its own
 
@@ -40,22 +40,22 @@
         got = self.admission.admit(now, Demand("read", UNITS, volume="v"))
         if not isinstance(got, Grant):
             if self.part:
-                self.part.note_refused()
+                self.part.record_refusal()
             return False
-        self.admission.settle(now, got, 1, 1)
+        self.admission.complete(now, got, 1, 1)
         if self.part:
-            self.part.note_spent(UNITS)
+            self.part.record_spent(UNITS)
         return True
 
     def hear(self, served: float) -> None:
         """An answer that tells how much all fronts have served so far."""
         if self.part:
-            self.part.note_heard(max(0.0, served - self.told - self.mine))
+            self.part.record_spent_elsewhere(max(0.0, served - self.told - self.mine))
         self.told, self.mine = served, 0.0
 
     def step(self, now: float) -> None:
         """Lets its share of the budget move."""
-        if self.part and (scale := self.part.step(now)) is not None:
+        if self.part and (scale := self.part.update(now)) is not None:
             self.admission.rescale("a", scale, now)
 
 
--- a/ochrespan/cli.py
+++ b/ochrespan/cli.py
@@ -132,7 +132,7 @@
         click.echo(fault, err=True)
     if faults:
         sys.exit(2)
-    rows = [ROW, *contract_rows(section.book, one_front)]
+    rows = [ROW, *contract_rows(section.registry, one_front)]
     widths = [max(len(row[i]) for row in rows) for i in range(len(ROW))]
     for row in rows:
         click.echo("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip())
--- a/ochrespan/contracts/accounts.py
+++ b/ochrespan/contracts/accounts.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass
 
 from .admission import Admission
-from .fixed_point import PARTS, micros, units
+from .fixed_point import PICO, from_pico, to_micros
 from .levels import Level
-from .token_bucket import Bucket
-from .window import NAMES
+from .token_bucket import TokenBucket
+from .window import SPAN_NAMES
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class LevelStatistics:
     """What one level's requests came to, and what it lent and borrowed in units."""
 
     path: str
@@ -36,9 +36,9 @@
     counts: dict[str, int]
 
 
-def _of(level: Level, name: str, bucket: Bucket) -> Account:
+def _account(level: Level, name: str, bucket: TokenBucket) -> Account:
     return Account(
-        level.path, name, *(amount / PARTS for amount in (bucket.granted, bucket.spent, bucket.held, bucket.left))
+        level.path, name, *(amount / PICO for amount in (bucket.granted, bucket.spent, bucket.held, bucket.left))
     )
 
 
@@ -51,32 +51,32 @@
         for name, bucket in (
             ("units", level.units),
             ("attempts", level.attempts),
-            ("extra-attempts", level.extras),
+            ("extra-attempts", level.extra_attempts),
             ("reserve", level.reserve),
         ):
             if bucket is not None:
-                bucket.sync(micros(now))
-                yield _of(level, name, bucket)
+                bucket.refill(to_micros(now))
+                yield _account(level, name, bucket)
         for window in level.windows:
-            window.sync(micros(now))
+            window.advance(to_micros(now))
             yield Account(
                 level.path,
-                f"units-per-{NAMES[window.span]}",
-                units(window.quota),
-                units(window.spent),
-                units(window.held),
-                units(window.left),
+                f"units-per-{SPAN_NAMES[window.span]}",
+                from_pico(window.quota),
+                from_pico(window.spent),
+                from_pico(window.held),
+                from_pico(window.left),
             )
 
 
-def figures(admission: Admission, now: float) -> Iterator[Figures]:
+def level_statistics(admission: Admission, now: float) -> Iterator[LevelStatistics]:
     """Counts, open requests and lending of every level that has asked for something."""
     admission.advance(now)
     for level in list(admission.levels.values()):
         if level.counts:
             lent = level.lent
             if level.lending_since is not None and level.reserve is not None:
-                lent += level.reserve.rate * max(0, micros(now) - level.lending_since)
-            yield Figures(
-                level.path, level.terms.kind, level.open, units(lent), units(level.borrowed), dict(level.counts)
+                lent += level.reserve.rate * max(0, to_micros(now) - level.lending_since)
+            yield LevelStatistics(
+                level.path, level.terms.kind, level.open, from_pico(lent), from_pico(level.borrowed), dict(level.counts)
             )
--- a/ochrespan/contracts/adaptive_quota.py
+++ b/ochrespan/contracts/adaptive_quota.py
@@ -15,62 +15,65 @@
 
 from dataclasses import dataclass
 
-STEP = 1.0  # s between moves
-SMOOTH = 0.5  # part of the newest second in what is heard and spent
-GROW = 0.02  # of the even part, added in each step with refusals
-FLOOR = 0.1  # of the even part, that every front keeps: what is heard may be late
-MOST = 2.0  # times, that a part changes by in one step
-FADE = 0.3  # of what is not used, given up in each step
-LOOSE = 1.25  # times what is spent, that a front without refusals keeps
+UPDATE_INTERVAL_S = 1.0  # s between moves
+SMOOTHING = 0.5  # part of the newest second in what is heard and spent
+GROWTH = 0.02  # of the even part, added in each step with refusals
+MIN_FRACTION = 0.1  # of the even part, that every front keeps: what is heard may be late
+MAX_CHANGE = 2.0  # times, that a part changes by in one step
+DECAY = 0.3  # of what is not used, given up in each step
+HEADROOM = 1.25  # times what is spent, that a front without refusals keeps
 
 
 @dataclass(slots=True)
-class FrontShare:
+class AdaptiveQuota:
     """One front's part of one contract's rate, as a multiple of the even part."""
 
     rate: float  # the whole budget
     fronts: int
     scale: float = 1.0
     spent: float = 0.0  # smoothed
-    heard: float = 0.0
+    spent_elsewhere: float = 0.0
     _spent_now: float = 0.0
-    _heard_now: float = 0.0
+    _spent_elsewhere_now: float = 0.0
     _refused: bool = False
-    _stepped_at: float | None = None
+    _updated_at: float | None = None
 
-    def note_spent(self, units: float) -> None:
+    def record_spent(self, units: float) -> None:
         """This front has served so many units."""
         self._spent_now += units
 
-    def note_heard(self, units: float) -> None:
+    def record_spent_elsewhere(self, units: float) -> None:
         """Other fronts have served so many units of the same volumes."""
-        self._heard_now += units
+        self._spent_elsewhere_now += units
 
-    def note_refused(self) -> None:
+    def record_refusal(self) -> None:
         """This front had to refuse for want of budget."""
         self._refused = True
 
-    def step(self, now: float) -> float | None:
+    def update(self, now: float) -> float | None:
         """Once a second the new scale; else None."""
-        if self._stepped_at is None:
-            self._stepped_at = now
-        span = now - self._stepped_at
-        if span < STEP:
+        if self._updated_at is None:
+            self._updated_at = now
+        elapsed = now - self._updated_at
+        if elapsed < UPDATE_INTERVAL_S:
             return None
-        self._stepped_at = now
-        self.spent += SMOOTH * (self._spent_now / span - self.spent)
-        self.heard += SMOOTH * (self._heard_now / span - self.heard)
-        even, whole = self.rate / self.fronts, self.spent + self.heard
-        part = self.scale * even
-        if whole > self.rate or (self._refused and whole > 0):
+        self._updated_at = now
+        self.spent += SMOOTHING * (self._spent_now / elapsed - self.spent)
+        self.spent_elsewhere += SMOOTHING * (self._spent_elsewhere_now / elapsed - self.spent_elsewhere)
+        even, total = self.rate / self.fronts, self.spent + self.spent_elsewhere
+        share = self.scale * even
+        if total > self.rate or (self._refused and total > 0):
             # while all use less than half, all may double at once; near the budget the root lets no front chase
             # what the others change in the same step. GROW is added below: what is aimed at is as much less
-            aim = self.rate * (1 - 2 * GROW) / whole
-            part = part * (min(MOST, aim) if aim > MOST else max(1 / MOST, aim**0.5)) + GROW * even * self._refused
+            ratio = self.rate * (1 - 2 * GROWTH) / total
+            share = (
+                share * (min(MAX_CHANGE, ratio) if ratio > MAX_CHANGE else max(1 / MAX_CHANGE, ratio**0.5))
+                + GROWTH * even * self._refused
+            )
         elif not self._refused:
-            wanted = max(min(part, even), min(part, LOOSE * self.spent))
-            part += FADE * (wanted - part)
-        self.scale = min(self.rate, max(FLOOR * even, part)) / even
-        self._spent_now = self._heard_now = 0.0
+            target = max(min(share, even), min(share, HEADROOM * self.spent))
+            share += DECAY * (target - share)
+        self.scale = min(self.rate, max(MIN_FRACTION * even, share)) / even
+        self._spent_now = self._spent_elsewhere_now = 0.0
         self._refused = False
         return self.scale
--- a/ochrespan/contracts/authorization.py
+++ b/ochrespan/contracts/authorization.py
@@ -3,17 +3,17 @@
 from __future__ import annotations
 
 from .grants import Demand, NotCovered
-from .terms import Book, Contract, digest
+from .terms import Contract, ContractRegistry, token_digest
 
 
-def identify(book: Book, demand: Demand) -> Contract | NotCovered:
+def identify(registry: ContractRegistry, demand: Demand) -> Contract | NotCovered:
     """The contract that a request comes under. A wrong token is told nothing of what others own."""
-    owner = book.by_volume.get(demand.volume) if demand.volume else None
+    owner = registry.by_volume.get(demand.volume) if demand.volume else None
     if demand.bucket:
-        owner = book.by_bucket.get(demand.bucket)
+        owner = registry.by_bucket.get(demand.bucket)
         if owner is None:
-            return NotCovered("bucket", words="no contract names this bucket")
-    contract = _holder(book, demand.token, owner)
+            return NotCovered("bucket", reason="no contract names this bucket")
+    contract = _holder(registry, demand.token, owner)
     if isinstance(contract, NotCovered):
         return contract
     owns = owner is not None and (contract.path == owner or contract.path.startswith(owner + "/"))
@@ -23,19 +23,19 @@
     return contract
 
 
-def _holder(book: Book, token: str, owner: str | None) -> Contract | NotCovered:
+def _holder(registry: ContractRegistry, token: str, owner: str | None) -> Contract | NotCovered:
     """Whose request it is: the token's contract, or without one the owner's, where that needs no token."""
     if token:
-        return book.by_token.get(digest(token)) or NotCovered("token", words="no contract has this token")
+        return registry.by_token.get(token_digest(token)) or NotCovered("token", reason="no contract has this token")
     if owner is None:
-        return NotCovered("contract", words="no token, and no contract owns this volume")
-    contract = book.contracts.get(owner)
+        return NotCovered("contract", reason="no token, and no contract owns this volume")
+    contract = registry.contracts.get(owner)
     if contract is None or contract.tokens:
-        return NotCovered("token", words="this needs its contract's token")
+        return NotCovered("token", reason="this needs its contract's token")
     return contract
 
 
-def check(contract: Contract, demand: Demand, now: float) -> NotCovered | None:
+def check_coverage(contract: Contract, demand: Demand, now: float) -> NotCovered | None:
     """Why the contract does not cover the request at that moment (Unix time in seconds); None: it does."""
     if contract.withdrawn:
         return NotCovered("withdrawn", contract.path, "the contract was withdrawn")
--- a/ochrespan/contracts/fixed_point.py
+++ b/ochrespan/contracts/fixed_point.py
@@ -6,25 +6,25 @@
 
 from __future__ import annotations
 
-PARTS = 10**12  # of one unit, or of one attempt
-MICROS = 10**6  # of one second
+PICO = 10**12  # of one unit, or of one attempt
+MICROS_PER_S = 10**6  # of one second
 
 
-def parts(units: float) -> int:
+def to_pico(from_pico: float) -> int:
     """Units or attempts as a whole number of parts."""
-    return round(units * PARTS)
+    return round(from_pico * PICO)
 
 
-def units(amount: int) -> float:
+def from_pico(amount: int) -> float:
     """Parts as units or attempts again."""
-    return amount / PARTS
+    return amount / PICO
 
 
-def rate(units_per_s: float) -> int:
+def pico_per_us(units_per_s: float) -> int:
     """Parts a microsecond: the smallest rate that can be told is a millionth of a unit a second."""
-    return round(units_per_s * (PARTS // MICROS))
+    return round(units_per_s * (PICO // MICROS_PER_S))
 
 
-def micros(now: float) -> int:
+def to_micros(now: float) -> int:
     """Unix time in seconds as whole microseconds."""
-    return int(now * MICROS)
+    return int(now * MICROS_PER_S)
--- a/ochrespan/contracts/gate.py
+++ b/ochrespan/contracts/gate.py
@@ -11,34 +11,34 @@
 from .. import requests as core
 from ..figures import Reading, plain
 from . import admission
-from .accounts import accounts, figures
-from .adaptive_quota import FrontShare
+from .accounts import accounts, level_statistics
+from .adaptive_quota import AdaptiveQuota
 from .admission import Admission, Demand, Grant
-from .terms import Book, Contract
+from .terms import Contract, ContractRegistry
 
 log = structlog.get_logger(__name__)
 
-NOTICE_INTERVAL = 5.0  # s between log lines of one team and rule: a surge must not fill the log
-MAX_NOTICES = 10_000  # teams and rules of which the last line is remembered
+REFUSAL_LOG_INTERVAL_S = 5.0  # s between log lines of one team and rule: a surge must not fill the log
+MAX_LOGGED_REFUSALS = 10_000  # teams and rules of which the last line is remembered
 
 
 @dataclass(slots=True)
-class LastNotice:
+class LoggedRefusal:
     """When refusals of one team by one rule were last logged."""
 
-    at: float
-    since: int = 0  # refusals since then that were not told
+    logged_at: float
+    suppressed: int = 0  # refusals since then that were not told
 
 
 class ContractGate:
     """`now` is Unix time in seconds, as the core's clock has it."""
 
-    def __init__(self, book: Book, clock: Callable[[], float]) -> None:
+    def __init__(self, registry: ContractRegistry, clock: Callable[[], float]) -> None:
         self.now = clock
-        self.admission = Admission(book, clock())
-        self._notices: dict[tuple[str, str], LastNotice] = {}
-        self._parts: dict[str, FrontShare] = {}
-        self._set_parts()
+        self.admission = Admission(registry, clock())
+        self._logged_refusals: dict[tuple[str, str], LoggedRefusal] = {}
+        self._quotas: dict[str, AdaptiveQuota] = {}
+        self._configure_quotas()
 
     # ---- the core's side ----
 
@@ -46,89 +46,91 @@
         """Admits one of the core's requests, or says why not."""
         claim = request.claim or core.Claim()
         demand = Demand(request.cls, request.units, request.plan, claim.token, request.volume, claim.bucket)
-        got = self.admission.admit(now, demand, claim.contract)
-        if isinstance(got, Grant):
-            return got
-        if isinstance(got, admission.OverBudget):
-            if part := self._parts.get(got.team):
-                part.note_refused()
-            self._tell(now, got.team, got.rule, level=got.level, wait_s=round(got.wait, 3))
-            return core.OverBudget(got.rule, got.team, timedelta(seconds=got.wait))
-        self._tell(now, got.team, got.rule, why=got.words)
-        return core.NotCovered(got.rule, got.team, got.words)
-
-    def extend(self, now: float, hold: Grant) -> None:
+        result = self.admission.admit(now, demand, claim.contract)
+        if isinstance(result, Grant):
+            return result
+        if isinstance(result, admission.OverBudget):
+            if quota := self._quotas.get(result.team):
+                quota.record_refusal()
+            self._log_refusal(now, result.team, result.rule, level=result.level, wait_s=round(result.wait_s, 3))
+            return core.OverBudget(result.rule, result.team, timedelta(seconds=result.wait_s))
+        self._log_refusal(now, result.team, result.rule, why=result.reason)
+        return core.NotCovered(result.rule, result.team, result.reason)
+
+    def extend(self, now: float, grant: Grant) -> None:
         """Pays for one more attempt, if the budgets bear it."""
-        self.admission.extend(now, hold)
+        self.admission.extend(now, grant)
 
-    def settle(self, now: float, hold: Grant, sent: int, ran: int) -> None:
+    def settle(self, now: float, grant: Grant, sent: int, ran: int) -> None:
         """The end of what was admitted: so many attempts sent, so many of which may have run."""
-        if part := self._parts.get(hold.team):
-            part.note_spent(ran * hold.unit_figure)
-        self.admission.settle(now, hold, sent, ran)
+        if quota := self._quotas.get(grant.team):
+            quota.record_spent(ran * grant.units_per_attempt)
+        self.admission.complete(now, grant, sent, ran)
 
-    def heard(self, now: float, hold: Grant, units: float) -> None:
+    def heard(self, now: float, grant: Grant, units: float) -> None:
         """So many units of the request's volume were served through other fronts."""
-        if part := self._parts.get(hold.team):
-            part.note_heard(units)
-
-    def _tell(self, now: float, team: str, rule: str, **words: object) -> None:
-        if len(self._notices) > MAX_NOTICES:
-            self._notices.clear()
-        told = self._notices.get((team, rule))
-        if told is not None and now - told.at < NOTICE_INTERVAL:
-            told.since += 1
+        if quota := self._quotas.get(grant.team):
+            quota.record_spent_elsewhere(units)
+
+    def _log_refusal(self, now: float, team: str, rule: str, **fields: object) -> None:
+        if len(self._logged_refusals) > MAX_LOGGED_REFUSALS:
+            self._logged_refusals.clear()
+        logged = self._logged_refusals.get((team, rule))
+        if logged is not None and now - logged.logged_at < REFUSAL_LOG_INTERVAL_S:
+            logged.suppressed += 1
             return
-        log.info("refused by contract", team=team or "-", rule=rule, untold=told.since if told else 0, **words)
-        self._notices[team, rule] = LastNotice(now)
+        log.info(
+            "refused by contract", team=team or "-", rule=rule, untold=logged.suppressed if logged else 0, **fields
+        )
+        self._logged_refusals[team, rule] = LoggedRefusal(now)
 
     # ---- the operator's side ----
 
     def identify(self, token: str, bucket: str) -> Contract | core.NotCovered:
         """Whose work on a bucket it is, for fronts that need to know before they ask for anything."""
-        got = self.admission.identify(Demand("", 0.0, token=token, bucket=bucket))
-        return got if isinstance(got, Contract) else core.NotCovered(got.rule, got.team, got.words)
+        result = self.admission.identify(Demand("", 0.0, token=token, bucket=bucket))
+        return result if isinstance(result, Contract) else core.NotCovered(result.rule, result.team, result.reason)
 
     def covers(self, contract: Contract, cls: str) -> core.NotCovered | None:
         """Why a contract does not cover a class now; None: it does."""
-        why = self.admission.covered(contract, Demand(cls, 0.0), self.now())
-        return why and core.NotCovered(why.rule, why.team, why.words)
+        refusal = self.admission.check_coverage(contract, Demand(cls, 0.0), self.now())
+        return refusal and core.NotCovered(refusal.rule, refusal.team, refusal.reason)
 
     def owner(self, bucket: str) -> str:
         """The name under which a bucket's data lies: its team's, whichever service writes it."""
-        path = self.admission.book.by_bucket[bucket]
-        return self.admission.book.levels[path].name
+        path = self.admission.registry.by_bucket[bucket]
+        return self.admission.registry.levels[path].name
 
-    def replace(self, book: Book) -> None:
+    def replace(self, registry: ContractRegistry) -> None:
         """A new book, checked: what was granted and spent carries over."""
-        was = set(self.admission.book.contracts)
-        self.admission.replace(book, self.now())
-        self._set_parts()
+        previous = set(self.admission.registry.contracts)
+        self.admission.replace(registry, self.now())
+        self._configure_quotas()
         log.info(
             "contracts read anew",
-            contracts=len(book.contracts),
-            new=len(set(book.contracts) - was),
-            gone=len(was - set(book.contracts)),
+            contracts=len(registry.contracts),
+            new=len(set(registry.contracts) - previous),
+            gone=len(previous - set(registry.contracts)),
         )
 
-    def _set_parts(self) -> None:
-        book, was = self.admission.book, self._parts
-        self._parts = {}
-        for path, contract in book.contracts.items():
+    def _configure_quotas(self) -> None:
+        registry, previous = self.admission.registry, self._quotas
+        self._quotas = {}
+        for path, contract in registry.contracts.items():
             rate = contract.terms.budget.units_per_s
-            if contract.parts == "heard" and rate is not None:
-                self._parts[path] = part = was.get(path) or FrontShare(rate, 1)
-                part.rate, part.fronts = rate, max(1, contract.fronts or book.fronts)
-        self.admission.set_scales({path: part.scale for path, part in self._parts.items()})
+            if contract.quota_mode == "heard" and rate is not None:
+                self._quotas[path] = quota = previous.get(path) or AdaptiveQuota(rate, 1)
+                quota.rate, quota.fronts = rate, max(1, contract.fronts or registry.fronts)
+        self.admission.set_scales({path: quota.scale for path, quota in self._quotas.items()})
 
-    def step(self) -> None:
+    def update_quotas(self) -> None:
         """Lets the parts move."""
         now = self.now()
-        for path, part in self._parts.items():
-            if (scale := part.step(now)) is not None:
+        for path, quota in self._quotas.items():
+            if (scale := quota.update(now)) is not None:
                 self.admission.rescale(path, scale, now)
 
-    def readings(self) -> Iterator[Reading]:
+    def metric_samples(self) -> Iterator[Reading]:
         """Every account and count, for the exporters."""
         now = self.now()
         for account in accounts(self.admission, now):
@@ -136,12 +138,12 @@
             for name in ("granted", "spent", "held", "left"):
                 # granted is what was let in less what did not fit: it may shrink, as what is left may
                 yield Reading(group, f"{plain(account.budget)}_{name}", getattr(account, name), name == "spent")
-        for level in figures(self.admission, now):
+        for level in level_statistics(self.admission, now):
             group = plain(f"contract-{level.path or 'installation'}")
             yield Reading(group, "open", level.open, False)
             yield Reading(group, "lent", level.lent, True)
             yield Reading(group, "borrowed", level.borrowed, False)
             for name, number in level.counts.items():
                 yield Reading(group, plain(name), number, True)
-        for rule, number in list(self.admission.refused.items()):
+        for rule, number in list(self.admission.unattributed_refusals.items()):
             yield Reading("contract-none", plain(f"not-covered.{rule}"), number, True)
--- a/ochrespan/contracts/grants.py
+++ b/ochrespan/contracts/grants.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass, field
 
-from .fixed_point import PARTS
+from .fixed_point import PICO
 from .levels import Draw, Level
 from .terms import Contract
-from .token_bucket import Bucket
+from .token_bucket import TokenBucket
 from .window import Window
 
 
@@ -29,7 +29,7 @@
 
     rule: str
     team: str = ""  # the contract's path, where one is known
-    words: str = ""
+    reason: str = ""
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,16 +39,16 @@
     rule: str
     team: str
     level: str  # the path of the level whose bound it is; empty: the installation
-    wait: float  # seconds until there will be enough, if nobody else asks for it
+    wait_s: float  # seconds until there will be enough, if nobody else asks for it
 
 
 @dataclass(slots=True)
 class BucketHold:
-    """An amount held in a token bucket; `of_attempts` tells whether the bucket counts attempts or units."""
+    """An amount held in a token bucket; `counts_attempts` tells whether the bucket counts attempts or units."""
 
-    bucket: Bucket
+    bucket: TokenBucket
     amount: int
-    of_attempts: bool
+    counts_attempts: bool
 
 
 @dataclass(slots=True)
@@ -61,7 +61,7 @@
 
 
 @dataclass(slots=True)
-class Funding:
+class Allocation:
     """How many attempts fit under every bound, and the funds drawn for them."""
 
     attempts: int
@@ -75,14 +75,14 @@
     contract: Contract
     leaf: Level
     path: list[Level]  # from the leaf up: where it counts as open
-    units: int  # of each attempt
+    attempt_cost: int  # of each attempt
     attempts: int = 0  # that are paid for
-    held: list[BucketHold] = field(default_factory=list)
-    windows: list[WindowHold] = field(default_factory=list)
+    bucket_holds: list[BucketHold] = field(default_factory=list)
+    window_holds: list[WindowHold] = field(default_factory=list)
     draws: list[Draw] = field(default_factory=list)
-    extra: Bucket | None = None  # pays for attempts beyond the first
-    extra_held: int = 0  # attempts beyond the first
-    settled: bool = False
+    extra_bucket: TokenBucket | None = None  # pays for attempts beyond the first
+    extra_attempts_held: int = 0  # attempts beyond the first
+    completed: bool = False
 
     @property
     def plan(self) -> str:
@@ -95,72 +95,72 @@
         return self.contract.path
 
     @property
-    def unit_figure(self) -> float:
+    def units_per_attempt(self) -> float:
         """Units of one attempt."""
-        return self.units / PARTS
+        return self.attempt_cost / PICO
 
-    def add(self, funding: Funding) -> None:
+    def add(self, allocation: Allocation) -> None:
         """Holds further attempts at every level, from the leaf up."""
-        attempts, first = funding.attempts, not self.attempts
+        attempts, first = allocation.attempts, not self.attempts
         self.attempts += attempts
-        if funding.draw.own or funding.draw.lent:
-            self.draws.append(funding.draw)
+        if allocation.draw.own or allocation.draw.borrowed:
+            self.draws.append(allocation.draw)
         for level in self.path:
             self._hold_at(level, attempts)
         if first:
-            self.extra = self.leaf.extras  # a reload may put another there: repeats are paid where they began
-        if self.extra is not None and (repeats := attempts - first):
-            self.extra.hold(repeats * PARTS)
-            self.extra_held += repeats
+            self.extra_bucket = self.leaf.extra_attempts  # kept: a reload may replace the level's bucket
+        if self.extra_bucket is not None and (repeats := attempts - first):
+            self.extra_bucket.hold(repeats * PICO)
+            self.extra_attempts_held += repeats
 
     def _hold_at(self, level: Level, attempts: int) -> None:
-        amount = attempts * self.units
+        amount = attempts * self.attempt_cost
         if level.units is not None:
             level.units.hold(amount)
-            self.held.append(BucketHold(level.units, amount, of_attempts=False))
+            self.bucket_holds.append(BucketHold(level.units, amount, counts_attempts=False))
         if level.attempts is not None:
-            level.attempts.hold(attempts * PARTS)
-            self.held.append(BucketHold(level.attempts, attempts * PARTS, of_attempts=True))
+            level.attempts.hold(attempts * PICO)
+            self.bucket_holds.append(BucketHold(level.attempts, attempts * PICO, counts_attempts=True))
         for window in level.windows:
-            self.windows.append(WindowHold(window, window.hold(amount), amount))
+            self.window_holds.append(WindowHold(window, window.hold(amount), amount))
 
     def release(self, sent: int, ran: int, at: int) -> None:
         """Ends every hold with what the request did cost: so many attempts sent, of which so many may have run."""
         for level in self.path:
             level.open -= 1
-        cost = ran * self.units
-        self._settle_buckets(sent * PARTS, cost, at)
-        self._settle_windows(cost, at)
-        if self.extra is not None:
-            self.extra.settle(self.extra_held * PARTS, max(0, sent - 1) * PARTS)
-        self._pay_draws(cost, at)
-
-    def _settle_buckets(self, attempts_cost: int, units_cost: int, at: int) -> None:
+        cost = ran * self.attempt_cost
+        self._charge_buckets(sent * PICO, cost, at)
+        self._charge_windows(cost, at)
+        if self.extra_bucket is not None:
+            self.extra_bucket.charge(self.extra_attempts_held * PICO, max(0, sent - 1) * PICO)
+        self._charge_draws(cost, at)
+
+    def _charge_buckets(self, attempts_cost: int, units_cost: int, at: int) -> None:
         """Each bucket once: an extension holds in the same buckets again."""
-        totals: dict[Bucket, int] = {}
-        costs: dict[Bucket, int] = {}
-        for hold in self.held:
+        totals: dict[TokenBucket, int] = {}
+        costs: dict[TokenBucket, int] = {}
+        for hold in self.bucket_holds:
             totals[hold.bucket] = totals.get(hold.bucket, 0) + hold.amount
-            costs[hold.bucket] = attempts_cost if hold.of_attempts else units_cost
+            costs[hold.bucket] = attempts_cost if hold.counts_attempts else units_cost
         for bucket, total in totals.items():
-            bucket.sync(at)
-            bucket.settle(total, costs[bucket])
+            bucket.refill(at)
+            bucket.charge(total, costs[bucket])
 
-    def _settle_windows(self, cost: int, at: int) -> None:
+    def _charge_windows(self, cost: int, at: int) -> None:
         """The first hold of a window pays as far as it goes, and a later one what is left over."""
         owed: dict[Window, int] = {}
-        for hold in self.windows:
+        for hold in self.window_holds:
             if hold.window not in owed:
-                hold.window.sync(at)
+                hold.window.advance(at)
                 owed[hold.window] = cost
             paid = min(owed[hold.window], hold.amount)
-            hold.window.settle(hold.number, hold.amount, paid)
+            hold.window.charge(hold.number, hold.amount, paid)
             owed[hold.window] -= paid
 
-    def _pay_draws(self, cost: int, at: int) -> None:
+    def _charge_draws(self, cost: int, at: int) -> None:
         for draw in self.draws:
             if draw.reserve is not None:
-                draw.reserve.sync(at)
-            paid = min(cost, draw.own + draw.lent)
-            self.leaf.pay(draw, paid)
+                draw.reserve.refill(at)
+            paid = min(cost, draw.own + draw.borrowed)
+            self.leaf.charge(draw, paid)
             cost -= paid
--- a/ochrespan/contracts/start.py
+++ b/ochrespan/contracts/start.py
@@ -6,12 +6,12 @@
 import gc
 
 from ..running import Core, Running
-from .adaptive_quota import STEP
+from .adaptive_quota import UPDATE_INTERVAL_S
 from .gate import ContractGate
 from .section import Contracts
 
 
-def keep_out_of_the_collector() -> None:
+def exempt_from_garbage_collection() -> None:
     """What stays is not looked through at each full collection: with thousands of contracts these take a request's
     time. Old books are only let go where the last references to them go, as nothing in them forms a cycle."""
     gc.freeze()
@@ -19,20 +19,20 @@
 
 def start(section: Contracts, core: Core) -> Running:
     """Puts the gate before the core."""
-    gate = ContractGate(section.book, core.broker.now)
+    gate = ContractGate(section.registry, core.broker.now)
     core.broker.admit_by(gate)
     core.gate, core.govern_platform = gate, section.platform
-    core.figures.append(gate.readings)
+    core.figures.append(gate.metric_samples)
 
-    async def steps() -> None:
+    async def update_quotas() -> None:
         while True:
-            await asyncio.sleep(STEP)
-            gate.step()
+            await asyncio.sleep(UPDATE_INTERVAL_S)
+            gate.update_quotas()
 
     def reload(new: Contracts) -> None:
         core.govern_platform = new.platform
-        gate.replace(new.book)
-        keep_out_of_the_collector()
+        gate.replace(new.registry)
+        exempt_from_garbage_collection()
 
-    keep_out_of_the_collector()
-    return Running(jobs=[steps()], reload=reload)
+    exempt_from_garbage_collection()
+    return Running(jobs=[update_quotas()], reload=reload)
--- a/ochrespan/contracts/tables.py
+++ b/ochrespan/contracts/tables.py
@@ -10,41 +10,41 @@
 from ..sections import Table
 
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,59}$")]
-Figure = Annotated[float, msgspec.Meta(gt=0, lt=1e12)]
+PositiveNumber = Annotated[float, msgspec.Meta(gt=0, lt=1e12)]
 Weight = Annotated[float, msgspec.Meta(ge=0.001, le=1e6)]
-Digest = Annotated[str, msgspec.Meta(pattern=r"^[0-9a-f]{64}$")]
-Volume = Annotated[str, msgspec.Meta(pattern=r"^[0-9a-fA-F]{16}$")]
-Bucket = Annotated[str, msgspec.Meta(pattern=r"^[a-z0-9][a-z0-9.-]{1,61}[a-z0-9]$")]
-Fronts = Annotated[int, msgspec.Meta(ge=1, le=100_000)]
-Moment = Annotated[datetime, msgspec.Meta(tz=True)]
+Sha256Hex = Annotated[str, msgspec.Meta(pattern=r"^[0-9a-f]{64}$")]
+VolumeId = Annotated[str, msgspec.Meta(pattern=r"^[0-9a-fA-F]{16}$")]
+BucketName = Annotated[str, msgspec.Meta(pattern=r"^[a-z0-9][a-z0-9.-]{1,61}[a-z0-9]$")]
+FrontCount = Annotated[int, msgspec.Meta(ge=1, le=100_000)]
+Timestamp = Annotated[datetime, msgspec.Meta(tz=True)]
 
 
 class ContractsTable(Table):
     """[contracts]: the installation."""
 
     platform: Literal["contracts", "open"] = "contracts"  # whether the platform's protocol needs a contract too
-    fronts: Fronts | None = None
-    capacity_units_per_s: Figure | None = None
-    capacity_burst_units: Figure | None = None
+    fronts: FrontCount | None = None
+    capacity_units_per_s: PositiveNumber | None = None
+    capacity_burst_units: PositiveNumber | None = None
 
 
 class BudgetTable(Table):
     """Upper bounds of one level."""
 
-    units_per_s: Figure | None = None
-    burst_units: Figure | None = None
-    attempts_per_s: Figure | None = None
-    burst_attempts: Figure | None = None
+    units_per_s: PositiveNumber | None = None
+    burst_units: PositiveNumber | None = None
+    attempts_per_s: PositiveNumber | None = None
+    burst_attempts: PositiveNumber | None = None
     open: Annotated[int, msgspec.Meta(ge=1)] | None = None
-    units_per_hour: Figure | None = None
-    units_per_day: Figure | None = None
+    units_per_hour: PositiveNumber | None = None
+    units_per_day: PositiveNumber | None = None
 
 
 class ReserveTable(Table):
     """What is always there for its owner."""
 
-    units_per_s: Figure
-    burst_units: Figure | None = None
+    units_per_s: PositiveNumber
+    burst_units: PositiveNumber | None = None
 
 
 class LevelTable(Table, kw_only=True):
@@ -66,15 +66,15 @@
     """What teams and services share: how they are known, and for how long."""
 
     classes: list[str] = []
-    tokens_sha256: list[Digest] = []
-    volumes: list[Volume] = []
-    buckets: list[Bucket] = []
-    begins: Moment | None = msgspec.field(default=None, name="from")
-    until: Moment | None = None
+    tokens_sha256: list[Sha256Hex] = []
+    volumes: list[VolumeId] = []
+    buckets: list[BucketName] = []
+    begins: Timestamp | None = msgspec.field(default=None, name="from")
+    until: Timestamp | None = None
     withdrawn: bool = False
     withdrawn_classes: list[str] = []
     attempts_per_request: Annotated[float, msgspec.Meta(ge=1, le=100)] | None = None
-    fronts: Fronts | None = None
+    fronts: FrontCount | None = None
     parts: Literal["even", "heard"] = "even"
 
 
@@ -86,7 +86,7 @@
     read: str = ""  # the classes of the object API's requests
     write: str = ""
     export: str = ""
-    token_sha256: Digest | None = None  # of one token, as files had it before there could be several
+    token_sha256: Sha256Hex | None = None  # of one token, as files had it before there could be several
 
 
 class ServiceTable(SenderTable, kw_only=True):
--- a/ochrespan/contracts/terms.py
+++ b/ochrespan/contracts/terms.py
@@ -64,7 +64,7 @@
     withdrawn: bool = False
     attempts_per_request: float | None = None  # on average; 1.0: no request is tried again
     fronts: int = 0  # fronts that serve it; 0: as many as the installation says
-    parts: str = "even"  # how fronts that share nothing part a budget: even or heard
+    quota_mode: str = "even"  # how fronts that share nothing part a budget: even or heard
     read: str = ""  # the classes of whole objects' requests: reads, writes, and reads of many chunks
     write: str = ""
     export: str = ""
@@ -75,19 +75,19 @@
         return self.terms.path
 
 
-def digest(token: str) -> str:
+def token_digest(token: str) -> str:
     """A token as the book knows it."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
 @dataclass(slots=True)
-class Book:
+class ContractRegistry:
     """All contracts of an installation, checked. Whoever is named here is named once."""
 
     capacity: Reserve | None = None  # what the servers bear, out of which reserves are made; None: no lending
     fronts: int = 1
-    most_units: float = 1.0  # of one request
-    most_attempts: int = 1  # of one request, by the settings
+    max_units: float = 1.0  # of one request
+    max_attempts: int = 1  # of one request, by the settings
     levels: dict[str, Terms] = field(default_factory=dict)  # by path, a parent before its children
     contracts: dict[str, Contract] = field(default_factory=dict)  # by path
     by_token: dict[str, Contract] = field(default_factory=dict)
@@ -100,17 +100,17 @@
         self.contracts[contract.path] = contract
         self.by_token.update(dict.fromkeys(contract.tokens, contract))
 
-    def own(self, path: str, volumes: Iterable[str], buckets: Iterable[str]) -> None:
+    def set_owner(self, path: str, volumes: Iterable[str], buckets: Iterable[str]) -> None:
         """These volumes and buckets belong to the level of that path."""
         self.by_volume.update(dict.fromkeys(volumes, path))
         self.by_bucket.update(dict.fromkeys(buckets, path))
 
-    def assured(self) -> tuple[dict[str, float], dict[str, float]]:
+    def reserved_rates(self) -> tuple[dict[str, float], dict[str, float]]:
         """Units a second that each level is promised, and that all its children are; without one of its own, a
         level is promised what its children are."""
-        own: dict[str, float] = {}
+        own_rates: dict[str, float] = {}
         children: dict[str, float] = {}
         for path, terms in reversed(self.levels.items()):
-            own[path] = terms.reserve.units_per_s or children.get(path, 0.0)
-            children[terms.parent] = children.get(terms.parent, 0.0) + own[path]
-        return own, children
+            own_rates[path] = terms.reserve.units_per_s or children.get(path, 0.0)
+            children[terms.parent] = children.get(terms.parent, 0.0) + own_rates[path]
+        return own_rates, children
--- a/ochrespan/contracts/token_bucket.py
+++ b/ochrespan/contracts/token_bucket.py
@@ -10,50 +10,50 @@
 
 
 @dataclass(slots=True, eq=False)
-class Bucket:
+class TokenBucket:
     """One token bucket."""
 
     rate: int
     burst: int  # the most that is left at a time
-    at: int
+    updated_at: int
     left: int = 0
     held: int = 0
     spent: int = 0
     granted: int = 0
 
-    def sync(self, now: int) -> None:
+    def refill(self, now: int) -> None:
         """Lets in what has come since; a clock that steps back lets nothing in."""
-        if now > self.at:
-            more = min(self.rate * (now - self.at), self.burst - self.left)
-            self.at = now
-            if more > 0:
-                self.left += more
-                self.granted += more
+        if now > self.updated_at:
+            added = min(self.rate * (now - self.updated_at), self.burst - self.left)
+            self.updated_at = now
+            if added > 0:
+                self.left += added
+                self.granted += added
 
     def hold(self, amount: int) -> None:
         """Moves an amount from what is left to what is held; more than is left makes that negative."""
         self.left -= amount
         self.held += amount
 
-    def settle(self, held: int, cost: int) -> int:
+    def charge(self, held: int, cost: int) -> int:
         """Ends a hold with what it did cost. Returns what no longer fits in: that was never granted."""
         self.held -= held
         self.spent += cost
         self.left += held - cost
-        over = max(0, self.left - self.burst)
-        self.left -= over
-        self.granted -= over
-        return over
+        excess = max(0, self.left - self.burst)
+        self.left -= excess
+        self.granted -= excess
+        return excess
 
     def resize(self, rate: int, burst: int, now: int) -> None:
         """From now on; what is held stays held, what is left keeps to the new burst."""
-        self.sync(now)
+        self.refill(now)
         self.rate, self.burst = rate, burst
-        over = max(0, self.left - burst)
-        self.left -= over
-        self.granted -= over
+        excess = max(0, self.left - burst)
+        self.left -= excess
+        self.granted -= excess
 
-    def wait(self, amount: int) -> int | None:
+    def wait_us(self, amount: int) -> int | None:
         """Microseconds until so much is left if nobody else asks; None: it never will be."""
         if self.left >= amount:
             return 0
@@ -64,5 +64,5 @@
     def full_at(self) -> int | None:
         """When the bucket will be full if nobody asks; None: never."""
         if self.left >= self.burst:
-            return self.at
-        return self.at - (self.left - self.burst) // self.rate if self.rate else None
+            return self.updated_at
+        return self.updated_at - (self.left - self.burst) // self.rate if self.rate else None
--- a/ochrespan/contracts/window.py
+++ b/ochrespan/contracts/window.py
@@ -8,10 +8,10 @@
 
 from dataclasses import dataclass
 
-from .fixed_point import MICROS
+from .fixed_point import MICROS_PER_S
 
-HOUR, DAY = 3600 * MICROS, 86400 * MICROS
-NAMES = {HOUR: "hour", DAY: "day"}
+HOUR, DAY = 3600 * MICROS_PER_S, 86400 * MICROS_PER_S
+SPAN_NAMES = {HOUR: "hour", DAY: "day"}
 
 
 @dataclass(slots=True, eq=False)
@@ -23,19 +23,19 @@
     number: int  # of this window since 1970
     spent: int = 0
     held: int = 0
-    earlier: int = 0  # held by requests that were admitted in an earlier window
+    held_earlier: int = 0  # held by requests that were admitted in an earlier window
 
     @property
     def left(self) -> int:
         """Below 0 once the quota has been cut under what was spent."""
         return self.quota - self.spent - self.held
 
-    def sync(self, now: int) -> None:
+    def advance(self, now: int) -> None:
         """Begins a new window where the clock has passed the end of the last."""
         number = now // self.span
         if number > self.number:
             self.number = number
-            self.earlier += self.held
+            self.held_earlier += self.held
             self.held = self.spent = 0
 
     def hold(self, amount: int) -> int:
@@ -43,25 +43,25 @@
         self.held += amount
         return self.number
 
-    def settle(self, number: int, held: int, cost: int) -> None:
+    def charge(self, number: int, held: int, cost: int) -> None:
         """Ends a hold that was made in the window of that number with what it did cost."""
         if number == self.number:
             self.held -= held
             self.spent += cost
         else:
-            self.earlier -= held
+            self.held_earlier -= held
 
-    def kept_back(self, rate: int, now: int) -> int:
+    def reserved_until_end(self, rate: int, now: int) -> int:
         """What reserves of that rate may still need until the window's end."""
         return rate * max(0, (self.number + 1) * self.span - now)
 
-    def wait(self, amount: int, kept: int, now: int) -> int | None:
+    def wait_us(self, amount: int, reserved_rate: int, now: int) -> int | None:
         """Microseconds until there is so much beside what is kept back at that rate; None: there never will be."""
-        if self.left - self.kept_back(kept, now) >= amount:
+        if self.left - self.reserved_until_end(reserved_rate, now) >= amount:
             return 0
-        if amount > self.quota - kept * self.span:
+        if amount > self.quota - reserved_rate * self.span:
             return None
         until_end = max(1, (self.number + 1) * self.span - now)
-        if kept and self.left >= amount:  # what is kept back shrinks towards the end
-            return min(until_end, until_end - (self.left - amount) // kept)
+        if reserved_rate and self.left >= amount:  # what is kept back shrinks towards the end
+            return min(until_end, until_end - (self.left - amount) // reserved_rate)
         return until_end
--- a/ochrespan/metrics/core_metrics.py
+++ b/ochrespan/metrics/core_metrics.py
@@ -10,7 +10,7 @@
 from ..figures import Reading, plain
 
 
-def readings(broker: Broker) -> Iterator[Reading]:
+def core_metrics(broker: Broker) -> Iterator[Reading]:
     """The core's figures: requests held, attempts, outcomes, and the use of each plan and class."""
     counts = broker.counts
     yield Reading("front", "held", broker.held, False)
--- a/ochrespan/metrics/exporters.py
+++ b/ochrespan/metrics/exporters.py
@@ -19,14 +19,14 @@
 log = logging.getLogger(__name__)
 
 ROUND_TIMEOUT = timedelta(seconds=2)  # for one round with a sink
-READINGS_A_TURN = 200  # readings collected in one turn of the loop
-MOST_PACKET = 1452  # collectd's own size of a packet
+SAMPLES_PER_TURN = 200  # readings collected in one turn of the loop
+MAX_PACKET = 1452  # collectd's own size of a packet
 # collectd's kinds of parts, and of values
 HOST, PLUGIN, INSTANCE, TYPE, TYPE_INSTANCE, VALUES, TIME_HR, INTERVAL_HR = 0, 2, 3, 4, 5, 6, 8, 9
 GAUGE, DERIVE = 1, 2
-HIGH_RESOLUTION = 1 << 30  # collectd's fractions of a second
+TIME_SCALE = 1 << 30  # collectd's fractions of a second
 MAX_TEXT = 63  # bytes of a text, before its end mark
-NUMBER_PART, VALUE_PART = 12, 15  # bytes of such a part
+NUMBER_PART_SIZE, VALUE_PART_SIZE = 12, 15  # bytes of such a part
 
 
 class Exporter(ABC):
@@ -46,24 +46,24 @@
                 if failing:
                     log.info("sink answers again", extra={"sink": type(self).__name__})
                 failing = False
-            except (OSError, TimeoutError) as why:
+            except (OSError, TimeoutError) as error:
                 if not failing:
-                    log.warning("sink fails", extra={"sink": type(self).__name__, "why": repr(why)})
+                    log.warning("sink fails", extra={"sink": type(self).__name__, "why": repr(error)})
                 failing = True
                 self.close()
 
     async def _collect(self) -> list[Reading]:
         """All readings, in turns: an installation of many thousand contracts must not stop serving for them."""
-        found: list[Reading] = []
+        samples: list[Reading] = []
         for source in self._sources:
-            for reading in source():
-                found.append(reading)
-                if len(found) % READINGS_A_TURN == 0:
+            for sample in source():
+                samples.append(sample)
+                if len(samples) % SAMPLES_PER_TURN == 0:
                     await asyncio.sleep(0)
-        return found
+        return samples
 
     @abstractmethod
-    async def send(self, found: list[Reading], at: datetime) -> None:
+    async def send(self, samples: list[Reading], at: datetime) -> None:
         """One round of readings."""
 
     @abstractmethod
@@ -76,19 +76,19 @@
 
     _writer: asyncio.StreamWriter | None = None
 
-    def lines(self, found: list[Reading], at: datetime) -> bytes:
+    def lines(self, samples: list[Reading], at: datetime) -> bytes:
         """The readings in Graphite's plaintext protocol."""
-        stamp = int(at.timestamp())
+        timestamp = int(at.timestamp())
         return "".join(
-            f"{self.sink.prefix}.{self.host}.{r.group}.{r.name} {r.value:.10g} {stamp}\n" for r in found
+            f"{self.sink.prefix}.{self.host}.{r.group}.{r.name} {r.value:.10g} {timestamp}\n" for r in samples
         ).encode()
 
-    async def send(self, found: list[Reading], at: datetime) -> None:
+    async def send(self, samples: list[Reading], at: datetime) -> None:
         if self._writer is not None and self._writer.is_closing():
             self.close()
         if self._writer is None:
             _, self._writer = await asyncio.open_connection(*self.sink.address)
-        self._writer.write(self.lines(found, at))
+        self._writer.write(self.lines(samples, at))
         await self._writer.drain()
 
     def close(self) -> None:
@@ -105,14 +105,14 @@
 
 def number_part(kind: int, number: int) -> bytes:
     """A part with a whole number."""
-    return struct.pack("!HHQ", kind, NUMBER_PART, number)
+    return struct.pack("!HHQ", kind, NUMBER_PART_SIZE, number)
 
 
-def values_part(reading: Reading) -> bytes:
+def values_part(sample: Reading) -> bytes:
     """One value: a derive is a signed whole number in network order, a gauge a double in x86 order."""
-    head = struct.pack("!HHHB", VALUES, VALUE_PART, 1, DERIVE if reading.counter else GAUGE)
-    body = struct.pack("!q", round(reading.value)) if reading.counter else struct.pack("<d", reading.value)
-    return head + body
+    header = struct.pack("!HHHB", VALUES, VALUE_PART_SIZE, 1, DERIVE if sample.counter else GAUGE)
+    body = struct.pack("!q", round(sample.value)) if sample.counter else struct.pack("<d", sample.value)
+    return header + body
 
 
 class Collectd(Exporter):
@@ -120,30 +120,30 @@
 
     _transport: asyncio.DatagramTransport | None = None
 
-    def packets(self, found: list[Reading], at: datetime) -> Iterator[bytes]:
+    def packets(self, samples: list[Reading], at: datetime) -> Iterator[bytes]:
         """The readings in as few packets as they fit into."""
-        head = text_part(HOST, self.host)
-        head += number_part(TIME_HR, int(at.timestamp() * HIGH_RESOLUTION))
-        head += number_part(INTERVAL_HR, int(self.sink.every.total_seconds() * HIGH_RESOLUTION))
-        head += text_part(PLUGIN, self.sink.prefix)
-        packet = head
-        for reading in found:
-            parts = text_part(INSTANCE, reading.group)
-            parts += text_part(TYPE, "derive" if reading.counter else "gauge")
-            parts += text_part(TYPE_INSTANCE, reading.name) + values_part(reading)
-            if len(packet) + len(parts) > MOST_PACKET:
+        header = text_part(HOST, self.host)
+        header += number_part(TIME_HR, int(at.timestamp() * TIME_SCALE))
+        header += number_part(INTERVAL_HR, int(self.sink.every.total_seconds() * TIME_SCALE))
+        header += text_part(PLUGIN, self.sink.prefix)
+        packet = header
+        for sample in samples:
+            parts = text_part(INSTANCE, sample.group)
+            parts += text_part(TYPE, "derive" if sample.counter else "gauge")
+            parts += text_part(TYPE_INSTANCE, sample.name) + values_part(sample)
+            if len(packet) + len(parts) > MAX_PACKET:
                 yield packet
-                packet = head
+                packet = header
             packet += parts
         yield packet
 
-    async def send(self, found: list[Reading], at: datetime) -> None:
+    async def send(self, samples: list[Reading], at: datetime) -> None:
         if self._transport is None or self._transport.is_closing():
             loop = asyncio.get_running_loop()
             self._transport, _ = await loop.create_datagram_endpoint(
                 asyncio.DatagramProtocol, remote_addr=self.sink.address
             )
-        for packet in self.packets(found, at):
+        for packet in self.packets(samples, at):
             self._transport.sendto(packet)
 
     def close(self) -> None:
--- a/ochrespan/metrics/section.py
+++ b/ochrespan/metrics/section.py
@@ -43,8 +43,8 @@
     return Metrics(**{name: _sink(f"[{name}]", value, faults) for name, value in tables.items()})
 
 
-def _sink(place: str, value: Any, faults: Faults) -> Sink | None:
-    told = table(SinkTable, value, place, faults)
-    if told is None:
+def _sink(location: str, value: Any, faults: Faults) -> Sink | None:
+    entry = table(SinkTable, value, location, faults)
+    if entry is None:
         return None
-    return Sink(address(told.address, f"{place} address", faults), timedelta(seconds=told.every_s), told.prefix)
+    return Sink(address(entry.address, f"{location} address", faults), timedelta(seconds=entry.every_s), entry.prefix)
--- a/ochrespan/metrics/start.py
+++ b/ochrespan/metrics/start.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 from ..running import Core, Running
-from .core_metrics import readings
+from .core_metrics import core_metrics
 from .exporters import Collectd, Graphite
 from .section import Metrics
 
 
 def start(section: Metrics, core: Core) -> Running:
     """One job for each exporter."""
-    core.figures.append(lambda: readings(core.broker))
+    core.figures.append(lambda: core_metrics(core.broker))
     exporters = [
         kind(sink, core.told.name, core.figures)
         for kind, sink in ((Graphite, section.graphite), (Collectd, section.collectd))
--- a/ochrespan/objects/section.py
+++ b/ochrespan/objects/section.py
@@ -40,7 +40,7 @@
     """The checked section; None where the table cannot be read. Faults are collected in `faults`."""
     told = table(ObjectsTable, tables["objects"], "[objects]", faults)
     contracts = earlier.get("contracts")
-    if contracts is None or not contracts.book.by_bucket:
+    if contracts is None or not contracts.registry.by_bucket:
         faults.add("[[team]] buckets", "nothing", "at least one team with a bucket, for [objects]")
     if told is None:
         return None
--- a/tests/contract_helpers.py
+++ b/tests/contract_helpers.py
@@ -6,7 +6,7 @@
 import random
 
 from ochrespan.contracts.admission import Admission, Demand, Grant, NotCovered, OverBudget
-from ochrespan.contracts.terms import Book, Budget, Contract, Reserve, Terms, digest
+from ochrespan.contracts.terms import Budget, Contract, ContractRegistry, Reserve, Terms, token_digest
 
 
 def team(
@@ -22,57 +22,62 @@
     **budget,
 ) -> tuple[Contract, tuple[str, ...]]:
     """A contract and the volumes that it owns."""
-    more = {key: budget.pop(key) for key in ("withdrawn", "withdrawn_classes", "begins", "ends") if key in budget}
+    others = {key: budget.pop(key) for key in ("withdrawn", "withdrawn_classes", "begins", "ends") if key in budget}
     terms = Terms(name, "team", parent, weight, Reserve(reserve), Budget(**budget))
     contract = Contract(
         terms,
         "gold",
         frozenset(classes),
-        tokens=frozenset(map(digest, tokens)),
+        tokens=frozenset(map(token_digest, tokens)),
         volumes=frozenset(volumes),
         attempts_per_request=per_request,
-        **more,
+        **others,
     )
     return contract, tuple(volumes) or (f"v-{name}",)
 
 
-def book(
+def make_registry(
     *teams,
     capacity: float | None = None,
     fronts: int = 1,
-    most_units: float = 8.0,
-    most_attempts: int = 3,
+    max_units: float = 8.0,
+    max_attempts: int = 3,
     levels: tuple[Terms, ...] = (),
-) -> Book:
+) -> ContractRegistry:
     """A book of these contracts."""
-    made = Book(Reserve(capacity) if capacity else None, fronts, most_units, most_attempts)
+    registry = ContractRegistry(Reserve(capacity) if capacity else None, fronts, max_units, max_attempts)
     for terms in levels:
-        made.levels[terms.path] = terms
+        registry.levels[terms.path] = terms
     for contract, volumes in teams:
-        made.add(contract)
-        made.own(contract.path, volumes, ())
-    return made
+        registry.add(contract)
+        registry.set_owner(contract.path, volumes, ())
+    return registry
 
 
-class Site:
+class SimulatedFront:
     """One front's admissions on a clock of its own; what it admits ends after a while."""
 
-    def __init__(self, made: Book, now: float = 1_000_000.0, seed: int = 1) -> None:
-        self.now, self.admission, self.lot = now, Admission(made, now), random.Random(seed)
+    def __init__(self, registry: ContractRegistry, now: float = 1_000_000.0, seed: int = 1) -> None:
+        self.now, self.admission, self.rng = now, Admission(registry, now), random.Random(seed)
         self.open: list[tuple[float, int, Grant]] = []
         self.count = 0
 
-    def ask(self, name: str, units: float = 2.0, **more) -> Grant | NotCovered | OverBudget:
+    def request(self, name: str, units: float = 2.0, **others) -> Grant | NotCovered | OverBudget:
         """One request of that team."""
-        demand = {"cls": "read", "volume": f"v-{name}"} | more
+        demand = {"cls": "read", "volume": f"v-{name}"} | others
         return self.admission.admit(self.now, Demand(units=units, **demand))
 
-    def end(self, grant: Grant, sent: int = 1, ran: int | None = None) -> None:
+    def complete(self, grant: Grant, sent: int = 1, ran: int | None = None) -> None:
         """The end of an admitted request."""
-        self.admission.settle(self.now, grant, sent, sent if ran is None else ran)
+        self.admission.complete(self.now, grant, sent, sent if ran is None else ran)
 
     def run(
-        self, rates: dict[str, float], seconds: float, units: float = 2.0, takes: float = 0.05, attempts=lambda grant: 1
+        self,
+        rates: dict[str, float],
+        seconds: float,
+        units: float = 2.0,
+        duration: float = 0.05,
+        attempts=lambda grant: 1,
     ) -> dict[str, float]:
         """Requests a second by team, evenly spread by lot. Returns the units a second that each was admitted."""
         got = dict.fromkeys(rates, 0.0)
@@ -81,28 +86,28 @@
             self.now += step
             while self.open and self.open[0][0] <= self.now:
                 _, _, grant = heapq.heappop(self.open)
-                self.end(grant, attempts(grant))
+                self.complete(grant, attempts(grant))
             for name, rate in rates.items():
-                for _ in range(int(rate * step) + (self.lot.random() < rate * step % 1)):
-                    answer = self.ask(name, units)
-                    if isinstance(answer, Grant):
+                for _ in range(int(rate * step) + (self.rng.random() < rate * step % 1)):
+                    result = self.request(name, units)
+                    if isinstance(result, Grant):
                         got[name] += units
                         self.count += 1
-                        heapq.heappush(self.open, (self.now + takes, self.count, answer))
+                        heapq.heappush(self.open, (self.now + duration, self.count, result))
         return {name: amount / seconds for name, amount in got.items()}
 
     def check(self, open_: int | None = None) -> None:
         """What must hold at any moment."""
         self.admission.advance(self.now)
         for level in self.admission.levels.values():
-            for bucket in (level.units, level.attempts, level.extras, level.reserve):
+            for bucket in (level.units, level.attempts, level.extra_attempts, level.reserve):
                 if bucket is not None:
                     assert bucket.granted == bucket.spent + bucket.held + bucket.left, level.path
                     assert bucket.left <= bucket.burst
             if level.pool is not None:
                 pool = level.pool
-                assert pool.came == pool.stock + pool.taken + pool.passed + pool.lost
-                assert pool.unassigned >= 0 and pool.stock >= 0 and pool.rate >= 0, level.path
+                assert pool.received == pool.balance + pool.lent_out + pool.passed_to_parent + pool.discarded
+                assert pool.unassigned >= 0 and pool.balance >= 0 and pool.rate >= 0, level.path
             assert level.open >= 0
         if open_ is not None:
             assert self.admission.levels[""].open == open_
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -59,11 +59,11 @@
 def test_the_base_is_good(tmp_path):
     path = tmp_path / "o.toml"
     path.write_text(BASE)
-    book = load(path, TOLD).sections["contracts"].book
+    book = load(path, TOLD).sections["contracts"].registry
     assert list(book.levels) == ["house", "house/a", "house/b", "house/b/reader"]
     assert set(book.contracts) == {"house/a", "house/b/reader"} and book.fronts == 2
     assert book.by_volume == {"00000000000000aa": "house/a", "00000000000000bb": "house/b"}
-    assert book.assured()[0] == {"house": 30, "house/a": 20, "house/b": 10, "house/b/reader": 10}
+    assert book.reserved_rates()[0] == {"house": 30, "house/a": 20, "house/b": 10, "house/b/reader": 10}
 
 
 @pytest.mark.parametrize(
@@ -178,7 +178,7 @@
             for i in range(10_000)
         )
     )
-    book = load(path, TOLD).sections["contracts"].book
+    book = load(path, TOLD).sections["contracts"].registry
     assert len(book.contracts) == 10_000 and book.by_volume[f"{9_999:016x}"] == "t9999"
 
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -34,11 +34,11 @@
 def test_the_files_in_the_repository_are_good(tmp_path):
     got = operator.load(ROOT / "deploy" / "operator.toml", TOLD).sections
     assert set(got) == {"contracts", "objects", "metrics"}
-    book = got["contracts"].book
+    book = got["contracts"].registry
     assert book.by_bucket["review"] == "review-tools" and not got["contracts"].platform
     assert book.levels["review-tools"].budget.units_per_s == 400
     assert got["metrics"].graphite and got["metrics"].collectd
-    example = operator.load(ROOT / "examples" / "operator.toml", TOLD).sections["contracts"].book
+    example = operator.load(ROOT / "examples" / "operator.toml", TOLD).sections["contracts"].registry
     assert example.by_bucket["photos"] == "inspection"
 
 
