--- a/ochrespan/contracts/__init__.py
+++ b/ochrespan/contracts/__init__.py
@@ -1,1 +1,1 @@
-"""Contracts: who may send what, how much, and what is told to whoever may not. Decides without I/O and wire."""
+"""Contracts: which requests a client may send and how many. Admission decisions only, without I/O or protocol code."""
--- a/ochrespan/contracts/accounts.py
+++ b/ochrespan/contracts/accounts.py
@@ -1,4 +1,7 @@
-"""What each level was granted, spent, holds, lent, borrowed and was refused: exact at any moment."""
+"""Accounting snapshots of each level: granted, spent, held, lent and borrowed amounts, and counts of refusals.
+
+The amounts are exact at any moment: granted = spent + held + left.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Account:
-    """One budget of one level, in units or attempts: granted = spent + held + left."""
+    """One budget of one level, in units or attempts: granted = spent + held + left. Fields are metric names."""
 
     path: str
     budget: str
@@ -26,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LevelStatistics:
-    """What one level's requests came to, and what it lent and borrowed in units."""
+    """Counts of one level's requests, and the units that it has lent and borrowed."""
 
     path: str
     kind: str
@@ -43,11 +46,11 @@
 
 
 def accounts(admission: Admission, now: float) -> Iterator[Account]:
-    """Every budget of every level that has asked for something."""
+    """Yields every budget of every level that has received a request, and those of the installation."""
     admission.advance(now)
     for level in list(admission.levels.values()):
         if not level.counts and level.path:
-            continue  # it has not asked for anything yet
+            continue  # no request yet
         for name, bucket in (
             ("units", level.units),
             ("attempts", level.attempts),
@@ -70,7 +73,7 @@
 
 
 def level_statistics(admission: Admission, now: float) -> Iterator[LevelStatistics]:
-    """Counts, open requests and lending of every level that has asked for something."""
+    """Yields counts, open requests and lending of every level that has received a request."""
     admission.advance(now)
     for level in list(admission.levels.values()):
         if level.counts:
--- a/ochrespan/contracts/adaptive_quota.py
+++ b/ochrespan/contracts/adaptive_quota.py
@@ -1,57 +1,58 @@
-"""Which part of a budget a front may use, when fronts share nothing and use it unevenly.
+"""The fraction of a contract's rate that one front may use, when fronts share no state and receive uneven load.
 
-`even`: each has one part of as many as there are fronts. Never more than the budget in all, and as much less as the
-fronts that are idle leave.
+Mode `even`: each front gets 1/n of the rate. The total never exceeds the budget; the fractions of idle fronts are
+unused.
 
-`heard`: a front's part follows what it spends and what it hears, with each answer, that others spent for the same
-volumes (`X-Served-Elsewhere`). Once a second a front that had to refuse moves its part by the root of budget over
-what all spend (twice as much while that is less than half), so that all fronts scale alike and the sum converges in a
-few steps at any number of fronts; a little is added as well, so that a front that comes late grows against those that
-have much; what a front does not use it gives up. Only right where every front that serves the team hears of all its
-volumes. Figures are units a second.
+Mode `heard`: a front adapts its quota to what it spends and to what other fronts spend on the same volumes, as
+reported in each response (`X-Served-Elsewhere`). Once a second, a front that refused requests multiplies its quota by
+the square root of budget / total spending (by the full ratio, up to 2, while spending is below half the budget), so
+that all fronts scale alike and the sum converges in a few steps for any number of fronts. It also adds a small
+constant, so that a front that starts late gains on those with large quotas. A front gives up what it does not use.
+This is only correct if every front that serves the team receives reports for all of the team's volumes. Rates are
+units per second.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-UPDATE_INTERVAL_S = 1.0  # s between moves
-SMOOTHING = 0.5  # part of the newest second in what is heard and spent
-GROWTH = 0.02  # of the even part, added in each step with refusals
-MIN_FRACTION = 0.1  # of the even part, that every front keeps: what is heard may be late
-MAX_CHANGE = 2.0  # times, that a part changes by in one step
-DECAY = 0.3  # of what is not used, given up in each step
-HEADROOM = 1.25  # times what is spent, that a front without refusals keeps
+UPDATE_INTERVAL_S = 1.0
+SMOOTHING = 0.5  # weight of the newest sample in the moving averages
+GROWTH = 0.02  # of the even quota, added in each update after refusals
+MIN_FRACTION = 0.1  # of the even quota; lower bound, as reports of other fronts may be late
+MAX_CHANGE = 2.0  # largest factor of change in one update
+DECAY = 0.3  # fraction of the unused quota given up in each update
+HEADROOM = 1.25  # quota over spending that a front without refusals keeps
 
 
 @dataclass(slots=True)
 class AdaptiveQuota:
-    """One front's part of one contract's rate, as a multiple of the even part."""
+    """One front's quota of one contract's rate; `scale` is its multiple of the even quota."""
 
-    rate: float  # the whole budget
+    rate: float  # of the contract, over all fronts
     fronts: int
     scale: float = 1.0
-    spent: float = 0.0  # smoothed
-    spent_elsewhere: float = 0.0
+    spent: float = 0.0  # by this front; moving average
+    spent_elsewhere: float = 0.0  # by other fronts; moving average
     _spent_now: float = 0.0
     _spent_elsewhere_now: float = 0.0
     _refused: bool = False
     _updated_at: float | None = None
 
     def record_spent(self, units: float) -> None:
-        """This front has served so many units."""
+        """Records units that this front has served."""
         self._spent_now += units
 
     def record_spent_elsewhere(self, units: float) -> None:
-        """Other fronts have served so many units of the same volumes."""
+        """Records units of the same volumes that other fronts have served."""
         self._spent_elsewhere_now += units
 
     def record_refusal(self) -> None:
-        """This front had to refuse for want of budget."""
+        """Records that this front refused a request for lack of budget."""
         self._refused = True
 
     def update(self, now: float) -> float | None:
-        """Once a second the new scale; else None."""
+        """Returns the new scale if the update interval has passed, else None."""
         if self._updated_at is None:
             self._updated_at = now
         elapsed = now - self._updated_at
@@ -63,8 +64,8 @@
         even, total = self.rate / self.fronts, self.spent + self.spent_elsewhere
         share = self.scale * even
         if total > self.rate or (self._refused and total > 0):
-            # while all use less than half, all may double at once; near the budget the root lets no front chase
-            # what the others change in the same step. GROW is added below: what is aimed at is as much less
+            # Below half of the budget all fronts may double at once. Near the budget, the square root keeps fronts
+            # from overshooting when all react in the same update. GROWTH is added below, so the target is lower.
             ratio = self.rate * (1 - 2 * GROWTH) / total
             share = (
                 share * (min(MAX_CHANGE, ratio) if ratio > MAX_CHANGE else max(1 / MAX_CHANGE, ratio**0.5))
--- a/ochrespan/contracts/admission.py
+++ b/ochrespan/contracts/admission.py
@@ -1,11 +1,12 @@
-"""Whether a request is covered by a contract and paid for, before the decision module sees it.
+"""Admission control: checks that a contract covers a request and that its budgets suffice, before scheduling.
 
-`admit` answers with a `Grant` that holds what the request may cost at most, attempts included, with `NotCovered`
-(for good) or with `OverBudget` (until a told time). A grant may hold fewer attempts than the settings allow where its
-budgets run low; then each repeat is paid for by `extend` before it is sent, or not sent. Every grant is settled once,
-with what the request did cost: a unit budget pays each attempt that may have run, an attempt budget each one sent.
+`admit` returns a `Grant` that holds the request's maximum cost, retries included; `NotCovered`, which is permanent;
+or `OverBudget`, with the time until a retry can succeed. When budgets run low, a grant may hold fewer attempts than
+the settings allow; each further retry must then be paid for by `extend` before it is sent. Every grant is completed
+once, with the actual cost: unit budgets are charged for each attempt that may have run, attempt budgets for each
+attempt sent.
 
-Amounts and times inside are whole numbers (`fixed_point.py`); `now` is Unix time in seconds.
+Internal amounts and times are integers (`fixed_point.py`); `now` is Unix time in seconds.
 """
 
 from __future__ import annotations
@@ -24,12 +25,12 @@
 
 
 class Admission:
-    """One front's accounts under one book at a time."""
+    """The accounts of one front process under the contracts in force."""
 
     def __init__(self, registry: ContractRegistry, now: float) -> None:
         self._tree = LevelTree(registry, now)
-        self.levels = self._tree.levels  # by path; empty: the installation
-        self.unattributed_refusals: dict[str, int] = {}  # not covered and of no contract, by rule
+        self.levels = self._tree.levels  # by path; the empty path is the installation
+        self.unattributed_refusals: dict[str, int] = {}  # by rule; requests without a known contract
 
     @property
     def registry(self) -> ContractRegistry:
@@ -37,29 +38,29 @@
         return self._tree.registry
 
     def replace(self, registry: ContractRegistry, now: float) -> None:
-        """A new book, from the next request on. What was granted, held and spent carries over, by name."""
+        """Puts a new registry in force. Granted, held and spent amounts carry over by level path."""
         self._tree.replace(registry, now)
 
     def advance(self, now: float) -> None:
-        """What was due until now has happened."""
+        """Runs all timers that are due."""
         self._tree.advance(now)
 
     def set_scales(self, scales: Mapping[str, float]) -> None:
-        """By path: how many times its even part of a contract's budgets this front has, from the next change on."""
+        """Sets this front's multiples of the even fraction of contracts' budgets, by path, for the next `replace`."""
         self._tree.scales = dict(scales)
 
     def rescale(self, path: str, scale: float, now: float) -> None:
-        """This front's part of a contract's budgets becomes so many times the even one, at once."""
+        """Sets this front's multiple of the even fraction of one contract's budgets, effective at once."""
         self._tree.rescale(path, scale, now)
 
-    # ---- who ----
+    # ---- authorization ----
 
     def identify(self, demand: Demand) -> Contract | NotCovered:
-        """The contract that a request comes under. A wrong token is told nothing of what others own."""
+        """Finds the contract of a request; see `authorization.identify`."""
         return authorization.identify(self.registry, demand)
 
     def check_coverage(self, contract: Contract, demand: Demand, now: float) -> NotCovered | None:
-        """Why a contract does not cover the request; None: it does."""
+        """Returns why a contract does not cover the request, or None if it does."""
         return authorization.check_coverage(contract, demand, now)
 
     # ---- requests ----
@@ -67,8 +68,11 @@
     def admit(
         self, now: float, demand: Demand, started_under: Contract | None = None
     ) -> Grant | NotCovered | OverBudget:
-        """`vouched`: the contract under which earlier steps of the same work were taken; withdrawing it, or a class
-        or token of it, lets that work end."""
+        """Admits or refuses a request.
+
+        `started_under` is the contract that admitted earlier requests of the same operation: the operation may finish
+        even if that contract, or a class or token of it, has been withdrawn since.
+        """
         contract = started_under or self.identify(demand)
         if isinstance(contract, NotCovered):
             return self._count_not_covered(contract)
@@ -112,7 +116,7 @@
         return grant
 
     def extend(self, now: float, grant: Grant) -> bool:
-        """One more attempt for a request that has used up what it held, if its budgets bear it."""
+        """Adds one attempt to a grant whose attempts are used up; False if the budgets do not allow it."""
         if grant.completed:
             return False
         allocation_request = AllocationRequest(
@@ -126,9 +130,9 @@
         return True
 
     def complete(self, now: float, grant: Grant, sent: int, ran: int) -> None:
-        """A request has ended, with so many attempts sent, of which so many may have run. Only the first call counts.
+        """Completes a grant: `sent` attempts were sent, of which `ran` may have run. Further calls have no effect.
 
-        A request that sent more than it held still pays for all: its buckets go below 0 and fill up again.
+        A request that sent more attempts than it held is charged for all: its buckets go below 0 and refill.
         """
         if grant.completed:
             return
--- a/ochrespan/contracts/allocation.py
+++ b/ochrespan/contracts/allocation.py
@@ -1,7 +1,7 @@
-"""How many attempts of a request fit under every bound on its path, and what pays for them.
+"""Determines how many attempts of a request fit within every limit on its path, and draws the funds for them.
 
-A request that its own reserve pays for is not held up by what others spent: bounds above its own level count it but
-ask only of what is borrowed. Amounts and times are whole numbers (`fixed_point.py`).
+A request that its own reserve pays for is never refused because of other teams' spending: the limits of ancestor
+levels count it, but only refuse requests that need borrowed funds. Amounts and times are integers (`fixed_point.py`).
 """
 
 from __future__ import annotations
@@ -16,31 +16,31 @@
 from .token_bucket import TokenBucket
 from .window import SPAN_NAMES
 
-MIN_WAIT_US = 1000  # microseconds: a time to come back that is not at once
-UNLIMITED = 1 << 30  # attempts, where no budget bounds them
+MIN_WAIT_US = 1000  # lower bound of a retry time: not an immediate retry
+UNLIMITED = 1 << 30  # attempts, where no budget limits them
 
 
 @dataclass(frozen=True, slots=True)
 class ExceededLimit:
-    """A bound that one more attempt does not fit under."""
+    """A limit that does not allow one more attempt."""
 
     rule: str
-    wait_us: int | None  # microseconds until it would fit; None: it never will
+    wait_us: int | None  # microseconds until an attempt fits; None: never
 
 
 @dataclass(slots=True)
 class AllocationRequest:
-    """Attempts that are to be paid for: of whom, of how many units each, and up to how many."""
+    """A request for funds: up to `max_attempts` attempts of one contract."""
 
     contract: Contract
     leaf: Level
-    ancestors: list[Level]  # the levels over the leaf, from below
-    attempt_cost: int
+    ancestors: list[Level]  # of the leaf, lowest first
+    attempt_cost: int  # pico units
     max_attempts: int
-    now: int
+    now: int  # microseconds
 
     def refusal(self, level: Level, exceeded: ExceededLimit) -> NotCovered | OverBudget:
-        """The answer where a level's bound does not let one attempt pass."""
+        """The refusal of a request because of a limit that does not allow one attempt."""
         path = self.contract.path
         if exceeded.wait_us is None:
             where = level.path or "the installation"
@@ -49,7 +49,8 @@
 
 
 def attempts_to_hold(bucket: TokenBucket, cost: int) -> int:
-    """Attempts to hold in advance: repeats only out of the upper half, so that they keep no first attempt out."""
+    """Attempts to hold in advance. Retries are held from the upper half of the bucket only, so that they displace no
+    first attempts."""
     if bucket.left < cost:
         return 0
     return max(1, (bucket.left - bucket.burst // 2) // cost)
@@ -58,7 +59,7 @@
 def allocate(
     request: AllocationRequest, timers: TimerQueue, extra_attempts: TokenBucket | None = None
 ) -> Allocation | NotCovered | OverBudget:
-    """The attempts that fit, with the funds drawn for them. `extra`: what pays for repeats alone."""
+    """Allocates the attempts that fit and draws their funds. `extra_attempts` pays for retries only."""
     leaf, attempt_cost, now = request.leaf, request.attempt_cost, request.now
     timers.run_due(now)
     leaf.advance(now)
@@ -69,10 +70,10 @@
     if (exceeded := _exceeded_limit(leaf, attempt_cost, now, 0)) is not None:
         return request.refusal(leaf, exceeded)
     attempts = min(_attempts_within_limits(leaf, attempt_cost), request.max_attempts)
-    if leaf.borrower is None:  # no lending here: what is above bounds all alike
+    if leaf.borrower is None:  # no borrowing: the ancestors' limits apply to all alike
         allowed = _limit_by_ancestors(request, attempts, borrowing=False)
         return Allocation(allowed, Draw()) if isinstance(allowed, int) else allowed
-    if from_reserve := _attempts_from_reserve(leaf, attempt_cost, now):  # the limits of its ancestors do not apply
+    if from_reserve := _attempts_from_reserve(leaf, attempt_cost, now):  # its own reserve pays: no ancestor refuses it
         attempts = min(attempts, from_reserve)
     else:
         allowed = _limit_by_ancestors(request, attempts, borrowing=True)
@@ -83,7 +84,7 @@
 
 
 def _attempts_from_reserve(leaf: Level, attempt_cost: int, now: int) -> int:
-    """Attempts that the leaf's own reserve pays for."""
+    """Attempts that the leaf's own reserve can pay for."""
     if leaf.reserve is None:
         return 0
     leaf.reserve.refill(now)
@@ -91,7 +92,7 @@
 
 
 def _limit_by_ancestors(request: AllocationRequest, attempts: int, borrowing: bool) -> int | NotCovered | OverBudget:
-    """How many of these attempts fit under the bounds of the levels above."""
+    """How many of these attempts fit within the limits of the ancestors."""
     for level in request.ancestors:
         reserved_rate = level.reserved_below if borrowing else 0
         if (exceeded := _exceeded_limit(level, request.attempt_cost, request.now, reserved_rate)) is not None:
@@ -101,19 +102,19 @@
 
 
 def _draw(request: AllocationRequest, attempts: int, timers: TimerQueue) -> Allocation | NotCovered | OverBudget:
-    """Funds for as many of these attempts as there are, whole attempts only."""
+    """Draws funds for as many of these attempts as can be paid in full."""
     leaf, attempt_cost = request.leaf, request.attempt_cost
     draw = leaf.draw(timers, attempts * attempt_cost, request.now)
     funded = (draw.own + draw.borrowed) // attempt_cost
     if not funded:
         leaf.charge(draw, 0)
-        # nothing may flow in now, but its lenders can fall idle at any time
+        # the inflow may be 0 now, but lenders can become idle at any time
         return request.refusal(leaf, ExceededLimit("funds", leaf.funds_wait_us(attempt_cost) or MICROS_PER_S))
     return Allocation(funded, leaf.return_remainder(draw, draw.own + draw.borrowed - funded * attempt_cost))
 
 
 def _exceeded_limit(level: Level, attempt_cost: int, now: int, reserved_rate: int) -> ExceededLimit | None:
-    """The bound of a level that one attempt does not fit under; `kept`: the rate that windows keep back."""
+    """The limit of a level that does not allow one attempt. Windows withhold `reserved_rate` until their end."""
     if level.units is not None and level.units.left < attempt_cost:
         return ExceededLimit("units_per_s", level.units.wait_us(attempt_cost))
     if level.attempts is not None and level.attempts.left < PICO:
@@ -127,7 +128,7 @@
 
 
 def _attempts_within_limits(level: Level, attempt_cost: int, now: int = 0, reserved_rate: int = 0) -> int:
-    """Attempts to hold under a level's bounds, once one does fit."""
+    """Attempts to hold within a level's limits, given that one fits."""
     attempts = UNLIMITED
     if level.units is not None:
         attempts = min(attempts, attempts_to_hold(level.units, attempt_cost))
--- a/ochrespan/contracts/authorization.py
+++ b/ochrespan/contracts/authorization.py
@@ -1,4 +1,4 @@
-"""Under which contract a request comes, and whether that contract covers it. Budgets are not looked at here."""
+"""Finds the contract of a request and checks whether it covers the request. Budgets are not checked here."""
 
 from __future__ import annotations
 
@@ -7,7 +7,8 @@
 
 
 def identify(registry: ContractRegistry, demand: Demand) -> Contract | NotCovered:
-    """The contract that a request comes under. A wrong token is told nothing of what others own."""
+    """Finds the contract of a request. The answer to an unknown token does not depend on whether the volume has an
+    owner."""
     owner = registry.by_volume.get(demand.volume) if demand.volume else None
     if demand.bucket:
         owner = registry.by_bucket.get(demand.bucket)
@@ -24,7 +25,7 @@
 
 
 def _holder(registry: ContractRegistry, token: str, owner: str | None) -> Contract | NotCovered:
-    """Whose request it is: the token's contract, or without one the owner's, where that needs no token."""
+    """The token's contract; without a token, the owner's contract if that has no tokens."""
     if token:
         return registry.by_token.get(token_digest(token)) or NotCovered("token", reason="no contract has this token")
     if owner is None:
@@ -36,7 +37,7 @@
 
 
 def check_coverage(contract: Contract, demand: Demand, now: float) -> NotCovered | None:
-    """Why the contract does not cover the request at that moment (Unix time in seconds); None: it does."""
+    """Returns why the contract does not cover the request at `now` (Unix time in seconds), or None if it does."""
     if contract.withdrawn:
         return NotCovered("withdrawn", contract.path, "the contract was withdrawn")
     if now < contract.begins:
--- a/ochrespan/contracts/borrowing.py
+++ b/ochrespan/contracts/borrowing.py
@@ -1,12 +1,13 @@
-"""What nobody uses of their reserves, lent by weight.
+"""Borrowing of unused reserves, shared by weight.
 
-A level's pool gets what its level has beyond its children's reserves, and the reserve of each child whose own bucket
-is full. It deals this out by weight among the children that lately asked for more than they have. A pool that nobody
-asks passes all on to its parent's. A reserve is lent only while its owner's bucket is full, so an owner that asks
-finds the whole bucket, and lending stops with its first request: what is lent is never called back from anybody.
+A level's pool receives the rate that its level has beyond its children's reserves, and the reserve rate of each child
+whose own bucket is full. It distributes this by weight among the children that recently asked for more than their
+reserve. A pool without active borrowers passes its rate on to the parent's pool. A reserve is lent only while its
+owner's bucket is full, so an owner that sends a request finds the full bucket, and lending stops with that request:
+lent amounts are never reclaimed.
 
-Dealing costs the same however many children ask: the pool keeps a running sum of what one weight has got since the
-start, and a child that asks is given its weight times what came since it last did (as in the fluid model of
+Distribution costs the same for any number of active borrowers: the pool keeps a running sum of the amount per unit of
+weight, and a borrower collects its weight times the increase since it last collected (as in the fluid model of
 generalized processor sharing; Parekh and Gallager, 1993). Amounts and times: see `fixed_point.py`.
 """
 
@@ -20,23 +21,23 @@
 
 from .fixed_point import MICROS_PER_S
 
-WEIGHT_SCALE = 1 << 32  # parts of the running sum
-ACTIVE_US = 1 * MICROS_PER_S  # so long after its last ask a child is dealt a share
+WEIGHT_SCALE = 1 << 32  # fixed-point scale of the running sum
+ACTIVE_US = 1 * MICROS_PER_S  # a borrower is active for this long after its last request
 
 
 class TimerQueue:
-    """What has to happen at a point of time, done in order when the next admission or settlement comes."""
+    """Timers that run in order of time, at the next admission or completion after they are due."""
 
     def __init__(self) -> None:
         self._due: list[tuple[int, int, Callable[[int], None]]] = []
         self._sequence = count()
 
     def call_at(self, due_at: int, callback: Callable[[int], None]) -> None:
-        """Calls back once `when` has come, in microseconds."""
+        """Schedules a callback for the time `due_at`, in microseconds."""
         heapq.heappush(self._due, (due_at, next(self._sequence), callback))
 
     def run_due(self, now: int) -> None:
-        """Makes all calls that are due."""
+        """Runs all callbacks that are due."""
         while self._due and self._due[0][0] <= now:
             due_at, _, callback = heapq.heappop(self._due)
             callback(due_at)
@@ -44,16 +45,16 @@
 
 @dataclass(slots=True, eq=False)
 class Borrower:
-    """What one child has of its parent's pool."""
+    """One child's account with its parent's pool."""
 
     weight: int
-    burst: int
-    credit: int = 0
-    distributed_seen: int = 0  # the pool's running sum when the child was last given its part
+    burst: int  # maximum of `credit`
+    credit: int = 0  # collected and not yet borrowed
+    distributed_seen: int = 0  # the pool's running sum when the child last collected
 
 
 class BorrowingPool:
-    """What one level's children may borrow."""
+    """The amount that one level's children may borrow."""
 
     def __init__(
         self,
@@ -63,26 +64,26 @@
         parent: BorrowingPool | None = None,
         borrower: Borrower | None = None,
     ) -> None:
-        """`burst`: the most that is unassigned at a time. `share`: this pool's own in its parent."""
+        """`burst`: maximum of `unassigned`. `borrower`: this pool's own account with the parent's pool."""
         self._timers, self.burst, self._updated_at = timers, burst, updated_at
         self._parent, self._borrower = parent, borrower
         self.rate = 0
-        self.unassigned = 0  # for whoever comes first
+        self.unassigned = 0  # available to the first borrower that asks
         self._distributed, self._remainder, self._unclaimed = 0, 0, 0
-        self._active: OrderedDict[Borrower, int] = OrderedDict()  # and when last, the longest ago first
+        self._active: OrderedDict[Borrower, int] = OrderedDict()  # time of the last request, oldest first
         self._active_weight = 0
         self.received = self.lent_out = self.passed_to_parent = self.discarded = 0  # totals since the start
 
     @property
     def balance(self) -> int:
-        """All that the pool holds."""
+        """All that the pool holds, collected by borrowers or not."""
         return self.unassigned + self._unclaimed + sum(borrower.credit for borrower in self._active)
 
     def _forwards_rate(self) -> bool:
         return not self._active and self._parent is not None
 
     def change_rate(self, delta: int, now: int) -> None:
-        """A child begins or ends to lend, or the level's own part changes."""
+        """Changes the inflow: a child starts or stops lending, or the level's own rate changes."""
         self._advance(now)
         self.rate += delta
         if self._forwards_rate():
@@ -113,12 +114,12 @@
             self.discarded += excess
 
     def deposit(self, amount: int) -> None:
-        """Something beyond the steady flow, for whoever comes first."""
+        """Adds a single amount, available to the first borrower that asks."""
         self.received += amount
         self._add_unassigned(amount)
 
     def _collect(self, borrower: Borrower) -> None:
-        """The child's part of all that was dealt since it last asked."""
+        """Credits the child with its share of what was distributed since it last collected."""
         due = borrower.weight * (self._distributed - borrower.distributed_seen) // WEIGHT_SCALE
         borrower.distributed_seen = self._distributed
         self._unclaimed -= due
@@ -137,7 +138,7 @@
             self._active.move_to_end(borrower)
         else:
             if not self._active:
-                if self._parent is not None:  # from here on the flow stays here
+                if self._parent is not None:  # the inflow is no longer passed on
                     self._parent.change_rate(-self.rate, now)
                 self._timers.call_at(now + ACTIVE_US, self._expire_inactive)
             self._active_weight += borrower.weight
@@ -145,7 +146,7 @@
         self._active[borrower] = now
 
     def _expire_inactive(self, now: int) -> None:
-        """Children that have not asked for a while; the last one to go lets the flow pass on."""
+        """Removes borrowers without recent requests; after the last one, the inflow is passed on to the parent."""
         self._advance(now)
         while self._active and (first := next(iter(self._active.items())))[1] + ACTIVE_US <= now:
             borrower = first[0]
@@ -163,11 +164,11 @@
                 self._parent.change_rate(self.rate, now)
 
     def borrow(self, borrower: Borrower, wanted: int, now: int) -> int:
-        """As much of `wanted` as the child's part allows; what is not used goes back by `put_back`."""
+        """Lends as much of `wanted` as is available to the child; `return_unused` takes back what is not spent."""
         self._activate(borrower, now)
         self._collect(borrower)
         if borrower.credit + self.unassigned < wanted and self._parent is not None and self._borrower is not None:
-            # through the pool, so that the level's part of its parent's pool is dealt out by weight here too
+            # via this pool, so that the level's share of the parent's pool is distributed by weight here, too
             borrowed = self._parent.borrow(self._borrower, wanted - borrower.credit - self.unassigned, now)
             if borrowed:
                 self._distribute(borrowed)
@@ -180,7 +181,7 @@
         return from_credit + from_unassigned
 
     def return_unused(self, borrower: Borrower, amount: int) -> None:
-        """Returns what a child took and has not used."""
+        """Takes back what a child borrowed and did not spend."""
         self.lent_out -= amount
         if borrower in self._active:
             self._credit(borrower, amount)
@@ -188,7 +189,7 @@
             self._add_unassigned(amount)
 
     def wait_us(self, borrower: Borrower, amount: int) -> int | None:
-        """About how long until the child's part has grown by so much; None: nothing flows in."""
+        """Approximate microseconds until the child's share has grown by `amount`; None: there is no inflow."""
         rate, active_weight, pool, member = self.rate, self._active_weight, self, borrower
         while not rate and pool._parent is not None and pool._borrower is not None:
             member, pool = pool._borrower, pool._parent
--- a/ochrespan/contracts/gate.py
+++ b/ochrespan/contracts/gate.py
@@ -1,4 +1,4 @@
-"""The contracts as the core's gate: the core's requests in, grants and refusals out, and what is told of them."""
+"""Admission of the core's requests by contract, with logging of refusals and metrics."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 
 log = structlog.get_logger(__name__)
 
-REFUSAL_LOG_INTERVAL_S = 5.0  # s between log lines of one team and rule: a surge must not fill the log
-MAX_LOGGED_REFUSALS = 10_000  # teams and rules of which the last line is remembered
+REFUSAL_LOG_INTERVAL_S = 5.0  # between log lines of one team and rule, so that a surge does not flood the log
+MAX_LOGGED_REFUSALS = 10_000  # pairs of team and rule to remember
 
 
 @dataclass(slots=True)
 class LoggedRefusal:
-    """When refusals of one team by one rule were last logged."""
+    """The last log line about refusals of one team by one rule."""
 
     logged_at: float
-    suppressed: int = 0  # refusals since then that were not told
+    suppressed: int = 0  # refusals since then that were not logged
 
 
 class ContractGate:
-    """`now` is Unix time in seconds, as the core's clock has it."""
+    """Admission control for the core. `now` is Unix time in seconds from the core's clock."""
 
     def __init__(self, registry: ContractRegistry, clock: Callable[[], float]) -> None:
         self.now = clock
@@ -40,10 +40,10 @@
         self._quotas: dict[str, AdaptiveQuota] = {}
         self._configure_quotas()
 
-    # ---- the core's side ----
+    # ---- for the core ----
 
     def admit(self, now: float, request: core.Request) -> Grant | core.NotCovered | core.OverBudget:
-        """Admits one of the core's requests, or says why not."""
+        """Admits one of the core's requests, or returns the reason for refusal."""
         claim = request.claim or core.Claim()
         demand = Demand(request.cls, request.units, request.plan, claim.token, request.volume, claim.bucket)
         result = self.admission.admit(now, demand, claim.contract)
@@ -58,17 +58,17 @@
         return core.NotCovered(result.rule, result.team, result.reason)
 
     def extend(self, now: float, grant: Grant) -> None:
-        """Pays for one more attempt, if the budgets bear it."""
+        """Adds one attempt to the grant if the budgets allow it."""
         self.admission.extend(now, grant)
 
     def settle(self, now: float, grant: Grant, sent: int, ran: int) -> None:
-        """The end of what was admitted: so many attempts sent, so many of which may have run."""
+        """Completes a grant: `sent` attempts were sent, of which `ran` may have run."""
         if quota := self._quotas.get(grant.team):
             quota.record_spent(ran * grant.units_per_attempt)
         self.admission.complete(now, grant, sent, ran)
 
     def heard(self, now: float, grant: Grant, units: float) -> None:
-        """So many units of the request's volume were served through other fronts."""
+        """Records units of the request's volume that were served by other fronts."""
         if quota := self._quotas.get(grant.team):
             quota.record_spent_elsewhere(units)
 
@@ -84,30 +84,30 @@
         )
         self._logged_refusals[team, rule] = LoggedRefusal(now)
 
-    # ---- the operator's side ----
+    # ---- for other fronts and for reloads ----
 
     def identify(self, token: str, bucket: str) -> Contract | core.NotCovered:
-        """Whose work on a bucket it is, for fronts that need to know before they ask for anything."""
+        """Finds the contract for a token and a bucket, for fronts that need it before they send requests."""
         result = self.admission.identify(Demand("", 0.0, token=token, bucket=bucket))
         return result if isinstance(result, Contract) else core.NotCovered(result.rule, result.team, result.reason)
 
     def covers(self, contract: Contract, cls: str) -> core.NotCovered | None:
-        """Why a contract does not cover a class now; None: it does."""
+        """Returns why a contract does not cover a class now, or None if it does."""
         refusal = self.admission.check_coverage(contract, Demand(cls, 0.0), self.now())
         return refusal and core.NotCovered(refusal.rule, refusal.team, refusal.reason)
 
     def owner(self, bucket: str) -> str:
-        """The name under which a bucket's data lies: its team's, whichever service writes it."""
+        """The name under which a bucket's data is stored: its team's, whichever service writes it."""
         path = self.admission.registry.by_bucket[bucket]
         return self.admission.registry.levels[path].name
 
     def replace(self, registry: ContractRegistry) -> None:
-        """A new book, checked: what was granted and spent carries over."""
+        """Puts a checked registry in force; granted and spent amounts carry over."""
         previous = set(self.admission.registry.contracts)
         self.admission.replace(registry, self.now())
         self._configure_quotas()
         log.info(
-            "contracts read anew",
+            "contracts reloaded",
             contracts=len(registry.contracts),
             new=len(set(registry.contracts) - previous),
             gone=len(previous - set(registry.contracts)),
@@ -124,19 +124,19 @@
         self.admission.set_scales({path: quota.scale for path, quota in self._quotas.items()})
 
     def update_quotas(self) -> None:
-        """Lets the parts move."""
+        """Updates this front's adaptive quotas."""
         now = self.now()
         for path, quota in self._quotas.items():
             if (scale := quota.update(now)) is not None:
                 self.admission.rescale(path, scale, now)
 
     def metric_samples(self) -> Iterator[Reading]:
-        """Every account and count, for the exporters."""
+        """Yields every account and count, for the exporters."""
         now = self.now()
         for account in accounts(self.admission, now):
             group = plain(f"contract-{account.path or 'installation'}")
             for name in ("granted", "spent", "held", "left"):
-                # granted is what was let in less what did not fit: it may shrink, as what is left may
+                # not a counter: `granted` excludes overflow and can shrink, and so can `left`
                 yield Reading(group, f"{plain(account.budget)}_{name}", getattr(account, name), name == "spent")
         for level in level_statistics(self.admission, now):
             group = plain(f"contract-{level.path or 'installation'}")
--- a/ochrespan/contracts/grants.py
+++ b/ochrespan/contracts/grants.py
@@ -1,4 +1,4 @@
-"""The records of one admission: what a request asks for, and how it was answered."""
+"""The records of one admission: the request's demand, and the grant or refusal."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What a request says of itself. An empty string means that it does not say."""
+    """What a request states about itself; an empty string means not stated."""
 
     cls: str
     units: float
@@ -25,26 +25,26 @@
 
 @dataclass(frozen=True, slots=True)
 class NotCovered:
-    """No contract allows it, now or later."""
+    """A permanent refusal: no contract allows the request."""
 
     rule: str
-    team: str = ""  # the contract's path, where one is known
+    team: str = ""  # the contract's path, if known
     reason: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class OverBudget:
-    """Its contract allows it, but not now."""
+    """A temporary refusal: the contract covers the request, but a budget is used up."""
 
     rule: str
     team: str
-    level: str  # the path of the level whose bound it is; empty: the installation
-    wait_s: float  # seconds until there will be enough, if nobody else asks for it
+    level: str  # path of the level whose limit is exceeded; empty: the installation
+    wait_s: float  # until the budget suffices if there are no other requests
 
 
 @dataclass(slots=True)
 class BucketHold:
-    """An amount held in a token bucket; `counts_attempts` tells whether the bucket counts attempts or units."""
+    """An amount held in a token bucket, in pico attempts if `counts_attempts`, else in pico units."""
 
     bucket: TokenBucket
     amount: int
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class WindowHold:
-    """An amount held in a budget window, and the number of the window that was current then."""
+    """An amount held in a budget window; `number` is the window that was current at that time."""
 
     window: Window
     number: int
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True)
 class Allocation:
-    """How many attempts fit under every bound, and the funds drawn for them."""
+    """How many attempts fit within every limit, and the funds drawn for them."""
 
     attempts: int
     draw: Draw
@@ -70,23 +70,23 @@
 
 @dataclass(slots=True, eq=False)
 class Grant:
-    """What one admitted request holds until it is settled."""
+    """What one admitted request holds until it is completed."""
 
     contract: Contract
     leaf: Level
-    path: list[Level]  # from the leaf up: where it counts as open
-    attempt_cost: int  # of each attempt
-    attempts: int = 0  # that are paid for
+    path: list[Level]  # from the leaf up; the request counts as open at each level
+    attempt_cost: int  # pico units
+    attempts: int = 0  # paid for
     bucket_holds: list[BucketHold] = field(default_factory=list)
     window_holds: list[WindowHold] = field(default_factory=list)
     draws: list[Draw] = field(default_factory=list)
     extra_bucket: TokenBucket | None = None  # pays for attempts beyond the first
-    extra_attempts_held: int = 0  # attempts beyond the first
+    extra_attempts_held: int = 0
     completed: bool = False
 
     @property
     def plan(self) -> str:
-        """The plan under which the request is served."""
+        """The contract's plan, under which the request is served."""
         return self.contract.plan
 
     @property
@@ -100,7 +100,7 @@
         return self.attempt_cost / PICO
 
     def add(self, allocation: Allocation) -> None:
-        """Holds further attempts at every level, from the leaf up."""
+        """Adds attempts and holds their cost at every level, from the leaf up."""
         attempts, first = allocation.attempts, not self.attempts
         self.attempts += attempts
         if allocation.draw.own or allocation.draw.borrowed:
@@ -108,7 +108,7 @@
         for level in self.path:
             self._hold_at(level, attempts)
         if first:
-            self.extra_bucket = self.leaf.extra_attempts  # kept: a reload may replace the level's bucket
+            self.extra_bucket = self.leaf.extra_attempts  # a reload may replace the level's bucket
         if self.extra_bucket is not None and (repeats := attempts - first):
             self.extra_bucket.hold(repeats * PICO)
             self.extra_attempts_held += repeats
@@ -125,7 +125,7 @@
             self.window_holds.append(WindowHold(window, window.hold(amount), amount))
 
     def release(self, sent: int, ran: int, at: int) -> None:
-        """Ends every hold with what the request did cost: so many attempts sent, of which so many may have run."""
+        """Ends every hold and charges the actual cost: `sent` attempts, of which `ran` may have run."""
         for level in self.path:
             level.open -= 1
         cost = ran * self.attempt_cost
@@ -136,7 +136,7 @@
         self._charge_draws(cost, at)
 
     def _charge_buckets(self, attempts_cost: int, units_cost: int, at: int) -> None:
-        """Each bucket once: an extension holds in the same buckets again."""
+        """Charges each bucket once: an extension holds further amounts in the same buckets."""
         totals: dict[TokenBucket, int] = {}
         costs: dict[TokenBucket, int] = {}
         for hold in self.bucket_holds:
@@ -147,7 +147,7 @@
             bucket.charge(total, costs[bucket])
 
     def _charge_windows(self, cost: int, at: int) -> None:
-        """The first hold of a window pays as far as it goes, and a later one what is left over."""
+        """Charges the holds of each window in order, each up to its amount."""
         owed: dict[Window, int] = {}
         for hold in self.window_holds:
             if hold.window not in owed:
--- a/ochrespan/contracts/token_bucket.py
+++ b/ochrespan/contracts/token_bucket.py
@@ -1,7 +1,7 @@
-"""A token bucket with escrow. Amounts and times: see `fixed_point.py`.
+"""A token bucket that holds amounts for requests in flight. Amounts and times: see `fixed_point.py`.
 
-What flows in is granted; it is left until it is held for a request, and held until the request ends, when what it
-cost is spent and the rest is left again. So granted = spent + held + left at any moment.
+Refilled tokens count as granted and as left. Tokens are held for a request until it completes; then its cost counts as
+spent and the remainder as left again. So granted = spent + held + left at any moment.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 
 @dataclass(slots=True, eq=False)
 class TokenBucket:
-    """One token bucket."""
+    """One token bucket, in pico units or pico attempts."""
 
-    rate: int
-    burst: int  # the most that is left at a time
-    updated_at: int
+    rate: int  # pico per microsecond
+    burst: int  # maximum of `left`
+    updated_at: int  # microseconds
     left: int = 0
     held: int = 0
     spent: int = 0
     granted: int = 0
 
     def refill(self, now: int) -> None:
-        """Lets in what has come since; a clock that steps back lets nothing in."""
+        """Adds the tokens accrued since the last refill; none if the clock has stepped back."""
         if now > self.updated_at:
             added = min(self.rate * (now - self.updated_at), self.burst - self.left)
             self.updated_at = now
@@ -31,12 +31,12 @@
                 self.granted += added
 
     def hold(self, amount: int) -> None:
-        """Moves an amount from what is left to what is held; more than is left makes that negative."""
+        """Moves an amount from `left` to `held`; `left` may become negative."""
         self.left -= amount
         self.held += amount
 
     def charge(self, held: int, cost: int) -> int:
-        """Ends a hold with what it did cost. Returns what no longer fits in: that was never granted."""
+        """Ends a hold and charges its actual cost. Returns the overflow above `burst`, which is not granted."""
         self.held -= held
         self.spent += cost
         self.left += held - cost
@@ -46,7 +46,7 @@
         return excess
 
     def resize(self, rate: int, burst: int, now: int) -> None:
-        """From now on; what is held stays held, what is left keeps to the new burst."""
+        """Changes rate and burst. Held amounts stay; `left` is cut to the new burst."""
         self.refill(now)
         self.rate, self.burst = rate, burst
         excess = max(0, self.left - burst)
@@ -54,7 +54,7 @@
         self.granted -= excess
 
     def wait_us(self, amount: int) -> int | None:
-        """Microseconds until so much is left if nobody else asks; None: it never will be."""
+        """Microseconds until `amount` is left if there are no other requests; None: never."""
         if self.left >= amount:
             return 0
         if not self.rate or amount > self.burst:
@@ -62,7 +62,7 @@
         return -((self.left - amount) // self.rate)
 
     def full_at(self) -> int | None:
-        """When the bucket will be full if nobody asks; None: never."""
+        """Time at which the bucket is full if there are no further requests; None: never."""
         if self.left >= self.burst:
             return self.updated_at
         return self.updated_at - (self.left - self.burst) // self.rate if self.rate else None
--- a/tests/test_contract_fronts.py
+++ b/tests/test_contract_fronts.py
@@ -118,7 +118,7 @@
             assert not world.nodes[0].seen
             # the class of writes withdrawn: reads go on
             world.change_operator(contracts(a='withdrawn_classes = ["write"]'))
-            await until(lambda: "contracts read anew" in world.log)
+            await until(lambda: "contracts reloaded" in world.log)
             await asyncio.sleep(0.05)
             token = {"Authorization": "Bearer token-a"}
             assert code((await world.objects("PUT", "/aaa/x", b"1", **token))[2]) == "AccessDenied"
@@ -164,7 +164,7 @@
         async with World(2, contracts(port, "", a=budget.replace("0.5", "5000"))) as world:
             await asyncio.sleep(0.6)  # the burst fills quickly, and then nothing more comes
             world.change_operator(contracts(port, "", a=budget))
-            await until(lambda: "contracts read anew" in world.log)
+            await until(lambda: "contracts reloaded" in world.log)
             lot = random.Random(5)
             for node in world.nodes:
                 node.always = "any"
@@ -233,7 +233,7 @@
             clients = [asyncio.create_task(client()) for _ in range(8)]
             for step, tokens in enumerate((("token-a", "token-b"), ("token-b",))):
                 world.change_operator(with_tokens(*tokens))
-                await until(lambda step=step: world.log.count("contracts read anew") == step + 1)
+                await until(lambda step=step: world.log.count("contracts reloaded") == step + 1)
                 current = "token-b"  # once both are good, clients change over
                 before = answers.total()
                 await until(lambda before=before: answers.total() > before + 50)
@@ -261,17 +261,17 @@
             await until(lambda: "[[team]] a colour" in world.log and "units_per_s: found -1" in world.log)
             assert (await ask(world, "t2"))[0] == 200
             world.change_operator(contracts(a="budget = { open = 1 }"))
-            await until(lambda: "contracts read anew" in world.log)
+            await until(lambda: "contracts reloaded" in world.log)
             got = await ask(world, "t3")
             assert got[0] == 429 and got[2] == b"over budget: open\n"  # two are out
             world.change_operator(contracts(a="withdrawn = true"))
-            await until(lambda: world.log.count("contracts read anew") == 2)
+            await until(lambda: world.log.count("contracts reloaded") == 2)
             assert (await ask(world, "t4"))[0] == 403
             node.released.set()
             answers = await asyncio.gather(*held)  # the connection ended: tried again, and served
             assert [answer[0] for answer in answers] == [200] * 2 and node.copies == 0
             world.change_operator(contracts())
-            await until(lambda: world.log.count("contracts read anew") == 3)
+            await until(lambda: world.log.count("contracts reloaded") == 3)
             await asyncio.sleep(0.1)
             assert (await ask(world, "t5"))[0] == 200
 
@@ -293,7 +293,7 @@
             etags.append(headers["ETag"])
             # from here on the budget bears a few chunks: the next part ends partway
             world.change_operator(contracts(a="budget = { units_per_s = 0.5, burst_units = 24 }"))
-            await until(lambda: "contracts read anew" in world.log)
+            await until(lambda: "contracts reloaded" in world.log)
             kept = {path: data for node in world.nodes for path, data in node.stored.items()}
             status, headers, body = await world.objects(
                 "PUT", f"/aaa/x?partNumber=2&uploadId={upload}", parts[1], **token
@@ -302,7 +302,7 @@
             stored = {path: data for node in world.nodes for path, data in node.stored.items()}
             assert len(stored) > len(kept) and all(stored[path] == data for path, data in kept.items())
             world.change_operator(contracts(a="budget = { units_per_s = 4000 }"))
-            await until(lambda: world.log.count("contracts read anew") == 2)
+            await until(lambda: world.log.count("contracts reloaded") == 2)
             await asyncio.sleep(0.3)
             assert (await world.objects("GET", "/aaa/x", **token))[2] == first  # as it was
             status, headers, _ = await world.objects("PUT", f"/aaa/x?partNumber=2&uploadId={upload}", parts[1], **token)
@@ -384,7 +384,7 @@
             assert (await ask(world, "t0", volume=f"{5000:016x}", team="b"))[0] == 200
             world.change_operator(crowd(1000))
             meanwhile = 0
-            while "contracts read anew" not in world.log:
+            while "contracts reloaded" not in world.log:
                 assert (await ask(world, f"m{meanwhile}", "b"))[0] == 200
                 meanwhile += 1
             assert meanwhile >= 10  # it takes about a second to read
