--- a/ochrespan/contracts/accounts.py
+++ b/ochrespan/contracts/accounts.py
@@ -78,8 +78,8 @@
     for level in list(admission.levels.values()):
         if level.counts:
             lent = level.lent
-            if level.lending_since is not None and level.reserve is not None:
-                lent += level.reserve.rate * max(0, to_micros(now) - level.lending_since)
+            if level.lent_since is not None and level.reserve is not None:
+                lent += level.reserve.rate * max(0, to_micros(now) - level.lent_since)
             yield LevelStatistics(
                 level.path, level.terms.kind, level.open, from_pico(lent), from_pico(level.borrowed), dict(level.counts)
             )
--- a/ochrespan/contracts/adaptive_quota.py
+++ b/ochrespan/contracts/adaptive_quota.py
@@ -62,19 +62,19 @@
         self.spent += SMOOTHING * (self._spent_now / elapsed - self.spent)
         self.spent_elsewhere += SMOOTHING * (self._spent_elsewhere_now / elapsed - self.spent_elsewhere)
         even, total = self.rate / self.fronts, self.spent + self.spent_elsewhere
-        share = self.scale * even
+        quota = self.scale * even
         if total > self.rate or (self._refused and total > 0):
             # Below half of the budget all fronts may double at once. Near the budget, the square root keeps fronts
             # from overshooting when all react in the same update. GROWTH is added below, so the target is lower.
             ratio = self.rate * (1 - 2 * GROWTH) / total
-            share = (
-                share * (min(MAX_CHANGE, ratio) if ratio > MAX_CHANGE else max(1 / MAX_CHANGE, ratio**0.5))
+            quota = (
+                quota * (min(MAX_CHANGE, ratio) if ratio > MAX_CHANGE else max(1 / MAX_CHANGE, ratio**0.5))
                 + GROWTH * even * self._refused
             )
         elif not self._refused:
-            target = max(min(share, even), min(share, HEADROOM * self.spent))
-            share += DECAY * (target - share)
-        self.scale = min(self.rate, max(MIN_FRACTION * even, share)) / even
+            target = max(min(quota, even), min(quota, HEADROOM * self.spent))
+            quota += DECAY * (target - quota)
+        self.scale = min(self.rate, max(MIN_FRACTION * even, quota)) / even
         self._spent_now = self._spent_elsewhere_now = 0.0
         self._refused = False
         return self.scale
--- a/ochrespan/contracts/authorization.py
+++ b/ochrespan/contracts/authorization.py
@@ -14,7 +14,7 @@
         owner = registry.by_bucket.get(demand.bucket)
         if owner is None:
             return NotCovered("bucket", reason="no contract names this bucket")
-    contract = _holder(registry, demand.token, owner)
+    contract = _contract_for_token(registry, demand.token, owner)
     if isinstance(contract, NotCovered):
         return contract
     owns = owner is not None and (contract.path == owner or contract.path.startswith(owner + "/"))
@@ -24,7 +24,7 @@
     return contract
 
 
-def _holder(registry: ContractRegistry, token: str, owner: str | None) -> Contract | NotCovered:
+def _contract_for_token(registry: ContractRegistry, token: str, owner: str | None) -> Contract | NotCovered:
     """The token's contract; without a token, the owner's contract if that has no tokens."""
     if token:
         return registry.by_token.get(token_digest(token)) or NotCovered("token", reason="no contract has this token")
--- a/ochrespan/contracts/section.py
+++ b/ochrespan/contracts/section.py
@@ -1,4 +1,4 @@
-"""Reads the contracts from the operator's file and checks them against the settings and each other."""
+"""Reads the contracts from the operator's file and validates them against the settings and each other."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Contracts:
-    """What the operator's file says of contracts, checked."""
+    """The validated contracts of the operator's file."""
 
     registry: ContractRegistry
     platform: bool  # whether requests in the platform's protocol need a contract
 
 
 def read(tables_: Mapping[str, Any], settings: api.Settings, faults: Faults, earlier: Mapping[str, Any]) -> Contracts:
-    """The book of contracts; faults are collected in `faults`."""
-    entry = ContractsTable(platform="open")  # teams alone are the object API's
+    """Builds the contract registry; faults are collected in `faults`."""
+    entry = ContractsTable(platform="open")  # teams without a [contracts] table apply to the object API only
     if "contracts" in tables_:
         entry = table(ContractsTable, tables_["contracts"], "[contracts]", faults) or entry
     builder = RegistryBuilder(entry, settings, faults)
@@ -49,7 +49,7 @@
 
 
 class RegistryBuilder:
-    """Puts the book together; what is wrong is told and left out."""
+    """Builds the registry; faulty entries are reported and left out."""
 
     def __init__(self, entry: ContractsTable, settings: api.Settings, faults: Faults) -> None:
         self._settings, self._faults = settings, faults
@@ -60,18 +60,18 @@
             faults.add("[contracts] capacity_units_per_s", "nothing", "a rate beside capacity_burst_units")
         fronts = entry.fronts or max(1, settings.heads)
         self.registry = ContractRegistry(capacity, fronts, settings.most_units, max(1, settings.max_attempts))
-        self._locations: dict[str, str] = {}  # of each level, by path
-        self._teams: dict[str, tuple[str, TeamTable]] = {}  # path and table, by name
-        self._owners: dict[tuple[str, str], str] = {}  # tokens, volumes and buckets, and who has them
+        self._locations: dict[str, str] = {}  # of each level in the file, by path
+        self._teams: dict[str, tuple[str, TeamTable]] = {}  # path and table, by team name
+        self._owners: dict[tuple[str, str], str] = {}  # owner's path by kind (token, volume, bucket) and name
 
     # ---- levels ----
 
     def add_organisation(self, location: str, entry: OrganisationTable) -> None:
-        """Takes one organisation."""
+        """Adds one organisation."""
         self._add_level(location, self._make_terms(location, entry, "organisation", ""))
 
     def add_team(self, location: str, entry: TeamTable, has_services: bool) -> None:
-        """Takes one team, which sends by itself unless it has services."""
+        """Adds one team. A team with services has no contract of its own."""
         if entry.name in self._teams:
             self._faults.add(f"{location} name", entry.name, "a name that no other team has")
             return
@@ -103,7 +103,7 @@
             self._add_contract(location, terms, entry, entry)
 
     def add_service(self, location: str, entry: ServiceTable) -> None:
-        """Takes one service of a team."""
+        """Adds one service of a team."""
         if entry.team not in self._teams:
             self._faults.choice(f"{location} team", entry.team, self._teams)
             return
@@ -150,14 +150,14 @@
             )
 
     def _check_largest_request(self, location: str, value: float | None) -> None:
-        """Every front holds its part of it, and a part that bears no whole request would refuse all for good."""
+        """Each front gets its fraction of the value; a fraction below the largest request would never admit that."""
         minimum = self.registry.max_units * self.registry.fronts
         if value is not None and value < minimum:
             self._faults.add(
                 location, value, f"at least {minimum:g}: the largest request at each of {self.registry.fronts} fronts"
             )
 
-    # ---- senders ----
+    # ---- contracts of teams and services ----
 
     def _add_contract(
         self, location: str, terms: Terms, entry: SenderTable, team: TeamTable, buckets: bool | None = None
@@ -210,10 +210,10 @@
             self._faults.add(location, name, f"a {what} that {owner} does not have already")
         self._owners[what, name] = path
 
-    # ---- all together ----
+    # ---- checks across levels ----
 
     def check_reserves(self) -> None:
-        """What is promised below a level must be there, and its long budgets must bear it."""
+        """Checks that each level's own reserve and its budgets cover the reserves below it."""
         registry = self.registry
         _, children_rates = registry.reserved_rates()
         for path, terms in [("", Terms("", "installation")), *registry.levels.items()]:
--- a/ochrespan/contracts/start.py
+++ b/ochrespan/contracts/start.py
@@ -1,4 +1,4 @@
-"""Starts the contracts: the gate before the core, its parts' steps, and its reload."""
+"""Starts contract admission: installs the gate, updates its adaptive quotas, and handles reloads."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 def exempt_from_garbage_collection() -> None:
-    """What stays is not looked through at each full collection: with thousands of contracts these take a request's
-    time. Old books are only let go where the last references to them go, as nothing in them forms a cycle."""
+    """Exempts existing objects from full garbage collections, which delay requests when there are thousands of
+    contracts. Old registries are still freed by reference counting, as they contain no reference cycles."""
     gc.freeze()
 
 
 def start(section: Contracts, core: Core) -> Running:
-    """Puts the gate before the core."""
+    """Installs the contract gate in the core."""
     gate = ContractGate(section.registry, core.broker.now)
     core.broker.admit_by(gate)
     core.gate, core.govern_platform = gate, section.platform
     core.figures.append(gate.metric_samples)
 
-    async def update_quotas() -> None:
+    async def update_periodically() -> None:
         while True:
             await asyncio.sleep(UPDATE_INTERVAL_S)
             gate.update_quotas()
@@ -35,4 +35,4 @@
         exempt_from_garbage_collection()
 
     exempt_from_garbage_collection()
-    return Running(jobs=[update_quotas()], reload=reload)
+    return Running(jobs=[update_periodically()], reload=reload)
--- a/ochrespan/contracts/tables.py
+++ b/ochrespan/contracts/tables.py
@@ -1,4 +1,4 @@
-"""The contracts' tables of the operator's file, as they are written."""
+"""Schemas of the contracts' tables in the operator's file."""
 
 from __future__ import annotations
 
@@ -20,16 +20,18 @@
 
 
 class ContractsTable(Table):
-    """[contracts]: the installation."""
+    """[contracts]: settings of the whole installation."""
 
-    platform: Literal["contracts", "open"] = "contracts"  # whether the platform's protocol needs a contract too
+    platform: Literal["contracts", "open"] = (
+        "contracts"  # whether requests in the platform's protocol also need a contract
+    )
     fronts: FrontCount | None = None
     capacity_units_per_s: PositiveNumber | None = None
     capacity_burst_units: PositiveNumber | None = None
 
 
 class BudgetTable(Table):
-    """Upper bounds of one level."""
+    """Upper limits of one level, over all fronts."""
 
     units_per_s: PositiveNumber | None = None
     burst_units: PositiveNumber | None = None
@@ -41,14 +43,14 @@
 
 
 class ReserveTable(Table):
-    """What is always there for its owner."""
+    """Capacity reserved for its owner."""
 
     units_per_s: PositiveNumber
     burst_units: PositiveNumber | None = None
 
 
 class LevelTable(Table, kw_only=True):
-    """What all levels share."""
+    """Fields of all levels."""
 
     name: Name
     weight: Weight = 1.0
@@ -63,7 +65,7 @@
 
 
 class SenderTable(LevelTable, kw_only=True):
-    """What teams and services share: how they are known, and for how long."""
+    """Fields of teams and services: identification, classes and validity."""
 
     classes: list[str] = []
     tokens_sha256: list[Sha256Hex] = []
@@ -83,10 +85,10 @@
 
     plan: str
     organisation: str = ""
-    read: str = ""  # the classes of the object API's requests
+    read: str = ""  # request classes of the object API
     write: str = ""
     export: str = ""
-    token_sha256: Sha256Hex | None = None  # of one token, as files had it before there could be several
+    token_sha256: Sha256Hex | None = None  # older form of tokens_sha256, for one token
 
 
 class ServiceTable(SenderTable, kw_only=True):
--- a/ochrespan/contracts/tree.py
+++ b/ochrespan/contracts/tree.py
@@ -1,7 +1,7 @@
-"""One front's tree of levels under a book of contracts, and how a new book is put in force.
+"""One front's tree of levels for a contract registry, and the replacement of the registry on reload.
 
-What was granted, held and spent carries over a change of the book, by the levels' paths. Amounts and times inside are
-whole numbers (`fixed_point.py`); `now` is Unix time in seconds.
+Granted, held and spent amounts carry over to a new registry by the levels' paths. Internal amounts and times are
+integers (`fixed_point.py`); `now` is Unix time in seconds.
 """
 
 from __future__ import annotations
@@ -17,33 +17,34 @@
 
     def __init__(self, registry: ContractRegistry, now: float) -> None:
         self.levels: dict[str, Level] = {}
-        self.scales: dict[str, float] = {}  # by path: this front's part of a contract that adapts it
+        self.scales: dict[str, float] = {}  # adaptive quotas by path: multiple of the even fraction
         self.registry = registry
         self._timers = TimerQueue()
-        self._parent_paths: set[str] = set()  # the paths of levels that hold others together
+        self._parent_paths: set[str] = set()  # paths of the levels that have children
         self.replace(registry, now)
 
     @property
     def timers(self) -> TimerQueue:
-        """What is due at a point of time: filled reserves, children that no longer ask."""
+        """Timers for full reserves and for borrowers that become inactive."""
         return self._timers
 
     def advance(self, now: float) -> None:
-        """What was due until now has happened."""
+        """Runs all timers that are due."""
         self._timers.run_due(to_micros(now))
 
     def rescale(self, path: str, scale: float, now: float) -> None:
-        """This front's part of a contract's budgets becomes so many times the even one."""
+        """Sets this front's multiple of the even fraction of one contract's budgets."""
         self.scales[path] = scale
         level = self.levels[path]
         level.apply_terms(level.terms, self._fraction(path), to_pico(self.registry.max_units), to_micros(now))
 
-    # ---- a new book ----
+    # ---- replacing the registry ----
 
     def replace(self, registry: ContractRegistry, now: float) -> None:
-        """A new book, from the next request on.
+        """Puts a new registry in force, from the next request on.
 
-        Where only some contracts changed, only these are touched: thousands of others must not stop the front.
+        If only some contracts changed, only their levels are updated: with thousands of contracts, updating all would
+        block the front.
         """
         at = to_micros(now)
         self._timers.run_due(at)
@@ -66,14 +67,14 @@
         self._set_pool_rates(at)
 
     def _needs_rebuild(self, old: ContractRegistry, new: ContractRegistry, changed: list[str]) -> bool:
-        """Whether the installation's figures or the tree's shape have changed, so that every level is set anew."""
+        """Whether the installation's settings or the tree's shape have changed, so that all levels must be updated."""
         parent_paths = {terms.parent for terms in new.levels.values()} | {""}
         reshaped = parent_paths != self._parent_paths or any(path in parent_paths for path in changed)
         self._parent_paths = parent_paths
         return reshaped or _installation_settings(old) != _installation_settings(new)
 
     def _apply_terms(self, path: str, min_burst: int, at: int) -> None:
-        """The new book's terms for one level, which is made where it is new."""
+        """Applies the new registry's terms to one level, and creates it if it is new."""
         registry = self.registry
         terms = registry.levels.get(path) or Terms("", "installation")
         level = self.levels.get(path) or Level(terms)
@@ -85,7 +86,7 @@
         self.levels[path] = level
 
     def _fraction(self, path: str) -> float:
-        """Which part of a level's budgets is this front's."""
+        """This front's fraction of a level's budgets."""
         contract = self.registry.contracts.get(path)
         fronts = (contract.fronts if contract else 0) or self.registry.fronts
         return self.scales.get(path, 1.0) / max(1, fronts)
@@ -93,17 +94,11 @@
     # ---- funds ----
 
     def _rebuild_funds(self, min_burst: int, at: int) -> None:
-        """Pools and reserves anew, where the installation says what its servers bear."""
+        """Rebuilds all pools and reserves, if the installation's capacity is configured."""
         self._timers = TimerQueue()
         balances = {path: level.pool.balance for path, level in self.levels.items() if level.pool is not None}
         for level in self.levels.values():
-            level.pool, level.borrower, level.lending_since, level.reserved_below, level.pool_rate = (
-                None,
-                None,
-                None,
-                0,
-                0,
-            )
+            level.pool, level.borrower, level.lent_since, level.reserved_below, level.pool_rate = None, None, None, 0, 0
         for path, level in self.levels.items():
             if self.registry.capacity is None:
                 level.reserve = None
@@ -113,7 +108,7 @@
                 self._configure_reserve(level, min_burst, at)
 
     def _create_pool(self, level: Level, balance: int, min_burst: int, at: int) -> None:
-        """A level with children holds a pool, which keeps what it had as far as that fits."""
+        """Creates the pool of a level with children and deposits its earlier balance, as far as it fits."""
         capacity, fraction = self.registry.capacity, 1.0 / max(1, self.registry.fronts)
         assert capacity is not None
         burst = capacity.burst_units if capacity.burst_units is not None else capacity.units_per_s
@@ -127,7 +122,7 @@
         _adjust_reserved(level, 1)
 
     def _set_pool_rates(self, at: int) -> None:
-        """What flows into each pool by itself: what its level has beyond its children's reserves."""
+        """Sets the inflow of each pool: its level's rate beyond the children's reserves."""
         if self.registry.capacity is None:
             return
         own_rates, children = self.registry.reserved_rates()
@@ -141,12 +136,12 @@
 
 
 def _installation_settings(registry: ContractRegistry) -> tuple[object, ...]:
-    """The installation's own figures, on which every level's depend."""
+    """The installation-wide settings that affect every level."""
     return registry.capacity, registry.fronts, registry.max_units
 
 
 def _unchanged(old: ContractRegistry, new: ContractRegistry, path: str) -> bool:
-    """Whether the accounts of that level can stay as they are."""
+    """Whether the accounts of that level need no update."""
     if old.levels.get(path) != new.levels[path]:
         return False
     previous, now = old.contracts.get(path), new.contracts.get(path)
@@ -156,7 +151,7 @@
 
 
 def _adjust_reserved(level: Level, sign: int) -> None:
-    """Adds a level's reserve to what is reserved below the levels above it, or takes it out."""
+    """Adds a level's reserve rate to `reserved_below` of its ancestors (`sign` 1) or subtracts it (-1)."""
     if level.reserve is not None and level.parent is not None:
         for above in level.parent.self_and_ancestors():
             above.reserved_below += sign * level.reserve.rate
--- a/ochrespan/contracts/window.py
+++ b/ochrespan/contracts/window.py
@@ -1,7 +1,7 @@
-"""A budget over a long window, an hour or a day, that begins at whole hours or days of UTC.
+"""A budget per hour or per day; windows begin at whole hours or days of UTC.
 
-A request counts in the window in which it was admitted, whenever it ends. A clock that steps back stays in the window
-it was in, so that no window is spent twice.
+A request counts in the window in which it was admitted, no matter when it completes. If the clock steps back, the
+current window stays in force, so that no window's quota is spent twice.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 
 @dataclass(slots=True, eq=False)
 class Window:
-    """One budget and what has been used of it in the current window."""
+    """One budget and its use in the current window, in pico units."""
 
-    span: int
+    span: int  # microseconds
     quota: int
-    number: int  # of this window since 1970
+    number: int  # index of the current window since 1970
     spent: int = 0
     held: int = 0
     held_earlier: int = 0  # held by requests that were admitted in an earlier window
 
     @property
     def left(self) -> int:
-        """Below 0 once the quota has been cut under what was spent."""
+        """The unused quota; negative if the quota was reduced below the spent amount."""
         return self.quota - self.spent - self.held
 
     def advance(self, now: int) -> None:
-        """Begins a new window where the clock has passed the end of the last."""
+        """Begins a new window if the current one has ended."""
         number = now // self.span
         if number > self.number:
             self.number = number
@@ -39,12 +39,12 @@
             self.held = self.spent = 0
 
     def hold(self, amount: int) -> int:
-        """Returns the window's number, which its end has to name."""
+        """Holds an amount. Returns the window's number, to be passed to `charge`."""
         self.held += amount
         return self.number
 
     def charge(self, number: int, held: int, cost: int) -> None:
-        """Ends a hold that was made in the window of that number with what it did cost."""
+        """Ends a hold made in window `number` and charges its actual cost, if that window is still current."""
         if number == self.number:
             self.held -= held
             self.spent += cost
@@ -52,16 +52,16 @@
             self.held_earlier -= held
 
     def reserved_until_end(self, rate: int, now: int) -> int:
-        """What reserves of that rate may still need until the window's end."""
+        """The amount that reserves with a total of `rate` may need until the end of the window."""
         return rate * max(0, (self.number + 1) * self.span - now)
 
     def wait_us(self, amount: int, reserved_rate: int, now: int) -> int | None:
-        """Microseconds until there is so much beside what is kept back at that rate; None: there never will be."""
+        """Microseconds until `amount` is left beyond what is withheld for `reserved_rate`; None: never."""
         if self.left - self.reserved_until_end(reserved_rate, now) >= amount:
             return 0
         if amount > self.quota - reserved_rate * self.span:
             return None
         until_end = max(1, (self.number + 1) * self.span - now)
-        if reserved_rate and self.left >= amount:  # what is kept back shrinks towards the end
+        if reserved_rate and self.left >= amount:  # the withheld amount shrinks towards the end
             return min(until_end, until_end - (self.left - amount) // reserved_rate)
         return until_end
--- a/ochrespan/metrics/__init__.py
+++ b/ochrespan/metrics/__init__.py
@@ -1,1 +1,1 @@
-"""Figures for Graphite and collectd, each by its published protocol. Off without the operator's file."""
+"""Export of metrics to Graphite and collectd. Disabled without the operator's file."""
--- a/ochrespan/metrics/core_metrics.py
+++ b/ochrespan/metrics/core_metrics.py
@@ -1,4 +1,4 @@
-"""What is exported, whichever way it goes out."""
+"""Metrics of the core, for all exporters."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def core_metrics(broker: Broker) -> Iterator[Reading]:
-    """The core's figures: requests held, attempts, outcomes, and the use of each plan and class."""
+    """Yields the core's metrics: requests in flight, attempts, outcomes, and usage by plan and class."""
     counts = broker.counts
     yield Reading("front", "held", broker.held, False)
     yield Reading("front", "attempts", counts.attempts, True)
@@ -22,7 +22,7 @@
     for (plan, cls), usage in list(counts.usage.items()):
         for field in dataclasses.fields(usage):
             value = getattr(usage, field.name)
-            if field.name == "waited":  # collectd's counters are whole numbers
+            if field.name == "waited":  # collectd's counters are integers
                 value = value // timedelta(milliseconds=1)
                 yield Reading(f"{plain(plan)}-{plain(cls)}", "waited_ms", value, True)
             else:
--- a/ochrespan/metrics/exporters.py
+++ b/ochrespan/metrics/exporters.py
@@ -1,7 +1,7 @@
-"""Sends the readings: lines over TCP to Graphite, parts over UDP to collectd.
+"""Metrics exporters: plaintext over TCP for Graphite, the binary protocol over UDP for collectd.
 
-Each exporter is a task of its own that keeps nothing when its sink is dead: the readings are sums, so the next
-round that gets through tells the same.
+Each exporter is a separate task and buffers nothing while its sink is unavailable: counters are cumulative, so the
+next successful round makes up for lost ones.
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
 
 log = logging.getLogger(__name__)
 
-ROUND_TIMEOUT = timedelta(seconds=2)  # for one round with a sink
-SAMPLES_PER_TURN = 200  # readings collected in one turn of the loop
-MAX_PACKET = 1452  # collectd's own size of a packet
-# collectd's kinds of parts, and of values
+ROUND_TIMEOUT = timedelta(seconds=2)  # for collecting and sending one round
+SAMPLES_PER_TURN = 200  # collected in one iteration of the event loop
+MAX_PACKET = 1452  # bytes; collectd's own limit
+# part types and value types of collectd's protocol
 HOST, PLUGIN, INSTANCE, TYPE, TYPE_INSTANCE, VALUES, TIME_HR, INTERVAL_HR = 0, 2, 3, 4, 5, 6, 8, 9
 GAUGE, DERIVE = 1, 2
-TIME_SCALE = 1 << 30  # collectd's fractions of a second
-MAX_TEXT = 63  # bytes of a text, before its end mark
-NUMBER_PART_SIZE, VALUE_PART_SIZE = 12, 15  # bytes of such a part
+TIME_SCALE = 1 << 30  # collectd's time units per second
+MAX_TEXT = 63  # bytes of a string without its terminating NUL
+NUMBER_PART_SIZE, VALUE_PART_SIZE = 12, 15  # bytes
 
 
 class Exporter(ABC):
-    """Sends all sources' readings to one sink, again and again."""
+    """Sends the samples of all sources to one sink at regular intervals."""
 
     def __init__(self, sink: Sink, host: str, sources: list[Callable[[], Iterator[Reading]]]) -> None:
         self.sink, self.host, self._sources = sink, plain(host), sources
 
     async def run(self) -> None:
-        """Sends until it is cancelled; a sink that fails is logged once and tried again."""
+        """Sends until cancelled. A failing sink is logged once and retried in the next round."""
         failing = False
         while True:
             await asyncio.sleep(self.sink.every.total_seconds())
@@ -44,16 +44,16 @@
                 async with asyncio.timeout(ROUND_TIMEOUT.total_seconds()):
                     await self.send(await self._collect(), datetime.now(UTC))
                 if failing:
-                    log.info("sink answers again", extra={"sink": type(self).__name__})
+                    log.info("metrics sink is reachable again", extra={"sink": type(self).__name__})
                 failing = False
             except (OSError, TimeoutError) as error:
                 if not failing:
-                    log.warning("sink fails", extra={"sink": type(self).__name__, "why": repr(error)})
+                    log.warning("cannot send metrics to sink", extra={"sink": type(self).__name__, "why": repr(error)})
                 failing = True
                 self.close()
 
     async def _collect(self) -> list[Reading]:
-        """All readings, in turns: an installation of many thousand contracts must not stop serving for them."""
+        """Collects all samples, yielding to the event loop: with thousands of contracts, this takes long."""
         samples: list[Reading] = []
         for source in self._sources:
             for sample in source():
@@ -64,20 +64,20 @@
 
     @abstractmethod
     async def send(self, samples: list[Reading], at: datetime) -> None:
-        """One round of readings."""
+        """Sends one round of samples."""
 
     @abstractmethod
     def close(self) -> None:
-        """Lets go of the connection to the sink."""
+        """Closes the connection to the sink."""
 
 
 class Graphite(Exporter):
-    """Lines of text over TCP."""
+    """Graphite's plaintext protocol over TCP."""
 
     _writer: asyncio.StreamWriter | None = None
 
     def lines(self, samples: list[Reading], at: datetime) -> bytes:
-        """The readings in Graphite's plaintext protocol."""
+        """Encodes the samples, one per line."""
         timestamp = int(at.timestamp())
         return "".join(
             f"{self.sink.prefix}.{self.host}.{r.group}.{r.name} {r.value:.10g} {timestamp}\n" for r in samples
@@ -93,35 +93,35 @@
 
     def close(self) -> None:
         if self._writer is not None:
-            self._writer.transport.abort()  # what the dead sink did not take must not pile up
+            self._writer.transport.abort()  # discard what the failed sink has not accepted
             self._writer = None
 
 
 def text_part(kind: int, text: str) -> bytes:
-    """A part with a text, which is cut where it is too long."""
+    """Encodes a string part; long strings are truncated."""
     body = text.encode()[:MAX_TEXT] + b"\0"
     return struct.pack("!HH", kind, 4 + len(body)) + body
 
 
 def number_part(kind: int, number: int) -> bytes:
-    """A part with a whole number."""
+    """Encodes an integer part."""
     return struct.pack("!HHQ", kind, NUMBER_PART_SIZE, number)
 
 
 def values_part(sample: Reading) -> bytes:
-    """One value: a derive is a signed whole number in network order, a gauge a double in x86 order."""
+    """Encodes one value: a derive is a signed integer in network order, a gauge a little-endian double."""
     header = struct.pack("!HHHB", VALUES, VALUE_PART_SIZE, 1, DERIVE if sample.counter else GAUGE)
     body = struct.pack("!q", round(sample.value)) if sample.counter else struct.pack("<d", sample.value)
     return header + body
 
 
 class Collectd(Exporter):
-    """Packets of collectd's binary protocol over UDP."""
+    """collectd's binary protocol over UDP."""
 
     _transport: asyncio.DatagramTransport | None = None
 
     def packets(self, samples: list[Reading], at: datetime) -> Iterator[bytes]:
-        """The readings in as few packets as they fit into."""
+        """Encodes the samples in as few packets as possible."""
         header = text_part(HOST, self.host)
         header += number_part(TIME_HR, int(at.timestamp() * TIME_SCALE))
         header += number_part(INTERVAL_HR, int(self.sink.every.total_seconds() * TIME_SCALE))
--- a/ochrespan/metrics/section.py
+++ b/ochrespan/metrics/section.py
@@ -14,7 +14,7 @@
 
 
 class SinkTable(Table):
-    """The table of one exporter, as it is written."""
+    """Schema of the table of one exporter."""
 
     address: str
     every_s: Annotated[float, msgspec.Meta(gt=0, lt=86400)] = 10.0
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sink:
-    """Where an exporter sends, and how often."""
+    """Address, interval and name prefix of an exporter."""
 
     address: tuple[str, int]
     every: timedelta
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Metrics:
-    """The exporters that are set up."""
+    """The configured exporters."""
 
     graphite: Sink | None = None
     collectd: Sink | None = None
 
 
 def read(tables: Mapping[str, Any], settings: api.Settings, faults: Faults, earlier: Mapping[str, Any]) -> Metrics:
-    """The checked sections; faults are collected in `faults`."""
+    """Validates the tables; faults are collected in `faults`."""
     return Metrics(**{name: _sink(f"[{name}]", value, faults) for name, value in tables.items()})
 
 
--- a/ochrespan/metrics/start.py
+++ b/ochrespan/metrics/start.py
@@ -1,4 +1,4 @@
-"""Starts the exporters that the operator's file names."""
+"""Starts the exporters configured in the operator's file."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def start(section: Metrics, core: Core) -> Running:
-    """One job for each exporter."""
+    """Creates one job for each configured exporter."""
     core.figures.append(lambda: core_metrics(core.broker))
     exporters = [
         kind(sink, core.told.name, core.figures)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -112,7 +112,7 @@
             for number in range(20):
                 assert (await world.ask(f"a{number}"))[0] == 200
                 assert (await other.ask(f"b{number}"))[0] == 200
-            await until(lambda: "sink fails" in other.log)
+            await until(lambda: "cannot send metrics to sink" in other.log)
             came = asyncio.Event()
             server = await asyncio.start_server(lambda *_: came.set(), "127.0.0.1", later)
             await asyncio.wait_for(came.wait(), 10)
