--- a/tests/contract_helpers.py
+++ b/tests/contract_helpers.py
@@ -1,4 +1,4 @@
-"""Books of contracts for tests, and a clock that drives admissions."""
+"""Contract registries for tests, and a simulated front with its own clock."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     max_attempts: int = 3,
     levels: tuple[Terms, ...] = (),
 ) -> ContractRegistry:
-    """A book of these contracts."""
+    """A registry of these contracts; `levels` are added before them."""
     registry = ContractRegistry(Reserve(capacity) if capacity else None, fronts, max_units, max_attempts)
     for terms in levels:
         registry.levels[terms.path] = terms
@@ -55,7 +55,7 @@
 
 
 class SimulatedFront:
-    """One front's admissions on a clock of its own; what it admits ends after a while."""
+    """One front's admission control on a simulated clock. Requests of `run` complete after a fixed duration."""
 
     def __init__(self, registry: ContractRegistry, now: float = 1_000_000.0, seed: int = 1) -> None:
         self.now, self.admission, self.rng = now, Admission(registry, now), random.Random(seed)
@@ -63,12 +63,12 @@
         self.count = 0
 
     def request(self, name: str, units: float = 2.0, **others) -> Grant | NotCovered | OverBudget:
-        """One request of that team."""
+        """Sends one request of that team."""
         demand = {"cls": "read", "volume": f"v-{name}"} | others
         return self.admission.admit(self.now, Demand(units=units, **demand))
 
     def complete(self, grant: Grant, sent: int = 1, ran: int | None = None) -> None:
-        """The end of an admitted request."""
+        """Completes an admitted request."""
         self.admission.complete(self.now, grant, sent, sent if ran is None else ran)
 
     def run(
@@ -79,7 +79,7 @@
         duration: float = 0.05,
         attempts=lambda grant: 1,
     ) -> dict[str, float]:
-        """Requests a second by team, evenly spread by lot. Returns the units a second that each was admitted."""
+        """Sends `rates` requests per second by team, at random times. Returns the admitted units per second."""
         got = dict.fromkeys(rates, 0.0)
         until, step = self.now + seconds, 0.002
         while self.now < until:
@@ -97,7 +97,7 @@
         return {name: amount / seconds for name, amount in got.items()}
 
     def check(self, open_: int | None = None) -> None:
-        """What must hold at any moment."""
+        """Checks that all accounts balance, and optionally the number of open requests."""
         self.admission.advance(self.now)
         for level in self.admission.levels.values():
             for bucket in (level.units, level.attempts, level.extra_attempts, level.reserve):
--- a/tests/test_contract_fronts.py
+++ b/tests/test_contract_fronts.py
@@ -1,4 +1,4 @@
-"""Teams held to their contracts by the real program, between clients and stand-in chunk servers."""
+"""Contracts enforced by the front process, between test clients and simulated chunk servers."""
 
 import asyncio
 import hashlib
@@ -17,7 +17,7 @@
 def contracts(
     port: int = 1, head: str = "capacity_units_per_s = 800", *, a: str = "", b: str = "", more: str = ""
 ) -> str:
-    """Team a owns VOLUME and a bucket and has a token; team b owns OTHER. One front has it all."""
+    """An operator's file: team a owns VOLUME and a bucket and has a token; team b owns OTHER. There is one front."""
     return f"""
 [contracts]
 fronts = 1
@@ -53,7 +53,7 @@
 
 
 async def ask(world: World, trace: str, team: str = "a", volume: str = "", token: str = "", units: int = 2, **more):
-    """Status, headers and body; as its team unless the words say otherwise."""
+    """Sends a request as the team, unless overridden; returns status, headers and body."""
     volume = volume or {"a": VOLUME, "b": OTHER}[team]
     headers = {
         "X-Trace-Id": trace,
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "status", "why"),
+    ("overrides", "status", "why"),
     [
         ({}, 200, ""),
         ({"team": "b"}, 200, ""),
@@ -78,22 +78,22 @@
         ({"token": "wrong"}, 401, "token"),
         ({"token": "-"}, 401, "token"),
         ({"volume": NOBODYS, "team": "b"}, 403, "contract"),
-        ({"volume": OTHER}, 403, "volume"),  # another's, with a good token
-        ({"volume": NOBODYS}, 403, "volume"),  # nobody's, and the contract names its own
+        ({"volume": OTHER}, 403, "volume"),  # owned by another team; the token is valid
+        ({"volume": NOBODYS}, 403, "volume"),  # without an owner, and the contract is limited to its own volumes
         ({"X-Plan": "platinum"}, 403, "plan"),
-        ({"X-Plan": ""}, 200, ""),  # the contract knows it
+        ({"X-Plan": ""}, 200, ""),  # the contract determines the plan
         ({"team": "b", "X-Qos": "write"}, 403, "class"),
         ({"X-Qos": "once"}, 403, "class"),
         ({"X-Qos": "made-up"}, 400, "class"),
         ({"units": 9}, 400, "units"),
     ],
 )
-def test_what_no_contract_covers_is_refused_for_good_and_says_why(words, status, why):
+def test_request_without_coverage_is_refused_permanently_with_the_reason(overrides, status, why):
     async def story():
         async with World(1, contracts()) as world:
             world.nodes[0].always = "any"
-            await asyncio.sleep(0.05)  # buckets begin empty
-            got = await ask(world, "t1", **words)
+            await asyncio.sleep(0.05)  # token buckets start empty
+            got = await ask(world, "t1", **overrides)
             assert got[0] == status and why in got[2].decode() and "Retry-After" not in got[1]
             assert len(world.nodes[0].seen) == (status == 200)
             if status in (401, 403):
@@ -102,21 +102,21 @@
     play(story())
 
 
-def test_the_object_api_answers_with_its_own_errors():
+def test_object_api_returns_its_own_error_codes():
     async def story():
         budget = "budget = { units_per_s = 0.001, burst_units = 60 }"
         async with World(1, contracts(a=budget)) as world:
-            for headers, wanted in (
+            for headers, expected in (
                 ({}, "AccessDenied"),
                 ({"Authorization": "Bearer wrong"}, "AccessDenied"),
                 ({"Authorization": "Bearer token-a"}, "SlowDown"),
             ):
                 status, answer, body = await world.objects("PUT", "/aaa/x", b"1", **headers)
-                assert (status, code(body)) == ({"AccessDenied": 403, "SlowDown": 503}[wanted], wanted)
-                assert ("Retry-After" in answer) == (wanted == "SlowDown")
+                assert (status, code(body)) == ({"AccessDenied": 403, "SlowDown": 503}[expected], expected)
+                assert ("Retry-After" in answer) == (expected == "SlowDown")
             assert code((await world.objects("GET", "/bbb/x"))[2]) == "NoSuchBucket"
             assert not world.nodes[0].seen
-            # the class of writes withdrawn: reads go on
+            # only the write class is withdrawn: reads still work
             world.change_operator(contracts(a='withdrawn_classes = ["write"]'))
             await until(lambda: "contracts reloaded" in world.log)
             await asyncio.sleep(0.05)
@@ -127,13 +127,13 @@
     play(story())
 
 
-def test_one_team_at_twenty_times_its_rate_while_another_needs_its_whole_reserve():
+def test_surge_of_one_team_leaves_the_reserve_of_another_untouched():
     async def story():
         a, b = "budget = { units_per_s = 40 }", "reserve = { units_per_s = 100, burst_units = 100 }"
         async with World(2, contracts(a=a, b=b, head="capacity_units_per_s = 140")) as world:
             for node in world.nodes:
                 node.always = "any"
-            await asyncio.sleep(1.1)  # the reserve of a second is there
+            await asyncio.sleep(1.1)  # until the reserve holds one second of its rate
             answers: Counter[tuple[str, int]] = Counter()
             waits: list[float] = []
 
@@ -144,32 +144,32 @@
                 if status == 429:
                     waits.append(float(headers["Retry-After"]))
 
-            surge = asyncio.gather(*(one("a", n) for n in range(400)))  # 800 units a second of 40
-            await asyncio.gather(*(one("b", n) for n in range(50)))  # 100 of 100
+            surge = asyncio.gather(*(one("a", n) for n in range(400)))  # 800 units per second with a budget of 40
+            await asyncio.gather(*(one("b", n) for n in range(50)))  # 100 units per second with a reserve of 100
             await surge
             assert answers["b", 200] == 50 and answers["a", 429] >= 300
             assert 15 <= answers["a", 200] <= 100 and answers["a", 200] + answers["a", 429] == 400
-            assert min(waits) > 0 and max(waits) <= 0.1  # 2 units at 40 a second come in 50 ms
+            assert min(waits) > 0 and max(waits) <= 0.1  # 2 units at 40 per second take 50 ms
 
     play(story())
 
 
-def test_a_budget_that_runs_out_mid_surge_strands_nothing_and_pays_every_attempt():
-    """Hundreds are taken; the servers stall, reset, err and answer full; each has one final answer, paid for."""
+def test_budget_exhausted_during_a_surge_leaves_no_request_open_and_every_attempt_paid():
+    """The servers stall, reset, fail and are full; each of 500 requests must get one response and be charged."""
 
     async def story():
         lines = Lines()
         budget = "budget = { units_per_s = 0.5, burst_units = 700, attempts_per_s = 1000 }"
         port = await lines.open()
         async with World(2, contracts(port, "", a=budget.replace("0.5", "5000"))) as world:
-            await asyncio.sleep(0.6)  # the burst fills quickly, and then nothing more comes
+            await asyncio.sleep(0.6)  # the burst fills quickly; after the reload the rate is near 0
             world.change_operator(contracts(port, "", a=budget))
             await until(lambda: "contracts reloaded" in world.log)
-            lot = random.Random(5)
+            rng = random.Random(5)
             for node in world.nodes:
                 node.always = "any"
                 node.script.extend(
-                    lot.choices(("any", "reset", "full", "error", "half", "stall"), (8, 1, 1, 1, 1, 1), k=150)
+                    rng.choices(("any", "reset", "full", "error", "half", "stall"), (8, 1, 1, 1, 1, 1), k=150)
                 )
             answers: Counter[int] = Counter()
 
@@ -188,7 +188,7 @@
                 )
             )
             spent = lines.get("contract-a.attempts_spent")
-            # what the servers saw was paid; a connection that broke unwritten was an attempt too
+            # each attempt seen by a server was charged; connections that broke before writing also count
             assert len(seen) <= spent <= len(seen) + 20
             assert lines.get("contract-a.units_spent") <= 700 + 10
             assert lines.get("front.over_budget") == answers[429]
@@ -196,10 +196,10 @@
     play(story())
 
 
-@pytest.mark.parametrize(("a_request", "seen"), [(1.0, 1), (2.0, 2), (None, 3)])
-def test_an_attempts_budget_of_one_a_request_ends_a_failed_one_at_once(a_request, seen):
+@pytest.mark.parametrize(("per_request", "expected_attempts"), [(1.0, 1), (2.0, 2), (None, 3)])
+def test_one_attempt_per_request_fails_without_a_retry(per_request, expected_attempts):
     async def story():
-        a = f"attempts_per_request = {a_request}" if a_request else ""
+        a = f"attempts_per_request = {per_request}" if per_request else ""
         async with World(1, contracts(a=a)) as world:
             await asyncio.sleep(0.05)
             node = world.nodes[0]
@@ -207,16 +207,16 @@
             loop = asyncio.get_running_loop()
             began = loop.time()
             status, _, _ = await ask(world, "t1")
-            assert status == 503 and len(node.seen) == seen and loop.time() - began < 1.5  # of 2 s
+            assert status == 503 and len(node.seen) == expected_attempts and loop.time() - began < 1.5  # of 2 s
             node.script.clear()
             node.script.extend(["error", "any"])
             status, _, _ = await ask(world, "t2")
-            assert status == (503 if a_request == 1.0 else 200)  # 2.0: each earns one more
+            assert status == (503 if per_request == 1.0 else 200)  # 2.0: each request earns one retry
 
     play(story())
 
 
-def test_a_token_changes_under_load_without_a_request_lost():
+def test_token_rotation_under_load_fails_no_request():
     async def story():
         def with_tokens(*tokens: str) -> str:
             return contracts(head="").replace(sha("token-a"), sha(*tokens))
@@ -234,7 +234,7 @@
             for step, tokens in enumerate((("token-a", "token-b"), ("token-b",))):
                 world.change_operator(with_tokens(*tokens))
                 await until(lambda step=step: world.log.count("contracts reloaded") == step + 1)
-                current = "token-b"  # once both are good, clients change over
+                current = "token-b"  # clients switch while both tokens are valid
                 before = answers.total()
                 await until(lambda before=before: answers.total() > before + 50)
             running = False
@@ -245,30 +245,30 @@
     play(story())
 
 
-def test_a_contract_is_reloaded_broken_shrunk_and_withdrawn_while_requests_are_out():
+def test_contract_is_reloaded_with_faults_reduced_and_withdrawn_during_requests():
     async def story():
         async with World(1, contracts()) as world:
             node = world.nodes[0]
             node.always = "any"
             await asyncio.sleep(0.1)
             node.script.extend(["stall"] * 2)
-            held = [asyncio.create_task(ask(world, f"h{n}")) for n in range(2)]
+            pending_requests = [asyncio.create_task(ask(world, f"h{n}")) for n in range(2)]
             await until(lambda: len(node.seen) == 2)
             world.change_operator(contracts(a="plan = 7\nfrom = 2026-01-01T00:00:00Z"))
             await until(lambda: "the old operator's file stays" in world.log)
-            assert (await ask(world, "t1"))[0] == 200  # the old contract holds
+            assert (await ask(world, "t1"))[0] == 200  # the old contract stays in force
             world.change_operator(contracts(a='colour = "red"', b="budget = { units_per_s = -1 }"))
             await until(lambda: "[[team]] a colour" in world.log and "units_per_s: found -1" in world.log)
             assert (await ask(world, "t2"))[0] == 200
             world.change_operator(contracts(a="budget = { open = 1 }"))
             await until(lambda: "contracts reloaded" in world.log)
             got = await ask(world, "t3")
-            assert got[0] == 429 and got[2] == b"over budget: open\n"  # two are out
+            assert got[0] == 429 and got[2] == b"over budget: open\n"  # two requests are in flight
             world.change_operator(contracts(a="withdrawn = true"))
             await until(lambda: world.log.count("contracts reloaded") == 2)
             assert (await ask(world, "t4"))[0] == 403
             node.released.set()
-            answers = await asyncio.gather(*held)  # the connection ended: tried again, and served
+            answers = await asyncio.gather(*pending_requests)  # the connections ended, so both were retried and served
             assert [answer[0] for answer in answers] == [200] * 2 and node.copies == 0
             world.change_operator(contracts())
             await until(lambda: world.log.count("contracts reloaded") == 3)
@@ -278,7 +278,7 @@
     play(story())
 
 
-def test_an_upload_whose_budget_ends_partway_has_one_answer_and_the_object_is_whole_or_not_there():
+def test_upload_whose_budget_ends_partway_gets_one_response_and_leaves_the_object_intact():
     async def story():
         token = {"Authorization": "Bearer token-a"}
         async with World(2, contracts(a="budget = { units_per_s = 2000 }")) as world:
@@ -291,20 +291,22 @@
             etags = []
             status, headers, _ = await world.objects("PUT", f"/aaa/x?partNumber=1&uploadId={upload}", parts[0], **token)
             etags.append(headers["ETag"])
-            # from here on the budget bears a few chunks: the next part ends partway
+            # the budget now suffices for a few chunks: the next part fails partway
             world.change_operator(contracts(a="budget = { units_per_s = 0.5, burst_units = 24 }"))
             await until(lambda: "contracts reloaded" in world.log)
-            kept = {path: data for node in world.nodes for path, data in node.stored.items()}
+            stored_before = {path: data for node in world.nodes for path, data in node.stored.items()}
             status, headers, body = await world.objects(
                 "PUT", f"/aaa/x?partNumber=2&uploadId={upload}", parts[1], **token
             )
             assert (status, code(body)) == (503, "SlowDown") and int(headers["Retry-After"]) >= 1
             stored = {path: data for node in world.nodes for path, data in node.stored.items()}
-            assert len(stored) > len(kept) and all(stored[path] == data for path, data in kept.items())
+            assert len(stored) > len(stored_before) and all(
+                stored[path] == data for path, data in stored_before.items()
+            )
             world.change_operator(contracts(a="budget = { units_per_s = 4000 }"))
             await until(lambda: world.log.count("contracts reloaded") == 2)
             await asyncio.sleep(0.3)
-            assert (await world.objects("GET", "/aaa/x", **token))[2] == first  # as it was
+            assert (await world.objects("GET", "/aaa/x", **token))[2] == first  # unchanged
             status, headers, _ = await world.objects("PUT", f"/aaa/x?partNumber=2&uploadId={upload}", parts[1], **token)
             etags.append(headers["ETag"])
             listed = "".join(
@@ -322,7 +324,7 @@
 
 
 @pytest.mark.parametrize("end", ["leave", "stop"])
-def test_every_end_settles(end):
+def test_client_disconnect_and_shutdown_release_all_held_amounts(end):
     async def story():
         lines = Lines()
         budget = "budget = { open = 5, attempts_per_s = 100, units_per_s = 100 }"
@@ -330,10 +332,10 @@
             await asyncio.sleep(0.1)
             node: Node = world.nodes[0]
             node.always = "stall"
-            held = [asyncio.create_task(ask(world, f"h{n}")) for n in range(3)]
+            pending_requests = [asyncio.create_task(ask(world, f"h{n}")) for n in range(3)]
             await until(lambda: lines.get("contract-a.open") == 3 and len(node.seen) == 3)
             if end == "leave":
-                for task in held:
+                for task in pending_requests:
                     task.cancel()
                 await until(lambda: lines.get("contract-a.open") == 0 and lines.get("contract-a.ended") == 3)
                 assert lines.get("contract-a.attempts_spent") == 3  # they may have run
@@ -341,14 +343,14 @@
                 assert lines.get("contract-a.attempts_held") == 0
             else:
                 world.stop()
-                assert {(await task)[0] for task in held} <= {502, 503}
+                assert {(await task)[0] for task in pending_requests} <= {502, 503}
                 assert await asyncio.wait_for(world.process.wait(), 20) == 0
                 assert "Traceback" not in world.log
 
     play(story())
 
 
-def test_log_lines_are_json_by_choice_and_carry_the_request_they_are_of():
+def test_json_log_lines_carry_the_request_fields():
     async def story():
         world = World(1, contracts())
         world.env = {"OCHRESPAN_LOG_FORMAT": "json"}
@@ -366,7 +368,7 @@
     play(story())
 
 
-def test_ten_thousand_contracts_are_read_anew_while_requests_go_on():
+def test_ten_thousand_contracts_are_reloaded_while_requests_are_served():
     def crowd(rate: int) -> str:
         return contracts(
             head="",
@@ -387,8 +389,8 @@
             while "contracts reloaded" not in world.log:
                 assert (await ask(world, f"m{meanwhile}", "b"))[0] == 200
                 meanwhile += 1
-            assert meanwhile >= 10  # it takes about a second to read
-            for number in range(60):  # 120 units of 1000 a second, and of 50 before
+            assert meanwhile >= 10  # reading the file takes about a second
+            for number in range(60):  # 120 units within 1000 per second, but not within the old 50
                 assert (await ask(world, f"n{number}", volume=f"{5001:016x}", team="b"))[0] == 200
 
     play(story())
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""The core and its gate: every end of a request settles what it holds, exactly once, with what it did cost."""
+"""The core and its gate: every request settles its grant exactly once, with the actual cost."""
 
 import asyncio
 from datetime import timedelta
@@ -54,24 +54,24 @@
 
 
 class Client:
-    """Makes attempts end as the script says; `hang` waits until it is taken back."""
+    """Ends each attempt as the script says; `hang` waits until the attempt is cancelled or times out."""
 
     def __init__(self, *script) -> None:
         self.script, self.out = list(script), 0
 
     async def send(self, attempt, message):
-        act = self.script.pop(0)
+        action = self.script.pop(0)
         self.out += 1
-        if act == "break":
+        if action == "break":
             raise RuntimeError("something of ours")
-        if act == "hang":
+        if action == "hang":
             try:
                 async with attempt.limited():
                     await asyncio.Event().wait()
             except TimeoutError:
-                act = Status.TIMEOUT
-        outcome = Outcome(attempt, act, timedelta(seconds=0.01), elsewhere=4.0)
-        return outcome, Answer(200, b"", {}) if act is Status.OK else None
+                action = Status.TIMEOUT
+        outcome = Outcome(attempt, action, timedelta(seconds=0.01), elsewhere=4.0)
+        return outcome, Answer(200, b"", {}) if action is Status.OK else None
 
 
 async def run(script, gate: Gate, cls: str = "read", plan: str = "", leave: bool = False, end: bool = False, **more):
@@ -97,7 +97,7 @@
     ("script", "more", "kind", "cost"),
     [
         ([Status.OK], {}, Answer, (1, 1)),
-        ([Status.FULL, Status.RESET, Status.OK], {}, Answer, (3, 2)),  # turned away: sent, and never ran
+        ([Status.FULL, Status.RESET, Status.OK], {}, Answer, (3, 2)),  # the first was rejected: sent, but never ran
         ([Status.FULL, Status.ERROR, Status.ERROR], {}, Refused, (3, 2)),
         ([Status.ERROR] * 3, {}, Refused, (3, 3)),
         ([Status.ERROR], {"cls": "once"}, Failed, (1, 1)),
@@ -107,10 +107,10 @@
         ([], {"plan": "made-up"}, Unacceptable, (0, 0)),
     ],
 )
-def test_every_end_settles_once_with_what_it_did_cost(script, more, kind, cost):
+def test_every_request_settles_once_with_its_actual_cost(script, more, kind, cost):
     gate = Gate()
     if more.get("plan"):
-        Hold.plan = more["plan"]  # a plan of the contract's that the settings lack
+        Hold.plan = more["plan"]  # a plan that the settings do not define
     try:
         got, client, _ = asyncio.run(run(script, gate, **more))
     finally:
@@ -120,14 +120,14 @@
 
 
 @pytest.mark.parametrize(("attempts", "more", "sent"), [(1, 0, 1), (1, 1, 2), (1, 5, 3), (2, 0, 2), (3, 0, 3)])
-def test_no_repeat_is_sent_that_is_not_paid_for(attempts, more, sent):
+def test_unpaid_retry_is_not_sent(attempts, more, sent):
     gate = Gate(attempts=attempts, more=more)
     got, client, _ = asyncio.run(run([Status.ERROR] * 3, gate))
     assert isinstance(got, Refused) and client.out == sent and gate.settled == [(sent, sent)]
 
 
 @pytest.mark.parametrize("answer", [NotCovered("class", "a"), OverBudget("open", "a", timedelta(seconds=1))])
-def test_what_the_gate_refuses_never_reaches_the_module(answer):
+def test_request_refused_by_the_gate_never_reaches_the_scheduler(answer):
     gate = Gate(answer)
     got, client, broker = asyncio.run(run([], gate))
     assert got is answer and not gate.settled and client.out == 0
@@ -137,7 +137,7 @@
     assert not broker.counts.usage
 
 
-def test_the_gate_hears_what_others_served_and_sees_no_nonsense():
+def test_gate_gets_units_served_elsewhere_and_no_invalid_requests():
     gate = Gate()
     asyncio.run(run([Status.OK], gate))
     assert gate.heard_units == 4.0
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Graphite and collectd, met by their protocols: stand-ins parse what arrives."""
+"""Exports to Graphite and collectd: test servers parse the received protocol data."""
 
 import asyncio
 import re
@@ -24,11 +24,11 @@
 
 
 def parse_packet(packet: bytes) -> list[dict]:
-    """The values of one collectd packet, each with the parts that stood before it."""
-    state, found, at = {}, [], 0
-    while at < len(packet):
-        kind, length = struct.unpack_from("!HH", packet, at)
-        body = packet[at + 4 : at + length]
+    """Parses one collectd packet: its values, each with the parts that precede it."""
+    state, values, offset = {}, [], 0
+    while offset < len(packet):
+        kind, length = struct.unpack_from("!HH", packet, offset)
+        body = packet[offset + 4 : offset + length]
         assert length >= 4 and len(body) == length - 4
         if kind in (0, 2, 3, 4, 5):
             assert body.endswith(b"\0") and len(body) <= 64
@@ -41,12 +41,12 @@
             assert number == 1 and len(body) == 11
             value = struct.unpack("<d" if form == 1 else "!q", body[3:])[0]
             assert state[4] == {1: "gauge", 2: "derive"}[form]
-            found.append(dict(state) | {"value": value})
-        at += length
-    return found
+            values.append(dict(state) | {"value": value})
+        offset += length
+    return values
 
 
-class Datagrams(asyncio.DatagramProtocol):
+class CollectdReceiver(asyncio.DatagramProtocol):
     def __init__(self) -> None:
         self.values: dict[tuple[str, str], dict] = {}
 
@@ -56,29 +56,29 @@
             self.values[value[3], value[5]] = value
 
 
-def test_both_exporters_tell_what_happened():
+def test_both_exporters_send_request_metrics():
     async def story():
         lines: dict[tuple[str, str], float] = {}
         stamps: list[int] = []
 
         async def serve(reader, _):
             while line := (await reader.readline()).decode():
-                found = LINE.fullmatch(line)
-                assert found, line
-                lines[found[1], found[2]] = float(found[3])
-                stamps.append(int(found[4]))
+                match = LINE.fullmatch(line)
+                assert match, line
+                lines[match[1], match[2]] = float(match[3])
+                stamps.append(int(match[4]))
 
         graphite = await asyncio.start_server(serve, "127.0.0.1", 0)
         transport, datagrams = await asyncio.get_running_loop().create_datagram_endpoint(
-            Datagrams, local_addr=("127.0.0.1", 0)
+            CollectdReceiver, local_addr=("127.0.0.1", 0)
         )
         ports = graphite.sockets[0].getsockname()[1], transport.get_extra_info("sockname")[1]
         async with World(1, sinks(*ports)) as world:
             world.nodes[0].script.extend(["any", "full", "any", "error", "error", "error"])
             for name in ("t1", "t2", "t3"):
                 await world.ask(name)
-            assert (await world.ask("t4", **{"X-Plan": "made.up"}))[0] == 400  # counts nowhere
-            wanted = {
+            assert (await world.ask("t4", **{"X-Plan": "made.up"}))[0] == 400  # not counted
+            expected = {
                 ("gold-read", "taken"): 3,
                 ("gold-read", "served"): 2,
                 ("gold-read", "refused"): 1,
@@ -87,8 +87,8 @@
                 ("outcomes", "error"): 3,
                 ("front", "held"): 0,
             }
-            await until(lambda: all(lines.get(k) == v for k, v in wanted.items()))
-            await until(lambda: all(datagrams.values.get(k, {}).get("value") == v for k, v in wanted.items()))
+            await until(lambda: all(lines.get(k) == v for k, v in expected.items()))
+            await until(lambda: all(datagrams.values.get(k, {}).get("value") == v for k, v in expected.items()))
             assert not any("made" in name or "other" in name for name, _ in lines)
             value = datagrams.values["gold-read", "taken"]
             assert (value[0], value[2], round(value[9], 3)) == ("n0", "plant", 0.1)
@@ -97,25 +97,25 @@
     play(story())
 
 
-def test_dead_sinks_do_not_delay_serving_and_are_found_again():
+def test_unavailable_sinks_do_not_delay_requests_and_are_retried():
     async def story():
-        async def swallow(reader, writer):
-            await asyncio.Event().wait()  # takes the connection and never reads
+        async def never_read(reader, writer):
+            await asyncio.Event().wait()  # accepts the connection and never reads
 
-        dead = await asyncio.start_server(swallow, "127.0.0.1", 0)
-        dead_port, later = dead.sockets[0].getsockname()[1], free_port()
+        unresponsive = await asyncio.start_server(never_read, "127.0.0.1", 0)
+        unresponsive_port, later_port = unresponsive.sockets[0].getsockname()[1], free_port()
         async with (
-            World(1, sinks(dead_port, free_port())) as world,
-            World(operator=sinks(later, free_port()), rank=1, shared=world) as other,
+            World(1, sinks(unresponsive_port, free_port())) as world,
+            World(operator=sinks(later_port, free_port()), rank=1, shared=world) as other,
         ):
             world.nodes[0].always = "any"
             for number in range(20):
                 assert (await world.ask(f"a{number}"))[0] == 200
                 assert (await other.ask(f"b{number}"))[0] == 200
             await until(lambda: "cannot send metrics to sink" in other.log)
-            came = asyncio.Event()
-            server = await asyncio.start_server(lambda *_: came.set(), "127.0.0.1", later)
-            await asyncio.wait_for(came.wait(), 10)
+            connected = asyncio.Event()
+            server = await asyncio.start_server(lambda *_: connected.set(), "127.0.0.1", later_port)
+            await asyncio.wait_for(connected.wait(), 10)
             server.close()
 
     play(story())
