--- a/ochrespan/contracts/accounts.py
+++ b/ochrespan/contracts/accounts.py
@@ -17,7 +17,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Account:
-    """One budget of one level, in units or attempts: granted = spent + held + left. Fields are metric names."""
+    """One budget of one level, in units or attempts: granted = spent + held + left. The amounts are named as
+    their metrics."""
 
     path: str
     budget: str
--- a/ochrespan/contracts/adaptive_quota.py
+++ b/ochrespan/contracts/adaptive_quota.py
@@ -4,12 +4,12 @@
 unused.
 
 Mode `heard`: a front adapts its quota to what it spends and to what other fronts spend on the same volumes, as
-reported in each response (`X-Served-Elsewhere`). Once a second, a front that refused requests multiplies its quota by
-the square root of budget / total spending (by the full ratio, up to 2, while spending is below half the budget), so
-that all fronts scale alike and the sum converges in a few steps for any number of fronts. It also adds a small
-constant, so that a front that starts late gains on those with large quotas. A front gives up what it does not use.
-This is only correct if every front that serves the team receives reports for all of the team's volumes. Rates are
-units per second.
+reported in each response (`X-Served-Elsewhere`). Once a second, a front that refused requests, or that sees spending
+above the budget, multiplies its quota by the square root of budget / total spending (by 2 while spending is below
+half the budget), so that all fronts scale alike and the sum converges in a few steps for any number of fronts. After
+refusals it also adds a small constant, so that a front that starts late gains on those with large quotas. A front
+gives up what it does not use. This is only correct if every front that serves the team receives reports for all of the
+team's volumes. Rates are units per second.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
     scale: float = 1.0
     spent: float = 0.0  # by this front; moving average
     spent_elsewhere: float = 0.0  # by other fronts; moving average
-    _spent_now: float = 0.0
+    _spent_now: float = 0.0  # since the last update
     _spent_elsewhere_now: float = 0.0
     _refused: bool = False
     _updated_at: float | None = None
@@ -65,7 +65,7 @@
         quota = self.scale * even
         if total > self.rate or (self._refused and total > 0):
             # Below half of the budget all fronts may double at once. Near the budget, the square root keeps fronts
-            # from overshooting when all react in the same update. GROWTH is added below, so the target is lower.
+            # from overshooting when all react in the same update. The target leaves room for GROWTH, added below.
             ratio = self.rate * (1 - 2 * GROWTH) / total
             quota = (
                 quota * (min(MAX_CHANGE, ratio) if ratio > MAX_CHANGE else max(1 / MAX_CHANGE, ratio**0.5))
--- a/ochrespan/contracts/borrowing.py
+++ b/ochrespan/contracts/borrowing.py
@@ -22,7 +22,7 @@
 from .fixed_point import MICROS_PER_S
 
 WEIGHT_SCALE = 1 << 32  # fixed-point scale of the running sum
-ACTIVE_US = 1 * MICROS_PER_S  # a borrower is active for this long after its last request
+ACTIVE_PERIOD_US = 1 * MICROS_PER_S  # a borrower is active for this long after its last request
 
 
 class TimerQueue:
@@ -69,6 +69,7 @@
         self._parent, self._borrower = parent, borrower
         self.rate = 0
         self.unassigned = 0  # available to the first borrower that asks
+        # sum distributed per unit of weight; remainder of its last division; amount distributed but not collected
         self._distributed, self._remainder, self._unclaimed = 0, 0, 0
         self._active: OrderedDict[Borrower, int] = OrderedDict()  # time of the last request, oldest first
         self._active_weight = 0
@@ -140,7 +141,7 @@
             if not self._active:
                 if self._parent is not None:  # the inflow is no longer passed on
                     self._parent.change_rate(-self.rate, now)
-                self._timers.call_at(now + ACTIVE_US, self._expire_inactive)
+                self._timers.call_at(now + ACTIVE_PERIOD_US, self._expire_inactive)
             self._active_weight += borrower.weight
             borrower.distributed_seen = self._distributed
         self._active[borrower] = now
@@ -148,7 +149,7 @@
     def _expire_inactive(self, now: int) -> None:
         """Removes borrowers without recent requests; after the last one, the inflow is passed on to the parent."""
         self._advance(now)
-        while self._active and (first := next(iter(self._active.items())))[1] + ACTIVE_US <= now:
+        while self._active and (first := next(iter(self._active.items())))[1] + ACTIVE_PERIOD_US <= now:
             borrower = first[0]
             self._collect(borrower)
             del self._active[borrower]
@@ -156,7 +157,7 @@
             leftover, borrower.credit = borrower.credit, 0
             self._add_unassigned(leftover)
         if self._active:
-            self._timers.call_at(next(iter(self._active.values())) + ACTIVE_US, self._expire_inactive)
+            self._timers.call_at(next(iter(self._active.values())) + ACTIVE_PERIOD_US, self._expire_inactive)
         else:
             leftover, self._unclaimed, self._remainder = self._unclaimed, 0, 0
             self._add_unassigned(leftover)
--- a/ochrespan/contracts/section.py
+++ b/ochrespan/contracts/section.py
@@ -191,10 +191,10 @@
             )
         )
 
-    def _check_classes(self, location: str, entry: list[str], allowed: Collection[str]) -> None:
-        if not entry:
+    def _check_classes(self, location: str, classes: list[str], allowed: Collection[str]) -> None:
+        if not classes:
             self._faults.add(f"{location} classes", "nothing", "at least one of " + ", ".join(sorted(allowed)))
-        for cls in entry:
+        for cls in classes:
             self._faults.choice(f"{location} classes", cls, allowed)
 
     def _register_owner(self, location: str, path: str, entry: SenderTable) -> None:
@@ -205,10 +205,10 @@
             self._check_unique(f"{location} buckets", "bucket", bucket, path)
         self.registry.set_owner(path, volumes, entry.buckets)
 
-    def _check_unique(self, location: str, what: str, name: str, path: str) -> None:
-        if (owner := self._owners.get((what, name))) is not None:
-            self._faults.add(location, name, f"a {what} that {owner} does not have already")
-        self._owners[what, name] = path
+    def _check_unique(self, location: str, kind: str, name: str, path: str) -> None:
+        if (owner := self._owners.get((kind, name))) is not None:
+            self._faults.add(location, name, f"a {kind} that {owner} does not have already")
+        self._owners[kind, name] = path
 
     # ---- checks across levels ----
 
--- a/ochrespan/metrics/exporters.py
+++ b/ochrespan/metrics/exporters.py
@@ -80,7 +80,8 @@
         """Encodes the samples, one per line."""
         timestamp = int(at.timestamp())
         return "".join(
-            f"{self.sink.prefix}.{self.host}.{r.group}.{r.name} {r.value:.10g} {timestamp}\n" for r in samples
+            f"{self.sink.prefix}.{self.host}.{sample.group}.{sample.name} {sample.value:.10g} {timestamp}\n"
+            for sample in samples
         ).encode()
 
     async def send(self, samples: list[Reading], at: datetime) -> None:
--- a/tests/test_contract_fronts.py
+++ b/tests/test_contract_fronts.py
@@ -15,13 +15,18 @@
 
 
 def contracts(
-    port: int = 1, head: str = "capacity_units_per_s = 800", *, a: str = "", b: str = "", more: str = ""
+    port: int = 1,
+    installation: str = "capacity_units_per_s = 800",
+    *,
+    a: str = "",
+    b: str = "",
+    extra_tables: str = "",
 ) -> str:
     """An operator's file: team a owns VOLUME and a bucket and has a token; team b owns OTHER. There is one front."""
     return f"""
 [contracts]
 fronts = 1
-{head}
+{installation}
 [[team]]
 name = "a"
 plan = "gold"
@@ -38,7 +43,7 @@
 classes = ["read", "once"]
 volumes = ["{OTHER}"]
 {b}
-{more}
+{extra_tables}
 [objects]
 listen = "127.0.0.1:PORT"
 least_part_bytes = 100000
@@ -52,7 +57,9 @@
     return ", ".join(f'"{hashlib.sha256(token.encode()).hexdigest()}"' for token in tokens)
 
 
-async def ask(world: World, trace: str, team: str = "a", volume: str = "", token: str = "", units: int = 2, **more):
+async def ask(
+    world: World, trace: str, team: str = "a", volume: str = "", token: str = "", units: int = 2, **extra_headers
+):
     """Sends a request as the team, unless overridden; returns status, headers and body."""
     volume = volume or {"a": VOLUME, "b": OTHER}[team]
     headers = {
@@ -60,8 +67,8 @@
         "X-Qos": "read",
         "X-Plan": "gold",
         "X-Expires-In-Ms": "2000",
-        "X-IO": f"units={units},shard={more.pop('shard', 0)},hosts=1",
-    } | more
+        "X-IO": f"units={units},shard={extra_headers.pop('shard', 0)},hosts=1",
+    } | extra_headers
     if token or team == "a":
         headers["Authorization"] = f"Bearer {token or 'token-a'}"
     if headers["Authorization" if "Authorization" in headers else "X-Qos"] == "Bearer -":
@@ -130,7 +137,7 @@
 def test_surge_of_one_team_leaves_the_reserve_of_another_untouched():
     async def story():
         a, b = "budget = { units_per_s = 40 }", "reserve = { units_per_s = 100, burst_units = 100 }"
-        async with World(2, contracts(a=a, b=b, head="capacity_units_per_s = 140")) as world:
+        async with World(2, contracts(a=a, b=b, installation="capacity_units_per_s = 140")) as world:
             for node in world.nodes:
                 node.always = "any"
             await asyncio.sleep(1.1)  # until the reserve holds one second of its rate
@@ -155,7 +162,7 @@
 
 
 def test_budget_exhausted_during_a_surge_leaves_no_request_open_and_every_attempt_paid():
-    """The servers stall, reset, fail and are full; each of 500 requests must get one response and be charged."""
+    """The servers stall, reset, fail and are full; each request must get one response, each attempt be charged once."""
 
     async def story():
         lines = Lines()
@@ -197,7 +204,7 @@
 
 
 @pytest.mark.parametrize(("per_request", "expected_attempts"), [(1.0, 1), (2.0, 2), (None, 3)])
-def test_one_attempt_per_request_fails_without_a_retry(per_request, expected_attempts):
+def test_retries_of_a_failed_request_are_limited_by_attempts_per_request(per_request, expected_attempts):
     async def story():
         a = f"attempts_per_request = {per_request}" if per_request else ""
         async with World(1, contracts(a=a)) as world:
@@ -219,7 +226,7 @@
 def test_token_rotation_under_load_fails_no_request():
     async def story():
         def with_tokens(*tokens: str) -> str:
-            return contracts(head="").replace(sha("token-a"), sha(*tokens))
+            return contracts(installation="").replace(sha("token-a"), sha(*tokens))
 
         async with World(1, with_tokens("token-a")) as world:
             world.nodes[0].always = "any"
@@ -371,8 +378,8 @@
 def test_ten_thousand_contracts_are_reloaded_while_requests_are_served():
     def crowd(rate: int) -> str:
         return contracts(
-            head="",
-            more="".join(
+            installation="",
+            extra_tables="".join(
                 f'[[team]]\nname = "t{i}"\nplan = "gold"\nclasses = ["read"]\nvolumes = ["{i + 1000:016x}"]\n'
                 f"budget = {{ units_per_s = {rate} }}\n"
                 for i in range(10_000)
