--- a/ochrespan/contracts/accounts.py
+++ b/ochrespan/contracts/accounts.py
@@ -1,4 +1,7 @@
-"""What each level was granted, spent, holds, lent, borrowed and was refused: exact at any moment."""
+"""Accounting snapshots of each level: granted, spent, held, lent and borrowed amounts, and counts of refusals.
+
+The amounts are exact at any moment: granted = spent + held + left.
+"""
 
 from __future__ import annotations
 
@@ -6,15 +9,16 @@
 from dataclasses import dataclass
 
 from .admission import Admission
-from .amounts import PARTS, micros, units
-from .bucket import Bucket
+from .fixed_point import PICO, from_pico, to_micros
 from .levels import Level
-from .window import NAMES
+from .token_bucket import TokenBucket
+from .window import SPAN_NAMES
 
 
 @dataclass(frozen=True, slots=True)
 class Account:
-    """One budget of one level, in units or attempts: granted = spent + held + left."""
+    """One budget of one level, in units or attempts: granted = spent + held + left. The amounts are named as
+    their metrics."""
 
     path: str
     budget: str
@@ -25,8 +29,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
-    """What one level's requests came to, and what it lent and borrowed in units."""
+class LevelStatistics:
+    """Counts of one level's requests, and the units that it has lent and borrowed."""
 
     path: str
     kind: str
@@ -36,47 +40,47 @@
     counts: dict[str, int]
 
 
-def _of(level: Level, name: str, bucket: Bucket) -> Account:
+def _account(level: Level, name: str, bucket: TokenBucket) -> Account:
     return Account(
-        level.path, name, *(amount / PARTS for amount in (bucket.granted, bucket.spent, bucket.held, bucket.left))
+        level.path, name, *(amount / PICO for amount in (bucket.granted, bucket.spent, bucket.held, bucket.left))
     )
 
 
 def accounts(admission: Admission, now: float) -> Iterator[Account]:
-    """Every budget of every level that has asked for something."""
+    """Yields every budget of every level that has received a request, and those of the installation."""
     admission.advance(now)
     for level in list(admission.levels.values()):
         if not level.counts and level.path:
-            continue  # it has not asked for anything yet
+            continue  # no request yet
         for name, bucket in (
             ("units", level.units),
             ("attempts", level.attempts),
-            ("extra-attempts", level.extras),
+            ("extra-attempts", level.extra_attempts),
             ("reserve", level.reserve),
         ):
             if bucket is not None:
-                bucket.sync(micros(now))
-                yield _of(level, name, bucket)
+                bucket.refill(to_micros(now))
+                yield _account(level, name, bucket)
         for window in level.windows:
-            window.sync(micros(now))
+            window.advance(to_micros(now))
             yield Account(
                 level.path,
-                f"units-per-{NAMES[window.span]}",
-                units(window.quota),
-                units(window.spent),
-                units(window.held),
-                units(window.left),
+                f"units-per-{SPAN_NAMES[window.span]}",
+                from_pico(window.quota),
+                from_pico(window.spent),
+                from_pico(window.held),
+                from_pico(window.left),
             )
 
 
-def figures(admission: Admission, now: float) -> Iterator[Figures]:
-    """Counts, open requests and lending of every level that has asked for something."""
+def level_statistics(admission: Admission, now: float) -> Iterator[LevelStatistics]:
+    """Yields counts, open requests and lending of every level that has received a request."""
     admission.advance(now)
     for level in list(admission.levels.values()):
         if level.counts:
             lent = level.lent
-            if level.lending_since is not None and level.reserve is not None:
-                lent += level.reserve.rate * max(0, micros(now) - level.lending_since)
-            yield Figures(
-                level.path, level.terms.kind, level.open, units(lent), units(level.borrowed), dict(level.counts)
+            if level.lent_since is not None and level.reserve is not None:
+                lent += level.reserve.rate * max(0, to_micros(now) - level.lent_since)
+            yield LevelStatistics(
+                level.path, level.terms.kind, level.open, from_pico(lent), from_pico(level.borrowed), dict(level.counts)
             )
--- a/ochrespan/contracts/admission.py
+++ b/ochrespan/contracts/admission.py
@@ -1,135 +1,143 @@
-"""Whether a request is covered by a contract and paid for, before the decision module sees it.
+"""Admission control: checks that a contract covers a request and that its budgets suffice, before scheduling.
 
-`admit` answers with a `Grant` that holds what the request may cost at most, attempts included, with `NotCovered`
-(for good) or with `OverBudget` (until a told time). A grant may hold fewer attempts than the settings allow where its
-budgets run low; then each repeat is paid for by `extend` before it is sent, or not sent. Every grant is settled once,
-with what the request did cost: a unit budget pays each attempt that may have run, an attempt budget each one sent.
+`admit` returns a `Grant` that holds the request's maximum cost, retries included; `NotCovered`, which is permanent;
+or `OverBudget`, with the time until a retry can succeed. When budgets run low, a grant may hold fewer attempts than
+the settings allow; each further retry must then be paid for by `extend` before it is sent. Every grant is completed
+once, with the actual cost: unit budgets are charged for each attempt that may have run, attempt budgets for each
+attempt sent.
 
-Amounts and times inside are whole numbers (`amounts.py`); `now` is Unix time in seconds.
+Internal amounts and times are integers (`fixed_point.py`); `now` is Unix time in seconds.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-from . import coverage
-from .amounts import micros, parts
-from .funding import LEAST_WAIT, Bound, Query, secure
-from .grants import Demand, Funding, Grant, NotCovered, OverBudget
+from . import authorization
+from .allocation import MIN_WAIT_US, AllocationRequest, ExceededLimit, allocate
+from .fixed_point import to_micros, to_pico
+from .grants import Allocation, Demand, Grant, NotCovered, OverBudget
 from .levels import Level
-from .terms import Book, Contract
+from .terms import Contract, ContractRegistry
 from .tree import LevelTree
 
 __all__ = ["Admission", "Demand", "Grant", "NotCovered", "OverBudget"]
 
 
 class Admission:
-    """One front's accounts under one book at a time."""
+    """The accounts of one front process under the contracts in force."""
 
-    def __init__(self, book: Book, now: float) -> None:
-        self._tree = LevelTree(book, now)
-        self.levels = self._tree.levels  # by path; empty: the installation
-        self.refused: dict[str, int] = {}  # not covered and of no contract, by rule
+    def __init__(self, registry: ContractRegistry, now: float) -> None:
+        self._tree = LevelTree(registry, now)
+        self.levels = self._tree.levels  # by path; the empty path is the installation
+        self.unattributed_refusals: dict[str, int] = {}  # by rule; requests without a known contract
 
     @property
-    def book(self) -> Book:
+    def registry(self) -> ContractRegistry:
         """The contracts in force."""
-        return self._tree.book
+        return self._tree.registry
 
-    def replace(self, book: Book, now: float) -> None:
-        """A new book, from the next request on. What was granted, held and spent carries over, by name."""
-        self._tree.replace(book, now)
+    def replace(self, registry: ContractRegistry, now: float) -> None:
+        """Puts a new registry in force. Granted, held and spent amounts carry over by level path."""
+        self._tree.replace(registry, now)
 
     def advance(self, now: float) -> None:
-        """What was due until now has happened."""
+        """Runs all timers that are due."""
         self._tree.advance(now)
 
     def set_scales(self, scales: Mapping[str, float]) -> None:
-        """By path: how many times its even part of a contract's budgets this front has, from the next change on."""
-        self._tree.scale = dict(scales)
+        """Sets this front's multiples of the even fraction of contracts' budgets, by path, for the next `replace`."""
+        self._tree.scales = dict(scales)
 
     def rescale(self, path: str, scale: float, now: float) -> None:
-        """This front's part of a contract's budgets becomes so many times the even one, at once."""
+        """Sets this front's multiple of the even fraction of one contract's budgets, effective at once."""
         self._tree.rescale(path, scale, now)
 
-    # ---- who ----
+    # ---- authorization ----
 
     def identify(self, demand: Demand) -> Contract | NotCovered:
-        """The contract that a request comes under. A wrong token is told nothing of what others own."""
-        return coverage.identify(self.book, demand)
+        """Finds the contract of a request; see `authorization.identify`."""
+        return authorization.identify(self.registry, demand)
 
-    def covered(self, contract: Contract, demand: Demand, now: float) -> NotCovered | None:
-        """Why a contract does not cover the request; None: it does."""
-        return coverage.check(contract, demand, now)
+    def check_coverage(self, contract: Contract, demand: Demand, now: float) -> NotCovered | None:
+        """Returns why a contract does not cover the request, or None if it does."""
+        return authorization.check_coverage(contract, demand, now)
 
     # ---- requests ----
 
-    def admit(self, now: float, demand: Demand, vouched: Contract | None = None) -> Grant | NotCovered | OverBudget:
-        """`vouched`: the contract under which earlier steps of the same work were taken; withdrawing it, or a class
-        or token of it, lets that work end."""
-        contract = vouched or self.identify(demand)
+    def admit(
+        self, now: float, demand: Demand, started_under: Contract | None = None
+    ) -> Grant | NotCovered | OverBudget:
+        """Admits or refuses a request.
+
+        `started_under` is the contract that admitted earlier requests of the same operation: the operation may finish
+        even if that contract, or a class or token of it, has been withdrawn since.
+        """
+        contract = started_under or self.identify(demand)
         if isinstance(contract, NotCovered):
             return self._count_not_covered(contract)
         leaf = self.levels.get(contract.path)
         if leaf is None:
-            gone = NotCovered("withdrawn", contract.path, "the contract is there no longer")
-            return self._count_not_covered(gone)
-        if vouched is None and (why := self.covered(contract, demand, now)) is not None:
-            return self._count_not_covered(why)
-        verdict = self._grant(contract, leaf, parts(demand.units), micros(now))
-        match verdict:
+            removed = NotCovered("withdrawn", contract.path, "the contract is there no longer")
+            return self._count_not_covered(removed)
+        if started_under is None and (refusal := self.check_coverage(contract, demand, now)) is not None:
+            return self._count_not_covered(refusal)
+        result = self._grant(contract, leaf, to_pico(demand.units), to_micros(now))
+        match result:
             case Grant():
                 leaf.count("admitted")
-                leaf.earn_attempt()
+                leaf.earn_extra_attempt()
             case OverBudget():
-                leaf.count(f"over-budget.{verdict.rule}")
+                leaf.count(f"over-budget.{result.rule}")
             case NotCovered():
-                self._count_not_covered(verdict)
-        return verdict
+                self._count_not_covered(result)
+        return result
 
-    def _count_not_covered(self, why: NotCovered) -> NotCovered:
-        if level := self.levels.get(why.team) if why.team else None:
-            level.count(f"not-covered.{why.rule}")
+    def _count_not_covered(self, refusal: NotCovered) -> NotCovered:
+        if level := self.levels.get(refusal.team) if refusal.team else None:
+            level.count(f"not-covered.{refusal.rule}")
         else:
-            self.refused[why.rule] = self.refused.get(why.rule, 0) + 1
-        return why
+            self.unattributed_refusals[refusal.rule] = self.unattributed_refusals.get(refusal.rule, 0) + 1
+        return refusal
 
-    def _grant(self, contract: Contract, leaf: Level, unit: int, now: int) -> Grant | NotCovered | OverBudget:
-        path = list(leaf.up())
-        query = Query(contract, leaf, path[1:], unit, self.book.most_attempts, now)
+    def _grant(self, contract: Contract, leaf: Level, attempt_cost: int, now: int) -> Grant | NotCovered | OverBudget:
+        path = list(leaf.self_and_ancestors())
+        allocation_request = AllocationRequest(contract, leaf, path[1:], attempt_cost, self.registry.max_attempts, now)
         for level in path:
-            if level.most_open is not None and level.open >= level.most_open:
-                return query.refusal(level, Bound("open", LEAST_WAIT))
-        funding = secure(query, self._tree.timers)
-        if not isinstance(funding, Funding):
-            return funding
-        grant = Grant(contract, leaf, path, unit)
+            if level.max_open is not None and level.open >= level.max_open:
+                return allocation_request.refusal(level, ExceededLimit("open", MIN_WAIT_US))
+        allocation = allocate(allocation_request, self._tree.timers)
+        if not isinstance(allocation, Allocation):
+            return allocation
+        grant = Grant(contract, leaf, path, attempt_cost)
         for level in path:
             level.open += 1
-        grant.add(funding)
+        grant.add(allocation)
         return grant
 
     def extend(self, now: float, grant: Grant) -> bool:
-        """One more attempt for a request that has used up what it held, if its budgets bear it."""
-        if grant.settled:
+        """Adds one attempt to a grant whose attempts are used up; False if the budgets do not allow it."""
+        if grant.completed:
             return False
-        query = Query(grant.contract, grant.leaf, grant.path[1:], grant.units, 1, micros(now))
-        funding = secure(query, self._tree.timers, grant.extra)
-        if not isinstance(funding, Funding):
+        allocation_request = AllocationRequest(
+            grant.contract, grant.leaf, grant.path[1:], grant.attempt_cost, 1, to_micros(now)
+        )
+        allocation = allocate(allocation_request, self._tree.timers, grant.extra_bucket)
+        if not isinstance(allocation, Allocation):
             grant.leaf.count("retry-unpaid")
             return False
-        grant.add(funding)
+        grant.add(allocation)
         return True
 
-    def settle(self, now: float, grant: Grant, sent: int, ran: int) -> None:
-        """A request has ended, with so many attempts sent, of which so many may have run. Only the first call counts.
+    def complete(self, now: float, grant: Grant, sent: int, ran: int) -> None:
+        """Completes a grant: `sent` attempts were sent, of which `ran` may have run. Further calls have no effect.
 
-        A request that sent more than it held still pays for all: its buckets go below 0 and fill up again.
+        A request that sent more attempts than it held is charged for all: its buckets go below 0 and refill.
         """
-        if grant.settled:
+        if grant.completed:
             return
-        grant.settled = True
-        at = micros(now)
+        grant.completed = True
+        at = to_micros(now)
         self._tree.advance(now)
         grant.release(sent, ran, at)
         grant.leaf.count("ended")
--- a/ochrespan/contracts/grants.py
+++ b/ochrespan/contracts/grants.py
@@ -1,19 +1,19 @@
-"""The records of one admission: what a request asks for, and how it was answered."""
+"""The records of one admission: the request's demand, and the grant or refusal."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-from .amounts import PARTS
-from .bucket import Bucket
+from .fixed_point import PICO
 from .levels import Draw, Level
 from .terms import Contract
+from .token_bucket import TokenBucket
 from .window import Window
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What a request says of itself. An empty string means that it does not say."""
+    """What a request states about itself; an empty string means not stated."""
 
     cls: str
     units: float
@@ -25,35 +25,35 @@
 
 @dataclass(frozen=True, slots=True)
 class NotCovered:
-    """No contract allows it, now or later."""
+    """A permanent refusal: no contract allows the request."""
 
     rule: str
-    team: str = ""  # the contract's path, where one is known
-    words: str = ""
+    team: str = ""  # the contract's path, if known
+    reason: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class OverBudget:
-    """Its contract allows it, but not now."""
+    """A temporary refusal: the contract covers the request, but a budget is used up."""
 
     rule: str
     team: str
-    level: str  # the path of the level whose bound it is; empty: the installation
-    wait: float  # seconds until there will be enough, if nobody else asks for it
+    level: str  # path of the level whose limit is exceeded; empty: the installation
+    wait_s: float  # until the budget suffices if there are no other requests
 
 
 @dataclass(slots=True)
 class BucketHold:
-    """An amount held in a token bucket; `of_attempts` tells whether the bucket counts attempts or units."""
+    """An amount held in a token bucket, in pico attempts if `counts_attempts`, else in pico units."""
 
-    bucket: Bucket
+    bucket: TokenBucket
     amount: int
-    of_attempts: bool
+    counts_attempts: bool
 
 
 @dataclass(slots=True)
 class WindowHold:
-    """An amount held in a budget window, and the number of the window that was current then."""
+    """An amount held in a budget window; `number` is the window that was current at that time."""
 
     window: Window
     number: int
@@ -61,8 +61,8 @@
 
 
 @dataclass(slots=True)
-class Funding:
-    """How many attempts fit under every bound, and the funds drawn for them."""
+class Allocation:
+    """How many attempts fit within every limit, and the funds drawn for them."""
 
     attempts: int
     draw: Draw
@@ -70,23 +70,23 @@
 
 @dataclass(slots=True, eq=False)
 class Grant:
-    """What one admitted request holds until it is settled."""
+    """What one admitted request holds until it is completed."""
 
     contract: Contract
     leaf: Level
-    path: list[Level]  # from the leaf up: where it counts as open
-    units: int  # of each attempt
-    attempts: int = 0  # that are paid for
-    held: list[BucketHold] = field(default_factory=list)
-    windows: list[WindowHold] = field(default_factory=list)
+    path: list[Level]  # from the leaf up; the request counts as open at each level
+    attempt_cost: int  # pico units
+    attempts: int = 0  # paid for
+    bucket_holds: list[BucketHold] = field(default_factory=list)
+    window_holds: list[WindowHold] = field(default_factory=list)
     draws: list[Draw] = field(default_factory=list)
-    extra: Bucket | None = None  # pays for attempts beyond the first
-    extra_held: int = 0  # attempts beyond the first
-    settled: bool = False
+    extra_bucket: TokenBucket | None = None  # pays for attempts beyond the first
+    extra_attempts_held: int = 0
+    completed: bool = False
 
     @property
     def plan(self) -> str:
-        """The plan under which the request is served."""
+        """The contract's plan, under which the request is served."""
         return self.contract.plan
 
     @property
@@ -95,72 +95,72 @@
         return self.contract.path
 
     @property
-    def unit_figure(self) -> float:
+    def units_per_attempt(self) -> float:
         """Units of one attempt."""
-        return self.units / PARTS
+        return self.attempt_cost / PICO
 
-    def add(self, funding: Funding) -> None:
-        """Holds further attempts at every level, from the leaf up."""
-        attempts, first = funding.attempts, not self.attempts
+    def add(self, allocation: Allocation) -> None:
+        """Adds attempts and holds their cost at every level, from the leaf up."""
+        attempts, first = allocation.attempts, not self.attempts
         self.attempts += attempts
-        if funding.draw.own or funding.draw.lent:
-            self.draws.append(funding.draw)
+        if allocation.draw.own or allocation.draw.borrowed:
+            self.draws.append(allocation.draw)
         for level in self.path:
             self._hold_at(level, attempts)
         if first:
-            self.extra = self.leaf.extras  # a reload may put another there: repeats are paid where they began
-        if self.extra is not None and (repeats := attempts - first):
-            self.extra.hold(repeats * PARTS)
-            self.extra_held += repeats
+            self.extra_bucket = self.leaf.extra_attempts  # a reload may replace the level's bucket
+        if self.extra_bucket is not None and (repeats := attempts - first):
+            self.extra_bucket.hold(repeats * PICO)
+            self.extra_attempts_held += repeats
 
     def _hold_at(self, level: Level, attempts: int) -> None:
-        amount = attempts * self.units
+        amount = attempts * self.attempt_cost
         if level.units is not None:
             level.units.hold(amount)
-            self.held.append(BucketHold(level.units, amount, of_attempts=False))
+            self.bucket_holds.append(BucketHold(level.units, amount, counts_attempts=False))
         if level.attempts is not None:
-            level.attempts.hold(attempts * PARTS)
-            self.held.append(BucketHold(level.attempts, attempts * PARTS, of_attempts=True))
+            level.attempts.hold(attempts * PICO)
+            self.bucket_holds.append(BucketHold(level.attempts, attempts * PICO, counts_attempts=True))
         for window in level.windows:
-            self.windows.append(WindowHold(window, window.hold(amount), amount))
+            self.window_holds.append(WindowHold(window, window.hold(amount), amount))
 
     def release(self, sent: int, ran: int, at: int) -> None:
-        """Ends every hold with what the request did cost: so many attempts sent, of which so many may have run."""
+        """Ends every hold and charges the actual cost: `sent` attempts, of which `ran` may have run."""
         for level in self.path:
             level.open -= 1
-        cost = ran * self.units
-        self._settle_buckets(sent * PARTS, cost, at)
-        self._settle_windows(cost, at)
-        if self.extra is not None:
-            self.extra.settle(self.extra_held * PARTS, max(0, sent - 1) * PARTS)
-        self._pay_draws(cost, at)
-
-    def _settle_buckets(self, attempts_cost: int, units_cost: int, at: int) -> None:
-        """Each bucket once: an extension holds in the same buckets again."""
-        totals: dict[Bucket, int] = {}
-        costs: dict[Bucket, int] = {}
-        for hold in self.held:
+        cost = ran * self.attempt_cost
+        self._charge_buckets(sent * PICO, cost, at)
+        self._charge_windows(cost, at)
+        if self.extra_bucket is not None:
+            self.extra_bucket.charge(self.extra_attempts_held * PICO, max(0, sent - 1) * PICO)
+        self._charge_draws(cost, at)
+
+    def _charge_buckets(self, attempts_cost: int, units_cost: int, at: int) -> None:
+        """Charges each bucket once: an extension holds further amounts in the same buckets."""
+        totals: dict[TokenBucket, int] = {}
+        costs: dict[TokenBucket, int] = {}
+        for hold in self.bucket_holds:
             totals[hold.bucket] = totals.get(hold.bucket, 0) + hold.amount
-            costs[hold.bucket] = attempts_cost if hold.of_attempts else units_cost
+            costs[hold.bucket] = attempts_cost if hold.counts_attempts else units_cost
         for bucket, total in totals.items():
-            bucket.sync(at)
-            bucket.settle(total, costs[bucket])
+            bucket.refill(at)
+            bucket.charge(total, costs[bucket])
 
-    def _settle_windows(self, cost: int, at: int) -> None:
-        """The first hold of a window pays as far as it goes, and a later one what is left over."""
+    def _charge_windows(self, cost: int, at: int) -> None:
+        """Charges the holds of each window in order, each up to its amount."""
         owed: dict[Window, int] = {}
-        for hold in self.windows:
+        for hold in self.window_holds:
             if hold.window not in owed:
-                hold.window.sync(at)
+                hold.window.advance(at)
                 owed[hold.window] = cost
             paid = min(owed[hold.window], hold.amount)
-            hold.window.settle(hold.number, hold.amount, paid)
+            hold.window.charge(hold.number, hold.amount, paid)
             owed[hold.window] -= paid
 
-    def _pay_draws(self, cost: int, at: int) -> None:
+    def _charge_draws(self, cost: int, at: int) -> None:
         for draw in self.draws:
             if draw.reserve is not None:
-                draw.reserve.sync(at)
-            paid = min(cost, draw.own + draw.lent)
-            self.leaf.pay(draw, paid)
+                draw.reserve.refill(at)
+            paid = min(cost, draw.own + draw.borrowed)
+            self.leaf.charge(draw, paid)
             cost -= paid
--- a/ochrespan/contracts/start.py
+++ b/ochrespan/contracts/start.py
@@ -1,4 +1,4 @@
-"""Starts the contracts: the gate before the core, its parts' steps, and its reload."""
+"""Starts contract admission: installs the gate, updates its adaptive quotas, and handles reloads."""
 
 from __future__ import annotations
 
@@ -6,33 +6,33 @@
 import gc
 
 from ..running import Core, Running
-from .front_share import STEP
+from .adaptive_quota import UPDATE_INTERVAL_S
 from .gate import ContractGate
 from .section import Contracts
 
 
-def keep_out_of_the_collector() -> None:
-    """What stays is not looked through at each full collection: with thousands of contracts these take a request's
-    time. Old books are only let go where the last references to them go, as nothing in them forms a cycle."""
+def exempt_from_garbage_collection() -> None:
+    """Exempts existing objects from full garbage collections, which delay requests when there are thousands of
+    contracts. Old registries are still freed by reference counting, as they contain no reference cycles."""
     gc.freeze()
 
 
 def start(section: Contracts, core: Core) -> Running:
-    """Puts the gate before the core."""
-    gate = ContractGate(section.book, core.broker.now)
+    """Installs the contract gate in the core."""
+    gate = ContractGate(section.registry, core.broker.now)
     core.broker.admit_by(gate)
     core.gate, core.govern_platform = gate, section.platform
-    core.figures.append(gate.readings)
+    core.figures.append(gate.metric_samples)
 
-    async def steps() -> None:
+    async def update_periodically() -> None:
         while True:
-            await asyncio.sleep(STEP)
-            gate.step()
+            await asyncio.sleep(UPDATE_INTERVAL_S)
+            gate.update_quotas()
 
     def reload(new: Contracts) -> None:
         core.govern_platform = new.platform
-        gate.replace(new.book)
-        keep_out_of_the_collector()
+        gate.replace(new.registry)
+        exempt_from_garbage_collection()
 
-    keep_out_of_the_collector()
-    return Running(jobs=[steps()], reload=reload)
+    exempt_from_garbage_collection()
+    return Running(jobs=[update_periodically()], reload=reload)
