--- a/ochrespan/broker.py
+++ b/ochrespan/broker.py
@@ -15,8 +15,8 @@
 from itertools import count
 
 from . import interface as api
-from .figures import ClassTotals
 from .logs import unbound
+from .metric_samples import ClassTotals
 from .policy.front import FAILS, NEVER_RAN, Scheduler
 from .requests import (
     Attempt,
--- a/ochrespan/cli.py
+++ b/ochrespan/cli.py
@@ -78,10 +78,10 @@
     if operator_file is not None and told is None:
         faults.append(f"{operator_file}: not checked: its names are those of the configuration's settings")
     elif operator_file is not None:
-        from . import operator
+        from . import operator_config
 
         try:
-            extra = operator.load(operator_file, told.settings)
+            extra = operator_config.load(operator_file, told.settings)
         except config.BadConfig as why:
             faults += map(str, why.args)
     return told, extra, faults
--- a/ochrespan/contracts/gate.py
+++ b/ochrespan/contracts/gate.py
@@ -9,7 +9,7 @@
 import structlog
 
 from .. import requests as core
-from ..figures import Reading, plain
+from ..metric_samples import Reading, plain
 from . import admission
 from .accounts import accounts, figures
 from .admission import Admission, Demand, Grant
--- a/ochrespan/contracts/start.py
+++ b/ochrespan/contracts/start.py
@@ -5,7 +5,7 @@
 import asyncio
 import gc
 
-from ..running import Core, Running
+from ..subsystem import Core, Running
 from .front_share import STEP
 from .gate import ContractGate
 from .section import Contracts
--- a/ochrespan/control/front.py
+++ b/ochrespan/control/front.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Iterator
 
 from ..exchange import Exchange, Reply
-from ..figures import Reading
 from ..lifecycle import Lifecycle
+from ..metric_samples import Reading
 from ..suspension import ServerSwitch, UnknownServer
 from .commands import (
     ActivateFront,
--- a/ochrespan/control/statsd.py
+++ b/ochrespan/control/statsd.py
@@ -5,7 +5,7 @@
 import re
 from collections.abc import Iterable
 
-from ..figures import FRONT, Reading
+from ..metric_samples import FRONT, Reading
 
 PREFIX = "balancer"
 RESERVED = re.compile(r"[:|@\s]")  # what would end a name early
--- a/ochrespan/front.py
+++ b/ochrespan/front.py
@@ -21,9 +21,8 @@
 from .control.front import MOST_BODY as CONTROL_BODY
 from .control.front import MOST_CONNECTIONS as CONTROL_CONNECTIONS
 from .control.front import ControlFront
-from .ending import LEAVES_FROM, SILENT, plan
-from .figures import operating
 from .lifecycle import Lifecycle, Phase
+from .metric_samples import operating
 from .net import discovery
 from .net.bodies import MOST_BODY
 from .net.chunks import ChunkClient
@@ -32,13 +31,14 @@
 from .net.http1 import Http1Server
 from .net.listener import Listener, Server
 from .net.platform import MOST_WHOLE, PlatformFront
-from .running import Core, Running
+from .shutdown_schedule import LEAVES_FROM, SILENT, plan
 from .sockets import Sockets, in_use
+from .subsystem import Core, Running
 from .suspension import ServerSwitch, SuspendedServers, SuspensionFile
 from .upgrade import Roster, list_wait, process_age
 
 if TYPE_CHECKING:  # the operator's file and all that it switches on is loaded only where there is one
-    from .operator import Operator
+    from .operator_config import Operator
 
 log = logging.getLogger("ochrespan")
 
@@ -77,12 +77,12 @@
         self._watch.move(new.discovery)
 
     async def _operator(self, path: Path) -> None:
-        from . import operator
+        from . import operator_config
 
         while self._wanted:
             self._wanted = False
             try:  # thousands of contracts take a second to read: requests go on meanwhile
-                new = await asyncio.to_thread(operator.load, path, self._told.settings)
+                new = await asyncio.to_thread(operator_config.load, path, self._told.settings)
             except config.BadConfig as why:
                 for fault in why.args:
                     log.error("the old operator's file stays", extra={"why": fault})
@@ -282,9 +282,9 @@
     try:
         told = config.load(os.environ)
         if path is not None:
-            from . import operator
+            from . import operator_config
 
-            extra = operator.load(path, told.settings)
+            extra = operator_config.load(path, told.settings)
     except config.BadConfig as why:
         for fault in why.args:
             log.error("cannot start", extra={"why": fault})
--- a/ochrespan/http2/start.py
+++ b/ochrespan/http2/start.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..net.bodies import MOST_BODY
-from ..running import Core, Running
+from ..subsystem import Core, Running
 from .limits import BufferBudget
 from .section import Http2
 from .server import Http2Server
--- a/ochrespan/metrics/exporters.py
+++ b/ochrespan/metrics/exporters.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterator
 from datetime import UTC, datetime, timedelta
 
-from ..figures import Reading, plain
+from ..metric_samples import Reading, plain
 from .section import Sink
 
 log = logging.getLogger(__name__)
--- a/ochrespan/metrics/readings.py
+++ b/ochrespan/metrics/readings.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 
 from ..broker import Broker
-from ..figures import Reading, plain
+from ..metric_samples import Reading, plain
 
 
 def readings(broker: Broker) -> Iterator[Reading]:
--- a/ochrespan/metrics/start.py
+++ b/ochrespan/metrics/start.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..running import Core, Running
+from ..subsystem import Core, Running
 from .exporters import Collectd, Graphite
 from .readings import readings
 from .section import Metrics
--- a/ochrespan/net/discovery.py
+++ b/ochrespan/net/discovery.py
@@ -13,7 +13,7 @@
 import aiohttp
 
 from ..broker import Broker
-from ..figures import TargetCounts
+from ..metric_samples import TargetCounts
 from ..requests import ListKind, Node, NodeState
 from ..suspension import SuspendedServers
 from .reports import Repeats
--- a/ochrespan/net/platform.py
+++ b/ochrespan/net/platform.py
@@ -14,7 +14,7 @@
 from ..exchange import BadBody, Exchange, Reply
 from ..logs import bind
 from ..requests import Claim, Failed, NotCovered, OverBudget, Refused, Request, Unacceptable
-from ..running import Core
+from ..subsystem import Core
 from .bodies import HELD_PART, Body, BodyBudget, HeldBody, Receiver
 from .chunks import Answer, Message, Rest, serve
 
--- a/ochrespan/objects/start.py
+++ b/ochrespan/objects/start.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 
 from ..net.http1 import Http1Server
-from ..running import Core, Running
+from ..subsystem import Core, Running
 from .front import ObjectFront
 from .section import Objects
 from .store import ChunkStore
--- a/ochrespan/running.py
+++ b/ochrespan/subsystem.py
@@ -9,8 +9,8 @@
 from .broker import Broker
 from .config import Config
 from .exchange import Handler
-from .figures import Reading
 from .lifecycle import Lifecycle
+from .metric_samples import Reading
 from .net.chunks import ChunkClient
 from .net.listener import Server
 
--- a/tests/operating.py
+++ b/tests/controlled_front.py
@@ -10,7 +10,7 @@
 
 import aiohttp
 
-from .world import World, free_port, until
+from .front_harness import World, free_port, until
 
 
 class Controlled(World):
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -6,7 +6,7 @@
 
 from ochrespan.net.answers import MOST_BODY, AnswerReader, Spoilt
 
-from .world import KEY, VOLUME, World, play
+from .front_harness import KEY, VOLUME, World, play
 
 OK = b"HTTP/1.1 200 OK\r\n"
 ODD = b"Endpoint-Load-Metrics: TEXT depth=?, load_share=\xff\r\nX-Served-Elsewhere: lots\r\n"
--- a/tests/test_chunks.py
+++ b/tests/test_chunks.py
@@ -18,7 +18,7 @@
 from ochrespan.net.reports import read_load, read_units
 from ochrespan.settings import Links
 
-from .world import Node, is_open, play
+from .front_harness import Node, is_open, play
 
 LINKS = Links(timedelta(seconds=0.5), timedelta(seconds=15))
 UNREAD = 32 << 20  # far more than the kernel takes for a peer that does not read
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -11,7 +11,7 @@
 from ochrespan import __version__
 from ochrespan.cli import cli
 from ochrespan.config import BadConfig
-from ochrespan.operator import load
+from ochrespan.operator_config import load
 
 from .test_operator import TOLD
 
@@ -255,7 +255,7 @@
 def test_a_bare_start_loads_nothing_that_is_off():
     code = (
         "import sys, ochrespan.front; print([m for m in ('click', 'msgspec', 'tomllib', 'ochrespan.contracts',"
-        " 'ochrespan.objects', 'ochrespan.metrics', 'ochrespan.operator', 'ochrespan.cli',"
+        " 'ochrespan.objects', 'ochrespan.metrics', 'ochrespan.operator_config', 'ochrespan.cli',"
         " 'ochrespan.http2', 'h2') if m in sys.modules])"
     )
     got = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
--- a/tests/test_contract_fronts.py
+++ b/tests/test_contract_fronts.py
@@ -8,8 +8,8 @@
 
 import pytest
 
+from .front_harness import VOLUME, Lines, Node, World, play, until
 from .test_objects import code, some_bytes
-from .world import VOLUME, Lines, Node, World, play, until
 
 OTHER, NOBODYS = "00000000000000bb", "00000000000000cc"
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -17,10 +17,10 @@
     read_command,
 )
 from ochrespan.control.statsd import text
-from ochrespan.figures import Reading
+from ochrespan.metric_samples import Reading
 
-from .operating import Controlled
-from .world import World, play, until
+from .controlled_front import Controlled
+from .front_harness import World, play, until
 
 
 @pytest.mark.parametrize(
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,7 +11,7 @@
 from ochrespan.net.discovery import MOST_ODD, BadList, Directory, Watch, open_session
 from ochrespan.requests import ListKind, NodeState
 
-from .world import MS, World, until
+from .front_harness import MS, World, until
 
 GOOD = {
     "id": "n1",
--- a/tests/test_drain_by_hand.py
+++ b/tests/test_drain_by_hand.py
@@ -7,9 +7,9 @@
 
 from ochrespan.lifecycle import Lifecycle, Phase
 
-from .operating import Controlled
+from .controlled_front import Controlled
+from .front_harness import play, until
 from .test_guard import raw
-from .world import play, until
 
 
 def phases(*steps: str) -> list[Phase]:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -13,15 +13,15 @@
 
 import pytest
 
-from ochrespan.ending import plan
 from ochrespan.exchange import Reply
 from ochrespan.net.guard import MOST_AHEAD, State
 from ochrespan.net.http1 import Http1Server
 from ochrespan.net.listener import Listener
+from ochrespan.shutdown_schedule import plan
 
+from .front_harness import MOST_RUNS, MS, World, free_port, play, play_in_time, until
 from .test_guard import raw
 from .test_objects import OPERATOR
-from .world import MOST_RUNS, MS, World, free_port, play, play_in_time, until
 
 
 @pytest.mark.parametrize(
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -11,8 +11,8 @@
 from ochrespan.net.framing import Unreadable
 from ochrespan.net.guard import RequestFramer
 
+from .front_harness import KEY, VOLUME, World, ask_headers, play, until
 from .test_objects import OPERATOR
-from .world import KEY, VOLUME, World, ask_headers, play, until
 
 
 def raw(method: str, *lines: str, body: bytes = b"", path: str = f"/api/{VOLUME}/{KEY}", **changes) -> bytes:
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -7,10 +7,10 @@
 
 import pytest
 
+from .front_harness import KEY, VOLUME, World, ask_headers, free_port, play, until
 from .h2client import Client
 from .http2_cases import GOAWAY, PREFACE, cases, frame, sent_frames
 from .test_objects import some_bytes
-from .world import KEY, VOLUME, World, ask_headers, free_port, play, until
 
 PATH = f"/api/{VOLUME}/{KEY}"
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -7,11 +7,11 @@
 
 import pytest
 
+from .front_harness import MS, Node, ask_headers, play, until
 from .h2client import Client
 from .test_chunks import Raw
 from .test_guard import raw
 from .test_http2 import PATH, H2World
-from .world import MS, Node, ask_headers, play, until
 
 LATE = 0.3  # s after its client left: from then on the term holds
 PART = "PUT /photos/a?partNumber=1&uploadId={} HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\npart"
--- a/tests/test_long_bodies.py
+++ b/tests/test_long_bodies.py
@@ -11,9 +11,9 @@
 from ochrespan.net import bodies
 from ochrespan.net.bodies import BodyBudget, HeldBody, Receiver, StreamedBody
 
-from .operating import Controlled
+from .controlled_front import Controlled
+from .front_harness import KEY, VOLUME, World, play, until
 from .test_guard import raw
-from .world import KEY, VOLUME, World, play, until
 
 PATH = f"/api/{VOLUME}/{KEY}"
 LONG = 8 << 20
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -4,7 +4,7 @@
 import re
 import struct
 
-from .world import World, free_port, play, until
+from .front_harness import World, free_port, play, until
 
 LINE = re.compile(r"plant\.n0\.([A-Za-z0-9_-]+)\.([A-Za-z0-9_-]+) (\S+) (\d+)\n")
 
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -12,7 +12,7 @@
 
 from ochrespan.objects.layout import PAYLOAD
 
-from .world import Node, World, play, until
+from .front_harness import Node, World, play, until
 
 OPERATOR = """
 [objects]
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from ochrespan import interface as api
-from ochrespan import operator
+from ochrespan import operator_config
 from ochrespan.config import BadConfig
 from ochrespan.objects import conditions, layout
 from ochrespan.objects.layout import Manifest, Part
@@ -32,13 +32,13 @@
 
 
 def test_the_files_in_the_repository_are_good(tmp_path):
-    got = operator.load(ROOT / "deploy" / "operator.toml", TOLD).sections
+    got = operator_config.load(ROOT / "deploy" / "operator.toml", TOLD).sections
     assert set(got) == {"contracts", "objects", "metrics"}
     book = got["contracts"].book
     assert book.by_bucket["review"] == "review-tools" and not got["contracts"].platform
     assert book.levels["review-tools"].budget.units_per_s == 400
     assert got["metrics"].graphite and got["metrics"].collectd
-    example = operator.load(ROOT / "examples" / "operator.toml", TOLD).sections["contracts"].book
+    example = operator_config.load(ROOT / "examples" / "operator.toml", TOLD).sections["contracts"].book
     assert example.by_bucket["photos"] == "inspection"
 
 
@@ -68,7 +68,7 @@
     assert old in GOOD
     path.write_text(GOOD.replace(old, new))
     with pytest.raises(BadConfig, match=word):
-        operator.load(path, TOLD)
+        operator_config.load(path, TOLD)
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -9,8 +9,8 @@
 
 from ochrespan.net.discovery import Directory
 
+from .front_harness import KEY, VOLUME, World, ask_headers, free_port, play, until
 from .test_guard import raw
-from .world import KEY, VOLUME, World, ask_headers, free_port, play, until
 
 BODY = bytes(range(256)) * 256  # 64 KiB
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -5,7 +5,7 @@
 import pytest
 from aiohttp import web
 
-from .world import World, free_port, play, until
+from .front_harness import World, free_port, play, until
 
 
 def test_a_reload_moves_the_watch_and_keeps_requests_and_connections():
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -10,9 +10,9 @@
 from ochrespan.requests import Node, NodeState
 from ochrespan.suspension import FILE, REMEMBERED, BadFile, SuspendedServers, SuspensionFile, dump, parse
 
-from .operating import Controlled
+from .controlled_front import Controlled
+from .front_harness import play, until
 from .test_discovery import GOOD, listing
-from .world import play, until
 
 
 class Clock:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -16,10 +16,10 @@
 from ochrespan.sockets import Sockets
 from ochrespan.upgrade import LEAST_LIST_WAIT, LISTED_BY, Roster, RosterView, list_wait, process_age, shared_folder
 
-from .operating import Controlled
+from .controlled_front import Controlled
+from .front_harness import free_port, play, until
 from .test_endings import GET, Idle, served
 from .test_guard import raw
-from .world import free_port, play, until
 
 NUMBERS = count()  # an id of its own for each request
 
