--- a/ochrespan/broker.py
+++ b/ochrespan/broker.py
@@ -19,12 +19,11 @@
 from .metric_samples import ClassTotals
 from .policy.front import FAILS, NEVER_RAN, Scheduler
 from .requests import (
+    AdmissionGate,
     Attempt,
     Counts,
     Failed,
     Final,
-    Gate,
-    Hold,
     ListKind,
     Node,
     NotCovered,
@@ -32,6 +31,7 @@
     OverBudget,
     Refused,
     Request,
+    Reservation,
     Status,
     Unacceptable,
     Usage,
@@ -41,20 +41,20 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Held:
+class _PendingRequest:
     """A request in the broker's hands."""
 
     id: str
     request: Request
     taken_at: datetime
     usage: Usage
-    hold: Hold | None = None
+    reservation: Reservation | None = None
     attempts: int = 0
-    ran: int = 0  # of them, those that may have run
-    out: Attempt | None = None
-    step: asyncio.Future[Attempt | Refused | Failed] | None = None
+    maybe_executed: int = 0  # of them, those that may have run
+    current_attempt: Attempt | None = None
+    next_step: asyncio.Future[Attempt | Refused | Failed] | None = None
     final: Refused | Failed | None = None
-    passing_on: bool = False  # its answer has begun; the module has its outcome
+    streaming: bool = False  # its answer has begun; the module has its outcome
 
 
 class Broker:
@@ -62,21 +62,21 @@
         self._loop = loop or asyncio.get_running_loop()
         # one clock for the module: Unix time at the start, moved on by the loop's steady clock, so that the
         # starts of chunk servers compare with it and a step of the system's clock moves no deadline
-        self._offset = datetime.now(UTC).timestamp() - self._loop.time()
+        self._unix_time_offset = datetime.now(UTC).timestamp() - self._loop.time()
         self._settings = settings
         self._scheduler = Scheduler(settings, self._now())
-        self._held: dict[Request, _Held] = {}
-        self._by_id: dict[str, _Held] = {}
+        self._pending: dict[Request, _PendingRequest] = {}
+        self._pending_by_id: dict[str, _PendingRequest] = {}
         self._ids = count(1)
         self._timer: asyncio.TimerHandle | None = None
-        self._list_wanted: Callable[[], None] = lambda: None
-        self._gate: Gate | None = None
+        self._watch_requested: Callable[[], None] = lambda: None
+        self._gate: AdmissionGate | None = None
         self.counts = Counts()
 
     @property
-    def held(self) -> int:
+    def pending(self) -> int:
         """Requests that are still owed an answer."""
-        return len(self._held)
+        return len(self._pending)
 
     @property
     def dispatches(self) -> int:
@@ -86,7 +86,7 @@
     @property
     def concurrent(self) -> int:
         """Requests taken and not yet ended."""
-        return self.held
+        return self.pending
 
     def class_totals(self) -> dict[str, ClassTotals]:
         """How the requests of each class ended, over all plans."""
@@ -102,16 +102,16 @@
         return {name for name, node in self._scheduler.nodes.items() if node.fails >= FAILS}
 
     def _now(self) -> float:
-        return self._loop.time() + self._offset
+        return self._loop.time() + self._unix_time_offset
 
     def _clock(self) -> datetime:
         return datetime.fromtimestamp(self._now(), UTC)
 
-    def on_list_wanted(self, call: Callable[[], None]) -> None:
+    def on_watch_requested(self, call: Callable[[], None]) -> None:
         """Whom to tell that the module wants the list's changes."""
-        self._list_wanted = call
+        self._watch_requested = call
 
-    def admit_by(self, gate: Gate) -> None:
+    def set_admission_gate(self, gate: AdmissionGate) -> None:
         """From now on, requests with a claim need its word before the module sees them."""
         self._gate = gate
 
@@ -123,27 +123,27 @@
 
     async def pick(self, request: Request) -> Attempt | Final:
         """The next attempt of the request, or its final refusal or failure."""
-        held = self._held.get(request)
-        if held is None:
-            held = self._take(request)
-            if isinstance(held, NotCovered | OverBudget):
-                return held
+        pending = self._pending.get(request)
+        if pending is None:
+            pending = self._accept(request)
+            if isinstance(pending, NotCovered | OverBudget):
+                return pending
         try:
-            step = await held.step
+            next_step = await pending.next_step
         except asyncio.CancelledError:
-            self.leave(request)
+            self.abandon(request)
             raise
-        if isinstance(step, Refused | Failed):
-            held.usage.refused += isinstance(step, Refused)
-            held.usage.failed += isinstance(step, Failed)
-            self._forget(held)
-        return step
+        if isinstance(next_step, Refused | Failed):
+            pending.usage.refused += isinstance(next_step, Refused)
+            pending.usage.failed += isinstance(next_step, Failed)
+            self._remove(pending)
+        return next_step
 
-    def _take(self, request: Request) -> _Held | NotCovered | OverBudget:
+    def _accept(self, request: Request) -> _PendingRequest | NotCovered | OverBudget:
         request.id = f"q{next(self._ids)}"
-        hold = None
+        reservation = None
         if self._gate is not None and request.claim is not None:
-            self._check_form(request)
+            self._check_bounds(request)
             got = self._gate.admit(self._now(), request)
             if isinstance(got, NotCovered):
                 self.counts.not_covered += 1
@@ -151,20 +151,20 @@
             if isinstance(got, OverBudget):
                 self.counts.over_budget += 1
                 return got
-            hold, request.plan, request.team = got, got.plan, got.team
-        held = None
+            reservation, request.plan, request.team = got, got.plan, got.team
+        pending = None
         try:
             self._check(request)
-            held = _Held(request.id, request, self._clock(), self._usage(request), hold)
+            pending = _PendingRequest(request.id, request, self._clock(), self._usage(request), reservation)
         finally:
-            if held is None and hold is not None and self._gate is not None:
-                self._gate.settle(self._now(), hold, 0, 0)
-        self._held[request] = self._by_id[held.id] = held
-        held.step = self._loop.create_future()
-        held.usage.taken += 1
+            if pending is None and reservation is not None and self._gate is not None:
+                self._gate.release(self._now(), reservation, 0, 0)
+        self._pending[request] = self._pending_by_id[pending.id] = pending
+        pending.next_step = self._loop.create_future()
+        pending.usage.taken += 1
         self._handle(
             api.Request(
-                held.id,
+                pending.id,
                 request.volume,
                 request.cls,
                 request.plan,
@@ -173,19 +173,19 @@
                 request.shard,
                 request.key,
                 request.hosts,
-                self._most_attempts(held),
+                self._attempt_limit(pending),
             )
         )
-        return held
+        return pending
 
     def _check(self, request: Request) -> None:
         """Nothing that a client makes up may take part in the decisions, or leave a trace in them."""
         settings = self._settings
         if settings.plans and request.plan not in settings.plans:
             raise Unacceptable("there is no such plan")
-        self._check_form(request)
+        self._check_bounds(request)
 
-    def _check_form(self, request: Request) -> None:
+    def _check_bounds(self, request: Request) -> None:
         settings = self._settings
         if request.cls not in settings.classes:
             raise Unacceptable("there is no such class")
@@ -196,81 +196,81 @@
 
     def report(self, outcome: Outcome) -> None:
         """How an attempt ended. A served one ends its request; for any other, ask `pick` again."""
-        held = self._held.get(outcome.attempt.request)
-        if held is None or held.out is not outcome.attempt:
+        pending = self._pending.get(outcome.attempt.request)
+        if pending is None or pending.current_attempt is not outcome.attempt:
             return  # the client left while the attempt was out: told as cancelled already
         served = outcome.status is Status.OK
-        held.out = None
+        pending.current_attempt = None
         if not served:  # before the module hears of it: its next action may be the next attempt
-            held.step = self._loop.create_future()
-            if held.final:
-                held.step.set_result(held.final)
+            pending.next_step = self._loop.create_future()
+            if pending.final:
+                pending.next_step.set_result(pending.final)
         status = outcome.status
         if outcome.attempt.revoked and not served and status not in NEVER_RAN:
             status = Status.CANCELLED
         self.counts.outcomes[status] += 1
-        held.ran += status not in NEVER_RAN
-        if outcome.elsewhere and held.hold is not None and self._gate is not None:
-            self._gate.heard(self._now(), held.hold, outcome.elsewhere)
+        pending.maybe_executed += status not in NEVER_RAN
+        if outcome.elsewhere and pending.reservation is not None and self._gate is not None:
+            self._gate.record_usage_elsewhere(self._now(), pending.reservation, outcome.elsewhere)
         self._handle(
             api.Outcome(
-                held.id,
+                pending.id,
                 outcome.attempt.number,
                 outcome.attempt.node,
                 status,
                 outcome.latency.total_seconds(),
-                closed=served or held.final is not None,
+                closed=served or pending.final is not None,
                 report=outcome.load,
                 elsewhere=outcome.elsewhere,
-                most_attempts=0 if served or held.final else self._paid(held),
+                most_attempts=0 if served or pending.final else self._funded_attempts(pending),
             )
         )
         if not served:
             return
-        held.usage.units += held.request.units
-        held.usage.waited += self._clock() - held.taken_at
-        if outcome.unfinished:
-            held.passing_on = True
+        pending.usage.units += pending.request.units
+        pending.usage.waited += self._clock() - pending.taken_at
+        if outcome.streaming:
+            pending.streaming = True
         else:
-            held.usage.served += 1
-            self._forget(held)
+            pending.usage.served += 1
+            self._remove(pending)
 
-    def finish(self, request: Request, whole: bool) -> None:
+    def finish(self, request: Request, complete: bool) -> None:
         """The end of an answer that was passed on as it came; not whole: its chunk server broke it off."""
-        held = self._held[request]
-        held.usage.served += whole
-        held.usage.failed += not whole
-        self._forget(held)
+        pending = self._pending[request]
+        pending.usage.served += complete
+        pending.usage.failed += not complete
+        self._remove(pending)
 
     @staticmethod
-    def _most_attempts(held: _Held) -> int:
+    def _attempt_limit(pending: _PendingRequest) -> int:
         """Attempts that may be made as things stand; 0: any number."""
-        if not held.request.repeatable:
+        if not pending.request.repeatable:
             return 1
-        return held.hold.attempts if held.hold else 0
+        return pending.reservation.attempts if pending.reservation else 0
 
-    def _paid(self, held: _Held) -> int:
+    def _funded_attempts(self, pending: _PendingRequest) -> int:
         """Attempts that are paid for, one more than were made if the budgets bear it; 0: any number."""
-        if held.hold is None or self._gate is None or not held.request.repeatable:
-            return self._most_attempts(held)
-        if held.attempts >= held.hold.attempts and held.attempts < self._settings.max_attempts:
-            self._gate.extend(self._now(), held.hold)
-        return held.hold.attempts
+        if pending.reservation is None or self._gate is None or not pending.request.repeatable:
+            return self._attempt_limit(pending)
+        if pending.attempts >= pending.reservation.attempts and pending.attempts < self._settings.max_attempts:
+            self._gate.extend(self._now(), pending.reservation)
+        return pending.reservation.attempts
 
-    def leave(self, request: Request) -> None:
+    def abandon(self, request: Request) -> None:
         """The client has left, or the front will not go on: nothing is owed any more."""
-        held = self._held.get(request)
-        if held is None:
+        pending = self._pending.get(request)
+        if pending is None:
             return
-        held.usage.left += 1
-        held.ran += held.out is not None
-        self._forget(held)
-        if held.final is None and not held.passing_on:
-            self._handle(api.Gone(held.id))
-        if held.out is not None:
-            number, node = held.out.number, held.out.node
-            held.out.revoke()
-            self._handle(api.Outcome(held.id, number, node, Status.CANCELLED, 0.0, closed=True))
+        pending.usage.left += 1
+        pending.maybe_executed += pending.current_attempt is not None
+        self._remove(pending)
+        if pending.final is None and not pending.streaming:
+            self._handle(api.Gone(pending.id))
+        if pending.current_attempt is not None:
+            number, node = pending.current_attempt.number, pending.current_attempt.node
+            pending.current_attempt.revoke()
+            self._handle(api.Outcome(pending.id, number, node, Status.CANCELLED, 0.0, closed=True))
 
     def tick(self) -> None:
         """Lets the module see what time it is."""
@@ -278,13 +278,13 @@
             self._handle(api.Timer(1))
         except Exception:  # a fault met on a timer must not stop the clock for all other requests
             log.exception("tick failed")
-            self._wake(0.02)
+            self._set_timer(0.02)
 
-    def end_within(self, span: timedelta) -> None:
+    def complete_within(self, span: timedelta) -> None:
         """The program is about to end: every request, held or still to come, has its final answer by then."""
         self._handle(api.Ending(self._now() + span.total_seconds()))
 
-    def listing(self, kind: ListKind, nodes: list[Node] | None = None) -> None:
+    def update_servers(self, kind: ListKind, nodes: list[Node] | None = None) -> None:
         """What discovery told."""
         self._handle(
             api.NodeList(
@@ -304,59 +304,61 @@
         for action in self._scheduler.handle(self._now(), [event]):
             match action:
                 case api.Send(request_id, node, timeout, begin_within):
-                    self._sent(request_id, node, timeout, begin_within)
-                case api.Refuse(request_id, pause):
-                    self._ended(request_id, Refused(timedelta(seconds=pause) if pause > 0 else None))
+                    self._start_attempt(request_id, node, timeout, begin_within)
+                case api.Refuse(request_id, retry_after):
+                    self._finalize(request_id, Refused(timedelta(seconds=retry_after) if retry_after > 0 else None))
                 case api.Fail(request_id):
-                    self._ended(request_id, Failed())
+                    self._finalize(request_id, Failed())
                 case api.Cancel(request_id, number):
-                    held = self._by_id.get(request_id)
-                    if held and held.out and held.out.number == number:
-                        held.out.revoke()
+                    pending = self._pending_by_id.get(request_id)
+                    if pending and pending.current_attempt and pending.current_attempt.number == number:
+                        pending.current_attempt.revoke()
                 case api.SetTimer(delay, _):
-                    self._wake(delay)
+                    self._set_timer(delay)
                 case api.WatchList():
-                    self._list_wanted()
-                case api.Log(words):
+                    self._watch_requested()
+                case api.Log(text):
                     with unbound():  # it is of all requests, not of the one that brought it up
-                        log.info(words)
+                        log.info(text)
 
     def _usage(self, request: Request) -> Usage:
         """The counters of its plan and class; where the settings name no plan, clients make them up."""
         plan = request.plan if self._settings.plans else "other"
         return self.counts.usage.setdefault((plan, request.cls), Usage())
 
-    def _wake(self, delay: float) -> None:
+    def _set_timer(self, delay: float) -> None:
         # the module asks for a timer only when it needs an earlier one, or when the last has come
         if self._timer is not None:
             self._timer.cancel()
         self._timer = self._loop.call_later(max(0.0, delay), self.tick)
 
-    def _sent(self, request_id: str, node: str, timeout: float, begin_within: float) -> None:
-        held = self._by_id[request_id]
-        begin = timedelta(seconds=begin_within) if begin_within < timeout else None
-        held.out = Attempt(held.request, held.attempts, node, timedelta(seconds=timeout), begin)
-        held.attempts += 1
+    def _start_attempt(self, request_id: str, node: str, timeout: float, begin_within: float) -> None:
+        pending = self._pending_by_id[request_id]
+        start_within = timedelta(seconds=begin_within) if begin_within < timeout else None
+        pending.current_attempt = Attempt(
+            pending.request, pending.attempts, node, timedelta(seconds=timeout), start_within
+        )
+        pending.attempts += 1
         self.counts.attempts += 1
-        self._step(held, held.out)
+        self._resolve_step(pending, pending.current_attempt)
 
-    def _ended(self, request_id: str, final: Refused | Failed) -> None:
-        if held := self._by_id.get(request_id):
-            held.final = final
-            if held.out is None:
-                self._step(held, final)
+    def _finalize(self, request_id: str, final: Refused | Failed) -> None:
+        if pending := self._pending_by_id.get(request_id):
+            pending.final = final
+            if pending.current_attempt is None:
+                self._resolve_step(pending, final)
             else:  # the answer follows once it is; whatever a simulator lets cancel, a connection can be closed
-                held.out.revoke()
+                pending.current_attempt.revoke()
 
-    def _step(self, held: _Held, step: Attempt | Refused | Failed) -> None:
-        if held.step is not None and not held.step.done():
-            held.step.set_result(step)
+    def _resolve_step(self, pending: _PendingRequest, next_step: Attempt | Refused | Failed) -> None:
+        if pending.next_step is not None and not pending.next_step.done():
+            pending.next_step.set_result(next_step)
 
-    def _forget(self, held: _Held) -> None:
-        self._held.pop(held.request, None)
-        self._by_id.pop(held.id, None)
-        if held.hold is not None and self._gate is not None:
-            self._gate.settle(self._now(), held.hold, held.attempts, held.ran)
+    def _remove(self, pending: _PendingRequest) -> None:
+        self._pending.pop(pending.request, None)
+        self._pending_by_id.pop(pending.id, None)
+        if pending.reservation is not None and self._gate is not None:
+            self._gate.release(self._now(), pending.reservation, pending.attempts, pending.maybe_executed)
 
     def close(self) -> None:
         if self._timer is not None:
--- a/ochrespan/cli.py
+++ b/ochrespan/cli.py
@@ -104,7 +104,7 @@
     settings = told.settings
     click.echo(
         f"configuration: {len(settings.classes)} classes, {len(settings.plans)} plans, "
-        f"{len((told.known or {}).get('members', []))} known chunk servers"
+        f"{len((told.known_servers or {}).get('members', []))} known chunk servers"
     )
     if extra is not None:
         click.echo("operator's file: " + ", ".join(sorted(extra.sections) or ["nothing switched on"]))
--- a/ochrespan/config.py
+++ b/ochrespan/config.py
@@ -36,11 +36,11 @@
     discovery: str
     settings: api.Settings
     links: Links
-    known: Any
+    known_servers: Any
     sockets: int
     memory: int  # bytes
     control: tuple[str, int] | None = None  # the operators' address
-    shared: Path | None = None  # a folder that the processes of this front share
+    shared_dir: Path | None = None  # a folder that the processes of this front share
 
 
 def load(environ: Mapping[str, str]) -> Config:
@@ -49,10 +49,10 @@
     if not path:
         raise BadConfig("BALANCER_CONFIG is not set")
     try:
-        told = json.loads(Path(path).read_text())
+        document = json.loads(Path(path).read_text())
     except (OSError, ValueError) as why:
         raise BadConfig(f"{path}: {type(why).__name__}: {why}") from why
-    reader = _Reader(path, told)
+    reader = _Reader(path, document)
     listen = reader.address("listen", environ.get("BALANCER_LISTEN"))
     discovery = reader.text("discovery", environ.get("BALANCER_DISCOVERY"))
     reader.address("discovery", environ.get("BALANCER_DISCOVERY"))
@@ -64,45 +64,45 @@
     settings, links = reader.settings(seed)
     if reader.faults or settings is None or links is None:
         raise BadConfig(*reader.faults)
-    shared = shared_folder(environ.get("TMPDIR"), name) if control else None
-    known = reader.told.get("known")
-    return Config(name, listen, discovery, settings, links, known, sockets, memory, control, shared)
+    shared_dir = shared_folder(environ.get("TMPDIR"), name) if control else None
+    known_servers = reader.document.get("known")
+    return Config(name, listen, discovery, settings, links, known_servers, sockets, memory, control, shared_dir)
 
 
 class _Reader:
     """Reads the parts of the file one by one and keeps what is wrong with each."""
 
-    def __init__(self, path: str, told: Any) -> None:
+    def __init__(self, path: str, document: Any) -> None:
         self.path, self.faults = path, list[str]()
-        if not isinstance(told, dict):
-            raise BadConfig(f"{path}: found {type(told).__name__}; allowed: an object")
-        self.told = told
+        if not isinstance(document, dict):
+            raise BadConfig(f"{path}: found {type(document).__name__}; allowed: an object")
+        self.document = document
 
-    def fault(self, place: str, found: object, allowed: str) -> None:
+    def fault(self, location: str, found: object, allowed: str) -> None:
         found = "nothing" if found is None else repr(found)
-        self.faults.append(f"{self.path}: {place}: found {found}; allowed: {allowed}")
+        self.faults.append(f"{self.path}: {location}: found {found}; allowed: {allowed}")
 
-    def text(self, place: str, variable: str | None, default: str | None = None) -> str:
-        value = variable or self.told.get(place, default)
+    def text(self, location: str, variable: str | None, default: str | None = None) -> str:
+        value = variable or self.document.get(location, default)
         if not isinstance(value, str):
-            if place != "discovery":  # whose form is told with its address
-                self.fault(place, value, "a string")
+            if location != "discovery":  # whose form is told with its address
+                self.fault(location, value, "a string")
             return ""
         return value
 
-    def address(self, place: str, variable: str | None) -> tuple[str, int]:
-        value = variable or self.told.get(place)
+    def address(self, location: str, variable: str | None) -> tuple[str, int]:
+        value = variable or self.document.get(location)
         try:
             return split_address(value if isinstance(value, str) else "")
         except BadConfig:
-            self.fault(place, value, "host:port")
+            self.fault(location, value, "host:port")
             return "", 0
 
-    def optional_address(self, place: str, variable: str | None) -> tuple[str, int] | None:
-        return self.address(place, variable) if variable or self.told.get(place) is not None else None
+    def optional_address(self, location: str, variable: str | None) -> tuple[str, int] | None:
+        return self.address(location, variable) if variable or self.document.get(location) is not None else None
 
     def seed(self) -> int:
-        value = self.told.get("seed", "0")
+        value = self.document.get("seed", "0")
         try:
             return int(str(value), 16)
         except ValueError:
@@ -110,7 +110,7 @@
             return 0
 
     def limit(self, name: str, default: int) -> int:
-        limits = self.told.get("limits", {})
+        limits = self.document.get("limits", {})
         value = limits.get(name, default) if isinstance(limits, dict) else limits
         if isinstance(value, bool) or not isinstance(value, int) or value < 1:
             self.fault(f"limits.{name}", value, "a whole number above 0")
@@ -118,12 +118,12 @@
         return value
 
     def settings(self, seed: int) -> tuple[api.Settings | None, Links | None]:
-        told = self.told.get("settings")
-        if not isinstance(told, dict):
-            self.fault("settings", told, "an object")
+        document = self.document.get("settings")
+        if not isinstance(document, dict):
+            self.fault("settings", document, "an object")
             return None, None
         try:
-            fields = flatten(told)
+            fields = flatten(document)
             fields["InitSeed"] = str(seed)
             settings = read_settings(fields)
             if not settings.list_on_request:  # pushed, but not to whoever does not watch: on the wire nothing comes
--- a/ochrespan/contracts/gate.py
+++ b/ochrespan/contracts/gate.py
@@ -9,7 +9,7 @@
 import structlog
 
 from .. import requests as core
-from ..metric_samples import Reading, plain
+from ..metric_samples import MetricSample, metric_safe_name
 from . import admission
 from .accounts import accounts, figures
 from .admission import Admission, Demand, Grant
@@ -61,13 +61,13 @@
         """Pays for one more attempt, if the budgets bear it."""
         self.admission.extend(now, hold)
 
-    def settle(self, now: float, hold: Grant, sent: int, ran: int) -> None:
+    def release(self, now: float, hold: Grant, sent: int, ran: int) -> None:
         """The end of what was admitted: so many attempts sent, so many of which may have run."""
         if part := self._parts.get(hold.team):
             part.note_spent(ran * hold.unit_figure)
         self.admission.settle(now, hold, sent, ran)
 
-    def heard(self, now: float, hold: Grant, units: float) -> None:
+    def record_usage_elsewhere(self, now: float, hold: Grant, units: float) -> None:
         """So many units of the request's volume were served through other fronts."""
         if part := self._parts.get(hold.team):
             part.note_heard(units)
@@ -128,20 +128,22 @@
             if (scale := part.step(now)) is not None:
                 self.admission.rescale(path, scale, now)
 
-    def readings(self) -> Iterator[Reading]:
+    def readings(self) -> Iterator[MetricSample]:
         """Every account and count, for the exporters."""
         now = self.now()
         for account in accounts(self.admission, now):
-            group = plain(f"contract-{account.path or 'installation'}")
+            group = metric_safe_name(f"contract-{account.path or 'installation'}")
             for name in ("granted", "spent", "held", "left"):
                 # granted is what was let in less what did not fit: it may shrink, as what is left may
-                yield Reading(group, f"{plain(account.budget)}_{name}", getattr(account, name), name == "spent")
+                yield MetricSample(
+                    group, f"{metric_safe_name(account.budget)}_{name}", getattr(account, name), name == "spent"
+                )
         for level in figures(self.admission, now):
-            group = plain(f"contract-{level.path or 'installation'}")
-            yield Reading(group, "open", level.open, False)
-            yield Reading(group, "lent", level.lent, True)
-            yield Reading(group, "borrowed", level.borrowed, False)
+            group = metric_safe_name(f"contract-{level.path or 'installation'}")
+            yield MetricSample(group, "open", level.open, False)
+            yield MetricSample(group, "lent", level.lent, True)
+            yield MetricSample(group, "borrowed", level.borrowed, False)
             for name, number in level.counts.items():
-                yield Reading(group, plain(name), number, True)
+                yield MetricSample(group, metric_safe_name(name), number, True)
         for rule, number in list(self.admission.refused.items()):
-            yield Reading("contract-none", plain(f"not-covered.{rule}"), number, True)
+            yield MetricSample("contract-none", metric_safe_name(f"not-covered.{rule}"), number, True)
--- a/ochrespan/contracts/section.py
+++ b/ochrespan/contracts/section.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from .. import interface as api
-from ..sections import Faults, table, tables
+from ..sections import Faults, read_table, read_tables
 from .tables import (
     BudgetTable,
     ContractsTable,
@@ -33,12 +33,12 @@
     """The book of contracts; faults are collected in `faults`."""
     told = ContractsTable(platform="open")  # teams alone are the object API's
     if "contracts" in tables_:
-        told = table(ContractsTable, tables_["contracts"], "[contracts]", faults) or told
+        told = read_table(ContractsTable, tables_["contracts"], "[contracts]", faults) or told
     reader = Reader(told, settings, faults)
-    for place, organisation in tables(OrganisationTable, tables_.get("organisation", []), "organisation", faults):
+    for place, organisation in read_tables(OrganisationTable, tables_.get("organisation", []), "organisation", faults):
         reader.organisation(place, organisation)
-    teams = tables(TeamTable, tables_.get("team", []), "team", faults)
-    services = tables(ServiceTable, tables_.get("service", []), "service", faults)
+    teams = read_tables(TeamTable, tables_.get("team", []), "team", faults)
+    services = read_tables(ServiceTable, tables_.get("service", []), "service", faults)
     parents = {service.team for _, service in services}
     for place, team in teams:
         reader.team(place, team, team.name in parents)
@@ -77,14 +77,14 @@
             return
         if told.organisation and told.organisation not in self.book.levels:
             known = [path for path, terms in self.book.levels.items() if terms.kind == "organisation"]
-            self._faults.choice(f"{place} organisation", told.organisation, known)
+            self._faults.check_choice(f"{place} organisation", told.organisation, known)
             return
-        self._faults.choice(f"{place} plan", told.plan, self._settings.plans)
+        self._faults.check_choice(f"{place} plan", told.plan, self._settings.plans)
         if told.token_sha256 is not None:
             told.tokens_sha256 = [*told.tokens_sha256, told.token_sha256]
         purposes = {name: value for name in ("read", "write", "export") if (value := getattr(told, name))}
         for name, cls in purposes.items():
-            self._faults.choice(f"{place} {name}", cls, told.classes or self._settings.classes)
+            self._faults.check_choice(f"{place} {name}", cls, told.classes or self._settings.classes)
         told.classes = told.classes or list(purposes.values())
         for name in ("read", "write") if told.buckets or purposes else ():
             if name not in purposes:
@@ -105,7 +105,7 @@
     def service(self, place: str, told: ServiceTable) -> None:
         """Takes one service of a team."""
         if told.team not in self._teams:
-            self._faults.choice(f"{place} team", told.team, self._teams)
+            self._faults.check_choice(f"{place} team", told.team, self._teams)
             return
         path, team = self._teams[told.team]
         told.classes = told.classes or list(team.classes)
@@ -164,7 +164,7 @@
     ) -> None:
         self._classes(place, told.classes, self._settings.classes)
         for cls in told.withdrawn_classes:
-            self._faults.choice(f"{place} withdrawn_classes", cls, told.classes)
+            self._faults.check_choice(f"{place} withdrawn_classes", cls, told.classes)
         if told.begins is not None and told.until is not None and told.begins >= told.until:
             self._faults.add(f"{place} until", told.until.isoformat(), f"a time after {told.begins.isoformat()}")
         if not (told.tokens_sha256 or told.volumes or told.buckets or buckets):
@@ -195,7 +195,7 @@
         if not told:
             self._faults.add(f"{place} classes", "nothing", "at least one of " + ", ".join(sorted(allowed)))
         for cls in told:
-            self._faults.choice(f"{place} classes", cls, allowed)
+            self._faults.check_choice(f"{place} classes", cls, allowed)
 
     def _own(self, place: str, path: str, told: SenderTable) -> None:
         volumes = [name.lower() for name in told.volumes]
--- a/ochrespan/contracts/start.py
+++ b/ochrespan/contracts/start.py
@@ -5,7 +5,7 @@
 import asyncio
 import gc
 
-from ..subsystem import Core, Running
+from ..subsystem import CoreComponents, Subsystem
 from .front_share import STEP
 from .gate import ContractGate
 from .section import Contracts
@@ -17,12 +17,12 @@
     gc.freeze()
 
 
-def start(section: Contracts, core: Core) -> Running:
+def start(section: Contracts, core: CoreComponents) -> Subsystem:
     """Puts the gate before the core."""
     gate = ContractGate(section.book, core.broker.now)
-    core.broker.admit_by(gate)
+    core.broker.set_admission_gate(gate)
     core.gate, core.govern_platform = gate, section.platform
-    core.figures.append(gate.readings)
+    core.metric_sources.append(gate.readings)
 
     async def steps() -> None:
         while True:
@@ -35,4 +35,4 @@
         keep_out_of_the_collector()
 
     keep_out_of_the_collector()
-    return Running(jobs=[steps()], reload=reload)
+    return Subsystem(jobs=[steps()], reload=reload)
--- a/ochrespan/control/front.py
+++ b/ochrespan/control/front.py
@@ -7,8 +7,8 @@
 
 from ..exchange import Exchange, Reply
 from ..lifecycle import Lifecycle
-from ..metric_samples import Reading
-from ..suspension import ServerSwitch, UnknownServer
+from ..metric_samples import MetricSample
+from ..suspension import SuspensionController, UnknownServer
 from .commands import (
     ActivateFront,
     Command,
@@ -21,18 +21,20 @@
     WrongMethod,
     read_command,
 )
-from .statsd import text
+from .statsd import statsd_text
 
 log = logging.getLogger(__name__)
 
-MOST_BODY = 16 * 1024  # bytes of a call's body, which is read and ignored
-MOST_CONNECTIONS = 24  # at once: no client can take them, and operators do not need more
+MAX_BODY_BYTES = 16 * 1024  # bytes of a call's body, which is read and ignored
+MAX_CONNECTIONS = 24  # at once: no client can take them, and operators do not need more
 
 
 class ControlFront:
     """One answer to each call; every answer ends its connection."""
 
-    def __init__(self, lifecycle: Lifecycle, servers: ServerSwitch, figures: Callable[[], Iterator[Reading]]) -> None:
+    def __init__(
+        self, lifecycle: Lifecycle, servers: SuspensionController, figures: Callable[[], Iterator[MetricSample]]
+    ) -> None:
         self._lifecycle, self._servers, self._figures = lifecycle, servers, figures
 
     async def handle(self, request: Exchange) -> Reply:
@@ -56,7 +58,7 @@
             case ReadReadiness():
                 return self._readiness()
             case ReadMetrics():
-                return Reply.text(200, text(self._figures()))
+                return Reply.text(200, statsd_text(self._figures()))
             case SuspendServer(server):
                 self._servers.suspend(server)
                 return Reply.text(200, "suspended\n")
--- a/ochrespan/control/statsd.py
+++ b/ochrespan/control/statsd.py
@@ -5,20 +5,20 @@
 import re
 from collections.abc import Iterable
 
-from ..metric_samples import FRONT, Reading
+from ..metric_samples import FRONT_GROUP, MetricSample
 
 PREFIX = "balancer"
 RESERVED = re.compile(r"[:|@\s]")  # what would end a name early
 
 
-def line(reading: Reading) -> str:
+def statsd_line(sample: MetricSample) -> str:
     """One reading."""
-    group = [] if reading.group == FRONT else [reading.group]
-    path = ".".join([PREFIX, *group, reading.name])
-    kind = "c" if reading.counter else "g"
-    return f"{RESERVED.sub('_', path)}:{reading.value:.10g}|{kind}\n"
+    group = [] if sample.group == FRONT_GROUP else [sample.group]
+    path = ".".join([PREFIX, *group, sample.name])
+    kind = "c" if sample.counter else "g"
+    return f"{RESERVED.sub('_', path)}:{sample.value:.10g}|{kind}\n"
 
 
-def text(readings: Iterable[Reading]) -> str:
+def statsd_text(samples: Iterable[MetricSample]) -> str:
     """All readings, a line each."""
-    return "".join(map(line, readings))
+    return "".join(map(statsd_line, samples))
--- a/ochrespan/exchange.py
+++ b/ochrespan/exchange.py
@@ -50,18 +50,18 @@
         """Whether nothing of the body is left to read."""
 
     @abstractmethod
-    async def read_some(self) -> bytes:
+    async def read_available(self) -> bytes:
         """What has come of the body, at least a byte; empty at its end."""
 
     async def read(self) -> bytes:
         """The whole body; the wire bounds it in size and time, and raises BadBody beyond."""
         parts = []
-        while some := await self.read_some():
+        while some := await self.read_available():
             parts.append(some)
         return b"".join(parts)
 
     @abstractmethod
-    async def go_on(self) -> None:
+    async def send_continue(self) -> None:
         """Tells a client that waits for it to send the body (100 Continue)."""
 
     @abstractmethod
@@ -76,7 +76,7 @@
     async def finish(self) -> None: ...
 
     @abstractmethod
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Ends an answer that has begun and cannot go on, so that the client sees that it is not whole."""
 
 
--- a/ochrespan/front.py
+++ b/ochrespan/front.py
@@ -18,11 +18,11 @@
 
 from . import config, logs
 from .broker import Broker
-from .control.front import MOST_BODY as CONTROL_BODY
-from .control.front import MOST_CONNECTIONS as CONTROL_CONNECTIONS
+from .control.front import MAX_BODY_BYTES as CONTROL_MAX_BODY_BYTES
+from .control.front import MAX_CONNECTIONS as CONTROL_MAX_CONNECTIONS
 from .control.front import ControlFront
 from .lifecycle import Lifecycle, Phase
-from .metric_samples import operating
+from .metric_samples import front_samples
 from .net import discovery
 from .net.bodies import MOST_BODY
 from .net.chunks import ChunkClient
@@ -31,14 +31,14 @@
 from .net.http1 import Http1Server
 from .net.listener import Listener, Server
 from .net.platform import MOST_WHOLE, PlatformFront
-from .shutdown_schedule import LEAVES_FROM, SILENT, plan
-from .sockets import Sockets, in_use
-from .subsystem import Core, Running
-from .suspension import ServerSwitch, SuspendedServers, SuspensionFile
-from .upgrade import Roster, list_wait, process_age
+from .shutdown_schedule import CLIENTS_LEAVE_AFTER, SILENT_IDLE_AFTER, shutdown_schedule
+from .sockets import SocketBudget, open_descriptor_count
+from .subsystem import CoreComponents, Subsystem
+from .suspension import SuspendedServers, SuspensionController, SuspensionFile
+from .upgrade import ProcessRegistry, list_wait, process_age
 
 if TYPE_CHECKING:  # the operator's file and all that it switches on is loaded only where there is one
-    from .operator_config import Operator
+    from .operator_config import OperatorConfig
 
 log = logging.getLogger("ochrespan")
 
@@ -54,7 +54,7 @@
 class Reloads:
     """SIGHUP: each file goes on as it says now, or as before if it cannot be read or has a fault."""
 
-    def __init__(self, told: config.Config, watch: Watch, path: Path | None, running: dict[str, Running]) -> None:
+    def __init__(self, told: config.Config, watch: Watch, path: Path | None, running: dict[str, Subsystem]) -> None:
         self._told, self._watch, self._path, self._running = told, watch, path, running
         self._wanted = False  # also while a file is being read: it may have changed since
         self._reading: asyncio.Task[None] | None = None
@@ -101,7 +101,7 @@
             log.info("operator's file read anew", extra={"only_by_restart": ",".join(sorted(fixed)) or "-"})
 
 
-def start(extra: Operator | None, core: Core) -> dict[str, Running]:
+def start(extra: OperatorConfig | None, core: CoreComponents) -> dict[str, Subsystem]:
     """Each subsystem that the operator's file names, by its package's name."""
     return {
         name: importlib.import_module(f".{name}.start", __package__).start(section, core)
@@ -122,18 +122,18 @@
 
     loop = asyncio.get_running_loop()
     began = loop.time()
-    ending = plan(timedelta(seconds=cls.deadline) for cls in told.settings.classes.values())
-    await wait(min(ending.accepts, ending.closing))
-    if ending.accepts < ending.closing:
-        await wait(ending.closing, connected)
+    ending = shutdown_schedule(timedelta(seconds=cls.deadline) for cls in told.settings.classes.values())
+    await wait(min(ending.accept_until, ending.close_connections_from))
+    if ending.accept_until < ending.close_connections_from:
+        await wait(ending.close_connections_from, connected)
     lifecycle.advance(Phase.CLOSING)
-    broker.end_within(ending.answered - ending.closing)
-    await wait(ending.accepts)
-    await wait(ending.gone, connected)
+    broker.complete_within(ending.answer_deadline - ending.close_connections_from)
+    await wait(ending.accept_until)
+    await wait(ending.exit_at, connected)
     # a client that does not read its answer may not hold us
-    await wait(ending.gone + LAST, lambda: any(listener.occupied for listener in listeners))
-    if lifecycle.working:
-        log.warning("ends with answers that were not read", extra={"requests": lifecycle.working})
+    await wait(ending.exit_at + LAST, lambda: any(listener.occupied for listener in listeners))
+    if lifecycle.in_flight:
+        log.warning("ends with answers that were not read", extra={"requests": lifecycle.in_flight})
 
 
 async def send_clients_away(lifecycle: Lifecycle, listeners: list[Listener]) -> None:
@@ -145,10 +145,10 @@
         await asyncio.sleep(FOLLOW.total_seconds())
         inactive = lifecycle.phase is Phase.INACTIVE
         since = (since or loop.time()) if inactive else None
-        left = since is not None and loop.time() - since >= LEAVES_FROM.total_seconds()
-        if left or lifecycle.succeeded:
+        left = since is not None and loop.time() - since >= CLIENTS_LEAVE_AFTER.total_seconds()
+        if left or lifecycle.has_successor:
             for listener in listeners:
-                listener.dismiss_idle(SILENT)
+                listener.dismiss_idle(SILENT_IDLE_AFTER)
 
 
 async def first_list(watch: Watch, lifecycle: Lifecycle, span: timedelta) -> None:
@@ -159,34 +159,34 @@
         wait.cancel()
 
 
-async def serve(told: config.Config, extra: Operator | None, path: Path | None) -> None:
+async def serve(told: config.Config, extra: OperatorConfig | None, path: Path | None) -> None:
     lifecycle = Lifecycle()
     loop = asyncio.get_running_loop()
     for name in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(name, lifecycle.advance, Phase.DRAINING)
     broker = Broker(told.settings)
-    suspended = SuspendedServers(SuspensionFile(told.shared) if told.shared else None)
+    suspended = SuspendedServers(SuspensionFile(told.shared_dir) if told.shared_dir else None)
     directory = Directory(suspended)
-    roster = Roster(told.shared)
-    roster.join()
+    roster = ProcessRegistry(told.shared_dir)
+    roster.register()
     async with AsyncExitStack() as stack:
-        stack.callback(roster.leave)
-        sockets = Sockets(told.sockets, controlled=told.control is not None)
-        sockets.leave_to_others(roster.descriptors_of_others())
+        stack.callback(roster.unregister)
+        sockets = SocketBudget(told.sockets, controlled=told.control is not None)
+        sockets.reserve_for_others(roster.descriptors_of_others())
         session = await stack.enter_async_context(open_session(told.links, sockets.outgoing))
         asking = await stack.enter_async_context(discovery.open_session())
         at_once = told.settings.ask_within == 0  # what could be heard counts as told; the known list may be old
         watch = Watch(broker, directory, asking, told.discovery, timedelta() if at_once else discovery.FIRST_WAIT)
-        watch.known(told.known)
-        core = Core(told, broker, ChunkClient(session, directory, broker.counts), lifecycle)
-        core.figures.append(partial(operating, broker, watch))
+        watch.known(told.known_servers)
+        core = CoreComponents(told, broker, ChunkClient(session, directory, broker.counts), lifecycle)
+        core.metric_sources.append(partial(front_samples, broker, watch))
         core.handlers["platform"] = PlatformFront(core).handle
         running = start(extra, core)
         loop.add_signal_handler(signal.SIGHUP, Reloads(told, watch, path, running))
         signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
-        switch = ServerSwitch(suspended, watch)
+        switch = SuspensionController(suspended, watch)
         if told.control is not None:
-            await open_control(told.control, ControlFront(lifecycle, switch, core.figures[0]), stack)
+            await open_control(told.control, ControlFront(lifecycle, switch, core.metric_sources[0]), stack)
         tasks = [asyncio.create_task(watch.run())]
         successor = roster.has_predecessor()
         if successor:  # it takes all that is new from the moment it listens
@@ -196,13 +196,13 @@
             listeners = await open_fronts(core, running, sockets, stack)
         jobs = [job for one in running.values() for job in one.jobs]
         jobs.append(send_clients_away(lifecycle, listeners))
-        if told.shared is not None:
+        if told.shared_dir is not None:
             jobs.append(follow_processes(roster, switch, lifecycle, sockets, session, listeners))
         tasks += [asyncio.create_task(job) for job in jobs]
         first = watch.heard(FIRST_LIST if at_once and not successor else timedelta())
         tasks.append(asyncio.create_task(become_ready(first, lifecycle, roster)))
         await lifecycle.reached(Phase.DRAINING)
-        lifecycle.succeeded = roster.has_ready_successor()
+        lifecycle.has_successor = roster.has_ready_successor()
         await drain(told, broker, listeners, lifecycle)
         for task in tasks:
             task.cancel()
@@ -213,10 +213,10 @@
 
 
 async def open_fronts(
-    core: Core, running: dict[str, Running], sockets: Sockets, stack: AsyncExitStack
+    core: CoreComponents, running: dict[str, Subsystem], sockets: SocketBudget, stack: AsyncExitStack
 ) -> list[Listener]:
     """The clients' addresses: the platform's and those of subsystems, until the stack ends."""
-    told = core.told
+    told = core.config
     fronts: list[tuple[Server, tuple[str, int]]] = [
         (Http1Server(core.handlers["platform"], MOST_BODY, MOST_WHOLE), told.listen)
     ]
@@ -224,53 +224,53 @@
     listeners = []
     for server, address in fronts:
         listener = Listener(server, 1)
-        sockets.share([listener], len(fronts))
+        sockets.allocate([listener], len(fronts))
         await listener.open(address, shared=told.control is not None)
         stack.push_async_callback(listener.shutdown, GRACE)
         listeners.append(listener)
     return listeners
 
 
-async def become_ready(first: Coroutine[Any, Any, None], lifecycle: Lifecycle, roster: Roster) -> None:
+async def become_ready(first: Coroutine[Any, Any, None], lifecycle: Lifecycle, roster: ProcessRegistry) -> None:
     """After the first list, where it is waited for; changes nothing where the end has begun meanwhile."""
     await first
     lifecycle.advance(Phase.READY)
     if lifecycle.serving:
-        roster.tell_ready()
-        roster.tell(in_use())
+        roster.mark_ready()
+        roster.publish(open_descriptor_count())
 
 
 async def open_control(address: tuple[str, int], front: ControlFront, stack: AsyncExitStack) -> None:
     """The operators' address: open from the start to the very end, beside all other listeners."""
-    listener = Listener(Http1Server(front.handle, CONTROL_BODY), CONTROL_CONNECTIONS)
+    listener = Listener(Http1Server(front.handle, CONTROL_MAX_BODY_BYTES), CONTROL_MAX_CONNECTIONS)
     await listener.open(address)
     stack.push_async_callback(listener.shutdown, GRACE)
 
 
 async def follow_processes(
-    roster: Roster,
-    switch: ServerSwitch,
+    roster: ProcessRegistry,
+    switch: SuspensionController,
     lifecycle: Lifecycle,
-    sockets: Sockets,
+    sockets: SocketBudget,
     session: aiohttp.ClientSession,
     listeners: list[Listener],
 ) -> None:
     """Keeps in step with the other process of an upgrade: what operators told it, and its part of the limits."""
-    known, loop = roster.size(), asyncio.get_running_loop()
+    known, loop = roster.process_count(), asyncio.get_running_loop()
     while True:
         due = loop.time() + FOLLOW.total_seconds()
         await asyncio.sleep(FOLLOW.total_seconds())
         if (late := loop.time() - due) > HELD_UP.total_seconds():
             log.warning("event loop held up", extra={"seconds": round(late, 2)})
         switch.refresh()
-        seen = await asyncio.to_thread(roster.exchange, in_use())
-        lifecycle.succeeded = seen.has_ready_successor
+        seen = await asyncio.to_thread(roster.publish_and_read, open_descriptor_count())
+        lifecycle.has_successor = seen.has_ready_successor
         if seen.processes != known:
             log.info("processes of this front", extra={"was": known, "now": seen.processes})
             known = seen.processes
-        if sockets.leave_to_others(seen.descriptors_of_others):
+        if sockets.reserve_for_others(seen.descriptors_of_others):
             resize(session, sockets.outgoing)
-            sockets.share(listeners, len(listeners))
+            sockets.allocate(listeners, len(listeners))
 
 
 def run(path: Path | None = None, log_format: str = "") -> int:
--- a/ochrespan/http2/exchange.py
+++ b/ochrespan/http2/exchange.py
@@ -68,7 +68,7 @@
         """Whether nothing of the body is left to read."""
         return self._ended and not self._parts
 
-    async def read_some(self) -> bytes:
+    async def read_available(self) -> bytes:
         """The next bytes of the body; empty at its end."""
         while True:
             if self._parts:
@@ -87,7 +87,7 @@
         parts, size = [], 0
         try:
             async with asyncio.timeout(REQUEST_TIME.total_seconds()):
-                while some := await self.read_some():
+                while some := await self.read_available():
                     size += len(some)
                     if self._most_body is not None and size > self._most_body:
                         raise BadBody(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the request's body is too long")
@@ -96,7 +96,7 @@
             raise BadBody(HTTPStatus.REQUEST_TIMEOUT, "the request's body did not come in time") from None
         return b"".join(parts)
 
-    async def go_on(self) -> None:
+    async def send_continue(self) -> None:
         """Tells a client that waits for it to send its body."""
         self._connection.send_interim(self.stream, HTTPStatus.CONTINUE)
 
@@ -120,7 +120,7 @@
             self.finished = True
             await self._connection.write(self.stream, b"", ended=True)
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Ends an answer short of its length, so that the client sees it."""
         self.finished = True
         self._connection.reset(self.stream, ErrorCodes.INTERNAL_ERROR)
--- a/ochrespan/http2/protocol.py
+++ b/ochrespan/http2/protocol.py
@@ -155,7 +155,7 @@
     async def _run(self, exchange: Http2Exchange) -> None:
         stream = exchange.stream
         try:
-            with self._server.lifecycle.work():
+            with self._server.lifecycle.track_request():
                 reply = await self._server.handler(exchange)
                 if reply is not None:
                     await exchange.send(reply)
--- a/ochrespan/http2/section.py
+++ b/ochrespan/http2/section.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from .. import interface as api
-from ..sections import Faults, Table, address, table
+from ..sections import Faults, Table, read_address, read_table
 from .limits import Limits
 
 Bytes = Annotated[int, msgspec.Meta(ge=16_384, le=1 << 30)]
@@ -41,11 +41,11 @@
 
 def read(tables: Mapping[str, Any], settings: api.Settings, faults: Faults, earlier: Mapping[str, Any]) -> Http2 | None:
     """The checked section; None where the table cannot be read. Faults are collected in `faults`."""
-    told = table(Http2Table, tables["http2"], "[http2]", faults)
+    told = read_table(Http2Table, tables["http2"], "[http2]", faults)
     if told is None:
         return None
     listen = {
-        name: address(where, f"[http2] {name}", faults)
+        name: read_address(where, f"[http2] {name}", faults)
         for name in ("platform", "objects")
         if (where := getattr(told, name)) is not None
     }
--- a/ochrespan/http2/start.py
+++ b/ochrespan/http2/start.py
@@ -3,16 +3,16 @@
 from __future__ import annotations
 
 from ..net.bodies import MOST_BODY
-from ..subsystem import Core, Running
+from ..subsystem import CoreComponents, Subsystem
 from .limits import BufferBudget
 from .section import Http2
 from .server import Http2Server
 
 
-def start(section: Http2, core: Core) -> Running:
+def start(section: Http2, core: CoreComponents) -> Subsystem:
     """The servers of the ports that the section names."""
-    buffers, running = BufferBudget(section.buffered), Running()
-    aims = {cls.name: cls.aim for cls in core.told.settings.classes.values()}
+    buffers, running = BufferBudget(section.buffered), Subsystem()
+    aims = {cls.name: cls.aim for cls in core.config.settings.classes.values()}
     for name, address in section.listen.items():
         most_body = MOST_BODY if name == "platform" else None
         server = Http2Server(
--- a/ochrespan/lifecycle.py
+++ b/ochrespan/lifecycle.py
@@ -29,9 +29,9 @@
 
     def __init__(self) -> None:
         self.phase = Phase.STARTING
-        self.succeeded = False  # another process of this front takes the new connections
+        self.has_successor = False  # another process of this front takes the new connections
         self._active = True  # what operators want
-        self.working = 0  # requests between their first look and their answer, on all fronts
+        self.in_flight = 0  # requests between their first look and their answer, on all fronts
         self._reached = {phase: asyncio.Event() for phase in Phase}
         self._reached[Phase.STARTING].set()
 
@@ -63,13 +63,13 @@
         self.phase = phase
 
     @contextmanager
-    def work(self) -> Iterator[None]:
+    def track_request(self) -> Iterator[None]:
         """One request's time in a front: the program does not stop under it."""
-        self.working += 1
+        self.in_flight += 1
         try:
             yield
         finally:
-            self.working -= 1
+            self.in_flight -= 1
 
     async def reached(self, phase: Phase) -> None:
         await self._reached[phase].wait()
@@ -86,4 +86,4 @@
     @property
     def closing(self) -> bool:
         """Whether each answer ends its connection."""
-        return self.succeeded or self.phase in (Phase.INACTIVE, Phase.CLOSING, Phase.STOPPED)
+        return self.has_successor or self.phase in (Phase.INACTIVE, Phase.CLOSING, Phase.STOPPED)
--- a/ochrespan/metric_samples.py
+++ b/ochrespan/metric_samples.py
@@ -7,18 +7,18 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-FRONT = "front"  # the group of what is of the whole front
+FRONT_GROUP = "front"  # the group of what is of the whole front
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
+class MetricSample:
     group: str
     name: str
     value: float
     counter: bool  # only grows, from the start on
 
 
-class Requests(Protocol):
+class RequestCounters(Protocol):
     """Who counts requests and attempts."""
 
     def class_totals(self) -> dict[str, ClassTotals]: ...
@@ -30,7 +30,7 @@
     def concurrent(self) -> int: ...
 
 
-class Targets(Protocol):
+class ServerCounters(Protocol):
     """Who knows the list of chunk servers."""
 
     def target_counts(self) -> TargetCounts: ...
@@ -53,19 +53,19 @@
     avoided: int
 
 
-def operating(requests: Requests, targets: Targets) -> Iterator[Reading]:
+def front_samples(requests: RequestCounters, targets: ServerCounters) -> Iterator[MetricSample]:
     """What tells from outside how the front does, for the control address and the exporters alike."""
     for name, totals in requests.class_totals().items():
-        yield Reading("success", name, totals.success, True)
-        yield Reading("overload", name, totals.overload, True)
-        yield Reading("error", name, totals.error, True)
-    yield Reading(FRONT, "dispatches", requests.dispatches, True)
-    yield Reading(FRONT, "concurrent", requests.concurrent, False)
+        yield MetricSample("success", name, totals.success, True)
+        yield MetricSample("overload", name, totals.overload, True)
+        yield MetricSample("error", name, totals.error, True)
+    yield MetricSample(FRONT_GROUP, "dispatches", requests.dispatches, True)
+    yield MetricSample(FRONT_GROUP, "concurrent", requests.concurrent, False)
     counts = targets.target_counts()
-    yield Reading(FRONT, "targets", counts.listed, False)
-    yield Reading(FRONT, "targets_disabled", counts.avoided, False)
+    yield MetricSample(FRONT_GROUP, "targets", counts.listed, False)
+    yield MetricSample(FRONT_GROUP, "targets_disabled", counts.avoided, False)
 
 
-def plain(name: str) -> str:
+def metric_safe_name(name: str) -> str:
     """A name as the exporters' protocols take it: dots and slashes would split it."""
     return re.sub(r"[^A-Za-z0-9_-]", "_", name) or "_"
--- a/ochrespan/metrics/exporters.py
+++ b/ochrespan/metrics/exporters.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterator
 from datetime import UTC, datetime, timedelta
 
-from ..metric_samples import Reading, plain
+from ..metric_samples import MetricSample, metric_safe_name
 from .section import Sink
 
 log = logging.getLogger(__name__)
@@ -32,8 +32,8 @@
 class Exporter(ABC):
     """Sends all sources' readings to one sink, again and again."""
 
-    def __init__(self, sink: Sink, host: str, sources: list[Callable[[], Iterator[Reading]]]) -> None:
-        self.sink, self.host, self._sources = sink, plain(host), sources
+    def __init__(self, sink: Sink, host: str, sources: list[Callable[[], Iterator[MetricSample]]]) -> None:
+        self.sink, self.host, self._sources = sink, metric_safe_name(host), sources
 
     async def run(self) -> None:
         """Sends until it is cancelled; a sink that fails is logged once and tried again."""
@@ -52,9 +52,9 @@
                 failing = True
                 self.close()
 
-    async def _collect(self) -> list[Reading]:
+    async def _collect(self) -> list[MetricSample]:
         """All readings, in turns: an installation of many thousand contracts must not stop serving for them."""
-        found: list[Reading] = []
+        found: list[MetricSample] = []
         for source in self._sources:
             for reading in source():
                 found.append(reading)
@@ -63,7 +63,7 @@
         return found
 
     @abstractmethod
-    async def send(self, found: list[Reading], at: datetime) -> None:
+    async def send(self, found: list[MetricSample], at: datetime) -> None:
         """One round of readings."""
 
     @abstractmethod
@@ -76,14 +76,14 @@
 
     _writer: asyncio.StreamWriter | None = None
 
-    def lines(self, found: list[Reading], at: datetime) -> bytes:
+    def lines(self, found: list[MetricSample], at: datetime) -> bytes:
         """The readings in Graphite's plaintext protocol."""
         stamp = int(at.timestamp())
         return "".join(
             f"{self.sink.prefix}.{self.host}.{r.group}.{r.name} {r.value:.10g} {stamp}\n" for r in found
         ).encode()
 
-    async def send(self, found: list[Reading], at: datetime) -> None:
+    async def send(self, found: list[MetricSample], at: datetime) -> None:
         if self._writer is not None and self._writer.is_closing():
             self.close()
         if self._writer is None:
@@ -108,7 +108,7 @@
     return struct.pack("!HHQ", kind, NUMBER_PART, number)
 
 
-def values_part(reading: Reading) -> bytes:
+def values_part(reading: MetricSample) -> bytes:
     """One value: a derive is a signed whole number in network order, a gauge a double in x86 order."""
     head = struct.pack("!HHHB", VALUES, VALUE_PART, 1, DERIVE if reading.counter else GAUGE)
     body = struct.pack("!q", round(reading.value)) if reading.counter else struct.pack("<d", reading.value)
@@ -120,7 +120,7 @@
 
     _transport: asyncio.DatagramTransport | None = None
 
-    def packets(self, found: list[Reading], at: datetime) -> Iterator[bytes]:
+    def packets(self, found: list[MetricSample], at: datetime) -> Iterator[bytes]:
         """The readings in as few packets as they fit into."""
         head = text_part(HOST, self.host)
         head += number_part(TIME_HR, int(at.timestamp() * HIGH_RESOLUTION))
@@ -137,7 +137,7 @@
             packet += parts
         yield packet
 
-    async def send(self, found: list[Reading], at: datetime) -> None:
+    async def send(self, found: list[MetricSample], at: datetime) -> None:
         if self._transport is None or self._transport.is_closing():
             loop = asyncio.get_running_loop()
             self._transport, _ = await loop.create_datagram_endpoint(
--- a/ochrespan/metrics/section.py
+++ b/ochrespan/metrics/section.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from .. import interface as api
-from ..sections import Faults, Table, address, table
+from ..sections import Faults, Table, read_address, read_table
 
 
 class SinkTable(Table):
@@ -44,7 +44,7 @@
 
 
 def _sink(place: str, value: Any, faults: Faults) -> Sink | None:
-    told = table(SinkTable, value, place, faults)
+    told = read_table(SinkTable, value, place, faults)
     if told is None:
         return None
-    return Sink(address(told.address, f"{place} address", faults), timedelta(seconds=told.every_s), told.prefix)
+    return Sink(read_address(told.address, f"{place} address", faults), timedelta(seconds=told.every_s), told.prefix)
--- a/ochrespan/metrics/start.py
+++ b/ochrespan/metrics/start.py
@@ -2,18 +2,18 @@
 
 from __future__ import annotations
 
-from ..subsystem import Core, Running
+from ..subsystem import CoreComponents, Subsystem
 from .exporters import Collectd, Graphite
 from .readings import readings
 from .section import Metrics
 
 
-def start(section: Metrics, core: Core) -> Running:
+def start(section: Metrics, core: CoreComponents) -> Subsystem:
     """One job for each exporter."""
-    core.figures.append(lambda: readings(core.broker))
+    core.metric_sources.append(lambda: readings(core.broker))
     exporters = [
-        kind(sink, core.told.name, core.figures)
+        kind(sink, core.config.name, core.metric_sources)
         for kind, sink in ((Graphite, section.graphite), (Collectd, section.collectd))
         if sink is not None
     ]
-    return Running(jobs=[exporter.run() for exporter in exporters])
+    return Subsystem(jobs=[exporter.run() for exporter in exporters])
--- a/ochrespan/net/bodies.py
+++ b/ochrespan/net/bodies.py
@@ -81,7 +81,7 @@
             return b""
         try:
             async with asyncio.timeout_at(self._began + REQUEST_TIME.total_seconds() + self._size / BODY_RATE):
-                piece = await self._request.read_some()
+                piece = await self._request.read_available()
         except TimeoutError:
             raise BadBody(408, "the request's body did not come in time") from None
         self._size += len(piece)
--- a/ochrespan/net/chunks.py
+++ b/ochrespan/net/chunks.py
@@ -95,14 +95,14 @@
             self._counts.dispatches += 1
             if streamed is not None:
                 began = loop.time()
-                attempt.start_clock()
+                attempt.restart_timeout()
 
-        progress = Progress(lambda: attempt.may_begin and self._directory.takes(attempt.node), written, streamed)
+        progress = Progress(lambda: attempt.may_start and self._directory.takes(attempt.node), written, streamed)
         answer = None
         try:
-            async with attempt.limited():
+            async with attempt.time_limit():
                 if streamed is not None:
-                    attempt.stop_clock()
+                    attempt.suspend_timeout()
                 answer = await self._exchange(attempt, message, progress)
             status = self._status(answer, message)
         except TimeoutError as why:
@@ -142,7 +142,7 @@
             attempt,
             status,
             timedelta(seconds=loop.time() - began),
-            unfinished=answer is not None and answer.rest is not None,
+            streaming=answer is not None and answer.rest is not None,
             load=read_load(headers.get(LOAD, ""), nonsense),
             elsewhere=read_units(headers.get(ELSEWHERE, ""), nonsense),
         )
@@ -236,4 +236,4 @@
                 return answer
     finally:
         if not begun:
-            broker.leave(request)  # nothing to do unless the client left or we broke
+            broker.abandon(request)  # nothing to do unless the client left or we broke
--- a/ochrespan/net/discovery.py
+++ b/ochrespan/net/discovery.py
@@ -111,7 +111,7 @@
     def takes(self, node: str) -> bool:
         """Whether something new may be sent there, as of now: an attempt may have waited since it was decided."""
         entry = self._nodes.get(node)
-        usable = entry is None or self._suspended.as_usable(entry).state is NodeState.READY
+        usable = entry is None or self._suspended.effective_entry(entry).state is NodeState.READY
         return node in self.addresses and usable
 
     def knows(self, server: str) -> bool:
@@ -120,7 +120,7 @@
 
     def nodes(self) -> list[Node]:
         """The list as the decisions are to see it: what is suspended by hand drains."""
-        return [self._suspended.as_usable(node) for node in self._nodes.values()]
+        return [self._suspended.effective_entry(node) for node in self._nodes.values()]
 
     def apply(self, listing: Any) -> tuple[ListKind, list[Node]]:
         """Takes in one of discovery's lists, whole or not at all."""
@@ -147,7 +147,9 @@
             )
             revision = None  # changes since another service's beginning; others may have been before them
         self.revision = revision
-        return (ListKind.FULL if complete else ListKind.DELTA), [self._suspended.as_usable(node) for node, _ in read]
+        return (ListKind.FULL if complete else ListKind.DELTA), [
+            self._suspended.effective_entry(node) for node, _ in read
+        ]
 
     def relisted(self) -> list[Node]:
         """The whole list after a change of what is suspended."""
@@ -189,7 +191,7 @@
         self._moved = False
         self._heard = asyncio.Event()
         self._failures = Repeats()
-        broker.on_list_wanted(self._ask)
+        broker.on_watch_requested(self._ask)
 
     def known(self, listing: Any) -> None:
         """The list as this front had it last; it may be old."""
@@ -198,7 +200,7 @@
         except BadList as why:
             log.warning("the known list cannot be read", extra={"why": str(why)})
             nodes = []
-        self._broker.listing(ListKind.CACHED, nodes)
+        self._broker.update_servers(ListKind.CACHED, nodes)
 
     def knows(self, server: str) -> bool:
         """Whether the list names this chunk server."""
@@ -212,14 +214,14 @@
 
     def relist(self) -> None:
         """Tells the broker the known list anew. It is no news of discovery's, so the plan of calls stays."""
-        self._broker.listing(ListKind.CACHED, self._directory.relisted())
+        self._broker.update_servers(ListKind.CACHED, self._directory.relisted())
 
     def move(self, address: str) -> None:
         """Goes on at another address when the broker wants: soon, since the old one is about to close, but not in
         the moment in which all other fronts are told the same. The watch at the old one goes on until then."""
         if address != self._next:
             self._next = address
-            self._broker.listing(ListKind.MOVED)
+            self._broker.update_servers(ListKind.MOVED)
 
     def _ask(self) -> None:
         self._wanted.set()
@@ -251,7 +253,7 @@
             finally:
                 self._limit, self._moved = None, False
             self._wanted.clear()
-            self._broker.listing(ListKind.FAILED)
+            self._broker.update_servers(ListKind.FAILED)
 
     async def _watch(self) -> None:
         """Calls one after the other, each at once after the last: a gap of 200 ms would end the watch."""
@@ -262,7 +264,7 @@
             self._failures.over("in a row")
             self._heard.set()
             if first or nodes or kind is ListKind.FULL:
-                self._broker.listing(kind, nodes)
+                self._broker.update_servers(kind, nodes)
             first = False
             if not nodes:  # a discovery that does not hold its calls must not be asked in a tight loop
                 await asyncio.sleep(max(0.0, (began + PACE.total_seconds()) - loop.time()))
--- a/ochrespan/net/http1.py
+++ b/ochrespan/net/http1.py
@@ -26,13 +26,13 @@
     def body_ended(self) -> bool:
         return self._request.content.is_eof()
 
-    async def read_some(self) -> bytes:
+    async def read_available(self) -> bytes:
         return await self._request.content.readany()
 
     async def read(self) -> bytes:
         return await self._request.read()
 
-    async def go_on(self) -> None:
+    async def send_continue(self) -> None:
         if self._guard is not None and self._guard.continued:
             return  # the connection has told it already
         writer = self._request.writer
@@ -54,7 +54,7 @@
         assert self.response is not None
         await self.response.write_eof()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         if self.response is not None:
             self.response.force_close()
         if self._request.transport is not None:
--- a/ochrespan/net/platform.py
+++ b/ochrespan/net/platform.py
@@ -14,7 +14,7 @@
 from ..exchange import BadBody, Exchange, Reply
 from ..logs import bind
 from ..requests import Claim, Failed, NotCovered, OverBudget, Refused, Request, Unacceptable
-from ..subsystem import Core
+from ..subsystem import CoreComponents
 from .bodies import HELD_PART, Body, BodyBudget, HeldBody, Receiver
 from .chunks import Answer, Message, Rest, serve
 
@@ -133,15 +133,15 @@
 
 
 class PlatformFront:
-    def __init__(self, core: Core) -> None:
+    def __init__(self, core: CoreComponents) -> None:
         self._core, self._lifecycle = core, core.lifecycle
         self._open: set[str] = set()  # the ids of the requests in hand
-        self._budget = BodyBudget(core.told.memory // HELD_PART)
+        self._budget = BodyBudget(core.config.memory // HELD_PART)
 
     async def handle(self, request: Exchange) -> Reply | None:
         """One final answer to whatever arrives, also when something of ours breaks."""
         bind()  # the last request's words, on a connection that clients keep
-        with self._lifecycle.work():
+        with self._lifecycle.track_request():
             try:
                 reply = await self._answer(request)
             except (Malformed, Unacceptable) as why:
@@ -176,7 +176,7 @@
         receiver = Receiver(request, self._budget)
         try:
             if request.has_body and request.headers.get("Expect", "").lower() == "100-continue":
-                await request.go_on()
+                await request.send_continue()
             body = await receiver.receive()
             return await self._serve_with(request, taken, trace, body)
         finally:
@@ -216,14 +216,14 @@
                 async for piece in pieces:
                     await self._write(request, piece)
             await request.finish()
-            broker.finish(taken, whole=True)
+            broker.finish(taken, complete=True)
         except (aiohttp.ClientPayloadError, aiohttp.ClientConnectionError, TimeoutError, OSError) as why:
             log.info("answer broke off", extra={"why": repr(why)})
-            broker.finish(taken, whole=False)
-            request.break_off()
+            broker.finish(taken, complete=False)
+            request.abort()
         finally:
             rest.close()
-            broker.leave(taken)  # nothing to do unless its client left
+            broker.abandon(taken)  # nothing to do unless its client left
 
     @staticmethod
     async def _write(request: Exchange, piece: bytes) -> None:
--- a/ochrespan/objects/call.py
+++ b/ochrespan/objects/call.py
@@ -87,7 +87,7 @@
         while True:
             try:
                 async with asyncio.timeout(self._idle_timeout.total_seconds()):
-                    some = await self.request.read_some()
+                    some = await self.request.read_available()
             except TimeoutError:
                 raise ApiError(400, "RequestTimeout", "Your connection was idle for too long.") from None
             if not some:
--- a/ochrespan/objects/front.py
+++ b/ochrespan/objects/front.py
@@ -37,7 +37,7 @@
     async def handle(self, request: Exchange) -> Reply | None:
         """One final answer, or a connection that visibly breaks once the headers are out."""
         bind()
-        with self._lifecycle.work():
+        with self._lifecycle.track_request():
             try:
                 call = Call(request, self._objects, self._gate)
                 self._check_covered(call)
@@ -59,7 +59,7 @@
 
     def _require_class(self, contract: Contract, cls: str) -> None:
         if (why := self._gate.covers(contract, cls)) is not None:
-            raise denied(f"{why.rule}: {why.words}")
+            raise denied(f"{why.rule}: {why.message}")
 
     async def _route(self, call: Call) -> Reply | None:
         query = call.query
@@ -149,7 +149,7 @@
                     await call.request.write(payload)
             except (Unavailable, StorageFailed, Expired, layout.Corrupt) as why:
                 log.warning("read broke off", extra={"key": call.scope.key, "why": repr(why)})
-                call.request.break_off()
+                call.request.abort()
                 raise ConnectionResetError("broken off") from why
             await call.request.finish()
 
@@ -164,7 +164,7 @@
             raise not_implemented("Conditional writes are not served.")
         wanted = expected_md5(headers)
         if headers.get("Expect", "").lower() == "100-continue":
-            await call.request.go_on()
+            await call.request.send_continue()
         async with aclosing(call.body()) as body:
             part = await self._store.store(call.scope, body, number)
         if wanted is not None and wanted != part.md5:
--- a/ochrespan/objects/section.py
+++ b/ochrespan/objects/section.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from .. import interface as api
-from ..sections import Faults, Table, address, table
+from ..sections import Faults, Table, read_address, read_table
 
 Bytes = Annotated[int, msgspec.Meta(gt=0, lt=1 << 50)]
 
@@ -38,14 +38,14 @@
     tables: Mapping[str, Any], settings: api.Settings, faults: Faults, earlier: Mapping[str, Any]
 ) -> Objects | None:
     """The checked section; None where the table cannot be read. Faults are collected in `faults`."""
-    told = table(ObjectsTable, tables["objects"], "[objects]", faults)
+    told = read_table(ObjectsTable, tables["objects"], "[objects]", faults)
     contracts = earlier.get("contracts")
     if contracts is None or not contracts.book.by_bucket:
         faults.add("[[team]] buckets", "nothing", "at least one team with a bucket, for [objects]")
     if told is None:
         return None
     return Objects(
-        address(told.listen, "[objects] listen", faults),
+        read_address(told.listen, "[objects] listen", faults),
         told.export_from_bytes,
         told.least_part_bytes,
         timedelta(seconds=told.patience_s),
--- a/ochrespan/operator_config.py
+++ b/ochrespan/operator_config.py
@@ -14,7 +14,7 @@
 from .sections import Faults
 
 # the subsystems and their tables; one that needs what another has read stands after it
-OWNERS: dict[str, tuple[str, ...]] = {
+SUBSYSTEM_TABLES: dict[str, tuple[str, ...]] = {
     "contracts": ("contracts", "organisation", "team", "service"),
     "objects": ("objects",),
     "metrics": ("graphite", "collectd"),
@@ -23,13 +23,13 @@
 
 
 @dataclass(slots=True)
-class Operator:
+class OperatorConfig:
     """What each subsystem that the file switches on has read."""
 
     sections: dict[str, Any] = field(default_factory=dict)
 
 
-def load(path: Path, settings: api.Settings) -> Operator:
+def load(path: Path, settings: api.Settings) -> OperatorConfig:
     """Reads the file and checks it against the settings: a wrong name stops the start, not a request.
 
     Raises BadConfig with every fault: file, place, what was found, what is allowed.
@@ -39,11 +39,11 @@
     except (OSError, ValueError) as why:
         raise BadConfig(f"{path}: {why}") from why
     faults = Faults(str(path))
-    known = {name for names in OWNERS.values() for name in names}
+    known = {name for names in SUBSYSTEM_TABLES.values() for name in names}
     for name in told.keys() - known:
         faults.add(f"[{name}]", "an unknown table", ", ".join(sorted(known)))
-    operator = Operator()
-    for owner, names in OWNERS.items():
+    operator = OperatorConfig()
+    for owner, names in SUBSYSTEM_TABLES.items():
         mine: Mapping[str, Any] = {name: told[name] for name in names if name in told}
         if mine:
             section = importlib.import_module(f".{owner}.section", __package__)
--- a/ochrespan/requests.py
+++ b/ochrespan/requests.py
@@ -18,8 +18,8 @@
     "Counts",
     "Failed",
     "Final",
-    "Gate",
-    "Hold",
+    "AdmissionGate",
+    "Reservation",
     "ListKind",
     "Node",
     "NodeState",
@@ -75,47 +75,47 @@
     timeout: timedelta
     begin_within: timedelta | None = None  # from when it was decided; later it must not begin any more
     revoked: bool = False
-    _limit: asyncio.Timeout | None = None
-    _decided: float = field(default_factory=time.monotonic)
+    _timeout_scope: asyncio.Timeout | None = None
+    _decided_at: float = field(default_factory=time.monotonic)
 
     @property
-    def may_begin(self) -> bool:
-        late = self.begin_within is not None and time.monotonic() - self._decided > self.begin_within.total_seconds()
+    def may_start(self) -> bool:
+        late = self.begin_within is not None and time.monotonic() - self._decided_at > self.begin_within.total_seconds()
         return not (self.revoked or late)
 
     @asynccontextmanager
-    async def limited(self) -> AsyncIterator[None]:
+    async def time_limit(self) -> AsyncIterator[None]:
         """A time limit round the exchange; TimeoutError when the front has to stop waiting."""
         if self.revoked:
             raise TimeoutError
         try:
-            async with asyncio.timeout(self.timeout.total_seconds()) as self._limit:
+            async with asyncio.timeout(self.timeout.total_seconds()) as self._timeout_scope:
                 yield
         finally:
-            self._limit = None
+            self._timeout_scope = None
 
-    def stop_clock(self) -> None:
+    def suspend_timeout(self) -> None:
         """Its time does not run while a long body is being sent: it is for the answer."""
-        if self._limit is not None and not self.revoked and not self._limit.expired():
-            self._limit.reschedule(None)
+        if self._timeout_scope is not None and not self.revoked and not self._timeout_scope.expired():
+            self._timeout_scope.reschedule(None)
 
-    def start_clock(self) -> None:
+    def restart_timeout(self) -> None:
         """From now on it has all of its time."""
-        if self._limit is not None and not self.revoked and not self._limit.expired():
-            self._limit.reschedule(asyncio.get_running_loop().time() + self.timeout.total_seconds())
+        if self._timeout_scope is not None and not self.revoked and not self._timeout_scope.expired():
+            self._timeout_scope.reschedule(asyncio.get_running_loop().time() + self.timeout.total_seconds())
 
     def revoke(self) -> None:
         self.revoked = True
         # a limit that is just running out cannot be moved: the error would take the actions that follow with it
-        if self._limit is not None and not self._limit.expired():
-            self._limit.reschedule(asyncio.get_running_loop().time())
+        if self._timeout_scope is not None and not self._timeout_scope.expired():
+            self._timeout_scope.reschedule(asyncio.get_running_loop().time())
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
     """Final: trying again is harmless, after so long where that is told."""
 
-    pause: timedelta | None = None
+    retry_after: timedelta | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -129,7 +129,7 @@
 
     rule: str
     team: str = ""
-    words: str = ""
+    message: str = ""
 
 
 @dataclass(frozen=True, slots=True)
@@ -138,13 +138,13 @@
 
     rule: str
     team: str
-    pause: timedelta
+    retry_after: timedelta
 
 
 Final = Refused | Failed | NotCovered | OverBudget
 
 
-class Hold(Protocol):
+class Reservation(Protocol):
     """What an admitted request holds of its budgets."""
 
     @property
@@ -158,18 +158,18 @@
     def team(self) -> str: ...
 
 
-class Gate(Protocol):
+class AdmissionGate(Protocol):
     """Admission before the decision module; `now` is Unix time in seconds."""
 
-    def admit(self, now: float, request: Request) -> Hold | NotCovered | OverBudget: ...
+    def admit(self, now: float, request: Request) -> Reservation | NotCovered | OverBudget: ...
 
-    def extend(self, now: float, hold: Hold) -> None:
+    def extend(self, now: float, reservation: Reservation) -> None:
         """Pays for one more attempt, if the budgets bear it."""
 
-    def settle(self, now: float, hold: Hold, sent: int, ran: int) -> None:
+    def release(self, now: float, reservation: Reservation, sent: int, ran: int) -> None:
         """The end of what was admitted: so many attempts sent, so many of which may have run."""
 
-    def heard(self, now: float, hold: Hold, units: float) -> None:
+    def record_usage_elsewhere(self, now: float, reservation: Reservation, units: float) -> None:
         """So many units of the request's volume were served through other fronts."""
 
 
@@ -178,7 +178,7 @@
     attempt: Attempt
     status: Status
     latency: timedelta
-    unfinished: bool = False  # served, and still being passed on: `Broker.finish` follows
+    streaming: bool = False  # served, and still being passed on: `Broker.finish` follows
     load: dict[str, float] = field(default_factory=dict)
     elsewhere: float = 0.0
 
--- a/ochrespan/sections.py
+++ b/ochrespan/sections.py
@@ -22,12 +22,12 @@
 class Fault:
     """What is wrong, where, and what would be right."""
 
-    place: str
+    location: str
     found: str
     allowed: str
 
     def __str__(self) -> str:
-        return f"{self.place}: found {self.found}; allowed: {self.allowed}"
+        return f"{self.location}: found {self.found}; allowed: {self.allowed}"
 
 
 class Faults:
@@ -39,15 +39,15 @@
     def __bool__(self) -> bool:
         return bool(self.found)
 
-    def add(self, place: str, found: object, allowed: str) -> None:
-        self.found.append(Fault(place, found if isinstance(found, str) else repr(found), allowed))
+    def add(self, location: str, found: object, allowed: str) -> None:
+        self.found.append(Fault(location, found if isinstance(found, str) else repr(found), allowed))
 
-    def choice(self, place: str, found: str, allowed: Collection[str]) -> bool:
+    def check_choice(self, location: str, found: str, allowed: Collection[str]) -> bool:
         """Whether the name is one of those allowed."""
         if found in allowed:
             return True
         names = sorted(allowed)
-        self.add(place, repr(found), " or ".join(map(repr, names)) if names else "no name: there are none")
+        self.add(location, repr(found), " or ".join(map(repr, names)) if names else "no name: there are none")
         return False
 
     def raise_any(self) -> None:
@@ -55,38 +55,38 @@
             raise BadConfig(*(f"{self.file}: {fault}" for fault in self.found))
 
 
-def table(kind: type[S], value: Any, place: str, faults: Faults) -> S | None:
+def read_table(kind: type[S], value: Any, location: str, faults: Faults) -> S | None:
     """The table as a struct of that kind, or None with its faults told; unknown names are faults."""
     if not isinstance(value, dict):
-        faults.add(place, value, "a table")
+        faults.add(location, value, "a table")
         return None
     try:
         return msgspec.convert(value, kind)
     except msgspec.ValidationError:
-        _explain(kind, value, place, faults)
+        _explain(kind, value, location, faults)
         return None
 
 
-def _explain(kind: type[Table], value: dict[str, Any], place: str, faults: Faults) -> None:
+def _explain(kind: type[Table], value: dict[str, Any], location: str, faults: Faults) -> None:
     """Every fault in the table: the library tells the first one only."""
     fields = {field.encode_name: field for field in msgspec.structs.fields(kind)}
     for name in value.keys() - fields.keys():
-        faults.add(f"{place} {name}", "an unknown name", ", ".join(sorted(fields)))
+        faults.add(f"{location} {name}", "an unknown name", ", ".join(sorted(fields)))
     for name, field in fields.items():
         if name not in value:
             if field.required:
-                faults.add(f"{place} {name}", "nothing", _words(field.type))
+                faults.add(f"{location} {name}", "nothing", _words(field.type))
         elif (inner := _inner(field.type)) is not None:
-            table(inner, value[name], f"{place} {name}", faults)
+            read_table(inner, value[name], f"{location} {name}", faults)
         else:
             try:
                 msgspec.convert(value[name], field.type)
             except msgspec.ValidationError as why:
                 allowed = str(why).partition(" - at ")[0].removeprefix("Expected ").partition(", got ")[0]
-                faults.add(f"{place} {name}", value[name], allowed.replace("`", ""))
+                faults.add(f"{location} {name}", value[name], allowed.replace("`", ""))
 
 
-def tables(kind: type[S], value: Any, name: str, faults: Faults) -> list[tuple[str, S]]:
+def read_tables(kind: type[S], value: Any, name: str, faults: Faults) -> list[tuple[str, S]]:
     """The tables of an array, each with its place; a faulty one is left out."""
     if not isinstance(value, list):
         faults.add(f"[[{name}]]", value, "an array of tables")
@@ -94,17 +94,17 @@
     found = []
     for i, entry in enumerate(value):
         called = entry.get("name") if isinstance(entry, dict) else None
-        place = f"[[{name}]] {called if isinstance(called, str) else i + 1}"
-        if (read := table(kind, entry, place, faults)) is not None:
-            found.append((place, read))
+        location = f"[[{name}]] {called if isinstance(called, str) else i + 1}"
+        if (read := read_table(kind, entry, location, faults)) is not None:
+            found.append((location, read))
     return found
 
 
-def address(told: str, place: str, faults: Faults) -> tuple[str, int]:
+def read_address(text: str, location: str, faults: Faults) -> tuple[str, int]:
     try:
-        return split_address(told)
+        return split_address(text)
     except BadConfig:
-        faults.add(place, told, "host:port")
+        faults.add(location, text, "host:port")
         return "", 0
 
 
--- a/ochrespan/shutdown_schedule.py
+++ b/ochrespan/shutdown_schedule.py
@@ -8,30 +8,38 @@
 
 # After SIGTERM new connections come for up to 0.4 s. Clients go on using those they have, since no other front
 # serves their volumes, until SIGKILL: it comes the longest deadline, at most 3 s, and 0.7 s later or after that.
-LONGEST, PATIENCE = timedelta(seconds=3), timedelta(seconds=0.7)
-ACCEPTS = timedelta(seconds=0.8)
-CLOSING = timedelta(seconds=0.75)  # so long before SIGKILL each answer ends its connection ...
-ANSWERED = timedelta(seconds=0.4)  # ... every request has its final answer ...
-GONE = timedelta(seconds=0.3)  # ... and the program ends
+MAX_DEADLINE, KILL_DELAY = timedelta(seconds=3), timedelta(seconds=0.7)
+ACCEPT_FOR = timedelta(seconds=0.8)
+CLOSE_BEFORE_KILL = timedelta(seconds=0.75)  # so long before SIGKILL each answer ends its connection ...
+ANSWER_BEFORE_KILL = timedelta(seconds=0.4)  # ... every request has its final answer ...
+EXIT_BEFORE_KILL = timedelta(seconds=0.3)  # ... and the program ends
 # Clients that an operator sends away come for up to 0.3 s more; 4 s after the call no connection may be idle.
-LEAVES_FROM = timedelta(seconds=0.4)
-SILENT = timedelta(seconds=1)  # from when on a connection without a request is idle too
-ROOM = ACCEPTS + CLOSING  # where all deadlines are so short that there is less, all spans shrink alike
+CLIENTS_LEAVE_AFTER = timedelta(seconds=0.4)
+SILENT_IDLE_AFTER = timedelta(seconds=1)  # from when on a connection without a request is idle too
+MIN_FULL_SCHEDULE = (
+    ACCEPT_FOR + CLOSE_BEFORE_KILL
+)  # where all deadlines are so short that there is less, all spans shrink alike
 
 
 @dataclass(frozen=True, slots=True)
-class Ending:
+class ShutdownSchedule:
     """Points of time, counted from SIGTERM."""
 
-    accepts: timedelta  # new connections are taken until then
-    closing: timedelta
-    answered: timedelta
-    gone: timedelta
-    killed: timedelta
-
-
-def plan(deadlines: Iterable[timedelta]) -> Ending:
-    killed = min(max(deadlines, default=LONGEST), LONGEST) + PATIENCE
-    part = min(1.0, killed / ROOM)
-    gone = killed - part * GONE
-    return Ending(min(ACCEPTS, gone), killed - part * CLOSING, killed - part * ANSWERED, gone, killed)
+    accept_until: timedelta  # new connections are taken until then
+    close_connections_from: timedelta
+    answer_deadline: timedelta
+    exit_at: timedelta
+    kill_at: timedelta
+
+
+def shutdown_schedule(deadlines: Iterable[timedelta]) -> ShutdownSchedule:
+    kill_at = min(max(deadlines, default=MAX_DEADLINE), MAX_DEADLINE) + KILL_DELAY
+    fraction = min(1.0, kill_at / MIN_FULL_SCHEDULE)
+    exit_at = kill_at - fraction * EXIT_BEFORE_KILL
+    return ShutdownSchedule(
+        min(ACCEPT_FOR, exit_at),
+        kill_at - fraction * CLOSE_BEFORE_KILL,
+        kill_at - fraction * ANSWER_BEFORE_KILL,
+        exit_at,
+        kill_at,
+    )
--- a/ochrespan/subsystem.py
+++ b/ochrespan/subsystem.py
@@ -10,7 +10,7 @@
 from .config import Config
 from .exchange import Handler
 from .lifecycle import Lifecycle
-from .metric_samples import Reading
+from .metric_samples import MetricSample
 from .net.chunks import ChunkClient
 from .net.listener import Server
 
@@ -21,21 +21,21 @@
 
 
 @dataclass(slots=True)
-class Core:
+class CoreComponents:
     """The parts that all subsystems stand on."""
 
-    told: Config
+    config: Config
     broker: Broker
     client: ChunkClient
     lifecycle: Lifecycle
     gate: ContractGate | None = None  # set by the contracts, where there are any
     govern_platform: bool = False  # whether requests in the platform's protocol need a contract too
     handlers: dict[str, Handler] = field(default_factory=dict)  # of the fronts that run, by name
-    figures: list[Callable[[], Iterator[Reading]]] = field(default_factory=list)
+    metric_sources: list[Callable[[], Iterator[MetricSample]]] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class Running:
+class Subsystem:
     """A subsystem's listeners (what makes their connections, and where), its jobs, and what takes a new section."""
 
     fronts: list[tuple[Server, Address]] = field(default_factory=list)
--- a/ochrespan/suspension.py
+++ b/ochrespan/suspension.py
@@ -23,16 +23,16 @@
 
 log = logging.getLogger(__name__)
 
-FILE, LOCK = "suspended.json", "suspended.lock"
+FILE_NAME, LOCK_NAME = "suspended.json", "suspended.lock"
 VERSION = 1
-REMEMBERED = 600.0  # s that a resumed server's suspension is kept: longer than any server warms up
+RESUMED_RETENTION_S = 600.0  # s that a resumed server's suspension is kept: longer than any server warms up
 
 
 class UnknownServer(LookupError):
     """No chunk server has this id."""
 
 
-class BadFile(ValueError):
+class BadSuspensionFile(ValueError):
     """The file of suspended servers cannot be read."""
 
 
@@ -44,7 +44,7 @@
     resumed: float | None = None
 
     @property
-    def lasts(self) -> bool:
+    def active(self) -> bool:
         return self.resumed is None
 
 
@@ -56,15 +56,15 @@
     try:
         told = json.loads(text)
         if told["version"] != VERSION:
-            raise BadFile(f"version: found {told['version']!r}, allowed: {VERSION}")
+            raise BadSuspensionFile(f"version: found {told['version']!r}, allowed: {VERSION}")
         return {_server(entry): _suspension(entry) for entry in told["servers"]}
     except (ValueError, LookupError, TypeError) as why:
-        raise BadFile(f"{type(why).__name__}: {why}") from why
+        raise BadSuspensionFile(f"{type(why).__name__}: {why}") from why
 
 
 def _server(entry: Any) -> str:
     if not isinstance(entry["id"], str) or not entry["id"]:
-        raise BadFile("an id is no name")
+        raise BadSuspensionFile("an id is no name")
     return entry["id"]
 
 
@@ -82,7 +82,7 @@
     """The set on disk, written whole or not at all."""
 
     def __init__(self, folder: Path) -> None:
-        self._path, self._lock = folder / FILE, folder / LOCK
+        self._path, self._lock = folder / FILE_NAME, folder / LOCK_NAME
         self._seen: tuple[int, int, int] | None = None  # what the file was when it was last read
 
     @contextmanager
@@ -102,7 +102,7 @@
             return parse(self._path.read_text())
         except FileNotFoundError:
             return None
-        except (OSError, BadFile) as why:
+        except (OSError, BadSuspensionFile) as why:
             log.error("the file of suspended servers is ignored", extra={"path": str(self._path), "why": str(why)})
             return None
 
@@ -131,7 +131,7 @@
         self._known: Suspensions = (file.read() if file else None) or {}
 
     def __contains__(self, server: str) -> bool:
-        return server in self._known and self._known[server].lasts
+        return server in self._known and self._known[server].active
 
     def suspend(self, server: str) -> None:
         """Takes it out; a second time changes nothing."""
@@ -161,7 +161,7 @@
         self._known = found
         return True
 
-    def as_usable(self, node: Node) -> Node:
+    def effective_entry(self, node: Node) -> Node:
         """An entry of the list as the decisions are to see it."""
         known = self._known.get(node.id)
         if known is None or node.state is NodeState.GONE:
@@ -181,14 +181,14 @@
             with self._file.locked():
                 self.refresh()
                 change()
-                self._forget()
+                self._drop_expired()
                 self._file.write(self._known)
         except OSError as why:
             log.error("suspended servers are not kept for an upgrade", extra={"why": str(why)})
             change()
 
-    def _forget(self) -> None:
-        oldest = self._clock() - REMEMBERED
+    def _drop_expired(self) -> None:
+        oldest = self._clock() - RESUMED_RETENTION_S
         self._known = {
             server: one for server, one in self._known.items() if one.resumed is None or one.resumed >= oldest
         }
@@ -203,7 +203,7 @@
         """Tells the decisions the whole list anew."""
 
 
-class ServerSwitch:
+class SuspensionController:
     """Suspends and resumes chunk servers, and tells the decisions of it."""
 
     def __init__(self, suspended: SuspendedServers, servers: ServerList) -> None:
--- a/ochrespan/upgrade.py
+++ b/ochrespan/upgrade.py
@@ -21,8 +21,10 @@
 
 SUFFIX = ".process"
 START_FIELD = 19  # of /proc/self/stat, behind the name: the start in clock ticks after the machine's
-LISTED_BY = timedelta(seconds=3)  # after its start; a new process has 6 s to serve, and the old one serves meanwhile
-LEAST_LIST_WAIT = timedelta(seconds=0.2)
+LIST_DEADLINE = timedelta(
+    seconds=3
+)  # after its start; a new process has 6 s to serve, and the old one serves meanwhile
+MIN_LIST_WAIT = timedelta(seconds=0.2)
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,11 +69,11 @@
 
 def list_wait(age: timedelta) -> timedelta:
     """How long the new process of an upgrade, so old by now, waits for its first list."""
-    return max(LEAST_LIST_WAIT, LISTED_BY - age)
+    return max(MIN_LIST_WAIT, LIST_DEADLINE - age)
 
 
 @dataclass(frozen=True, slots=True)
-class RosterView:
+class ProcessRegistryView:
     """What the processes of a front know of each other."""
 
     processes: int = 1  # that live, this one among them
@@ -79,7 +81,7 @@
     has_ready_successor: bool = False
 
 
-class Roster:
+class ProcessRegistry:
     """Which processes of this front live, in the order of their starts. Without a folder, this one alone.
 
     `exchange` may run in a thread while the others are called from the event loop.
@@ -87,70 +89,70 @@
 
     def __init__(self, folder: Path | None) -> None:
         self._folder = folder
-        self._own: IO[str] | None = None
+        self._own_file: IO[str] | None = None
         self._lock = threading.Lock()  # of the own file, which `leave` closes
         self._ready = False
         self._name = f"{time.monotonic_ns():020d}-{secrets.token_hex(4)}{SUFFIX}"  # one clock for all processes
 
-    def join(self) -> None:
+    def register(self) -> None:
         if self._folder is None:
             return
         try:
             fresh = (self._folder / self._name).with_suffix(".new")
-            self._own = fresh.open("w")
-            fcntl.flock(self._own, fcntl.LOCK_EX)
+            self._own_file = fresh.open("w")
+            fcntl.flock(self._own_file, fcntl.LOCK_EX)
             fresh.replace(self._folder / self._name)  # under its name it is never seen without its lock
         except OSError as why:
             log.error("other processes of this front are not seen", extra={"why": str(why)})
             self._folder = None
 
-    def tell_ready(self) -> None:
+    def mark_ready(self) -> None:
         """From now on this process serves new connections."""
         self._ready = True
 
-    def tell(self, descriptors: int) -> None:
+    def publish(self, descriptors: int) -> None:
         """Tells the others how many descriptors this process holds, and whether it is ready."""
         state = ProcessState(self._ready, descriptors)
         with self._lock:
-            if self._own is None:
+            if self._own_file is None:
                 return
             try:
-                os.pwrite(self._own.fileno(), state.dump(), 0)  # always of one length: never seen in part
+                os.pwrite(self._own_file.fileno(), state.dump(), 0)  # always of one length: never seen in part
             except OSError as why:
                 log.error("other processes of this front do not see this one", extra={"why": str(why)})
 
-    def exchange(self, descriptors: int) -> RosterView:
+    def publish_and_read(self, descriptors: int) -> ProcessRegistryView:
         """Tells the others how many descriptors this process holds, and gives what they tell.
 
         It opens, locks and closes files. A disk may hold any of that up, so it has no place in the event loop.
         """
-        self.tell(descriptors)
-        return self._look()
+        self.publish(descriptors)
+        return self._read_others()
 
-    def leave(self) -> None:
+    def unregister(self) -> None:
         with self._lock:
-            if self._own is not None and self._folder is not None:
+            if self._own_file is not None and self._folder is not None:
                 (self._folder / self._name).unlink(missing_ok=True)
-                self._own.close()
-                self._own = None
+                self._own_file.close()
+                self._own_file = None
 
     def has_predecessor(self) -> bool:
         return any(name < self._name for name in self._others())
 
     def has_ready_successor(self) -> bool:
-        return self._look().has_ready_successor
+        return self._read_others().has_ready_successor
 
     def descriptors_of_others(self) -> int:
         """Descriptors that the other processes told of last."""
-        return self._look().descriptors_of_others
+        return self._read_others().descriptors_of_others
 
-    def size(self) -> int:
+    def process_count(self) -> int:
         """Processes that live, this one among them."""
-        return self._look().processes
+        return self._read_others().processes
 
-    def _look(self) -> RosterView:
+    def _read_others(self) -> ProcessRegistryView:
         told = {name: self._state(name) for name in self._others()}
-        return RosterView(
+        return ProcessRegistryView(
             1 + len(told),
             sum(state.descriptors for state in told.values()),
             any(name > self._name and state.ready for name, state in told.items()),
@@ -163,9 +165,9 @@
             found = [path.name for path in self._folder.glob(f"*{SUFFIX}")]
         except OSError:
             return []
-        return [name for name in found if name != self._name and self._lives(name)]
+        return [name for name in found if name != self._name and self._is_alive(name)]
 
-    def _lives(self, name: str) -> bool:
+    def _is_alive(self, name: str) -> bool:
         assert self._folder is not None
         path = self._folder / name
         try:
--- a/tests/test_chunks.py
+++ b/tests/test_chunks.py
@@ -128,7 +128,7 @@
     async def story():
         attempt = Attempt(Request("v", "read", "gold", timedelta(seconds=5)), 0, "n", timedelta(milliseconds=1))
         with pytest.raises(TimeoutError):
-            async with attempt.limited():
+            async with attempt.time_limit():
                 try:
                     await asyncio.sleep(10)
                 except asyncio.CancelledError:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -16,8 +16,8 @@
     WrongMethod,
     read_command,
 )
-from ochrespan.control.statsd import text
-from ochrespan.metric_samples import Reading
+from ochrespan.control.statsd import statsd_text
+from ochrespan.metric_samples import MetricSample
 
 from .controlled_front import Controlled
 from .front_harness import World, play, until
@@ -69,13 +69,13 @@
 
 
 def test_readings_become_statsd_lines_and_no_name_ends_early():
-    readings = [
-        Reading("success", "photo-read", 812, True),
-        Reading("front", "concurrent", 14, False),
-        Reading("error", "a:b|c d", 1, True),
-        Reading("front", "dispatches", 12345678, True),
+    samples = [
+        MetricSample("success", "photo-read", 812, True),
+        MetricSample("front", "concurrent", 14, False),
+        MetricSample("error", "a:b|c d", 1, True),
+        MetricSample("front", "dispatches", 12345678, True),
     ]
-    assert text(readings) == (
+    assert statsd_text(samples) == (
         "balancer.success.photo-read:812|c\nbalancer.concurrent:14|g\nbalancer.error.a_b_c_d:1|c\n"
         "balancer.dispatches:12345678|c\n"
     )
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -82,10 +82,10 @@
     def __init__(self) -> None:
         self.kinds: list[ListKind] = []
 
-    def on_list_wanted(self, call) -> None:
+    def on_watch_requested(self, call) -> None:
         self.want = call
 
-    def listing(self, kind, nodes=None) -> None:
+    def update_servers(self, kind, nodes=None) -> None:
         self.kinds.append(kind)
         if kind is ListKind.FAILED:
             self.want()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,7 +17,7 @@
 from ochrespan.net.guard import MOST_AHEAD, State
 from ochrespan.net.http1 import Http1Server
 from ochrespan.net.listener import Listener
-from ochrespan.shutdown_schedule import plan
+from ochrespan.shutdown_schedule import shutdown_schedule
 
 from .front_harness import MOST_RUNS, MS, World, free_port, play, play_in_time, until
 from .test_guard import raw
@@ -28,14 +28,16 @@
     ("longest", "killed"), [(0.1, 0.8), (0.42, 1.12), (0.76, 1.46), (0.85, 1.55), (3, 3.7), (15, 3.7)]
 )
 def test_the_phases_follow_each_other_before_the_platform_kills(longest, killed):
-    ending = plan([timedelta(seconds=0.05), timedelta(seconds=longest)])
-    assert ending.killed == timedelta(seconds=killed)
-    assert ending.closing < ending.answered < ending.gone < ending.killed
-    assert timedelta(seconds=0.4) < ending.accepts <= ending.gone
-    assert ending.killed - ending.gone > timedelta(seconds=0.15)
+    ending = shutdown_schedule([timedelta(seconds=0.05), timedelta(seconds=longest)])
+    assert ending.kill_at == timedelta(seconds=killed)
+    assert ending.close_connections_from < ending.answer_deadline < ending.exit_at < ending.kill_at
+    assert timedelta(seconds=0.4) < ending.accept_until <= ending.exit_at
+    assert ending.kill_at - ending.exit_at > timedelta(seconds=0.15)
     if longest >= 0.85:
-        spans = [ending.killed - at for at in (ending.closing, ending.answered, ending.gone)]
-        assert spans == [timedelta(seconds=s) for s in (0.75, 0.4, 0.3)] and ending.accepts == timedelta(seconds=0.8)
+        spans = [ending.kill_at - at for at in (ending.close_connections_from, ending.answer_deadline, ending.exit_at)]
+        assert spans == [timedelta(seconds=s) for s in (0.75, 0.4, 0.3)] and ending.accept_until == timedelta(
+            seconds=0.8
+        )
 
 
 def test_where_all_deadlines_are_short_all_is_answered_and_over_before_the_kill():
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -46,10 +46,10 @@
             self.more -= 1
             hold.attempts += 1
 
-    def settle(self, now, hold, sent, ran):
+    def release(self, now, hold, sent, ran):
         self.settled.append((sent, ran))
 
-    def heard(self, now, hold, units):
+    def record_usage_elsewhere(self, now, hold, units):
         self.heard_units += units
 
 
@@ -66,7 +66,7 @@
             raise RuntimeError("something of ours")
         if act == "hang":
             try:
-                async with attempt.limited():
+                async with attempt.time_limit():
                     await asyncio.Event().wait()
             except TimeoutError:
                 act = Status.TIMEOUT
@@ -76,19 +76,19 @@
 
 async def run(script, gate: Gate, cls: str = "read", plan: str = "", leave: bool = False, end: bool = False, **more):
     broker = Broker(settings(max_attempts=3, **more))
-    broker.admit_by(gate)
-    broker.listing(ListKind.FULL, [Node("n0", 0)])
+    broker.set_admission_gate(gate)
+    broker.update_servers(ListKind.FULL, [Node("n0", 0)])
     client = Client(*script)
     request = Request("v", cls, plan, timedelta(seconds=1), 2.0, 0, claim=Claim(token="t"))
     if end:
-        broker.end_within(timedelta(seconds=0.05))
+        broker.complete_within(timedelta(seconds=0.05))
     task = asyncio.create_task(serve(broker, client, request, Message("GET", "/")))
     if leave:
         while not client.out:
             await asyncio.sleep(0.001)
         task.cancel()
     got = (await asyncio.gather(task, return_exceptions=True))[0]
-    assert broker.held == 0
+    assert broker.pending == 0
     broker.close()
     return got, client, broker
 
@@ -144,7 +144,7 @@
 
     async def story():
         broker = Broker(settings())
-        broker.admit_by(gate)
+        broker.set_admission_gate(gate)
         for request in (
             Request("v", "made-up", "", timedelta(1), claim=Claim()),
             Request("v", "read", "", timedelta(1), units=1e9, claim=Claim()),
--- a/tests/test_long_bodies.py
+++ b/tests/test_long_bodies.py
@@ -33,7 +33,7 @@
     def __init__(self, *pieces: bytes) -> None:
         self._pieces = list(pieces)
 
-    async def read_some(self) -> bytes:
+    async def read_available(self) -> bytes:
         return self._pieces.pop(0) if self._pieces else b""
 
 
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -8,7 +8,15 @@
 
 from ochrespan.net.discovery import Directory
 from ochrespan.requests import Node, NodeState
-from ochrespan.suspension import FILE, REMEMBERED, BadFile, SuspendedServers, SuspensionFile, dump, parse
+from ochrespan.suspension import (
+    FILE_NAME,
+    RESUMED_RETENTION_S,
+    BadSuspensionFile,
+    SuspendedServers,
+    SuspensionFile,
+    dump,
+    parse,
+)
 
 from .controlled_front import Controlled
 from .front_harness import play, until
@@ -35,9 +43,9 @@
 def test_a_suspended_server_drains_whatever_the_list_says_and_a_removed_one_stays_removed():
     suspended = SuspendedServers()
     suspended.suspend("a")
-    assert suspended.as_usable(Node("a", state=NodeState.READY)).state is NodeState.DRAINING
-    assert suspended.as_usable(Node("a", state=NodeState.GONE)).state is NodeState.GONE
-    assert suspended.as_usable(Node("b")) == Node("b")
+    assert suspended.effective_entry(Node("a", state=NodeState.READY)).state is NodeState.DRAINING
+    assert suspended.effective_entry(Node("a", state=NodeState.GONE)).state is NodeState.GONE
+    assert suspended.effective_entry(Node("b")) == Node("b")
 
 
 def test_a_resumed_server_counts_as_just_started_until_the_list_tells_of_its_start():
@@ -47,11 +55,11 @@
     clock.now += 30
     suspended.resume("a")
     back = datetime.fromtimestamp(clock.now, UTC)
-    assert suspended.as_usable(Node("a")).started_at == back
+    assert suspended.effective_entry(Node("a")).started_at == back
     before = datetime.fromtimestamp(clock.now - 60, UTC)
-    assert suspended.as_usable(Node("a", started_at=before)).started_at == back
+    assert suspended.effective_entry(Node("a", started_at=before)).started_at == back
     meanwhile = datetime.fromtimestamp(clock.now - 10, UTC)
-    assert suspended.as_usable(Node("a", started_at=meanwhile)).started_at == meanwhile
+    assert suspended.effective_entry(Node("a", started_at=meanwhile)).started_at == meanwhile
 
 
 def test_a_list_or_a_change_lifts_no_suspension():
@@ -87,9 +95,9 @@
     suspended = SuspendedServers(SuspensionFile(tmp_path), clock)
     suspended.suspend("a")
     suspended.resume("a")
-    clock.now += REMEMBERED + 1
+    clock.now += RESUMED_RETENTION_S + 1
     suspended.suspend("b")
-    assert list(parse((tmp_path / FILE).read_text())) == ["b"]
+    assert list(parse((tmp_path / FILE_NAME).read_text())) == ["b"]
 
 
 @pytest.mark.parametrize(
@@ -108,9 +116,9 @@
     ],
 )
 def test_a_corrupt_or_half_file_is_told_and_ignored_and_the_next_change_replaces_it(text, tmp_path, caplog):
-    with pytest.raises(BadFile):
+    with pytest.raises(BadSuspensionFile):
         parse(text)
-    (tmp_path / FILE).write_text(text)
+    (tmp_path / FILE_NAME).write_text(text)
     with caplog.at_level(logging.ERROR):
         suspended = SuspendedServers(SuspensionFile(tmp_path))
     assert "a" not in suspended and [record.message for record in caplog.records]
@@ -121,7 +129,7 @@
 def test_a_corrupt_file_does_not_lift_what_is_known(tmp_path):
     suspended = SuspendedServers(SuspensionFile(tmp_path))
     suspended.suspend("a")
-    (tmp_path / FILE).write_text(dump(parse((tmp_path / FILE).read_text()))[:-5])
+    (tmp_path / FILE_NAME).write_text(dump(parse((tmp_path / FILE_NAME).read_text()))[:-5])
     assert not suspended.refresh() and "a" in suspended
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,8 +13,16 @@
 from ochrespan.net.client_session import open_session
 from ochrespan.net.listener import Listener
 from ochrespan.settings import Links
-from ochrespan.sockets import Sockets
-from ochrespan.upgrade import LEAST_LIST_WAIT, LISTED_BY, Roster, RosterView, list_wait, process_age, shared_folder
+from ochrespan.sockets import SocketBudget
+from ochrespan.upgrade import (
+    LIST_DEADLINE,
+    MIN_LIST_WAIT,
+    ProcessRegistry,
+    ProcessRegistryView,
+    list_wait,
+    process_age,
+    shared_folder,
+)
 
 from .controlled_front import Controlled
 from .front_harness import free_port, play, until
@@ -26,61 +34,61 @@
 
 def test_a_roster_knows_who_lives_who_came_first_and_who_is_ready(tmp_path):
     folder = shared_folder(str(tmp_path), "n0")
-    first, second = Roster(folder), Roster(folder)
-    first.join()
-    assert first.size() == 1 and not first.has_predecessor() and not first.has_ready_successor()
-    second.join()
-    assert first.size() == second.size() == 2
+    first, second = ProcessRegistry(folder), ProcessRegistry(folder)
+    first.register()
+    assert first.process_count() == 1 and not first.has_predecessor() and not first.has_ready_successor()
+    second.register()
+    assert first.process_count() == second.process_count() == 2
     assert second.has_predecessor() and not first.has_predecessor()
     assert not first.has_ready_successor()
-    second.tell(17)
+    second.publish(17)
     assert not first.has_ready_successor() and first.descriptors_of_others() == 17
-    second.tell_ready()
-    second.tell(123456)
+    second.mark_ready()
+    second.publish(123456)
     assert first.descriptors_of_others() == 123456
     assert first.has_ready_successor() and not second.has_ready_successor()
-    second._own.close()  # as the end of its process does, whatever ended it
-    assert first.size() == 1 and not first.has_ready_successor()
+    second._own_file.close()  # as the end of its process does, whatever ended it
+    assert first.process_count() == 1 and not first.has_ready_successor()
 
 
 def test_what_processes_exchange_is_what_each_told(tmp_path):
     folder = shared_folder(str(tmp_path), "n0")
-    first, second = Roster(folder), Roster(folder)
-    first.join()
-    assert first.exchange(5) == RosterView()
-    second.join()
-    second.tell_ready()
-    assert second.exchange(40) == RosterView(2, 5, False)
-    assert first.exchange(6) == RosterView(2, 40, True)
-    second.leave()
-    second.exchange(3)  # one that was under way in a thread when its process left
-    assert first.exchange(6) == RosterView()
+    first, second = ProcessRegistry(folder), ProcessRegistry(folder)
+    first.register()
+    assert first.publish_and_read(5) == ProcessRegistryView()
+    second.register()
+    second.mark_ready()
+    assert second.publish_and_read(40) == ProcessRegistryView(2, 5, False)
+    assert first.publish_and_read(6) == ProcessRegistryView(2, 40, True)
+    second.unregister()
+    second.publish_and_read(3)  # one that was under way in a thread when its process left
+    assert first.publish_and_read(6) == ProcessRegistryView()
 
 
 def test_a_disk_that_holds_up_the_files_of_an_upgrade_does_not_hold_up_the_front(tmp_path):
     """An event loop that did this work itself stood for 1.85 s in an upgrade; whether by this work was not proven."""
 
-    class HeldUp(Roster):
+    class HeldUp(ProcessRegistry):
         asked, released = threading.Event(), threading.Event()
 
-        def exchange(self, descriptors: int) -> RosterView:
+        def publish_and_read(self, descriptors: int) -> ProcessRegistryView:
             self.asked.set()
             assert self.released.wait(20)
-            return RosterView(2, 7, True)
+            return ProcessRegistryView(2, 7, True)
 
     class Switch:
         def refresh(self) -> None:
             pass
 
     async def story():
-        roster, lifecycle, sockets = HeldUp(shared_folder(str(tmp_path), "n0")), Lifecycle(), Sockets(384, True)
-        roster.join()
+        roster, lifecycle, sockets = HeldUp(shared_folder(str(tmp_path), "n0")), Lifecycle(), SocketBudget(384, True)
+        roster.register()
         session = open_session(Links(timedelta(seconds=1), timedelta(seconds=1)), 8)
         following = asyncio.create_task(follow_processes(roster, Switch(), lifecycle, sockets, session, []))
         await until(roster.asked.is_set)  # the loop goes on
-        assert not lifecycle.succeeded
+        assert not lifecycle.has_successor
         roster.released.set()
-        await until(lambda: lifecycle.succeeded)
+        await until(lambda: lifecycle.has_successor)
         following.cancel()
         await session.close()
 
@@ -89,17 +97,20 @@
 
 def test_a_new_process_that_starts_slowly_waits_less_for_its_list():
     """On a busy machine the start took seconds, the wait 3 s more, and the process was not ready within 6 s."""
-    assert list_wait(timedelta()) == LISTED_BY
-    assert list_wait(timedelta(seconds=1)) == LISTED_BY - timedelta(seconds=1)
-    assert list_wait(timedelta(seconds=5)) == LEAST_LIST_WAIT
+    assert list_wait(timedelta()) == LIST_DEADLINE
+    assert list_wait(timedelta(seconds=1)) == LIST_DEADLINE - timedelta(seconds=1)
+    assert list_wait(timedelta(seconds=5)) == MIN_LIST_WAIT
     assert timedelta() < process_age() < timedelta(hours=1)
 
 
 def test_fronts_of_other_names_are_not_on_the_roster(tmp_path):
-    mine, other = Roster(shared_folder(str(tmp_path), "n0")), Roster(shared_folder(str(tmp_path), "n1"))
-    mine.join()
-    other.join()
-    assert mine.size() == other.size() == 1
+    mine, other = (
+        ProcessRegistry(shared_folder(str(tmp_path), "n0")),
+        ProcessRegistry(shared_folder(str(tmp_path), "n1")),
+    )
+    mine.register()
+    other.register()
+    assert mine.process_count() == other.process_count() == 1
 
 
 @pytest.mark.parametrize("limit", [128, 384, 1024])
@@ -109,10 +120,10 @@
         def resize(self, most, most_quiet):
             self.most = most
 
-    clients, sockets = Bound(), Sockets(limit, controlled=True)
+    clients, sockets = Bound(), SocketBudget(limit, controlled=True)
     held = int(part * limit)
-    assert sockets.leave_to_others(held) == (held > 0)
-    sockets.share([clients], 1)
+    assert sockets.reserve_for_others(held) == (held > 0)
+    sockets.allocate([clients], 1)
     reserve = 72
     assert clients.most >= 1 and sockets.outgoing >= 1
     assert clients.most + sockets.outgoing <= max(2, limit - reserve - held)
