--- a/tests/controlled_front.py
+++ b/tests/controlled_front.py
@@ -10,13 +10,13 @@
 
 import aiohttp
 
-from .front_harness import World, free_port, until
+from .front_harness import FrontHarness, free_port, wait_until
 
 
-class Controlled(World):
+class ControlledFront(FrontHarness):
     """A `World` whose front has a control address and a folder that its processes share."""
 
-    async def __aenter__(self) -> Controlled:
+    async def __aenter__(self) -> ControlledFront:
         self.temporary = tempfile.TemporaryDirectory()
         self.control = free_port()
         self.env |= {"BALANCER_CONTROL": f"127.0.0.1:{self.control}", "TMPDIR": self.temporary.name}
@@ -41,7 +41,7 @@
     async def resume(self, server: str, port: int = 0) -> int:
         return (await self.command(f"/v1/chunk-servers/{server}/resume", port=port))[0]
 
-    async def figures(self, port: int = 0) -> dict[str, float]:
+    async def metrics(self, port: int = 0) -> dict[str, float]:
         """The figures by name; each line has the statsd form."""
         status, text = await self.command("/v1/metrics", "GET", port)
         assert status == 200
@@ -64,7 +64,7 @@
 class Successor:
     """A further process of a front, under the same addresses but for the control address."""
 
-    def __init__(self, world: Controlled) -> None:
+    def __init__(self, world: ControlledFront) -> None:
         self.world, self.control, self.log = world, free_port(), ""
 
     async def start(self, **env: str) -> None:
@@ -74,7 +74,7 @@
             world.env
             | {
                 "BALANCER_CONFIG": str(world.config),
-                "BALANCER_DISCOVERY": world.told["discovery"],
+                "BALANCER_DISCOVERY": world.config_document["discovery"],
                 "BALANCER_CONTROL": f"127.0.0.1:{self.control}",
             }
             | env
@@ -106,4 +106,4 @@
             self.log += line.decode()
 
 
-__all__ = ["Controlled", "Successor", "until"]
+__all__ = ["ControlledFront", "Successor", "wait_until"]
--- a/tests/front_harness.py
+++ b/tests/front_harness.py
@@ -25,7 +25,7 @@
 MS = 1_000_000
 
 
-def settings(nodes: int, **changes) -> dict:
+def front_settings(nodes: int, **changes) -> dict:
     def cls(name, aim_ms, deadline_ms):
         return {
             "Name": name,
@@ -83,20 +83,20 @@
     return told
 
 
-class Node:
+class StubChunkServer:
     """A chunk server that keeps what is written; `script` says what it does to coming requests instead."""
 
     def __init__(self, shard: int) -> None:
         self.id, self.shard, self.phase, self.address = f"s-{shard}", shard, "up", ""
-        self.script: deque[str | bytes] = deque()  # bytes are sent as they are
-        self.always = ""
+        self.scripted_responses: deque[str | bytes] = deque()  # bytes are sent as they are
+        self.default_response = ""
         self.delay, self.up_since_ms = 0.0, 0
         self.stored: dict[str, bytes] = {}
-        self.seen: list[tuple[str, str, dict[str, str], bytes]] = []
-        self.out: dict[str, int] = {}  # attempts on open connections, by trace id
-        self.held: dict[socket.socket, str] = {}
-        self.copies = 0  # times that a second attempt came while one was out
-        self.connections, self.socks = 0, list[socket.socket]()
+        self.received: list[tuple[str, str, dict[str, str], bytes]] = []
+        self.in_flight: dict[str, int] = {}  # attempts on open connections, by trace id
+        self.open_requests: dict[socket.socket, str] = {}
+        self.overlapping_attempts = 0  # times that a second attempt came while one was out
+        self.connections, self.connection_sockets = 0, list[socket.socket]()
         self.released = asyncio.Event()
 
     async def start(self) -> None:
@@ -105,7 +105,7 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
-        self.socks.append(writer.get_extra_info("socket"))
+        self.connection_sockets.append(writer.get_extra_info("socket"))
         try:
             while await self._one(reader, writer):
                 pass
@@ -118,25 +118,25 @@
         head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
         method, path, _ = head[0].split(" ")
         headers = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in head[1:] if line)}
-        if self.script and self.script[0] == "cut":
-            self.script.popleft()
+        if self.scripted_responses and self.scripted_responses[0] == "cut":
+            self.scripted_responses.popleft()
             writer.transport.abort()  # with most of the body unread
             return False
         body = await reader.readexactly(int(headers.get("content-length", 0)))
         trace = headers.get("x-trace-id", "")
-        self.seen.append((method, path, headers, body))
+        self.received.append((method, path, headers, body))
         sock = writer.get_extra_info("socket")
-        self.copies += any(is_open(other) for other, held in self.held.items() if held == trace)
-        self.held[sock] = trace
-        self.out[trace] = self.out.get(trace, 0) + 1
+        self.overlapping_attempts += any(is_open(other) for other, held in self.open_requests.items() if held == trace)
+        self.open_requests[sock] = trace
+        self.in_flight[trace] = self.in_flight.get(trace, 0) + 1
         try:
             return await self._act(method, path, body, reader, writer)
         finally:
-            self.out[trace] -= 1
-            self.held.pop(sock, None)
+            self.in_flight[trace] -= 1
+            self.open_requests.pop(sock, None)
 
     async def _act(self, method, path, body, reader, writer) -> bool:
-        act = self.script.popleft() if self.script else self.always
+        act = self.scripted_responses.popleft() if self.scripted_responses else self.default_response
         if act == "reset":
             writer.transport.abort()
             return False
@@ -178,18 +178,20 @@
         return act != "close"
 
 
-class World:
-    def __init__(self, nodes: int = 2, operator: str = "", rank: int = 0, shared: World | None = None, **changes):
-        self.nodes = shared.nodes if shared else [Node(i) for i in range(nodes)]
-        self.settings = settings(len(self.nodes), Rank=rank, **changes)
+class FrontHarness:
+    def __init__(
+        self, nodes: int = 2, operator: str = "", rank: int = 0, shared: FrontHarness | None = None, **changes
+    ):
+        self.nodes = shared.nodes if shared else [StubChunkServer(i) for i in range(nodes)]
+        self.settings = front_settings(len(self.nodes), Rank=rank, **changes)
         self.operator, self.shared = operator, shared
         self.revision, self.failing, self.calls = 0, 0, []
         self.changed: list[tuple[int, dict]] = []
-        self.news = asyncio.Event()
+        self.update_published = asyncio.Event()
         self.log, self.sockets = "", 1024
         self.env: dict[str, str] = {}  # further variables for the front
 
-    def entry(self, node: Node) -> dict:
+    def entry(self, node: StubChunkServer) -> dict:
         return {
             "id": node.id,
             "host_port": node.address,
@@ -201,12 +203,12 @@
             "up_since_ms": node.up_since_ms,
         }
 
-    def tell(self, node: Node, phase: str) -> None:
+    def publish_state(self, node: StubChunkServer, phase: str) -> None:
         node.phase = phase
         self.revision += 1
         self.changed.append((self.revision, self.entry(node)))
-        self.news.set()
-        self.news = asyncio.Event()
+        self.update_published.set()
+        self.update_published = asyncio.Event()
 
     async def open_discovery(self, handler=None) -> str:
         server = await asyncio.get_running_loop().create_server(
@@ -215,7 +217,7 @@
         return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
     def reload(self, text: str | None = None, **changes) -> None:
-        self.config.write_text(json.dumps(self.told | changes) if text is None else text)
+        self.config.write_text(json.dumps(self.config_document | changes) if text is None else text)
         self.process.send_signal(signal.SIGHUP)
 
     def change_operator(self, text: str) -> None:
@@ -231,20 +233,20 @@
             return web.Response(status=503)
         if after is not None and int(after) >= self.revision:
             with suppress(TimeoutError):
-                await asyncio.wait_for(self.news.wait(), int(request.query["wait_ms"]) / 1000)
+                await asyncio.wait_for(self.update_published.wait(), int(request.query["wait_ms"]) / 1000)
         members = [entry for at, entry in self.changed if after is not None and at > int(after)]
         if after is None:
             members = [self.entry(node) for node in self.nodes]
         return web.json_response({"revision": self.revision, "complete": after is None, "members": members})
 
-    async def __aenter__(self) -> World:
+    async def __aenter__(self) -> FrontHarness:
         self.folder = tempfile.TemporaryDirectory()
         if self.shared is None:
             for node in self.nodes:
                 await node.start()
         self.port, self.object_port = free_port(), free_port()
         known = {"revision": 0, "complete": True, "members": [self.entry(node) for node in self.nodes]}
-        self.config, self.told = (
+        self.config, self.config_document = (
             Path(self.folder.name, "config.json"),
             {
                 "name": "n0",
@@ -256,7 +258,7 @@
                 "settings": self.settings,
             },
         )
-        self.config.write_text(json.dumps(self.told))
+        self.config.write_text(json.dumps(self.config_document))
         command = [sys.executable, "-m", "ochrespan"]
         if self.operator:
             self.operator_file = Path(self.folder.name, "operator.toml")
@@ -266,7 +268,7 @@
         env |= self.env | {
             "BALANCER_CONFIG": str(self.config),
             "http_proxy": "http://127.0.0.1:9",
-            "BALANCER_DISCOVERY": self.told["discovery"],
+            "BALANCER_DISCOVERY": self.config_document["discovery"],
         }
         self.process = await asyncio.create_subprocess_exec(*command, env=env, stderr=asyncio.subprocess.PIPE)
         self.reading = asyncio.create_task(self._read_log())
@@ -302,16 +304,16 @@
         async with self.session.request(method, url, data=body or None, headers=headers) as answer:
             return answer.status, answer.headers, await answer.read()
 
-    async def ask(self, trace: str = "t1", method: str = "GET", body: bytes = b"", shard: int = 0, **changes):
+    async def send_request(self, trace: str = "t1", method: str = "GET", body: bytes = b"", shard: int = 0, **changes):
         """A request in the platform's form."""
-        return await self.call(method, f"/api/{VOLUME}/{KEY}", body, ask_headers(trace, shard, **changes))
+        return await self.call(method, f"/api/{VOLUME}/{KEY}", body, request_headers(trace, shard, **changes))
 
-    async def objects(self, method: str, path: str, body: bytes = b"", **headers):
+    async def object_request(self, method: str, path: str, body: bytes = b"", **headers):
         names = {name.replace("_", "-"): value for name, value in headers.items()}
         return await self.call(method, path, body, names, self.object_port)
 
 
-def ask_headers(trace: str, shard: int, left: str = "2000", cls: str = "read", **more) -> dict:
+def request_headers(trace: str, shard: int, left: str = "2000", cls: str = "read", **more) -> dict:
     return {
         "X-Trace-Id": trace,
         "X-Qos": cls,
@@ -321,7 +323,7 @@
     } | more
 
 
-class Lines:
+class StubGraphite:
     """A stand-in for Graphite: the newest value of each name."""
 
     def __init__(self) -> None:
@@ -348,11 +350,11 @@
         return False
 
 
-def play(story: Coroutine) -> None:
+def run_scenario(story: Coroutine) -> None:
     asyncio.run(asyncio.wait_for(story, 60))
 
 
-async def until(condition, seconds: float = 10.0) -> None:
+async def wait_until(condition, seconds: float = 10.0) -> None:
     """Waits for something that must come; how long it takes is not judged."""
     ends = time.monotonic() + seconds
     while not condition():
@@ -360,20 +362,20 @@
         await asyncio.sleep(0.01)
 
 
-LATE_S, MOST_RUNS = 0.05, 6  # of the test's own timer, from which a run says nothing of spans
+MAX_TIMER_DELAY_S, MAX_RUNS = 0.05, 6  # of the test's own timer, from which a run says nothing of spans
 
 
-def play_in_time(story: Callable[[], Coroutine]) -> None:
+def run_timed_scenario(story: Callable[[], Coroutine]) -> None:
     """Plays a story whose spans are judged. A run that fails says nothing if the machine did not keep time in it."""
-    for _ in range(MOST_RUNS):
+    for _ in range(MAX_RUNS):
         lateness = [0.0]
         try:
-            play(_timed(story(), lateness))
+            run_scenario(_timed(story(), lateness))
             return
         except AssertionError:
-            if lateness[0] <= LATE_S:
+            if lateness[0] <= MAX_TIMER_DELAY_S:
                 raise
-    raise AssertionError(f"{MOST_RUNS} runs failed, and the machine was up to {lateness[0]:.2f} s late in the last")
+    raise AssertionError(f"{MAX_RUNS} runs failed, and the machine was up to {lateness[0]:.2f} s late in the last")
 
 
 async def _timed(story: Coroutine, lateness: list[float]) -> None:
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -6,7 +6,7 @@
 
 from ochrespan.net.answers import MOST_BODY, AnswerReader, Spoilt
 
-from .front_harness import KEY, VOLUME, World, play
+from .front_harness import KEY, VOLUME, FrontHarness, run_scenario
 
 OK = b"HTTP/1.1 200 OK\r\n"
 ODD = b"Endpoint-Load-Metrics: TEXT depth=?, load_share=\xff\r\nX-Served-Elsewhere: lots\r\n"
@@ -58,34 +58,34 @@
     """aiohttp forgave some of these, and read what never ended until the memory was gone."""
 
     async def story():
-        async with World(1) as world:
+        async with FrontHarness(1) as world:
             node = world.nodes[0]
             node.stored[f"/api/{VOLUME}/{KEY}"] = b"the answer"
-            node.script.append(raw)
-            status, _, body = await world.ask("t1")
+            node.scripted_responses.append(raw)
+            status, _, body = await world.send_request("t1")
             assert (status, body) == (200, b"the answer")
-            assert (len(node.seen), node.connections, node.copies) == (2, 2, 0)
-            node.script.append(raw)
-            assert (await world.ask("t2", cls="once"))[0] == 502  # it may have run
+            assert (len(node.received), node.connections, node.overlapping_attempts) == (2, 2, 0)
+            node.scripted_responses.append(raw)
+            assert (await world.send_request("t2", cls="once"))[0] == 502  # it may have run
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize("raw", MORE, ids=range(len(MORE)))
 def test_a_good_answer_is_served_and_what_follows_it_is_nobodys_answer(raw):
     async def story():
-        async with World(1) as world:
+        async with FrontHarness(1) as world:
             node = world.nodes[0]
             node.stored[f"/api/{VOLUME}/{KEY}"] = b"the answer"
             for number in range(4):
-                node.script.append(raw)
-                status, _, body = await world.ask(f"a{number}")
+                node.scripted_responses.append(raw)
+                status, _, body = await world.send_request(f"a{number}")
                 assert (status, body) == (200, b"good")
-                status, _, body = await world.ask(f"b{number}")
+                status, _, body = await world.send_request(f"b{number}")
                 assert (status, body) == (200, b"the answer")
-            assert len(node.seen) == 8 and node.copies == 0
+            assert len(node.received) == 8 and node.overlapping_attempts == 0
 
-    play(story())
+    run_scenario(story())
 
 
 @seed(1)
--- a/tests/test_chunks.py
+++ b/tests/test_chunks.py
@@ -18,7 +18,7 @@
 from ochrespan.net.reports import read_load, read_units
 from ochrespan.settings import Links
 
-from .front_harness import Node, is_open, play
+from .front_harness import StubChunkServer, is_open, run_scenario
 
 LINKS = Links(timedelta(seconds=0.5), timedelta(seconds=15))
 UNREAD = 32 << 20  # far more than the kernel takes for a peer that does not read
@@ -43,7 +43,7 @@
             outcome, answer = await ChunkClient(session, directory).send(attempt, message)
         assert outcome.status is wanted and answer is None
 
-    play(story())
+    run_scenario(story())
 
 
 def test_a_connection_that_never_comes_up_counts_as_not_connected():
@@ -64,14 +64,14 @@
                 one.close()
         assert outcome.status is Status.CONNECT_FAILED and outcome.latency < timedelta(seconds=10)
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize(("idle", "wanted"), [(timedelta(seconds=1), 2), (timedelta(seconds=100), 1)])
 def test_a_connection_is_not_used_once_it_was_idle_for_a_good_part_of_the_limit(idle, wanted):
     async def story():
-        node = Node(0)
-        node.always = "any"
+        node = StubChunkServer(0)
+        node.default_response = "any"
         await node.start()
         directory = Directory()
         directory.addresses["n"] = node.address
@@ -83,16 +83,16 @@
                 await asyncio.sleep(0.6)
         assert node.connections == wanted
 
-    play(story())
+    run_scenario(story())
 
 
 def test_idle_connections_count_and_the_one_that_rested_longest_goes_first():
     """With more chunk servers than descriptors for them, the idle ones took those of clients."""
 
     async def story():
-        nodes, directory = [Node(i) for i in range(9)], Directory()
+        nodes, directory = [StubChunkServer(i) for i in range(9)], Directory()
         for node in nodes:
-            node.always = "any"
+            node.default_response = "any"
             await node.start()
             directory.addresses[node.id] = node.address
         request = Request("v", "r", "g", timedelta(seconds=5))
@@ -102,13 +102,13 @@
                 attempt = Attempt(request, number, nodes[number % 9].id, timedelta(seconds=5))
                 assert (await client.send(attempt, Message("GET", "/x")))[0].status is Status.OK
                 await asyncio.sleep(0.02)  # what is closed has gone
-                there = sum(is_open(sock) for node in nodes for sock in node.socks)
+                there = sum(is_open(sock) for node in nodes for sock in node.connection_sockets)
                 assert there == min(4, number + 1)
             again = Attempt(request, 18, nodes[5].id, timedelta(seconds=5))  # the oldest of the four
             assert (await client.send(again, Message("GET", "/x")))[0].status is Status.OK
         assert [node.connections for node in nodes] == [2] * 9
 
-    play(story())
+    run_scenario(story())
 
 
 def test_an_attempt_taken_back_before_it_began_sends_nothing():
@@ -119,7 +119,7 @@
             outcome, _ = await ChunkClient(session, Directory()).send(attempt, Message("GET", "/x"))
         assert outcome.status is Status.MOOT  # it never ran
 
-    play(story())
+    run_scenario(story())
 
 
 def test_an_attempt_can_be_taken_back_while_its_limit_runs_out():
@@ -136,7 +136,7 @@
                     raise
         assert attempt.revoked
 
-    play(story())
+    run_scenario(story())
 
 
 def test_an_abandoned_attempt_is_closed_before_the_next_can_be_sent():
@@ -155,7 +155,7 @@
             assert not is_open(peers[0].get_extra_info("socket"))
         assert outcome.status is Status.TIMEOUT
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize("body", [b"", b"some"])
@@ -197,7 +197,7 @@
             assert got == [b"1", b"2"]
             thread.join(10)
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize(
@@ -230,7 +230,7 @@
 
 def test_nonsense_beside_answers_harms_none_of_them_and_writes_few_lines(caplog):
     async def story():
-        node = Node(0)
+        node = StubChunkServer(0)
         await node.start()
         directory = Directory()
         directory.addresses["n"] = node.address
@@ -238,7 +238,7 @@
             b"HTTP/1.1 200 X\r\nContent-Length: 2\r\nX-Served-Elsewhere: much\r\n"
             b"Endpoint-Load-Metrics: TEXT depth=-9, load_share=0.5\r\n\r\nok"
         )
-        node.always = body
+        node.default_response = body
         request = Request("v", "read", "gold", timedelta(seconds=5))
         async with open_session(LINKS, 10) as session:
             client = ChunkClient(session, directory)
@@ -254,7 +254,7 @@
         ]
         assert len(lines) == 2 * 6  # the 1st, 2nd, 4th ... 32nd of each
 
-    play(story())
+    run_scenario(story())
 
 
 class Raw:
@@ -310,7 +310,7 @@
             await asyncio.sleep(0)
             assert len(await raw.rest(sock)) < size - 10
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize("revoked", [False, True])
@@ -330,7 +330,7 @@
             assert outcome.status is (Status.MOOT if revoked else Status.CONNECT_FAILED)
             assert len(await raw.rest(sock)) < UNREAD
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize("body", [b"", b"some"])
@@ -360,7 +360,7 @@
                 assert await raw.rest(sock) == b""
             first.close()
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize("body", [b"", b"some"])
@@ -387,7 +387,7 @@
             assert wanted is Status.OK or await raw.rest(sock) == b""
             first.close()
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize(
@@ -410,7 +410,7 @@
             assert outcome.status is wanted
             assert len(await raw.rest(sock)) < UNREAD
 
-    play(story())
+    run_scenario(story())
 
 
 OPEN = b"HTTP/1.1 200 X\r\nConnection: %b\r\n\r\n"
@@ -453,7 +453,7 @@
             if wanted is Status.OK:
                 assert answer.body == b"some"
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize("body", [b"", b"some"])
@@ -488,4 +488,4 @@
                 reset()
             assert (await second)[0].status is wanted
 
-    play(story())
+    run_scenario(story())
--- a/tests/test_contract_fronts.py
+++ b/tests/test_contract_fronts.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from .front_harness import VOLUME, Lines, Node, World, play, until
+from .front_harness import VOLUME, FrontHarness, StubChunkServer, StubGraphite, run_scenario, wait_until
 from .test_objects import code, some_bytes
 
 OTHER, NOBODYS = "00000000000000bb", "00000000000000cc"
@@ -52,7 +52,9 @@
     return ", ".join(f'"{hashlib.sha256(token.encode()).hexdigest()}"' for token in tokens)
 
 
-async def ask(world: World, trace: str, team: str = "a", volume: str = "", token: str = "", units: int = 2, **more):
+async def ask(
+    world: FrontHarness, trace: str, team: str = "a", volume: str = "", token: str = "", units: int = 2, **more
+):
     """Status, headers and body; as its team unless the words say otherwise."""
     volume = volume or {"a": VOLUME, "b": OTHER}[team]
     headers = {
@@ -90,49 +92,49 @@
 )
 def test_what_no_contract_covers_is_refused_for_good_and_says_why(words, status, why):
     async def story():
-        async with World(1, contracts()) as world:
-            world.nodes[0].always = "any"
+        async with FrontHarness(1, contracts()) as world:
+            world.nodes[0].default_response = "any"
             await asyncio.sleep(0.05)  # buckets begin empty
             got = await ask(world, "t1", **words)
             assert got[0] == status and why in got[2].decode() and "Retry-After" not in got[1]
-            assert len(world.nodes[0].seen) == (status == 200)
+            assert len(world.nodes[0].received) == (status == 200)
             if status in (401, 403):
-                await until(lambda: 'msg="refused by contract"' in world.log and f"rule={why}" in world.log)
+                await wait_until(lambda: 'msg="refused by contract"' in world.log and f"rule={why}" in world.log)
 
-    play(story())
+    run_scenario(story())
 
 
 def test_the_object_api_answers_with_its_own_errors():
     async def story():
         budget = "budget = { units_per_s = 0.001, burst_units = 60 }"
-        async with World(1, contracts(a=budget)) as world:
+        async with FrontHarness(1, contracts(a=budget)) as world:
             for headers, wanted in (
                 ({}, "AccessDenied"),
                 ({"Authorization": "Bearer wrong"}, "AccessDenied"),
                 ({"Authorization": "Bearer token-a"}, "SlowDown"),
             ):
-                status, answer, body = await world.objects("PUT", "/aaa/x", b"1", **headers)
+                status, answer, body = await world.object_request("PUT", "/aaa/x", b"1", **headers)
                 assert (status, code(body)) == ({"AccessDenied": 403, "SlowDown": 503}[wanted], wanted)
                 assert ("Retry-After" in answer) == (wanted == "SlowDown")
-            assert code((await world.objects("GET", "/bbb/x"))[2]) == "NoSuchBucket"
-            assert not world.nodes[0].seen
+            assert code((await world.object_request("GET", "/bbb/x"))[2]) == "NoSuchBucket"
+            assert not world.nodes[0].received
             # the class of writes withdrawn: reads go on
             world.change_operator(contracts(a='withdrawn_classes = ["write"]'))
-            await until(lambda: "contracts read anew" in world.log)
+            await wait_until(lambda: "contracts read anew" in world.log)
             await asyncio.sleep(0.05)
             token = {"Authorization": "Bearer token-a"}
-            assert code((await world.objects("PUT", "/aaa/x", b"1", **token))[2]) == "AccessDenied"
-            assert code((await world.objects("GET", "/aaa/x", **token))[2]) == "NoSuchKey"
+            assert code((await world.object_request("PUT", "/aaa/x", b"1", **token))[2]) == "AccessDenied"
+            assert code((await world.object_request("GET", "/aaa/x", **token))[2]) == "NoSuchKey"
 
-    play(story())
+    run_scenario(story())
 
 
 def test_one_team_at_twenty_times_its_rate_while_another_needs_its_whole_reserve():
     async def story():
         a, b = "budget = { units_per_s = 40 }", "reserve = { units_per_s = 100, burst_units = 100 }"
-        async with World(2, contracts(a=a, b=b, head="capacity_units_per_s = 140")) as world:
+        async with FrontHarness(2, contracts(a=a, b=b, head="capacity_units_per_s = 140")) as world:
             for node in world.nodes:
-                node.always = "any"
+                node.default_response = "any"
             await asyncio.sleep(1.1)  # the reserve of a second is there
             answers: Counter[tuple[str, int]] = Counter()
             waits: list[float] = []
@@ -151,24 +153,24 @@
             assert 15 <= answers["a", 200] <= 100 and answers["a", 200] + answers["a", 429] == 400
             assert min(waits) > 0 and max(waits) <= 0.1  # 2 units at 40 a second come in 50 ms
 
-    play(story())
+    run_scenario(story())
 
 
 def test_a_budget_that_runs_out_mid_surge_strands_nothing_and_pays_every_attempt():
     """Hundreds are taken; the servers stall, reset, err and answer full; each has one final answer, paid for."""
 
     async def story():
-        lines = Lines()
+        lines = StubGraphite()
         budget = "budget = { units_per_s = 0.5, burst_units = 700, attempts_per_s = 1000 }"
         port = await lines.open()
-        async with World(2, contracts(port, "", a=budget.replace("0.5", "5000"))) as world:
+        async with FrontHarness(2, contracts(port, "", a=budget.replace("0.5", "5000"))) as world:
             await asyncio.sleep(0.6)  # the burst fills quickly, and then nothing more comes
             world.change_operator(contracts(port, "", a=budget))
-            await until(lambda: "contracts read anew" in world.log)
+            await wait_until(lambda: "contracts read anew" in world.log)
             lot = random.Random(5)
             for node in world.nodes:
-                node.always = "any"
-                node.script.extend(
+                node.default_response = "any"
+                node.scripted_responses.extend(
                     lot.choices(("any", "reset", "full", "error", "half", "stall"), (8, 1, 1, 1, 1, 1), k=150)
                 )
             answers: Counter[int] = Counter()
@@ -179,9 +181,11 @@
             await asyncio.gather(*(one(n) for n in range(500)))
             assert sum(answers.values()) == 500 and set(answers) <= {200, 429, 502, 503}
             assert answers[429] > 0 and answers[200] > 100
-            seen = [trace for node in world.nodes for _, _, headers, _ in node.seen if (trace := headers["x-trace-id"])]
-            assert not any(node.copies for node in world.nodes)
-            await until(
+            seen = [
+                trace for node in world.nodes for _, _, headers, _ in node.received if (trace := headers["x-trace-id"])
+            ]
+            assert not any(node.overlapping_attempts for node in world.nodes)
+            await wait_until(
                 lambda: (
                     lines.get("contract-a.attempts_held") == 0 == lines.get("contract-a.open")
                     and lines.get("contract-a.ended") == 500 - answers[429]
@@ -193,27 +197,27 @@
             assert lines.get("contract-a.units_spent") <= 700 + 10
             assert lines.get("front.over_budget") == answers[429]
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize(("a_request", "seen"), [(1.0, 1), (2.0, 2), (None, 3)])
 def test_an_attempts_budget_of_one_a_request_ends_a_failed_one_at_once(a_request, seen):
     async def story():
         a = f"attempts_per_request = {a_request}" if a_request else ""
-        async with World(1, contracts(a=a)) as world:
+        async with FrontHarness(1, contracts(a=a)) as world:
             await asyncio.sleep(0.05)
             node = world.nodes[0]
-            node.script.extend(["error"] * 3)
+            node.scripted_responses.extend(["error"] * 3)
             loop = asyncio.get_running_loop()
             began = loop.time()
             status, _, _ = await ask(world, "t1")
-            assert status == 503 and len(node.seen) == seen and loop.time() - began < 1.5  # of 2 s
-            node.script.clear()
-            node.script.extend(["error", "any"])
+            assert status == 503 and len(node.received) == seen and loop.time() - began < 1.5  # of 2 s
+            node.scripted_responses.clear()
+            node.scripted_responses.extend(["error", "any"])
             status, _, _ = await ask(world, "t2")
             assert status == (503 if a_request == 1.0 else 200)  # 2.0: each earns one more
 
-    play(story())
+    run_scenario(story())
 
 
 def test_a_token_changes_under_load_without_a_request_lost():
@@ -221,8 +225,8 @@
         def with_tokens(*tokens: str) -> str:
             return contracts(head="").replace(sha("token-a"), sha(*tokens))
 
-        async with World(1, with_tokens("token-a")) as world:
-            world.nodes[0].always = "any"
+        async with FrontHarness(1, with_tokens("token-a")) as world:
+            world.nodes[0].default_response = "any"
             await asyncio.sleep(0.1)
             current, answers, numbers, running = "token-a", Counter(), iter(range(10**6)), True
 
@@ -233,109 +237,113 @@
             clients = [asyncio.create_task(client()) for _ in range(8)]
             for step, tokens in enumerate((("token-a", "token-b"), ("token-b",))):
                 world.change_operator(with_tokens(*tokens))
-                await until(lambda step=step: world.log.count("contracts read anew") == step + 1)
+                await wait_until(lambda step=step: world.log.count("contracts read anew") == step + 1)
                 current = "token-b"  # once both are good, clients change over
                 before = answers.total()
-                await until(lambda before=before: answers.total() > before + 50)
+                await wait_until(lambda before=before: answers.total() > before + 50)
             running = False
             await asyncio.gather(*clients)
             assert set(answers) == {200}
             assert (await ask(world, "old", token="token-a"))[0] == 401
 
-    play(story())
+    run_scenario(story())
 
 
 def test_a_contract_is_reloaded_broken_shrunk_and_withdrawn_while_requests_are_out():
     async def story():
-        async with World(1, contracts()) as world:
+        async with FrontHarness(1, contracts()) as world:
             node = world.nodes[0]
-            node.always = "any"
+            node.default_response = "any"
             await asyncio.sleep(0.1)
-            node.script.extend(["stall"] * 2)
+            node.scripted_responses.extend(["stall"] * 2)
             held = [asyncio.create_task(ask(world, f"h{n}")) for n in range(2)]
-            await until(lambda: len(node.seen) == 2)
+            await wait_until(lambda: len(node.received) == 2)
             world.change_operator(contracts(a="plan = 7\nfrom = 2026-01-01T00:00:00Z"))
-            await until(lambda: "the old operator's file stays" in world.log)
+            await wait_until(lambda: "the old operator's file stays" in world.log)
             assert (await ask(world, "t1"))[0] == 200  # the old contract holds
             world.change_operator(contracts(a='colour = "red"', b="budget = { units_per_s = -1 }"))
-            await until(lambda: "[[team]] a colour" in world.log and "units_per_s: found -1" in world.log)
+            await wait_until(lambda: "[[team]] a colour" in world.log and "units_per_s: found -1" in world.log)
             assert (await ask(world, "t2"))[0] == 200
             world.change_operator(contracts(a="budget = { open = 1 }"))
-            await until(lambda: "contracts read anew" in world.log)
+            await wait_until(lambda: "contracts read anew" in world.log)
             got = await ask(world, "t3")
             assert got[0] == 429 and got[2] == b"over budget: open\n"  # two are out
             world.change_operator(contracts(a="withdrawn = true"))
-            await until(lambda: world.log.count("contracts read anew") == 2)
+            await wait_until(lambda: world.log.count("contracts read anew") == 2)
             assert (await ask(world, "t4"))[0] == 403
             node.released.set()
             answers = await asyncio.gather(*held)  # the connection ended: tried again, and served
-            assert [answer[0] for answer in answers] == [200] * 2 and node.copies == 0
+            assert [answer[0] for answer in answers] == [200] * 2 and node.overlapping_attempts == 0
             world.change_operator(contracts())
-            await until(lambda: world.log.count("contracts read anew") == 3)
+            await wait_until(lambda: world.log.count("contracts read anew") == 3)
             await asyncio.sleep(0.1)
             assert (await ask(world, "t5"))[0] == 200
 
-    play(story())
+    run_scenario(story())
 
 
 def test_an_upload_whose_budget_ends_partway_has_one_answer_and_the_object_is_whole_or_not_there():
     async def story():
         token = {"Authorization": "Bearer token-a"}
-        async with World(2, contracts(a="budget = { units_per_s = 2000 }")) as world:
+        async with FrontHarness(2, contracts(a="budget = { units_per_s = 2000 }")) as world:
             await asyncio.sleep(0.3)
             first = some_bytes(200_000)
-            assert (await world.objects("PUT", "/aaa/x", first, **token))[0] == 200
-            status, _, body = await world.objects("POST", "/aaa/x?uploads", **token)
+            assert (await world.object_request("PUT", "/aaa/x", first, **token))[0] == 200
+            status, _, body = await world.object_request("POST", "/aaa/x?uploads", **token)
             upload = body.decode().partition("<UploadId>")[2].partition("<")[0]
             parts = [some_bytes(400_000, seed) for seed in (2, 3)]
             etags = []
-            status, headers, _ = await world.objects("PUT", f"/aaa/x?partNumber=1&uploadId={upload}", parts[0], **token)
+            status, headers, _ = await world.object_request(
+                "PUT", f"/aaa/x?partNumber=1&uploadId={upload}", parts[0], **token
+            )
             etags.append(headers["ETag"])
             # from here on the budget bears a few chunks: the next part ends partway
             world.change_operator(contracts(a="budget = { units_per_s = 0.5, burst_units = 24 }"))
-            await until(lambda: "contracts read anew" in world.log)
+            await wait_until(lambda: "contracts read anew" in world.log)
             kept = {path: data for node in world.nodes for path, data in node.stored.items()}
-            status, headers, body = await world.objects(
+            status, headers, body = await world.object_request(
                 "PUT", f"/aaa/x?partNumber=2&uploadId={upload}", parts[1], **token
             )
             assert (status, code(body)) == (503, "SlowDown") and int(headers["Retry-After"]) >= 1
             stored = {path: data for node in world.nodes for path, data in node.stored.items()}
             assert len(stored) > len(kept) and all(stored[path] == data for path, data in kept.items())
             world.change_operator(contracts(a="budget = { units_per_s = 4000 }"))
-            await until(lambda: world.log.count("contracts read anew") == 2)
+            await wait_until(lambda: world.log.count("contracts read anew") == 2)
             await asyncio.sleep(0.3)
-            assert (await world.objects("GET", "/aaa/x", **token))[2] == first  # as it was
-            status, headers, _ = await world.objects("PUT", f"/aaa/x?partNumber=2&uploadId={upload}", parts[1], **token)
+            assert (await world.object_request("GET", "/aaa/x", **token))[2] == first  # as it was
+            status, headers, _ = await world.object_request(
+                "PUT", f"/aaa/x?partNumber=2&uploadId={upload}", parts[1], **token
+            )
             etags.append(headers["ETag"])
             listed = "".join(
                 f"<Part><PartNumber>{n + 1}</PartNumber><ETag>{etag}</ETag></Part>" for n, etag in enumerate(etags)
             )
-            status, _, _ = await world.objects(
+            status, _, _ = await world.object_request(
                 "POST",
                 f"/aaa/x?uploadId={upload}",
                 f"<CompleteMultipartUpload>{listed}</CompleteMultipartUpload>".encode(),
                 **token,
             )
-            assert status == 200 and (await world.objects("GET", "/aaa/x", **token))[2] == b"".join(parts)
+            assert status == 200 and (await world.object_request("GET", "/aaa/x", **token))[2] == b"".join(parts)
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize("end", ["leave", "stop"])
 def test_every_end_settles(end):
     async def story():
-        lines = Lines()
+        lines = StubGraphite()
         budget = "budget = { open = 5, attempts_per_s = 100, units_per_s = 100 }"
-        async with World(1, contracts(await lines.open(), a=budget)) as world:
+        async with FrontHarness(1, contracts(await lines.open(), a=budget)) as world:
             await asyncio.sleep(0.1)
-            node: Node = world.nodes[0]
-            node.always = "stall"
+            node: StubChunkServer = world.nodes[0]
+            node.default_response = "stall"
             held = [asyncio.create_task(ask(world, f"h{n}")) for n in range(3)]
-            await until(lambda: lines.get("contract-a.open") == 3 and len(node.seen) == 3)
+            await wait_until(lambda: lines.get("contract-a.open") == 3 and len(node.received) == 3)
             if end == "leave":
                 for task in held:
                     task.cancel()
-                await until(lambda: lines.get("contract-a.open") == 0 and lines.get("contract-a.ended") == 3)
+                await wait_until(lambda: lines.get("contract-a.open") == 0 and lines.get("contract-a.ended") == 3)
                 assert lines.get("contract-a.attempts_spent") == 3  # they may have run
                 assert lines.get("contract-a.units_spent") == 6
                 assert lines.get("contract-a.attempts_held") == 0
@@ -345,25 +353,25 @@
                 assert await asyncio.wait_for(world.process.wait(), 20) == 0
                 assert "Traceback" not in world.log
 
-    play(story())
+    run_scenario(story())
 
 
 def test_log_lines_are_json_by_choice_and_carry_the_request_they_are_of():
     async def story():
-        world = World(1, contracts())
+        world = FrontHarness(1, contracts())
         world.env = {"OCHRESPAN_LOG_FORMAT": "json"}
         async with world:
             await asyncio.sleep(0.05)
-            world.nodes[0].script.extend([b"HTTP/1.1 200 OK\r\nContent-Length: what\r\n\r\n", "any"])
+            world.nodes[0].scripted_responses.extend([b"HTTP/1.1 200 OK\r\nContent-Length: what\r\n\r\n", "any"])
             assert (await ask(world, "t1"))[0] == 200
-            await until(lambda: "answer spoilt" in world.log)
+            await wait_until(lambda: "answer spoilt" in world.log)
             found = [json.loads(line) for line in world.log.splitlines()]
             assert all({"at", "level", "from", "msg"} <= line.keys() for line in found)
             spoilt = next(line for line in found if line["msg"] == "answer spoilt")
             assert (spoilt["team"], spoilt["attempt"]) == ("a", 0) and spoilt["request"].startswith("q")
             assert not any("request" in line for line in found if line["msg"] == "phase")
 
-    play(story())
+    run_scenario(story())
 
 
 def test_ten_thousand_contracts_are_read_anew_while_requests_go_on():
@@ -378,8 +386,8 @@
         )
 
     async def story():
-        async with World(1, crowd(50)) as world:
-            world.nodes[0].always = "any"
+        async with FrontHarness(1, crowd(50)) as world:
+            world.nodes[0].default_response = "any"
             await asyncio.sleep(0.1)
             assert (await ask(world, "t0", volume=f"{5000:016x}", team="b"))[0] == 200
             world.change_operator(crowd(1000))
@@ -391,4 +399,4 @@
             for number in range(60):  # 120 units of 1000 a second, and of 50 before
                 assert (await ask(world, f"n{number}", volume=f"{5001:016x}", team="b"))[0] == 200
 
-    play(story())
+    run_scenario(story())
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -19,8 +19,8 @@
 from ochrespan.control.statsd import statsd_text
 from ochrespan.metric_samples import MetricSample
 
-from .controlled_front import Controlled
-from .front_harness import World, play, until
+from .controlled_front import ControlledFront
+from .front_harness import FrontHarness, run_scenario, wait_until
 
 
 @pytest.mark.parametrize(
@@ -83,7 +83,7 @@
 
 def test_each_call_has_one_answer_and_its_connection_ends():
     async def story():
-        async with Controlled(1) as world:
+        async with ControlledFront(1) as world:
             for method, path, status in (
                 ("GET", "/v1/readyz", 200),
                 ("GET", "/v1/metrics", 200),
@@ -99,21 +99,21 @@
                 assert got.startswith(f"HTTP/1.1 {status} ".encode()), (path, got)
                 writer.close()
 
-    play(story())
+    run_scenario(story())
 
 
 def test_without_the_setting_there_is_no_control_address():
     async def story():
-        async with World(1) as world:
+        async with FrontHarness(1) as world:
             assert (await world.call("GET", "/v1/readyz"))[0] == 400
             assert "control" not in world.log
 
-    play(story())
+    run_scenario(story())
 
 
 def test_callers_that_send_half_a_call_and_stay_hold_nobody_up():
     async def story():
-        async with Controlled(1) as world:
+        async with ControlledFront(1) as world:
             stuck = []
             for i in range(40):
                 reader, writer = await asyncio.open_connection("127.0.0.1", world.control)
@@ -128,28 +128,28 @@
             for writer in stuck:
                 writer.close()
 
-    play(story())
+    run_scenario(story())
 
 
 def test_the_figures_count_ends_by_class_attempts_and_servers():
     async def story():
-        async with Controlled(2) as world:
-            zero = await world.figures()
+        async with ControlledFront(2) as world:
+            zero = await world.metrics()
             assert zero["success.read"] == zero["overload.brief"] == zero["dispatches"] == zero["concurrent"] == 0
             assert (zero["targets"], zero["targets_disabled"]) == (2, 0)
-            world.nodes[0].script.extend(["any", "full", "any", "error", "error", "error"])
+            world.nodes[0].scripted_responses.extend(["any", "full", "any", "error", "error", "error"])
             for name in ("t1", "t2", "t3"):
-                await world.ask(name)
-            await world.ask("t4", "PUT", b"x" * 70, 1, cls="write")
-            found = await world.figures()
+                await world.send_request(name)
+            await world.send_request("t4", "PUT", b"x" * 70, 1, cls="write")
+            found = await world.metrics()
             assert (found["success.read"], found["overload.read"] + found["error.read"]) == (2, 1)
             assert found["success.write"] == 1
-            assert found["dispatches"] == 7 == sum(len(node.seen) for node in world.nodes)
-            world.nodes[0].always = "stall"
-            hanging = asyncio.create_task(world.ask("t5"))
-            await until(lambda: len(world.nodes[0].seen) == 7)
-            found = await world.figures()
+            assert found["dispatches"] == 7 == sum(len(node.received) for node in world.nodes)
+            world.nodes[0].default_response = "stall"
+            hanging = asyncio.create_task(world.send_request("t5"))
+            await wait_until(lambda: len(world.nodes[0].received) == 7)
+            found = await world.metrics()
             assert (found["concurrent"], found["dispatches"]) == (1, 8)  # while its answer is still awaited
             hanging.cancel()
 
-    play(story())
+    run_scenario(story())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,7 +11,7 @@
 from ochrespan.net.discovery import MOST_ODD, BadList, Directory, Watch, open_session
 from ochrespan.requests import ListKind, NodeState
 
-from .front_harness import MS, World, until
+from .front_harness import MS, FrontHarness, wait_until
 
 GOOD = {
     "id": "n1",
@@ -171,7 +171,7 @@
             broker.want()
             task = asyncio.create_task(watch.run())
             try:
-                await until(lambda: len(discovery.calls) == discovery.answers + 2, 12)
+                await wait_until(lambda: len(discovery.calls) == discovery.answers + 2, 12)
             finally:
                 task.cancel()
         (quiet, asked, old), (anew, _, new) = discovery.calls[-2:]
@@ -197,13 +197,13 @@
     assert directory.revision == 6 and set(directory.addresses) == {"n1"}
 
 
-class Late(World):
+class Late(FrontHarness):
     """Its first list comes late, and says that a chunk server drains that the known list has as up."""
 
     async def _discovery(self, request):
         if not self.revision:
             await asyncio.sleep(0.6)
-            self.tell(self.nodes[0], "draining")
+            self.publish_state(self.nodes[0], "draining")
         return await super()._discovery(request)
 
 
@@ -212,25 +212,27 @@
     async def story():
         async with Late(2, Discovery=discovery) as world:
             assert bool(world.calls) is (up == "a list")
-            world.nodes[0].always = "any"
+            world.nodes[0].default_response = "any"
             if up == "a list":
-                assert (await world.ask("t1", cls="brief", left="900"))[0] == 503 and not world.nodes[0].seen
+                assert (await world.send_request("t1", cls="brief", left="900"))[0] == 503 and not world.nodes[
+                    0
+                ].received
 
     asyncio.run(story())
 
 
 def test_a_front_that_hears_nothing_goes_up_all_the_same():
     async def story():
-        world = World(1, Discovery="pushed")
+        world = FrontHarness(1, Discovery="pushed")
         world.failing = 999
         async with world:
-            world.nodes[0].always = "any"
-            assert (await world.ask("t1"))[0] == 200
+            world.nodes[0].default_response = "any"
+            assert (await world.send_request("t1"))[0] == 200
 
     asyncio.run(story())
 
 
-class Ending(World):
+class Ending(FrontHarness):
     """Told to end while it waits for its first list, which never comes."""
 
     async def _discovery(self, request):
--- a/tests/test_drain_by_hand.py
+++ b/tests/test_drain_by_hand.py
@@ -7,8 +7,8 @@
 
 from ochrespan.lifecycle import Lifecycle, Phase
 
-from .controlled_front import Controlled
-from .front_harness import play, until
+from .controlled_front import ControlledFront
+from .front_harness import run_scenario, wait_until
 from .test_guard import raw
 
 
@@ -54,10 +54,10 @@
 
 def test_a_drained_front_says_no_ends_idle_connections_and_comes_back():
     async def story():
-        async with Controlled(2) as world:
+        async with ControlledFront(2) as world:
             slow = world.nodes[1]
             for node in world.nodes:
-                node.always = "any"
+                node.default_response = "any"
             idle = await asyncio.open_connection("127.0.0.1", world.port)
             idle[1].write(raw("GET", **{"X-Trace-Id": "idle"}))
             await idle[0].readuntil(b"\r\n\r\n")
@@ -65,11 +65,11 @@
             slow.delay = 1.0
             busy = await asyncio.open_connection("127.0.0.1", world.port)
             busy[1].write(raw("GET", **{"X-Trace-Id": "busy", "X-IO": "units=2,shard=1,hosts=2"}))
-            await until(lambda: slow.seen)
+            await wait_until(lambda: slow.received)
             began = time.monotonic()
             assert (await world.command("/v1/front/drain"))[0] == 200
             assert (await world.call("GET", "/up"))[0] != 200
-            assert (await world.ask("late"))[0] == 200  # new connections still come for a while
+            assert (await world.send_request("late"))[0] == 200  # new connections still come for a while
             for reader, _ in (idle, silent):
                 await asyncio.wait_for(reader.read(), 2)  # to the end of the connection
             assert (await asyncio.wait_for(busy[0].read(), 3)).startswith(b"HTTP/1.1 200 ")  # served, and closed
@@ -77,15 +77,15 @@
             assert (await world.command("/v1/readyz", "GET"))[0] == 200  # it could serve
             assert (await world.command("/v1/front/activate"))[0] == 200
             assert (await world.call("GET", "/up"))[0] == 200
-            assert (await world.ask("back"))[0] == 200
+            assert (await world.send_request("back"))[0] == 200
             assert world.process.returncode is None
 
-    play(story())
+    run_scenario(story())
 
 
 def test_drains_and_activations_in_quick_turn_end_as_the_last_says():
     async def story():
-        async with Controlled(1) as world:
+        async with ControlledFront(1) as world:
             for call in ("drain", "drain", "activate", "activate", "drain", "activate", "drain"):
                 assert (await world.command(f"/v1/front/{call}"))[0] == 200
             assert (await world.call("GET", "/up"))[0] == 503
@@ -97,24 +97,24 @@
             assert (await reader.readline()).startswith(b"HTTP/1.1 200 ")
             writer.close()
 
-    play(story())
+    run_scenario(story())
 
 
 def test_a_drained_front_ends_on_sigterm_and_cannot_be_activated_then():
     async def story():
-        async with Controlled(1) as world:
+        async with ControlledFront(1) as world:
             assert (await world.command("/v1/front/drain"))[0] == 200
             world.stop()
-            await until(lambda: "now=draining" in world.log)
+            await wait_until(lambda: "now=draining" in world.log)
             assert (await world.command("/v1/front/activate"))[0] == 409
             assert await asyncio.wait_for(world.process.wait(), 5) == 0
 
-    play(story())
+    run_scenario(story())
 
 
 def test_a_drain_during_an_upgrade_is_of_its_process_alone():
     async def story():
-        async with Controlled(1) as world:
+        async with ControlledFront(1) as world:
             successor = await world.upgrade()
             await successor.ready()
             assert (await world.command("/v1/front/drain"))[0] == 200
@@ -124,4 +124,4 @@
             assert (await world.command("/v1/front/drain", port=successor.control))[0] == 200
             assert (await world.call("GET", "/up"))[0] == 503
 
-    play(story())
+    run_scenario(story())
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -19,7 +19,7 @@
 from ochrespan.net.listener import Listener
 from ochrespan.shutdown_schedule import shutdown_schedule
 
-from .front_harness import MOST_RUNS, MS, World, free_port, play, play_in_time, until
+from .front_harness import MAX_RUNS, MS, FrontHarness, free_port, run_scenario, run_timed_scenario, wait_until
 from .test_guard import raw
 from .test_objects import OPERATOR
 
@@ -45,20 +45,20 @@
     classes = [{"Name": "read", "ObjectiveNs": 410 * MS, "DeadlineNs": 420 * MS, "Effect": "free", "Group": "all"}]
 
     async def story():
-        async with World(1, Classes=classes) as world:
-            world.nodes[0].always = "any"
+        async with FrontHarness(1, Classes=classes) as world:
+            world.nodes[0].default_response = "any"
             began = time.monotonic()
             world.stop()
             await asyncio.sleep(began + 0.4 - time.monotonic())
-            assert (await world.ask("late", left="420"))[0] == 200  # over a new connection
-            world.nodes[0].always = "stall"
+            assert (await world.send_request("late", left="420"))[0] == 200  # over a new connection
+            world.nodes[0].default_response = "stall"
             await asyncio.sleep(began + 0.76 - time.monotonic())
-            assert (await world.ask("last", left="420"))[0] == 503
+            assert (await world.send_request("last", left="420"))[0] == 503
             assert time.monotonic() - began < 1.12
             assert await asyncio.wait_for(world.process.wait(), 20) == 0
             assert time.monotonic() - began < 1.12
 
-    play_in_time(story)
+    run_timed_scenario(story)
 
 
 @pytest.mark.parametrize("cancel", [True, False])
@@ -66,8 +66,8 @@
     """It waited for its attempt's own time, which ended after SIGKILL may come."""
 
     async def story():
-        async with World(1, Limits__Cancel=cancel) as world:
-            world.nodes[0].always = "any"
+        async with FrontHarness(1, Limits__Cancel=cancel) as world:
+            world.nodes[0].default_response = "any"
             kept = await asyncio.open_connection("127.0.0.1", world.port)
             began = time.monotonic()
             world.stop()
@@ -78,11 +78,11 @@
                 assert head.startswith(b"HTTP/1.1 " + wanted)
                 if wanted == b"200":
                     await kept[0].readexactly(int(head.lower().split(b"content-length: ")[1].split(b"\r")[0]))
-                world.nodes[0].always = "stall"
+                world.nodes[0].default_response = "stall"
             assert time.monotonic() - began < 3.6  # SIGKILL may come at 3.7
             assert await asyncio.wait_for(world.process.wait(), 20) == 0
 
-    play(story())
+    run_scenario(story())
 
 
 class Idle:
@@ -126,7 +126,7 @@
         for client in clients:
             client.close()
 
-    play(story())
+    run_scenario(story())
 
 
 def test_what_waits_for_room_at_the_end_of_accepting_is_taken_once_there_is_some():
@@ -136,14 +136,14 @@
         await listener.open(("127.0.0.1", port))
         clients = crowd(port, 3)
         assert not listener.stop_accepting() and listener.connections == 2
-        await until(lambda: len(server.made) == 2 and all(one.transport for one in server.made))
+        await wait_until(lambda: len(server.made) == 2 and all(one.transport for one in server.made))
         clients[0].close()
         server.made[0].transport.abort()
-        await until(lambda: listener.stop_accepting(), 3)
-        await until(lambda: len(server.made) == 3 and listener.connections == 2, 3)
+        await wait_until(lambda: listener.stop_accepting(), 3)
+        await wait_until(lambda: len(server.made) == 3 and listener.connections == 2, 3)
         await listener.shutdown(timedelta())
 
-    play(story())
+    run_scenario(story())
 
 
 async def served(body: bytes, port: int, go: asyncio.Event | None = None) -> tuple[Listener, list[str]]:
@@ -175,12 +175,12 @@
         await asyncio.sleep(0.3)
         assert listener.occupied and [guard.state for guard in listener._states] == [State.WRITING]
         await reader.readexactly(size)
-        await until(lambda: not listener.occupied)
+        await wait_until(lambda: not listener.occupied)
         assert [guard.state for guard in listener._states] == [State.QUIET]
         writer.close()
         await listener.shutdown(timedelta())
 
-    play(story())
+    run_scenario(story())
 
 
 def test_a_request_that_nobody_has_read_yet_counts_as_at_work():
@@ -188,15 +188,15 @@
         port = free_port()
         listener, asked = await served(b"x", port)
         client = socket.create_connection(("127.0.0.1", port), 5)
-        await until(lambda: listener.connections == 1 and not listener._arriving)
+        await wait_until(lambda: listener.connections == 1 and not listener._arriving)
         assert not listener.occupied
         client.sendall(GET)  # without a turn of the loop
         assert listener.occupied and not asked
-        await until(lambda: asked and not listener.occupied)
+        await wait_until(lambda: asked and not listener.occupied)
         client.close()
         await listener.shutdown(timedelta())
 
-    play(story())
+    run_scenario(story())
 
 
 def test_who_sends_more_ahead_than_is_kept_gets_the_present_answer_and_then_an_error():
@@ -207,18 +207,18 @@
         listener, asked = await served(b"x", port, go)
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(GET)
-        await until(lambda: asked)
+        await wait_until(lambda: asked)
         writer.write(b"PUT /b HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n" % (MOST_AHEAD + 9))
         writer.write(bytes(MOST_AHEAD + 9))
         guard = next(iter(listener._states))
-        await until(lambda: len(guard._ahead) > MOST_AHEAD)
+        await wait_until(lambda: len(guard._ahead) > MOST_AHEAD)
         go.set()
         got = await asyncio.wait_for(reader.read(), 10)
         assert got.count(b"HTTP/1.1 ") == 2 and b"HTTP/1.1 400 " in got and "/b" not in asked
         writer.close()
         await listener.shutdown(timedelta())
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize("name", [signal.SIGTERM, signal.SIGINT, signal.SIGHUP])
@@ -226,7 +226,7 @@
     """SIGTERM and SIGINT ended the program as it started, with a status of their own or a traceback."""
 
     async def story():
-        async with World(1) as world:
+        async with FrontHarness(1) as world:
             pipe = tmp_path / "config.json"
             os.mkfifo(pipe)
             env = {k: v for k, v in os.environ.items() if not k.startswith("BALANCER_")}
@@ -251,17 +251,17 @@
             _, log = await asyncio.wait_for(front.communicate(), 20)
             assert front.returncode == 0 and b"now=stopped" in log and b"Traceback" not in log
 
-    play(story())
+    run_scenario(story())
 
 
 def test_signals_in_each_phase_of_a_drain_change_nothing():
     async def story():
-        async with World(1) as world:
-            world.nodes[0].always = "any"
+        async with FrontHarness(1) as world:
+            world.nodes[0].default_response = "any"
             kept = await asyncio.open_connection("127.0.0.1", world.port)
             world.stop()
             for phase in ("draining", "closing", "stopped"):
-                await until(lambda: f"now={phase}" in world.log)  # noqa: B023
+                await wait_until(lambda: f"now={phase}" in world.log)  # noqa: B023
                 for name in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT, signal.SIGTERM):
                     if world.process.returncode is None:
                         world.process.send_signal(name)
@@ -271,7 +271,7 @@
             assert await asyncio.wait_for(world.process.wait(), 20) == 0
             assert "Traceback" not in world.log
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize(("reset", "size"), [(True, 64 << 20), (False, 700_000)])
@@ -279,29 +279,29 @@
     """Nobody reads while a body waits to be taken, so nobody heard that its client had left."""
 
     async def story():
-        async with World(2, OPERATOR) as world:
+        async with FrontHarness(2, OPERATOR) as world:
             for node in world.nodes:
-                node.always = "stall"
+                node.default_response = "stall"
             client = socket.create_connection(("127.0.0.1", world.object_port), 5)
             client.setblocking(False)
             client.send(b"PUT /photos/a HTTP/1.1\r\nHost: x\r\nContent-Length: 99000000\r\n\r\n")
             loop = asyncio.get_running_loop()
             with suppress(TimeoutError):  # until nothing more is taken; a FIN has to get through behind it
                 await asyncio.wait_for(loop.sock_sendall(client, bytes(size)), 0.7)
-            await until(lambda: any(any(node.out.values()) for node in world.nodes))
+            await wait_until(lambda: any(any(node.in_flight.values()) for node in world.nodes))
             if reset:
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             client.close()
             gone = time.monotonic()
-            await until(lambda: not any(any(node.out.values()) for node in world.nodes), 0.6)
-            seen = sum(len(node.seen) for node in world.nodes)
+            await wait_until(lambda: not any(any(node.in_flight.values()) for node in world.nodes), 0.6)
+            seen = sum(len(node.received) for node in world.nodes)
             await asyncio.sleep(max(0.0, gone + 0.3 - time.monotonic()))
             for node in world.nodes:
                 node.released.set()
             await asyncio.sleep(0.5)
-            assert sum(len(node.seen) for node in world.nodes) == seen
+            assert sum(len(node.received) for node in world.nodes) == seen
 
-    play_in_time(story)
+    run_timed_scenario(story)
 
 
 def test_a_story_of_spans_is_played_again_only_where_the_machine_did_not_keep_time():
@@ -318,8 +318,8 @@
         return fails
 
     with pytest.raises(AssertionError, match="planted"):
-        play_in_time(story(0.0))
+        run_timed_scenario(story(0.0))
     assert len(played) == 1
     with pytest.raises(AssertionError, match="runs failed"):
-        play_in_time(story(0.2))
-    assert len(played) == 1 + MOST_RUNS
+        run_timed_scenario(story(0.2))
+    assert len(played) == 1 + MAX_RUNS
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -11,12 +11,12 @@
 from ochrespan.net.framing import Unreadable
 from ochrespan.net.guard import RequestFramer
 
-from .front_harness import KEY, VOLUME, World, ask_headers, play, until
+from .front_harness import KEY, VOLUME, FrontHarness, request_headers, run_scenario, wait_until
 from .test_objects import OPERATOR
 
 
 def raw(method: str, *lines: str, body: bytes = b"", path: str = f"/api/{VOLUME}/{KEY}", **changes) -> bytes:
-    named = {"Host": "x"} | ask_headers("t1", 0) | changes
+    named = {"Host": "x"} | request_headers("t1", 0) | changes
     fields = [f"{name}: {value}" for name, value in named.items()]
     return "\r\n".join([f"{method} {path} HTTP/1.1", *fields, *lines, "", ""]).encode() + body
 
@@ -56,24 +56,24 @@
 @pytest.mark.parametrize(("sent", "status"), BAD, ids=range(len(BAD)))
 def test_what_is_no_request_gets_an_error_and_a_close_and_reaches_nobody(sent, status):
     async def story():
-        async with World(1) as world:
-            world.nodes[0].always = "any"
+        async with FrontHarness(1) as world:
+            world.nodes[0].default_response = "any"
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(sent)
             got = await asyncio.wait_for(reader.read(), 10)
             assert got.startswith(b"HTTP/1.1 %d " % status) and got.count(b"HTTP/1.1 ") == 1
             writer.close()
-            assert not world.nodes[0].seen
-            assert (await world.ask("t2"))[0] == 200
+            assert not world.nodes[0].received
+            assert (await world.send_request("t2"))[0] == 200
 
-    play(story())
+    run_scenario(story())
 
 
 def test_an_error_is_not_cut_off_by_what_the_client_still_sends():
     """Closing at once with bytes unread resets the connection, and the client's kernel drops the error."""
 
     async def story():
-        async with World(1) as world:
+        async with FrontHarness(1) as world:
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(raw("PUT", "Content-Length: 80000000"))
             for _ in range(80):
@@ -82,21 +82,21 @@
             assert (await asyncio.wait_for(reader.readline(), 10)).startswith(b"HTTP/1.1 413 ")
             writer.transport.abort()
 
-    play(story())
+    run_scenario(story())
 
 
 def test_the_id_of_an_open_request_is_refused_and_the_open_one_is_not_touched():
     async def story():
-        async with World(1) as world:
+        async with FrontHarness(1) as world:
             node = world.nodes[0]
-            node.delay, node.always = 0.5, "any"
-            first = asyncio.create_task(world.ask("t1"))
-            await until(lambda: node.seen)
-            assert (await world.ask("t1"))[0] == 400
-            assert (await first)[0] == 200 and len(node.seen) == 1
-            assert (await world.ask("t1"))[0] == 200  # it is open no more
+            node.delay, node.default_response = 0.5, "any"
+            first = asyncio.create_task(world.send_request("t1"))
+            await wait_until(lambda: node.received)
+            assert (await world.send_request("t1"))[0] == 400
+            assert (await first)[0] == 200 and len(node.received) == 1
+            assert (await world.send_request("t1"))[0] == 200  # it is open no more
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize("asks", [False, True])
@@ -104,16 +104,16 @@
     """asyncio took them all at once, ran out of descriptors, and took nobody for the next second."""
 
     async def story():
-        world = World(1)
+        world = FrontHarness(1)
         world.sockets = 200
         async with world:
-            world.nodes[0].always = "any"
+            world.nodes[0].default_response = "any"
             idle = []
             for number in range(400):
                 idle.append(await asyncio.open_connection("127.0.0.1", world.port))
                 if asks:
                     idle[-1][1].write(raw("GET", **{"X-Trace-Id": f"i{number}"}))
-            wanted = [world.ask(f"t{number}") for number in range(60)]
+            wanted = [world.send_request(f"t{number}") for number in range(60)]
             assert {status for status, _, _ in await asyncio.gather(*wanted)} == {200}
             assert len(list(Path(f"/proc/{world.process.pid}/fd").iterdir())) < 200
             assert "cannot take" not in world.log
@@ -121,7 +121,7 @@
                 with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                     await asyncio.wait_for(reader.readexactly(100_000), 20)
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize(("others", "least", "most"), [(0, 1.9, 4.5), (40, 0.0, 1.9)])
@@ -129,10 +129,10 @@
     """Clients that asked once and stayed held all that clients may hold: the others had no connection left."""
 
     async def story():
-        world = World(1)
+        world = FrontHarness(1)
         world.sockets = 240  # of which clients may hold 80
         async with world:
-            world.nodes[0].always = "any"
+            world.nodes[0].default_response = "any"
 
             async def once(name: str):
                 reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
@@ -148,12 +148,12 @@
             assert least < time.monotonic() - began < most
             assert len(kept) == others
 
-    play(story())
+    run_scenario(story())
 
 
 def test_a_request_in_small_pieces_is_served_and_so_is_the_next():
     async def story():
-        async with World(1) as world:
+        async with FrontHarness(1) as world:
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
             for number in range(2):
                 more = "Expect: 100-continue", "Transfer-Encoding: chunked"
@@ -171,13 +171,13 @@
             assert world.nodes[0].stored == {f"/api/{VOLUME}/{KEY}": b"abc"}
             writer.close()
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize(("body", "stored"), [(b"3\r\nabc\r\n0\r\n\r\n", b"abc"), (b"3\r\nabc\r\nzz\r\n", None)])
 def test_a_body_for_the_object_api_streams_through_the_same_guard(body, stored):
     async def story():
-        async with World(2, OPERATOR) as world:
+        async with FrontHarness(2, OPERATOR) as world:
             reader, writer = await asyncio.open_connection("127.0.0.1", world.object_port)
             head = b"PUT /photos/a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
             for at in range(len(head + body)):
@@ -185,11 +185,11 @@
                 await asyncio.sleep(0)
             got = await asyncio.wait_for(reader.readline(), 10)
             assert (got == b"HTTP/1.1 200 OK\r\n") == (stored is not None)
-            status, _, found = await world.objects("GET", "/photos/a")
+            status, _, found = await world.object_request("GET", "/photos/a")
             assert (status, found) == (200, stored) if stored else status == 404
             writer.close()
 
-    play(story())
+    run_scenario(story())
 
 
 @seed(1)
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from .front_harness import KEY, VOLUME, World, ask_headers, free_port, play, until
+from .front_harness import KEY, VOLUME, FrontHarness, free_port, request_headers, run_scenario, wait_until
 from .h2client import Client
 from .http2_cases import GOAWAY, PREFACE, cases, frame, sent_frames
 from .test_objects import some_bytes
@@ -36,7 +36,7 @@
 """
 
 
-class H2World(World):
+class H2World(FrontHarness):
     def __init__(self, nodes: int = 2, more: str = "", contracts: str = "", **changes) -> None:
         self.platform_port, self.objects_port = free_port(), free_port()
         super().__init__(nodes, operator(self.platform_port, self.objects_port, more, contracts), **changes)
@@ -51,17 +51,17 @@
 def test_both_fronts_answer_on_streams_as_on_connections():
     async def story():
         async with H2World(1) as world, world.platform() as client, world.object_client() as objects:
-            world.nodes[0].always = ""
+            world.nodes[0].default_response = ""
             assert (await client.call("GET", "/up")).status == 200
-            got = await client.call("PUT", PATH, b"photo", ask_headers("t1", 0, cls="write"))
+            got = await client.call("PUT", PATH, b"photo", request_headers("t1", 0, cls="write"))
             assert (got.status, got.ends) == (200, 1)
-            got = await client.call("GET", PATH, b"", ask_headers("t2", 0))
+            got = await client.call("GET", PATH, b"", request_headers("t2", 0))
             assert (got.status, bytes(got.body)) == (200, b"photo")
-            assert (await client.call("GET", PATH, b"", ask_headers("t3", 0, cls="made-up"))).status == 400
+            assert (await client.call("GET", PATH, b"", request_headers("t3", 0, cls="made-up"))).status == 400
             long = b"x" * 700_000
-            assert (await client.call("PUT", PATH, long, ask_headers("t4", 0, cls="write"))).status == 200
+            assert (await client.call("PUT", PATH, long, request_headers("t4", 0, cls="write"))).status == 200
             assert world.nodes[0].stored[PATH] == long
-            assert len(world.nodes[0].seen) == 3
+            assert len(world.nodes[0].received) == 3
             body = some_bytes(300_000)
             got = await objects.call("PUT", "/photos/x", body)
             assert got.status == 200 and got.headers["etag"] == f'"{hashlib.md5(body).hexdigest()}"'
@@ -71,11 +71,11 @@
             assert (got.status, got.headers["content-length"], got.body) == (200, "300000", b"")
             assert (await objects.call("GET", "/nobodys/x")).status == 404
             waiting = objects.begin("PUT", "/photos/y", {"Expect": "100-continue"}, end=False)
-            await until(lambda: objects.streams[waiting].interim == [100])
+            await wait_until(lambda: objects.streams[waiting].interim == [100])
             await objects.send(waiting, b"later")
             assert (await objects.answer(waiting)).status == 200
 
-    play(story())
+    run_scenario(story())
 
 
 def test_five_hundred_streams_each_end_once_and_no_request_has_two_attempts_out():
@@ -83,8 +83,8 @@
         async with H2World(3, "streams = 200") as world:
             lot = random.Random(3)
             for node in world.nodes:
-                node.always = "any"
-                node.script.extend(
+                node.default_response = "any"
+                node.scripted_responses.extend(
                     lot.choices(("any", "reset", "full", "error", "half", "stall"), (12, 1, 1, 1, 1, 1), k=120)
                 )
             ends: Counter[str] = Counter()
@@ -100,7 +100,7 @@
                     stream = client.begin(
                         "GET",
                         PATH,
-                        ask_headers(f"t{number}", number % 3, **{"X-IO": (f"units=1,shard={number % 3},hosts=1")}),
+                        request_headers(f"t{number}", number % 3, **{"X-IO": (f"units=1,shard={number % 3},hosts=1")}),
                     )
                     if number % 10 == 9:
                         await asyncio.sleep(0.01)
@@ -115,52 +115,54 @@
                     ends[str(got.status)] += 1
 
                 tasks = [asyncio.create_task(ask(n)) for n in range(250)]
-                await until(lambda: ends.total() >= 100)
-                world.tell(world.nodes[2], "draining")
+                await wait_until(lambda: ends.total() >= 100)
+                world.publish_state(world.nodes[2], "draining")
                 tasks += [asyncio.create_task(ask(n)) for n in range(250, 500)]
                 await asyncio.gather(*tasks)
                 assert ends.total() == 500 and set(ends) <= {"200", "502", "503", "left"} and ends["200"] > 150, ends
                 assert not any(client.goaways for client in (one, two, three))
-            assert not any(node.copies for node in world.nodes)
-            await until(lambda: not any(any(node.out.values()) for node in world.nodes if node.phase == "up"))
+            assert not any(node.overlapping_attempts for node in world.nodes)
+            await wait_until(
+                lambda: not any(any(node.in_flight.values()) for node in world.nodes if node.phase == "up")
+            )
 
-    play(story())
+    run_scenario(story())
 
 
 def test_a_reset_stream_takes_back_its_attempt_and_nothing_follows():
     async def story():
         async with H2World(1) as world, world.platform() as client:
             node = world.nodes[0]
-            node.script.append("stall")
-            node.always = "any"
-            stream = client.begin("GET", PATH, ask_headers("t1", 0))
-            await until(lambda: node.out.get("t1"))
+            node.scripted_responses.append("stall")
+            node.default_response = "any"
+            stream = client.begin("GET", PATH, request_headers("t1", 0))
+            await wait_until(lambda: node.in_flight.get("t1"))
             client.reset(stream)
-            await until(lambda: not node.out["t1"])
-            assert (await client.call("GET", PATH, b"", ask_headers("t2", 0))).status == 200
-            assert [h["x-trace-id"] for _, _, h, _ in node.seen] == ["t1", "t2"] and node.copies == 0
+            await wait_until(lambda: not node.in_flight["t1"])
+            assert (await client.call("GET", PATH, b"", request_headers("t2", 0))).status == 200
+            assert [h["x-trace-id"] for _, _, h, _ in node.received] == ["t1", "t2"] and node.overlapping_attempts == 0
 
-    play(story())
+    run_scenario(story())
 
 
 def test_streams_beyond_the_limit_are_refused_and_the_others_go_on():
     async def story():
         async with H2World(1, "streams = 3") as world, world.platform() as client:
             node = world.nodes[0]
-            node.script.extend(["stall"] * 3)
-            node.always = "any"
+            node.scripted_responses.extend(["stall"] * 3)
+            node.default_response = "any"
             client.h2.remote_settings.max_concurrent_streams = 100  # a client that does not keep to it
-            held = [client.begin("GET", PATH, ask_headers(f"t{n}", 0)) for n in range(3)]
-            await until(lambda: len(node.seen) == 3)
-            got = await client.call("GET", PATH, b"", ask_headers("t9", 0))
+            held = [client.begin("GET", PATH, request_headers(f"t{n}", 0)) for n in range(3)]
+            await wait_until(lambda: len(node.received) == 3)
+            got = await client.call("GET", PATH, b"", request_headers("t9", 0))
             assert got.reset == 7 and not client.goaways  # REFUSED_STREAM
             client.reset(held[0])
-            await until(lambda: not node.out["t0"])
+            await wait_until(lambda: not node.in_flight["t0"])
             node.released.set()
             assert (await client.answer(held[1])).status == 200
-            assert (await client.call("GET", PATH, b"", ask_headers("t9", 0))).status == 200
+            assert (await client.call("GET", PATH, b"", request_headers("t9", 0))).status == 200
 
-    play(story())
+    run_scenario(story())
 
 
 def test_a_slow_reader_stalls_its_own_stream_only():
@@ -171,7 +173,7 @@
             assert (await client.call("PUT", "/photos/small", b"small")).status == 200
             slow = client.begin("GET", "/photos/large")
             client.slow.add(slow)
-            await until(lambda: len(client.streams[slow].body) == 65_535)
+            await wait_until(lambda: len(client.streams[slow].body) == 65_535)
             for _ in range(20):
                 assert bytes((await client.call("GET", "/photos/small")).body) == b"small"
             assert bytes((await client.call("GET", "/photos/large")).body) == body
@@ -181,7 +183,7 @@
             client.flush()
             assert bytes((await client.answer(slow)).body) == body
 
-    play(story())
+    run_scenario(story())
 
 
 def test_a_client_that_never_opens_its_window_is_let_go():
@@ -194,28 +196,28 @@
             assert (await client.call("HEAD", "/photos/x")).status == 200  # the connection goes on
             assert not client.goaways
 
-    play(story())
+    run_scenario(story())
 
 
 def test_at_a_drain_the_client_is_told_twice_and_each_stream_taken_has_its_answer():
     async def story():
         async with H2World(1) as world, world.platform() as client:
             node = world.nodes[0]
-            node.always, node.delay = "any", 0.3
-            held = [client.begin("GET", PATH, ask_headers(f"t{n}", 0)) for n in range(3)]
-            await until(lambda: len(node.seen) == 3)
+            node.default_response, node.delay = "any", 0.3
+            held = [client.begin("GET", PATH, request_headers(f"t{n}", 0)) for n in range(3)]
+            await wait_until(lambda: len(node.received) == 3)
             world.stop()
-            await until(lambda: len(client.goaways) == 2)
+            await wait_until(lambda: len(client.goaways) == 2)
             assert client.goaways == [(2**31 - 1, 0), (held[-1], 0)]
-            late = client.begin("GET", PATH, ask_headers("late", 0))
+            late = client.begin("GET", PATH, request_headers("late", 0))
             assert [(await client.answer(s)).status for s in held] == [200] * 3
             got = await client.answer(late)
             assert got.reset == 7 or (got.status, got.reset) == (0, None)  # refused, or the connection had ended
             await asyncio.wait_for(client.closed.wait(), 5)
             assert await asyncio.wait_for(world.process.wait(), 20) == 0
-            assert len(node.seen) == 3 and "Traceback" not in world.log
+            assert len(node.received) == 3 and "Traceback" not in world.log
 
-    play(story())
+    run_scenario(story())
 
 
 def test_hundreds_of_parts_at_once_on_one_connection():
@@ -250,7 +252,7 @@
             assert got.status == 200
             assert bytes((await client.call("GET", "/photos/whole")).body) == b"".join(parts)
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize(
@@ -262,12 +264,12 @@
         world = H2World(1, contracts=contract)
         world.operator = world.operator.replace("[objects]", "[contracts]\nfronts = 1\n[objects]", 1)
         async with world, world.platform() as client:
-            got = await client.call("GET", PATH, b"", ask_headers("t1", 0))
-            first, headers, body = await world.ask("t2")
+            got = await client.call("GET", PATH, b"", request_headers("t1", 0))
+            first, headers, body = await world.send_request("t2")
             assert got.status == first == status and bytes(got.body) == body
             assert field is None or (field in got.headers and "Retry-After" in headers)
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize("silent", [b"", b"PRI * HT", b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\4\0\0\0\0\0"])
@@ -281,7 +283,7 @@
             async with world.platform() as client:
                 assert (await client.call("GET", "/up")).status == 200
 
-    play(story())
+    run_scenario(story())
 
 
 HOSTILE = [case for case in cases() if case.section.startswith("10.5")]
@@ -292,10 +294,10 @@
     async def story():
         async with H2World(1, "streams = 4\nheaders_bytes = 16384") as world, world.platform() as client:
             node = world.nodes[0]
-            node.always = "any"
-            node.script.append("stall")
-            held = client.begin("GET", PATH, ask_headers("held", 0))
-            await until(lambda: node.seen)
+            node.default_response = "any"
+            node.scripted_responses.append("stall")
+            held = client.begin("GET", PATH, request_headers("held", 0))
+            await wait_until(lambda: node.received)
             for _ in range(3):
                 reader, writer = await asyncio.open_connection("127.0.0.1", world.platform_port)
                 writer.write(case.preface + case.sent)
@@ -307,9 +309,9 @@
             node.released.set()
             assert (await client.answer(held)).status == 200 and not client.goaways
             assert "Traceback" not in world.log
-            await until(lambda: "connection ended" in world.log)
+            await wait_until(lambda: "connection ended" in world.log)
 
-    play(story())
+    run_scenario(story())
 
 
 def test_a_peer_that_reads_nothing_of_what_it_makes_us_answer_is_let_go():
@@ -327,6 +329,6 @@
             writer.transport.abort()
             async with world.platform() as client:
                 assert (await client.call("GET", "/up")).status == 200
-            await until(lambda: "too many pings" in world.log)
+            await wait_until(lambda: "too many pings" in world.log)
 
-    play(story())
+    run_scenario(story())
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from .front_harness import MS, Node, ask_headers, play, until
+from .front_harness import MS, StubChunkServer, request_headers, run_scenario, wait_until
 from .h2client import Client
 from .test_chunks import Raw
 from .test_guard import raw
@@ -17,7 +17,7 @@
 PART = "PUT /photos/a?partNumber=1&uploadId={} HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\npart"
 
 
-class Deaf(Node):
+class Deaf(StubChunkServer):
     """Its connections come up when the test says so."""
 
     async def start(self) -> None:
@@ -43,7 +43,7 @@
         self.way = way
         if way == "stream":
             self.client = await Client(world.platform_port).__aenter__()
-            self.stream = self.client.begin("GET", PATH, ask_headers("t1", 0, left="3000"))
+            self.stream = self.client.begin("GET", PATH, request_headers("t1", 0, left="3000"))
             return
         port = world.object_port if upload else world.port
         self.sock = socket.create_connection(("127.0.0.1", port), 5)
@@ -60,12 +60,12 @@
 
 async def fill(world: H2World) -> None:
     """Three requests that stand at the only chunk server: its window is full, and what comes now waits."""
-    world.nodes[0].always = "stall"
+    world.nodes[0].default_response = "stall"
     for number in range(3):
         sock = socket.create_connection(("127.0.0.1", world.port), 5)
         sock.sendall(raw("GET", **{"X-Trace-Id": f"f{number}", "X-Expires-In-Ms": "3000"}))
         world.held.append(sock)
-    await until(lambda: len(world.nodes[0].seen) == 3)
+    await wait_until(lambda: len(world.nodes[0].received) == 3)
 
 
 WAYS = ["ended", "reset", "stream", "stays"]
@@ -77,25 +77,25 @@
         async with H2World(1) as world:
             node, world.held, upload = world.nodes[0], [], ""
             if way.startswith("part"):
-                _, _, body = await world.objects("POST", "/photos/a?uploads")
+                _, _, body = await world.object_request("POST", "/photos/a?uploads")
                 upload = body.decode().split("<UploadId>")[1].split("<")[0]
-                node.seen.clear()
+                node.received.clear()
             await fill(world)
             asker = Asker()
             await asker.begin(world, way.removeprefix("part "), upload)
             await asyncio.sleep(0.15)
-            assert len(node.seen) == 3
+            assert len(node.received) == 3
             await asker.leave()
             await asyncio.sleep(LATE)
-            node.always = "any"
+            node.default_response = "any"
             node.released.set()
             await asyncio.sleep(0.6)
             others = {"f0", "f1", "f2"}
-            sent = [1 for _, _, headers, _ in node.seen if headers["x-trace-id"] not in others]
+            sent = [1 for _, _, headers, _ in node.received if headers["x-trace-id"] not in others]
             assert bool(sent) is way.endswith("stays")
-            assert node.copies == 0
+            assert node.overlapping_attempts == 0
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize("way", WAYS)
@@ -103,18 +103,18 @@
     async def story():
         async with H2World(1, Limits__MaxAttempts=9) as world:
             node, asker = world.nodes[0], Asker()
-            node.always = "full"
+            node.default_response = "full"
             await asker.begin(world, way, "")
-            await until(lambda: len(node.seen) == 2)  # two failures in a row count as a queue: half a second
+            await wait_until(lambda: len(node.received) == 2)  # two failures in a row count as a queue: half a second
             await asyncio.sleep(0.02)
-            assert len(node.seen) == 2
+            assert len(node.received) == 2
             await asker.leave()
             await asyncio.sleep(LATE)
-            node.always = "any"
+            node.default_response = "any"
             await asyncio.sleep(1.6)
-            assert (len(node.seen) > 2) is (way == "stays")
+            assert (len(node.received) > 2) is (way == "stays")
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize("way", WAYS)
@@ -130,4 +130,4 @@
             await asyncio.sleep(LATE)
             assert (b"t1" in await world.nodes[0].come_up()) is (way == "stays")
 
-    play(story())
+    run_scenario(story())
--- a/tests/test_long_bodies.py
+++ b/tests/test_long_bodies.py
@@ -11,8 +11,8 @@
 from ochrespan.net import bodies
 from ochrespan.net.bodies import BodyBudget, HeldBody, Receiver, StreamedBody
 
-from .controlled_front import Controlled
-from .front_harness import KEY, VOLUME, World, play, until
+from .controlled_front import ControlledFront
+from .front_harness import KEY, VOLUME, FrontHarness, run_scenario, wait_until
 from .test_guard import raw
 
 PATH = f"/api/{VOLUME}/{KEY}"
@@ -51,7 +51,7 @@
         small.let_go()
         assert budget.take(100)
 
-    play(story())
+    run_scenario(story())
 
 
 def test_a_body_that_goes_on_for_ever_is_refused(monkeypatch):
@@ -61,7 +61,7 @@
             await Receiver(Pieces(*[b"x" * 300] * 9), BodyBudget(10_000)).receive()
         assert why.value.status == 413
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize("form", ["length", "chunked", "close"])
@@ -69,7 +69,7 @@
     """The front gave up answers above 1 MiB, and cut those that took longer than the deadline."""
 
     async def story():
-        async with World(1) as world:
+        async with FrontHarness(1) as world:
             pieces = [bytes([n]) * 100_000 for n in range(5)]
 
             async def serve(reader, writer):
@@ -89,7 +89,7 @@
 
             server = await asyncio.start_server(serve, "127.0.0.1", 0)
             world.nodes[0].address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-            world.tell(world.nodes[0], "up")
+            world.publish_state(world.nodes[0], "up")
             await asyncio.sleep(0.3)
             began = time.monotonic()
             url = f"http://127.0.0.1:{world.port}{PATH}"
@@ -106,33 +106,33 @@
                 rest = await answer.content.read()
             assert first + rest == b"".join(pieces) and time.monotonic() - began > 1.2
 
-    play(story())
+    run_scenario(story())
 
 
 def test_a_long_answer_that_breaks_ends_its_connection_and_counts_as_failed():
     async def story():
-        async with Controlled(1) as world:
+        async with ControlledFront(1) as world:
             head = b"HTTP/1.1 200 OK\r\nContent-Length: 500000\r\n\r\n"
-            world.nodes[0].script.append(head + bytes(200_000))
+            world.nodes[0].scripted_responses.append(head + bytes(200_000))
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(raw("GET"))
             await reader.readuntil(b"\r\n\r\n")
             await reader.readexactly(150_000)
-            for sock in world.nodes[0].socks:
+            for sock in world.nodes[0].connection_sockets:
                 sock.shutdown(2)
             assert len(await asyncio.wait_for(reader.read(), 5)) < 350_000
             writer.close()
-            found = await world.figures()
+            found = await world.metrics()
             assert (found["success.read"], found["error.read"], found["concurrent"]) == (0, 1, 0)
 
-    play(story())
+    run_scenario(story())
 
 
 def test_clients_that_read_late_hold_back_the_chunk_server_and_not_the_memory():
     """Ten answers of 8 MiB at once, none of them read for a second."""
 
     async def story():
-        async with Controlled(1) as world:
+        async with ControlledFront(1) as world:
             node = world.nodes[0]
             node.stored[PATH] = bytes(LONG)
             before = memory(world.process.pid)
@@ -141,9 +141,9 @@
                 reader, writer = await asyncio.open_connection("127.0.0.1", world.port, limit=1024)
                 writer.write(raw("GET", **{"X-Trace-Id": f"t{number}"}))
                 clients.append((reader, writer))
-            await until(lambda: len(node.seen) >= 3)
+            await wait_until(lambda: len(node.received) >= 3)
             await asyncio.sleep(1)
-            assert (await world.figures())["concurrent"] >= 3
+            assert (await world.metrics())["concurrent"] >= 3
             assert memory(world.process.pid) - before < 16 << 20
             for reader, writer in clients:
                 head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), 10)
@@ -152,13 +152,13 @@
                 writer.close()
             assert memory(world.process.pid) - before < 16 << 20
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize("chunked", [False, True])
 def test_a_body_that_is_too_long_to_be_held_streams_through_one_attempt(chunked):
     async def story():
-        async with World(1) as world:
+        async with FrontHarness(1) as world:
             before = memory(world.process.pid)
             got = bytearray()
 
@@ -177,7 +177,7 @@
 
             server = await asyncio.start_server(serve, "127.0.0.1", 0)
             world.nodes[0].address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-            world.tell(world.nodes[0], "up")
+            world.publish_state(world.nodes[0], "up")
             await asyncio.sleep(0.3)
             body = bytes(range(256)) * (LONG // 256)
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
@@ -193,19 +193,19 @@
             assert bytes(got) == body and memory(world.process.pid) - before < 12 << 20
             writer.close()
 
-    play(story())
+    run_scenario(story())
 
 
 def test_a_streamed_body_whose_attempt_fails_is_refused_and_not_sent_twice():
     async def story():
-        async with World(1) as world:
+        async with FrontHarness(1) as world:
             node = world.nodes[0]
-            node.script.extend(["cut", "cut"])
-            status, headers, _ = await world.ask("t1", "PUT", bytes(4 << 20), cls="write")
+            node.scripted_responses.extend(["cut", "cut"])
+            status, headers, _ = await world.send_request("t1", "PUT", bytes(4 << 20), cls="write")
             assert status == 503 and "Retry-After" in headers
-            assert len(node.script) == 1  # the second was never asked
+            assert len(node.scripted_responses) == 1  # the second was never asked
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize(("method", "body"), [("GET", b""), ("PUT", b"ab" * 50_000)])
@@ -213,8 +213,8 @@
     """It was cut off 2 s after it had connected."""
 
     async def story():
-        async with World(1) as world:
-            world.nodes[0].always = "any" if method == "GET" else ""
+        async with FrontHarness(1) as world:
+            world.nodes[0].default_response = "any" if method == "GET" else ""
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
             length = (f"Content-Length: {len(body)}",) if body else ()
             head = raw(method, *length)
@@ -229,12 +229,12 @@
             if body:
                 assert world.nodes[0].stored[PATH] == body
 
-    play(story())
+    run_scenario(story())
 
 
 def test_a_request_in_chunks_with_extensions_and_trailers_is_served():
     async def story():
-        async with World(1) as world:
+        async with FrontHarness(1) as world:
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
             chunks = b'3;name=value\r\nabc\r\n2 ; quoted="a;b"\r\nde\r\n0;last\r\nX-Trailer: y\r\nOther:z\r\n\r\n'
             for number in range(2):
@@ -247,4 +247,4 @@
                 assert world.nodes[0].stored[PATH] == b"abcde"
             writer.close()
 
-    play(story())
+    run_scenario(story())
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -4,7 +4,7 @@
 import re
 import struct
 
-from .front_harness import World, free_port, play, until
+from .front_harness import FrontHarness, free_port, run_scenario, wait_until
 
 LINE = re.compile(r"plant\.n0\.([A-Za-z0-9_-]+)\.([A-Za-z0-9_-]+) (\S+) (\d+)\n")
 
@@ -73,11 +73,11 @@
             Datagrams, local_addr=("127.0.0.1", 0)
         )
         ports = graphite.sockets[0].getsockname()[1], transport.get_extra_info("sockname")[1]
-        async with World(1, sinks(*ports)) as world:
-            world.nodes[0].script.extend(["any", "full", "any", "error", "error", "error"])
+        async with FrontHarness(1, sinks(*ports)) as world:
+            world.nodes[0].scripted_responses.extend(["any", "full", "any", "error", "error", "error"])
             for name in ("t1", "t2", "t3"):
-                await world.ask(name)
-            assert (await world.ask("t4", **{"X-Plan": "made.up"}))[0] == 400  # counts nowhere
+                await world.send_request(name)
+            assert (await world.send_request("t4", **{"X-Plan": "made.up"}))[0] == 400  # counts nowhere
             wanted = {
                 ("gold-read", "taken"): 3,
                 ("gold-read", "served"): 2,
@@ -87,14 +87,14 @@
                 ("outcomes", "error"): 3,
                 ("front", "held"): 0,
             }
-            await until(lambda: all(lines.get(k) == v for k, v in wanted.items()))
-            await until(lambda: all(datagrams.values.get(k, {}).get("value") == v for k, v in wanted.items()))
+            await wait_until(lambda: all(lines.get(k) == v for k, v in wanted.items()))
+            await wait_until(lambda: all(datagrams.values.get(k, {}).get("value") == v for k, v in wanted.items()))
             assert not any("made" in name or "other" in name for name, _ in lines)
             value = datagrams.values["gold-read", "taken"]
             assert (value[0], value[2], round(value[9], 3)) == ("n0", "plant", 0.1)
             assert abs(value[8] - stamps[-1]) < 60
 
-    play(story())
+    run_scenario(story())
 
 
 def test_dead_sinks_do_not_delay_serving_and_are_found_again():
@@ -105,17 +105,17 @@
         dead = await asyncio.start_server(swallow, "127.0.0.1", 0)
         dead_port, later = dead.sockets[0].getsockname()[1], free_port()
         async with (
-            World(1, sinks(dead_port, free_port())) as world,
-            World(operator=sinks(later, free_port()), rank=1, shared=world) as other,
+            FrontHarness(1, sinks(dead_port, free_port())) as world,
+            FrontHarness(operator=sinks(later, free_port()), rank=1, shared=world) as other,
         ):
-            world.nodes[0].always = "any"
+            world.nodes[0].default_response = "any"
             for number in range(20):
-                assert (await world.ask(f"a{number}"))[0] == 200
-                assert (await other.ask(f"b{number}"))[0] == 200
-            await until(lambda: "sink fails" in other.log)
+                assert (await world.send_request(f"a{number}"))[0] == 200
+                assert (await other.send_request(f"b{number}"))[0] == 200
+            await wait_until(lambda: "sink fails" in other.log)
             came = asyncio.Event()
             server = await asyncio.start_server(lambda *_: came.set(), "127.0.0.1", later)
             await asyncio.wait_for(came.wait(), 10)
             server.close()
 
-    play(story())
+    run_scenario(story())
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -12,7 +12,7 @@
 
 from ochrespan.objects.layout import PAYLOAD
 
-from .front_harness import Node, World, play, until
+from .front_harness import FrontHarness, StubChunkServer, run_scenario, wait_until
 
 OPERATOR = """
 [objects]
@@ -51,7 +51,7 @@
     return ElementTree.fromstring(body).findtext("Code")
 
 
-def chunks_of(world: World) -> list[str]:
+def chunks_of(world: FrontHarness) -> list[str]:
     """The paths of what is stored whole, the largest first."""
     stored = [(len(body), path) for node in world.nodes for path, body in node.stored.items()]
     return [path for _, path in sorted(stored, reverse=True)]
@@ -61,9 +61,9 @@
 def test_what_is_put_comes_back_whole_and_is_gone_once_deleted(size):
     async def story():
         body = some_bytes(size)
-        async with World(3, OPERATOR) as world:
-            assert (await world.objects("GET", WHERE))[0] == 404
-            status, headers, _ = await world.objects(
+        async with FrontHarness(3, OPERATOR) as world:
+            assert (await world.object_request("GET", WHERE))[0] == 404
+            status, headers, _ = await world.object_request(
                 "PUT",
                 WHERE,
                 body,
@@ -72,18 +72,18 @@
                 Content_MD5=base64.b64encode(hashlib.md5(body).digest()).decode(),
             )
             assert (status, headers["ETag"]) == (200, f'"{md5(body)}"')
-            status, headers, got = await world.objects("GET", WHERE)
+            status, headers, got = await world.object_request("GET", WHERE)
             assert status == 200 and got == body
             assert headers["Content-Type"] == "image/jpeg" and headers["x-amz-meta-line"] == "7"
-            status, headers, got = await world.objects("HEAD", WHERE)
+            status, headers, got = await world.object_request("HEAD", WHERE)
             assert (status, got, headers["Content-Length"]) == (200, b"", str(size))
             assert all(len(kept) <= 65536 for node in world.nodes for kept in node.stored.values())
-            assert (await world.objects("DELETE", WHERE))[0] == 204
-            status, _, got = await world.objects("GET", WHERE)
+            assert (await world.object_request("DELETE", WHERE))[0] == 204
+            status, _, got = await world.object_request("GET", WHERE)
             assert status == 404 and code(got) == "NoSuchKey"
-            assert all(node.copies == 0 for node in world.nodes)
+            assert all(node.overlapping_attempts == 0 for node in world.nodes)
 
-    play(story())
+    run_scenario(story())
 
 
 SIZE = 3 * PAYLOAD + 100
@@ -102,22 +102,22 @@
 
     async def story():
         body = some_bytes(SIZE)
-        async with World(3, OPERATOR) as world:
-            await world.objects("PUT", WHERE, body)
+        async with FrontHarness(3, OPERATOR) as world:
+            await world.object_request("PUT", WHERE, body)
             for header, begin, end in cases:
-                status, headers, got = await world.objects("GET", WHERE, Range=header)
+                status, headers, got = await world.object_request("GET", WHERE, Range=header)
                 assert status == 206 and got == body[begin:end], header
                 assert headers["Content-Range"] == f"bytes {begin}-{end - 1}/{SIZE}"
             for header in (f"bytes={SIZE}-", "bytes=-0"):
-                status, headers, got = await world.objects("GET", WHERE, Range=header)
+                status, headers, got = await world.object_request("GET", WHERE, Range=header)
                 assert (status, code(got)) == (416, "InvalidRange")
                 assert headers["Content-Range"] == f"bytes */{SIZE}"
             for header in ("bytes=9-3", "lines=1-2", "bytes=0-1,5-6", "bytes=-"):  # the whole is served
-                assert (await world.objects("GET", WHERE, Range=header))[::2] == (200, body)
-            status, headers, got = await world.objects("HEAD", WHERE, Range="bytes=1-4")
+                assert (await world.object_request("GET", WHERE, Range=header))[::2] == (200, body)
+            status, headers, got = await world.object_request("HEAD", WHERE, Range="bytes=1-4")
             assert (status, headers["Content-Length"], got) == (206, "4", b"")
 
-    play(story())
+    run_scenario(story())
 
 
 def test_conditions():
@@ -126,8 +126,8 @@
     async def story():
         body = some_bytes(50)
         tag = f'"{md5(body)}"'
-        async with World(2, OPERATOR) as world:
-            await world.objects("PUT", WHERE, body)
+        async with FrontHarness(2, OPERATOR) as world:
+            await world.object_request("PUT", WHERE, body)
             for headers, wanted in [
                 ({"If-Match": tag}, 200),
                 ({"If-Match": '"x"'}, 412),
@@ -144,12 +144,12 @@
                 ({"If-Range": tag, "Range": "bytes=1-2"}, 206),
                 ({"If-Range": '"x"', "Range": "bytes=1-2"}, 200),
             ]:
-                status, got_headers, got = await world.objects("GET", WHERE, **headers)
+                status, got_headers, got = await world.object_request("GET", WHERE, **headers)
                 assert status == wanted, headers
                 assert got == {200: body, 206: body[1:3], 304: b""}.get(status, got)
                 assert status == 412 or got_headers["ETag"] == tag
 
-    play(story())
+    run_scenario(story())
 
 
 def complete(parts: list[tuple[int, str]]) -> bytes:
@@ -157,27 +157,27 @@
     return f'<CompleteMultipartUpload xmlns="{NS[1:-1]}">{inner}</CompleteMultipartUpload>'.encode()
 
 
-async def begin(world: World, where: str = WHERE) -> str:
-    _, _, got = await world.objects("POST", where + "?uploads", Content_Type="image/png")
+async def begin(world: FrontHarness, where: str = WHERE) -> str:
+    _, _, got = await world.object_request("POST", where + "?uploads", Content_Type="image/png")
     return ElementTree.fromstring(got).findtext(NS + "UploadId")
 
 
 def test_an_upload_through_two_fronts_that_share_nothing():
     async def story():
         bodies = {1: some_bytes(150_000, 1), 2: some_bytes(PAYLOAD * 2, 2), 5: some_bytes(10, 5)}
-        async with World(3, OPERATOR) as one, World(operator=OPERATOR, rank=1, shared=one) as two:
+        async with FrontHarness(3, OPERATOR) as one, FrontHarness(operator=OPERATOR, rank=1, shared=one) as two:
             upload = await begin(one)
             at = f"{WHERE}?uploadId={upload}"
             older = b"an older part" * 9000
             for world, number, body in [(two, 5, bodies[5]), (one, 2, older), (one, 1, bodies[1]), (two, 2, bodies[2])]:
-                status, headers, _ = await world.objects("PUT", f"{at}&partNumber={number}", body)
+                status, headers, _ = await world.object_request("PUT", f"{at}&partNumber={number}", body)
                 assert (status, headers["ETag"]) == (200, f'"{md5(body)}"')
-            _, _, got = await two.objects("GET", at + "&max-parts=2")
+            _, _, got = await two.object_request("GET", at + "&max-parts=2")
             listed = ElementTree.fromstring(got)
             found = [(p.findtext(NS + "PartNumber"), p.findtext(NS + "Size")) for p in listed.iter(NS + "Part")]
             assert found == [("1", "150000"), ("2", str(2 * PAYLOAD))]
             assert listed.findtext(NS + "IsTruncated") == "true"
-            assert (await one.objects("GET", WHERE))[0] == 404  # nothing to see before the manifest
+            assert (await one.object_request("GET", WHERE))[0] == 404  # nothing to see before the manifest
             wanted = [(n, md5(body)) for n, body in sorted(bodies.items())]
             for parts, word in [
                 ([(1, md5(b"x"))], "InvalidPart"),
@@ -185,42 +185,42 @@
                 ([wanted[2], (9, md5(b"x"))], "InvalidPart"),
                 ([], "MalformedXML"),
             ]:
-                status, _, got = await one.objects("POST", at, complete(parts))
+                status, _, got = await one.object_request("POST", at, complete(parts))
                 assert (status, code(got)) == (400, word)
-            status, _, got = await two.objects("POST", at, complete(wanted))
+            status, _, got = await two.object_request("POST", at, complete(wanted))
             digests = b"".join(hashlib.md5(body).digest() for _, body in sorted(bodies.items()))
             tag = f'"{md5(digests)}-3"'
             assert status == 200 and ElementTree.fromstring(got).findtext(NS + "ETag") == tag
             whole = b"".join(body for _, body in sorted(bodies.items()))
-            status, headers, got = await one.objects("GET", WHERE)
+            status, headers, got = await one.object_request("GET", WHERE)
             assert got == whole and headers["ETag"] == tag and headers["Content-Type"] == "image/png"
-            _, _, got = await two.objects("GET", WHERE, Range="bytes=149000-281000")
+            _, _, got = await two.object_request("GET", WHERE, Range="bytes=149000-281000")
             assert got == whole[149000:281001]
-            status, _, got = await one.objects("POST", at, complete(wanted))
+            status, _, got = await one.object_request("POST", at, complete(wanted))
             assert (status, code(got)) == (404, "NoSuchUpload")
 
-    play(story())
+    run_scenario(story())
 
 
 def test_an_aborted_upload_takes_no_more_and_a_small_part_is_refused():
     async def story():
-        async with World(2, OPERATOR) as world:
+        async with FrontHarness(2, OPERATOR) as world:
             at = f"{WHERE}?uploadId={await begin(world)}"
             tags = [(n, md5(b"tiny")) for n in (1, 2)]
             for number, _ in tags:
-                assert (await world.objects("PUT", f"{at}&partNumber={number}", b"tiny"))[0] == 200
-            assert code((await world.objects("POST", at, complete(tags)))[2]) == "EntityTooSmall"
-            assert (await world.objects("DELETE", at))[0] == 204
+                assert (await world.object_request("PUT", f"{at}&partNumber={number}", b"tiny"))[0] == 200
+            assert code((await world.object_request("POST", at, complete(tags)))[2]) == "EntityTooSmall"
+            assert (await world.object_request("DELETE", at))[0] == 204
             for method, path, body in [
                 ("PUT", at + "&partNumber=3", b"x"),
                 ("GET", at, b""),
                 ("DELETE", at, b""),
                 ("POST", at, complete(tags)),
             ]:
-                status, _, got = await world.objects(method, path, body)
+                status, _, got = await world.object_request(method, path, body)
                 assert (status, code(got)) == (404, "NoSuchUpload")
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize(
@@ -249,35 +249,37 @@
 )
 def test_errors_come_in_s3s_form(method, path, headers, status, word):
     async def story():
-        async with World(1, OPERATOR) as world:
-            got, _, body = await world.objects(method, path, b"<x" if method != "GET" else b"", **headers)
+        async with FrontHarness(1, OPERATOR) as world:
+            got, _, body = await world.object_request(method, path, b"<x" if method != "GET" else b"", **headers)
             assert (got, code(body)) == (status, word)
-            assert (await world.objects("PUT", "/photos/x", b"y"))[0] == 200  # and the front goes on
+            assert (await world.object_request("PUT", "/photos/x", b"y"))[0] == 200  # and the front goes on
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize("act", ["half", "reset", "full", "error", "corrupt", "close"])
 def test_a_chunk_that_fails_mid_read_is_read_again_with_no_byte_twice_or_missing(act):
     async def story():
         body = some_bytes(6 * PAYLOAD + 5)
-        async with World(1, OPERATOR) as world:
+        async with FrontHarness(1, OPERATOR) as world:
             node = world.nodes[0]
-            await world.objects("PUT", WHERE, body)
-            node.script.extend(["", "", "", act, "", act])  # the first is the manifest's
-            status, _, got = await world.objects("GET", WHERE, Range="bytes=100-")
-            assert status == 206 and got == body[100:] and node.copies == 0 and not node.script
+            await world.object_request("PUT", WHERE, body)
+            node.scripted_responses.extend(["", "", "", act, "", act])  # the first is the manifest's
+            status, _, got = await world.object_request("GET", WHERE, Range="bytes=100-")
+            assert (
+                status == 206 and got == body[100:] and node.overlapping_attempts == 0 and not node.scripted_responses
+            )
 
-    play(story())
+    run_scenario(story())
 
 
 def test_a_read_whose_node_stalls_breaks_visibly_and_is_taken_up_where_it_broke():
     async def story():
         body = some_bytes(8 * PAYLOAD)
-        async with World(1, OPERATOR) as world:
+        async with FrontHarness(1, OPERATOR) as world:
             node = world.nodes[0]
-            await world.objects("PUT", WHERE, body)
-            node.script.extend([""] * 5 + ["stall"])
+            await world.object_request("PUT", WHERE, body)
+            node.scripted_responses.extend([""] * 5 + ["stall"])
             got = bytearray()
             url = f"http://127.0.0.1:{world.object_port}{WHERE}"
             async with world.session.get(url) as answer:
@@ -286,31 +288,35 @@
                     async for some in answer.content.iter_any():
                         got += some
             assert 0 < len(got) < len(body) and body.startswith(bytes(got))
-            status, _, rest = await world.objects("GET", WHERE, Range=f"bytes={len(got)}-")
-            assert status == 206 and bytes(got) + rest == body and node.copies == 0
-            await until(lambda: not any(node.out.values()))
+            status, _, rest = await world.object_request("GET", WHERE, Range=f"bytes={len(got)}-")
+            assert status == 206 and bytes(got) + rest == body and node.overlapping_attempts == 0
+            await wait_until(lambda: not any(node.in_flight.values()))
 
-    play(story())
+    run_scenario(story())
 
 
 def test_a_stalled_chunk_is_tried_again_once_the_node_is_known_to_lose_answers():
     async def story():
         body = some_bytes(5 * PAYLOAD)
-        async with World(1, OPERATOR) as world:
+        async with FrontHarness(1, OPERATOR) as world:
             node = world.nodes[0]
             node.delay = 0.1  # so that four times the usual wait is long
-            await world.objects("PUT", WHERE, body)
-            node.script.extend(["", "stall"])
+            await world.object_request("PUT", WHERE, body)
+            node.scripted_responses.extend(["", "stall"])
             with pytest.raises(aiohttp.ClientError):
-                status, _, _ = await world.objects("GET", WHERE)
+                status, _, _ = await world.object_request("GET", WHERE)
                 assert status == 503  # the first chunk was the one: nothing had gone out yet
                 raise aiohttp.ClientError
-            node.script.extend(["", "", "stall"])
-            seen = len(node.seen)
-            assert (await world.objects("GET", WHERE))[::2] == (200, body)
-            assert len(node.seen) >= seen + 1 + 5 + 1 and not node.script and node.copies == 0
+            node.scripted_responses.extend(["", "", "stall"])
+            seen = len(node.received)
+            assert (await world.object_request("GET", WHERE))[::2] == (200, body)
+            assert (
+                len(node.received) >= seen + 1 + 5 + 1
+                and not node.scripted_responses
+                and node.overlapping_attempts == 0
+            )
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize("replaced", [True, False])
@@ -319,22 +325,22 @@
         # a chunk's shard is a lot drawn anew each time: so many that either half reaches both nodes
         half = 32 * PAYLOAD
         before, body = some_bytes(1000, 7), some_bytes(2 * half, 8)
-        async with World(2, OPERATOR) as world:
-            assert (await world.objects("PUT", WHERE, before))[0] == 200
+        async with FrontHarness(2, OPERATOR) as world:
+            assert (await world.object_request("PUT", WHERE, before))[0] == 200
             drained = world.nodes[1]
             # heads spread their first calls: one that has no watch yet knows of no drain
-            await until(lambda: world.calls and world.calls[-1][1] == str(world.revision))
+            await wait_until(lambda: world.calls and world.calls[-1][1] == str(world.revision))
 
             async def sending():
                 yield body[:half]
-                await until(lambda: any(len(seen[3]) > 60000 for seen in drained.seen))
-                world.tell(drained, "draining")
+                await wait_until(lambda: any(len(seen[3]) > 60000 for seen in drained.received))
+                world.publish_state(drained, "draining")
                 if replaced:
-                    fresh = Node(1)
+                    fresh = StubChunkServer(1)
                     fresh.id, fresh.stored = "s-new", drained.stored
                     await fresh.start()
                     world.nodes.append(fresh)
-                    world.tell(fresh, "up")
+                    world.publish_state(fresh, "up")
                 yield body[half:]
 
             url = f"http://127.0.0.1:{world.object_port}{WHERE}"
@@ -344,32 +350,32 @@
                 assert status == 200
             else:
                 assert (status, code(got), answer.headers["Retry-After"]) == (503, "SlowDown", "1")
-                world.tell(drained, "up")
-                await until(lambda: world.calls[-1][1] == str(world.revision))
-            assert (await world.objects("GET", WHERE))[2] == (body if replaced else before)
-            assert all(node.copies == 0 for node in world.nodes)
+                world.publish_state(drained, "up")
+                await wait_until(lambda: world.calls[-1][1] == str(world.revision))
+            assert (await world.object_request("GET", WHERE))[2] == (body if replaced else before)
+            assert all(node.overlapping_attempts == 0 for node in world.nodes)
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize("method", ["PUT", "GET"])
 def test_a_client_that_leaves_partway_frees_its_chunks_and_changes_nothing(method):
     async def story():
         body = some_bytes(6 * PAYLOAD)
-        async with World(1, OPERATOR) as world:
+        async with FrontHarness(1, OPERATOR) as world:
             node = world.nodes[0]
-            await world.objects("PUT", WHERE, body)
-            seen, kept = len(node.seen), dict(node.stored)
-            node.script.extend([""] + ["stall"] * 4 if method == "GET" else ["stall"] * 4)
-            leaving = asyncio.create_task(world.objects(method, WHERE, body[1:] if method == "PUT" else b""))
-            await until(lambda: len(node.seen) > seen + 1 and any(node.out.values()))
+            await world.object_request("PUT", WHERE, body)
+            seen, kept = len(node.received), dict(node.stored)
+            node.scripted_responses.extend([""] + ["stall"] * 4 if method == "GET" else ["stall"] * 4)
+            leaving = asyncio.create_task(world.object_request(method, WHERE, body[1:] if method == "PUT" else b""))
+            await wait_until(lambda: len(node.received) > seen + 1 and any(node.in_flight.values()))
             leaving.cancel()
-            await until(lambda: not any(node.out.values()))
-            node.script.clear()
-            assert (await world.objects("GET", WHERE))[2] == body
-            assert {path: node.stored[path] for path in kept} == kept and node.copies == 0
+            await wait_until(lambda: not any(node.in_flight.values()))
+            node.scripted_responses.clear()
+            assert (await world.object_request("GET", WHERE))[2] == body
+            assert {path: node.stored[path] for path in kept} == kept and node.overlapping_attempts == 0
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize(("rate", "wanted"), [(0.01, 503), (100000, 200)])
@@ -377,23 +383,23 @@
     async def story():
         budget = f"budget = {{units_per_s = {rate}}}\n"
         operator = OPERATOR.replace('buckets = ["photos"]', budget + 'buckets = ["photos"]')
-        async with World(1, operator) as world:
-            status, _, got = await world.objects("PUT", WHERE, some_bytes(100))
+        async with FrontHarness(1, operator) as world:
+            status, _, got = await world.object_request("PUT", WHERE, some_bytes(100))
             assert status == wanted and (status == 200 or code(got) == "SlowDown")
-            assert bool(world.nodes[0].seen) == (wanted == 200)
+            assert bool(world.nodes[0].received) == (wanted == 200)
 
-    play(story())
+    run_scenario(story())
 
 
 def test_many_bytes_stream_through_bounded_memory():
     async def story():
-        async with World(2, OPERATOR) as world:
+        async with FrontHarness(2, OPERATOR) as world:
             body = some_bytes(48 << 20)
-            assert (await world.objects("PUT", WHERE, body))[0] == 200
+            assert (await world.object_request("PUT", WHERE, body))[0] == 200
             slow = await world.session.get(f"http://127.0.0.1:{world.object_port}{WHERE}")
             await asyncio.sleep(0.5)  # a client that does not read must not make the front collect
             assert hashlib.md5(await slow.read()).digest() == hashlib.md5(body).digest()
             status = Path(f"/proc/{world.process.pid}/status").read_text()
             assert int(status.split("VmHWM:")[1].split()[0]) < 120_000  # kB
 
-    play(story())
+    run_scenario(story())
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -9,7 +9,7 @@
 
 from ochrespan.net.discovery import Directory
 
-from .front_harness import KEY, VOLUME, World, ask_headers, free_port, play, until
+from .front_harness import KEY, VOLUME, FrontHarness, free_port, request_headers, run_scenario, wait_until
 from .test_guard import raw
 
 BODY = bytes(range(256)) * 256  # 64 KiB
@@ -17,28 +17,28 @@
 
 def test_a_read_and_a_write_pass_through_unchanged():
     async def story():
-        async with World() as world:
-            status, _, _ = await world.ask("w1", "PUT", BODY, shard=1)
+        async with FrontHarness() as world:
+            status, _, _ = await world.send_request("w1", "PUT", BODY, shard=1)
             assert status == 200 and world.nodes[1].stored[f"/api/{VOLUME}/{KEY}"] == BODY
-            status, _, body = await world.ask("r1", shard=1)
+            status, _, body = await world.send_request("r1", shard=1)
             assert (status, body) == (200, BODY)
-            method, path, headers, _ = world.nodes[1].seen[-1]
+            method, path, headers, _ = world.nodes[1].received[-1]
             assert (method, path, headers["x-trace-id"]) == ("GET", f"/api/{VOLUME}/{KEY}", "r1")
             assert 0 < int(headers["x-expires-in-ms"]) <= 2000
-            assert not world.nodes[0].seen
-            await world.call("GET", f"/api/{VOLUME}/{KEY}?a=%2F&b", headers=ask_headers("q1", 1))
-            assert world.nodes[1].seen[-1][1] == f"/api/{VOLUME}/{KEY}?a=%2F&b"
+            assert not world.nodes[0].received
+            await world.call("GET", f"/api/{VOLUME}/{KEY}?a=%2F&b", headers=request_headers("q1", 1))
+            assert world.nodes[1].received[-1][1] == f"/api/{VOLUME}/{KEY}?a=%2F&b"
 
-    play(story())
+    run_scenario(story())
 
 
 def test_headers_for_the_chunk_server_go_on_with_each_attempt_and_the_fronts_own_do_not():
     """A class whose repeats are known by a key lost its key: the bench calls that a request that no client sent."""
 
     async def story():
-        async with World(1) as world:
-            world.nodes[0].script.extend(["full", "any"])
-            told = ask_headers("k1", 0) | {
+        async with FrontHarness(1) as world:
+            world.nodes[0].scripted_responses.extend(["full", "any"])
+            told = request_headers("k1", 0) | {
                 "Idempotency-Key": "8c66b9e5",
                 "X-Odd": "a, b",
                 "Connection": "x-hop",
@@ -57,8 +57,8 @@
                 + b"ok"
             )
             assert (await reader.readline()).startswith(b"HTTP/1.1 200 ")
-            assert len(world.nodes[0].seen) == 2
-            for _, _, headers, body in world.nodes[0].seen:
+            assert len(world.nodes[0].received) == 2
+            for _, _, headers, body in world.nodes[0].received:
                 assert (body, headers["idempotency-key"], headers["x-odd"], headers["x-trace-id"]) == (
                     b"ok",
                     "8c66b9e5",
@@ -75,7 +75,7 @@
                     "content-type",
                 }
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize(
@@ -92,68 +92,68 @@
 )
 def test_each_outcome_leads_to_one_final_answer(acts, status, attempts):
     async def story():
-        async with World(1) as world:
+        async with FrontHarness(1) as world:
             node = world.nodes[0]
             node.stored[f"/api/{VOLUME}/{KEY}"] = BODY
             if acts[0] == "close":
-                assert (await world.ask("t0"))[0] == 200
-                node.seen.clear()
-                node.script.extend(["reset", "error", "any"])
+                assert (await world.send_request("t0"))[0] == 200
+                node.received.clear()
+                node.scripted_responses.extend(["reset", "error", "any"])
             else:
-                node.script.extend(acts)
-            got, _, body = await world.ask("t1")
+                node.scripted_responses.extend(acts)
+            got, _, body = await world.send_request("t1")
             assert got == status and (body == BODY) == (status == 200)
-            assert len(node.seen) == attempts and node.copies == 0
+            assert len(node.received) == attempts and node.overlapping_attempts == 0
 
-    play(story())
+    run_scenario(story())
 
 
 def test_a_kept_connection_that_breaks_is_one_attempt_and_no_hidden_copy():
     """aiohttp resends a GET or PUT by itself there: the chunk server would see more than the core has sent."""
 
     async def story():
-        async with World(1, Limits__MaxAttempts=1) as world:
+        async with FrontHarness(1, Limits__MaxAttempts=1) as world:
             node = world.nodes[0]
-            node.always = "any"
-            assert (await world.ask("t0"))[0] == 200
-            node.script.append("reset")  # on the connection that t0 left
-            status, _, _ = await world.ask("t1")
+            node.default_response = "any"
+            assert (await world.send_request("t0"))[0] == 200
+            node.scripted_responses.append("reset")  # on the connection that t0 left
+            status, _, _ = await world.send_request("t1")
             assert status == 503
-            assert [seen[2]["x-trace-id"] for seen in node.seen] == ["t0", "t1"] and node.connections == 1
+            assert [seen[2]["x-trace-id"] for seen in node.received] == ["t0", "t1"] and node.connections == 1
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize(("act", "wanted"), [("reset", 502), ("full", 200), ("error", 502), ("stall", 502)])
 def test_of_an_unsafe_class_only_what_never_ran_goes_again(act, wanted):
     async def story():
-        async with World(1) as world:
+        async with FrontHarness(1) as world:
             node = world.nodes[0]
-            node.script.append(act)
-            status, _, _ = await world.ask("w1", "PUT", BODY, cls="once", left="900")
-            assert status == wanted and len(node.seen) == (2 if wanted == 200 else 1)
+            node.scripted_responses.append(act)
+            status, _, _ = await world.send_request("w1", "PUT", BODY, cls="once", left="900")
+            assert status == wanted and len(node.received) == (2 if wanted == 200 else 1)
 
-    play(story())
+    run_scenario(story())
 
 
 def test_what_cannot_be_reached_is_refused_and_one_that_stalls_is_given_up():
     async def story():
-        async with World(2) as world:
-            world.nodes[1].always = "stall"
+        async with FrontHarness(2) as world:
+            world.nodes[1].default_response = "stall"
             entry = world.entry(world.nodes[0]) | {"host_port": f"127.0.0.1:{free_port()}"}
             world.revision += 1
             world.changed.append((world.revision, entry))
-            world.news.set()
-            await until(lambda: len(world.calls) >= 2)
-            status, headers, _ = await world.ask("t1", cls="brief", left="900")
+            world.update_published.set()
+            await wait_until(lambda: len(world.calls) >= 2)
+            status, headers, _ = await world.send_request("t1", cls="brief", left="900")
             assert status == 503 and 0 < float(headers["Retry-After"]) <= 0.5
             began = time.monotonic()
-            assert (await world.ask("t2", shard=1, cls="brief", left="900"))[0] == 503
+            assert (await world.send_request("t2", shard=1, cls="brief", left="900"))[0] == 503
             # at its aim of 300 ms, when the module gives up, and not held towards the client's 900 ms
             assert time.monotonic() - began < 0.85
-            await until(lambda: not any(world.nodes[1].out.values()))  # abandoned: its connection is closed
+            await wait_until(lambda: not any(world.nodes[1].in_flight.values()))  # abandoned: its connection is closed
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize(
@@ -167,11 +167,11 @@
 )
 def test_odd_but_readable_requests_are_served(changes):
     async def story():
-        async with World(1) as world:
-            world.nodes[0].always = "any"
-            assert (await world.ask(**changes))[0] == 200
+        async with FrontHarness(1) as world:
+            world.nodes[0].default_response = "any"
+            assert (await world.send_request(**changes))[0] == 200
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize(
@@ -201,47 +201,47 @@
 )
 def test_garbage_gets_400_and_the_front_goes_on(changes):
     async def story():
-        async with World(1) as world:
-            world.nodes[0].always = "any"
-            assert (await world.ask(**changes))[0] == 400
-            assert (await world.call("GET", "/nowhere", headers=ask_headers("t", 0)))[0] == 400
-            assert not world.nodes[0].seen
-            assert (await world.ask("t2"))[0] == 200
+        async with FrontHarness(1) as world:
+            world.nodes[0].default_response = "any"
+            assert (await world.send_request(**changes))[0] == 400
+            assert (await world.call("GET", "/nowhere", headers=request_headers("t", 0)))[0] == 400
+            assert not world.nodes[0].received
+            assert (await world.send_request("t2"))[0] == 200
 
-    play(story())
+    run_scenario(story())
 
 
 def test_an_id_is_taken_again_once_the_first_of_that_name_is_taken_back_and_not_before():
     async def story():
-        async with World(1) as world:
+        async with FrontHarness(1) as world:
             node = world.nodes[0]
-            node.always = "stall"
+            node.default_response = "stall"
             first = socket.create_connection(("127.0.0.1", world.port), 5)
             first.sendall(raw("GET"))
-            await until(lambda: node.out.get("t1"))
-            assert (await world.ask("t1"))[0] == 400  # answers could not be told apart
-            assert node.out == {"t1": 1} and len(node.seen) == 1
-            node.always = "any"
+            await wait_until(lambda: node.in_flight.get("t1"))
+            assert (await world.send_request("t1"))[0] == 400  # answers could not be told apart
+            assert node.in_flight == {"t1": 1} and len(node.received) == 1
+            node.default_response = "any"
             first.close()
-            await until(lambda: not node.out["t1"])
-            assert (await world.ask("t1"))[0] == 200 and node.copies == 0
+            await wait_until(lambda: not node.in_flight["t1"])
+            assert (await world.send_request("t1"))[0] == 200 and node.overlapping_attempts == 0
 
-    play(story())
+    run_scenario(story())
 
 
 def test_a_client_that_leaves_frees_its_attempt():
     async def story():
-        async with World(1) as world:
+        async with FrontHarness(1) as world:
             node = world.nodes[0]
-            node.script.append("stall")
+            node.scripted_responses.append("stall")
             with pytest.raises(asyncio.TimeoutError):
-                await asyncio.wait_for(world.ask("t1"), 0.3)
-            await until(lambda: node.seen and not any(node.out.values()))
-            node.always = "any"
-            assert (await world.ask("t2"))[0] == 200
-            assert node.copies == 0
+                await asyncio.wait_for(world.send_request("t1"), 0.3)
+            await wait_until(lambda: node.received and not any(node.in_flight.values()))
+            node.default_response = "any"
+            assert (await world.send_request("t2"))[0] == 200
+            assert node.overlapping_attempts == 0
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize("discovery", ["on_request", "pushed"])
@@ -249,22 +249,22 @@
     """Where the settings say that lists are pushed, nobody watched: no change was ever heard of."""
 
     async def story():
-        world = World(2, Discovery=discovery)
+        world = FrontHarness(2, Discovery=discovery)
         world.failing = 2
         async with world:
-            world.nodes[0].always = "any"
-            assert (await world.ask("t1"))[0] == 200
-            await until(lambda: any(after == "0" for _, after in world.calls[2:]))
-            world.tell(world.nodes[0], "draining")
-            await until(lambda: world.calls[-1][1] == "1")
-            seen = len(world.nodes[0].seen)
-            assert (await world.ask("t2", cls="brief", left="900"))[0] == 503
-            assert len(world.nodes[0].seen) == seen
-            world.tell(world.nodes[0], "up")
-            await until(lambda: world.calls[-1][1] == "2")
-            assert (await world.ask("t3"))[0] == 200
+            world.nodes[0].default_response = "any"
+            assert (await world.send_request("t1"))[0] == 200
+            await wait_until(lambda: any(after == "0" for _, after in world.calls[2:]))
+            world.publish_state(world.nodes[0], "draining")
+            await wait_until(lambda: world.calls[-1][1] == "1")
+            seen = len(world.nodes[0].received)
+            assert (await world.send_request("t2", cls="brief", left="900"))[0] == 503
+            assert len(world.nodes[0].received) == seen
+            world.publish_state(world.nodes[0], "up")
+            await wait_until(lambda: world.calls[-1][1] == "2")
+            assert (await world.send_request("t3"))[0] == 200
 
-    play(story())
+    run_scenario(story())
 
 
 @pytest.mark.parametrize(("age_s", "wanted"), [(3600, 200), (0, 503)])
@@ -272,37 +272,37 @@
     """On the loop's clock, which begins anywhere, a node that is long warm would look cold, or a cold one warm."""
 
     async def story():
-        world = World(
+        world = FrontHarness(
             1,
             Extra__YoungLimit=0.001,
             Obligations__StartCapacity=0.5,
             Obligations__WarmUpNs=60 * 10**9,
             Obligations__OverloadForNs=10**9,
         )
-        world.nodes[0].always = "any"
+        world.nodes[0].default_response = "any"
         world.nodes[0].up_since_ms = int((time.time() - age_s) * 1000)
         async with world:
-            await until(lambda: world.calls)
-            world.tell(world.nodes[0], "up")
-            await until(lambda: world.calls[-1][1] == "1")
+            await wait_until(lambda: world.calls)
+            world.publish_state(world.nodes[0], "up")
+            await wait_until(lambda: world.calls[-1][1] == "1")
             for number in range(3):
-                assert (await world.ask(f"t{number}", cls="brief", left="900"))[0] == wanted
+                assert (await world.send_request(f"t{number}", cls="brief", left="900"))[0] == wanted
 
-    play(story())
+    run_scenario(story())
 
 
 def test_the_watch_goes_on_from_revision_0_and_does_not_loop():
     """Revision 0 was read as none: the whole list was asked for in a loop until discovery refused all fronts."""
 
     async def story():
-        async with World(1) as world:
+        async with FrontHarness(1) as world:
             await asyncio.sleep(0.5)
             assert [after for _, after in world.calls] == ["0"]
-            world.tell(world.nodes[0], "up")
-            await until(lambda: len(world.calls) == 2)
+            world.publish_state(world.nodes[0], "up")
+            await wait_until(lambda: len(world.calls) == 2)
             assert world.calls[-1][1] == "1"
 
-    play(story())
+    run_scenario(story())
 
 
 def test_nothing_is_kept_of_a_chunk_server_that_is_gone():
@@ -321,17 +321,17 @@
 
 def test_sigterm_answers_what_is_held_and_what_still_arrives_then_exits_0():
     async def story():
-        async with World(1) as world:
+        async with FrontHarness(1) as world:
             node = world.nodes[0]
-            node.script.append("stall")
-            node.always = "any"
-            slow = asyncio.create_task(world.ask("t1", cls="brief", left="900"))
-            await until(lambda: node.seen)
+            node.scripted_responses.append("stall")
+            node.default_response = "any"
+            slow = asyncio.create_task(world.send_request("t1", cls="brief", left="900"))
+            await wait_until(lambda: node.received)
             world.stop()
-            await until(lambda: "now=draining" in world.log)
+            await wait_until(lambda: "now=draining" in world.log)
             async with aiohttp.ClientSession() as late:  # over a new connection
                 url = f"http://127.0.0.1:{world.port}/api/{VOLUME}/{KEY}"
-                async with late.get(url, headers=ask_headers("t2", 0)) as answer:
+                async with late.get(url, headers=request_headers("t2", 0)) as answer:
                     assert answer.status == 200 and await answer.read()
                 async with late.get(f"http://127.0.0.1:{world.port}/up") as answer:
                     assert answer.status == 503
@@ -339,30 +339,30 @@
             assert await asyncio.wait_for(world.process.wait(), 20) == 0
             assert "now=stopped" in world.log
 
-    play(story())
+    run_scenario(story())
 
 
 def test_after_sigterm_kept_connections_are_served_until_the_platforms_patience_ends():
     """No other front serves their volumes; each second that they were turned away early lost all its requests."""
 
     async def story():
-        async with World(1) as world:  # the longest deadline is 3 s: SIGKILL after 3.7
+        async with FrontHarness(1) as world:  # the longest deadline is 3 s: SIGKILL after 3.7
             node = world.nodes[0]
-            node.always = "any"
+            node.default_response = "any"
             kept = await asyncio.open_connection("127.0.0.1", world.port)
             began = time.monotonic()
             world.stop()
-            await until(lambda: not listening(world.port))
+            await wait_until(lambda: not listening(world.port))
             assert time.monotonic() - began > 0.4
             assert await raw_ask(kept, "t1") == (200, False)
-            node.always = "stall"
+            node.default_response = "stall"
             await asyncio.sleep(began + 2.3 - time.monotonic())  # its aim, 1.5 s, is beyond the end
             assert await raw_ask(kept, "t2", cls="once", left="3000") == (502, True)  # it may have run
             assert "now=closing" in world.log and time.monotonic() - began < 3.7
             assert await kept[0].read() == b""
             assert await asyncio.wait_for(world.process.wait(), 20) == 0
 
-    play(story())
+    run_scenario(story())
 
 
 def listening(port: int) -> bool:
@@ -373,7 +373,7 @@
 async def raw_ask(connection, trace: str, **changes) -> tuple[int, bool]:
     """The status of the answer, and whether it ends the connection."""
     reader, writer = connection
-    lines = [f"{name}: {value}" for name, value in ask_headers(trace, 0, **changes).items()]
+    lines = [f"{name}: {value}" for name, value in request_headers(trace, 0, **changes).items()]
     writer.write("\r\n".join([f"GET /api/{VOLUME}/{KEY} HTTP/1.1", "Host: x", *lines, "", ""]).encode())
     head = (await reader.readuntil(b"\r\n\r\n")).lower()
     await reader.readexactly(int(head.split(b"content-length:")[1].split()[0]))
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -18,8 +18,8 @@
     parse,
 )
 
-from .controlled_front import Controlled
-from .front_harness import play, until
+from .controlled_front import ControlledFront
+from .front_harness import run_scenario, wait_until
 from .test_discovery import GOOD, listing
 
 
@@ -141,39 +141,39 @@
 
 def test_the_program_sends_nothing_to_a_suspended_server_and_uses_it_again_once_resumed():
     async def story():
-        async with Controlled(2) as world:
+        async with ControlledFront(2) as world:
             for node in world.nodes:
-                node.always = "any"
-            assert (await world.ask("t0"))[0] == 200
+                node.default_response = "any"
+            assert (await world.send_request("t0"))[0] == 200
             assert await world.suspend("s-0") == 200 and await world.suspend("s-0") == 200
-            seen = len(world.nodes[0].seen)
-            assert (await world.ask("t1"))[0] == 503
+            seen = len(world.nodes[0].received)
+            assert (await world.send_request("t1"))[0] == 503
             world.nodes[0].up_since_ms = 1  # it restarts, and the list says that it is up
-            world.tell(world.nodes[0], "up")
+            world.publish_state(world.nodes[0], "up")
             await asyncio.sleep(0.3)
-            assert (await world.ask("t2"))[0] == 503 and len(world.nodes[0].seen) == seen
+            assert (await world.send_request("t2"))[0] == 503 and len(world.nodes[0].received) == seen
             assert await world.resume("s-0") == 200
-            assert (await world.ask("t3"))[0] == 200 and len(world.nodes[0].seen) == seen + 1
+            assert (await world.send_request("t3"))[0] == 200 and len(world.nodes[0].received) == seen + 1
             assert await world.resume("s-0") == 200  # it is used already
 
-    play(story())
+    run_scenario(story())
 
 
 def test_a_server_that_leaves_the_list_while_suspended_comes_back_suspended():
     async def story():
-        async with Controlled(1) as world:
-            world.nodes[0].always = "any"
+        async with ControlledFront(1) as world:
+            world.nodes[0].default_response = "any"
             assert await world.suspend("s-0") == 200
-            world.tell(world.nodes[0], "removed")
+            world.publish_state(world.nodes[0], "removed")
             await asyncio.sleep(0.3)
-            assert (await world.figures())["targets"] == 0
-            world.tell(world.nodes[0], "up")
-            await until(lambda: len(world.calls) > 2)
+            assert (await world.metrics())["targets"] == 0
+            world.publish_state(world.nodes[0], "up")
+            await wait_until(lambda: len(world.calls) > 2)
             await asyncio.sleep(0.3)
-            found = await world.figures()
+            found = await world.metrics()
             assert (found["targets"], found["targets_disabled"]) == (1, 1)
-            assert (await world.ask("t1"))[0] == 503
+            assert (await world.send_request("t1"))[0] == 503
             assert await world.resume("s-0") == 200
-            assert (await world.ask("t2"))[0] == 200
+            assert (await world.send_request("t2"))[0] == 200
 
-    play(story())
+    run_scenario(story())
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -24,8 +24,8 @@
     shared_folder,
 )
 
-from .controlled_front import Controlled
-from .front_harness import free_port, play, until
+from .controlled_front import ControlledFront
+from .front_harness import free_port, run_scenario, wait_until
 from .test_endings import GET, Idle, served
 from .test_guard import raw
 
@@ -85,14 +85,14 @@
         roster.register()
         session = open_session(Links(timedelta(seconds=1), timedelta(seconds=1)), 8)
         following = asyncio.create_task(follow_processes(roster, Switch(), lifecycle, sockets, session, []))
-        await until(roster.asked.is_set)  # the loop goes on
+        await wait_until(roster.asked.is_set)  # the loop goes on
         assert not lifecycle.has_successor
         roster.released.set()
-        await until(lambda: lifecycle.has_successor)
+        await wait_until(lambda: lifecycle.has_successor)
         following.cancel()
         await session.close()
 
-    play(story())
+    run_scenario(story())
 
 
 def test_a_new_process_that_starts_slowly_waits_less_for_its_list():
@@ -137,16 +137,16 @@
         listener, asked = await served(b"x", port)
         client = socket.create_connection(("127.0.0.1", port), 5)
         client.sendall(GET)
-        await until(lambda: len(asked) == 1 and not listener.occupied)
+        await wait_until(lambda: len(asked) == 1 and not listener.occupied)
         client.sendall(GET)  # without a turn of the loop
         listener.dismiss_idle(timedelta())
-        await until(lambda: len(asked) == 2 and not listener.occupied)
+        await wait_until(lambda: len(asked) == 2 and not listener.occupied)
         listener.dismiss_idle(timedelta())
-        await until(lambda: not listener.connections)
+        await wait_until(lambda: not listener.connections)
         client.close()
         await listener.shutdown(timedelta())
 
-    play(story())
+    run_scenario(story())
 
 
 def test_of_two_listeners_the_newer_takes_what_is_new_and_the_older_keeps_its_backlog():
@@ -161,20 +161,20 @@
         fresh = [socket.create_connection(("127.0.0.1", port), 5) for _ in range(60)]
         assert first.stop_accepting()
         late = [socket.create_connection(("127.0.0.1", port), 5) for _ in range(10)]  # the older has closed
-        await until(lambda: first.connections == 30 and second.connections == 70)
+        await wait_until(lambda: first.connections == 30 and second.connections == 70)
         for client in (*waiting, *fresh, *late):
             client.close()
         await first.shutdown(timedelta())
         await second.shutdown(timedelta())
 
-    play(story())
+    run_scenario(story())
 
 
 async def ask_often(world, answers: list, stop: asyncio.Event) -> None:
     """Requests over new and kept connections until told to stop; what a connection does wrong is kept too."""
     while not stop.is_set():
         try:
-            answers.append((await world.ask(f"often-{next(NUMBERS)}"))[0])
+            answers.append((await world.send_request(f"often-{next(NUMBERS)}"))[0])
         except Exception as why:
             answers.append(why)
         await asyncio.sleep(0.005)
@@ -182,8 +182,8 @@
 
 def test_an_upgrade_under_requests_loses_none_and_the_old_process_ends():
     async def story():
-        async with Controlled(1) as world:
-            world.nodes[0].always = "any"
+        async with ControlledFront(1) as world:
+            world.nodes[0].default_response = "any"
             answers, stop = [], asyncio.Event()
             clients = [asyncio.create_task(ask_often(world, answers, stop)) for _ in range(4)]
             successor = await world.upgrade()
@@ -191,25 +191,25 @@
             world.stop()
             assert await asyncio.wait_for(world.process.wait(), 5) == 0
             before = len(answers)
-            await until(lambda: len(answers) > before + 20)
+            await wait_until(lambda: len(answers) > before + 20)
             stop.set()
             await asyncio.gather(*clients)
             assert set(answers) == {200}, [a for a in answers if a != 200][:3]
             assert successor.process.returncode is None
 
-    play(story())
+    run_scenario(story())
 
 
 def test_an_upgrade_whose_new_process_fails_leaves_the_old_one_serving():
     async def story():
-        async with Controlled(1) as world:
-            world.nodes[0].always = "any"
+        async with ControlledFront(1) as world:
+            world.nodes[0].default_response = "any"
             successor = await world.upgrade()
             await successor.ready()
             await successor.end()
             answers, stop = [], asyncio.Event()
             client = asyncio.create_task(ask_often(world, answers, stop))
-            await until(lambda: len(answers) > 20)
+            await wait_until(lambda: len(answers) > 20)
             stop.set()
             await client
             assert set(answers) == {200}
@@ -218,13 +218,13 @@
             assert (await reader.readline()).startswith(b"HTTP/1.1 400 ")
             writer.close()
 
-    play(story())
+    run_scenario(story())
 
 
 def test_two_upgrades_in_a_row():
     async def story():
-        async with Controlled(1) as world:
-            world.nodes[0].always = "any"
+        async with ControlledFront(1) as world:
+            world.nodes[0].default_response = "any"
             answers, stop = [], asyncio.Event()
             client = asyncio.create_task(ask_often(world, answers, stop))
             second = await world.upgrade()
@@ -236,33 +236,33 @@
             second.process.terminate()
             assert await asyncio.wait_for(second.process.wait(), 5) == 0
             before = len(answers)
-            await until(lambda: len(answers) > before + 20)
+            await wait_until(lambda: len(answers) > before + 20)
             stop.set()
             await client
             assert set(answers) == {200}
 
-    play(story())
+    run_scenario(story())
 
 
 def test_bans_pass_to_the_new_process_also_those_that_come_while_both_run():
     async def story():
-        async with Controlled(2) as world:
+        async with ControlledFront(2) as world:
             for node in world.nodes:
-                node.always = "any"
+                node.default_response = "any"
             assert await world.suspend("s-0") == 200
             successor = await world.upgrade()
             await successor.ready()
-            assert (await world.figures(successor.control))["targets_disabled"] == 1
+            assert (await world.metrics(successor.control))["targets_disabled"] == 1
             assert await world.suspend("s-1") == 200  # told to the old one
             await asyncio.sleep(0.4)
-            assert (await world.figures(successor.control))["targets_disabled"] == 2
+            assert (await world.metrics(successor.control))["targets_disabled"] == 2
             world.stop()
             await world.process.wait()
             assert await world.resume("s-1", successor.control) == 200
-            assert (await world.ask("t1", shard=1))[0] == 200
-            assert (await world.ask("t0", shard=0))[0] == 503 and not world.nodes[0].seen
+            assert (await world.send_request("t1", shard=1))[0] == 200
+            assert (await world.send_request("t0", shard=0))[0] == 503 and not world.nodes[0].received
 
-    play(story())
+    run_scenario(story())
 
 
 def test_the_old_process_lets_its_clients_go_as_soon_as_the_new_one_is_ready():
@@ -270,8 +270,8 @@
     23 to 107 requests of an upgrade day found no connection left."""
 
     async def story():
-        async with Controlled(1) as world:
-            world.nodes[0].always = "any"
+        async with ControlledFront(1) as world:
+            world.nodes[0].default_response = "any"
             idle = []
             for number in range(5):
                 reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
@@ -285,26 +285,26 @@
                 await asyncio.wait_for(reader.read(), 1)  # to the end of the connection; nobody has sent SIGTERM
                 writer.close()
             assert asyncio.get_running_loop().time() - began < 5
-            assert (await world.ask("fresh"))[0] == 200 and world.process.returncode is None
+            assert (await world.send_request("fresh"))[0] == 200 and world.process.returncode is None
 
-    play(story())
+    run_scenario(story())
 
 
 def test_a_new_process_that_is_told_to_end_before_it_is_ready_takes_nothing_over():
     async def story():
-        async with Controlled(1) as world:
-            world.nodes[0].always = "any"
+        async with ControlledFront(1) as world:
+            world.nodes[0].default_response = "any"
             answers, stop = [], asyncio.Event()
             client = asyncio.create_task(ask_often(world, answers, stop))
             world.failing = 1_000_000  # the new process waits for a list that does not come
             successor = await world.upgrade()
-            await until(lambda: "processes of this front" in world.log)
-            await until(lambda: len(answers) > 20)
+            await wait_until(lambda: "processes of this front" in world.log)
+            await wait_until(lambda: len(answers) > 20)
             successor.process.terminate()
             assert await asyncio.wait_for(successor.process.wait(), 10) == 0
             stop.set()
             await client
             assert set(answers) == {200} and "now=ready" not in successor.log
-            await until(lambda: "was=2 now=1" in world.log)
+            await wait_until(lambda: "was=2 now=1" in world.log)
 
-    play(story())
+    run_scenario(story())
