--- a/ochrespan/broker.py
+++ b/ochrespan/broker.py
@@ -1,8 +1,8 @@
-"""The core: requests, attempts and outcomes round the decision module, in blocking style.
+"""Runs requests through the scheduler: an awaitable interface over its events and actions.
 
-A front asks `pick` for the next attempt of a request, makes it, hands what came of it to `report`, and asks
-again until there is an answer or `pick` gives the final refusal or failure. Only this file sees the module's
-events, actions and timers, and only here spans and points of time become the module's seconds.
+A front awaits `pick` for the next attempt of a request, makes the attempt, passes its outcome to `report`, and
+repeats this until an attempt succeeds or `pick` returns the final refusal or failure. Only this module handles the
+scheduler's events, actions and timers, and only here datetimes and timedeltas are converted to its seconds.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True, eq=False)
 class _PendingRequest:
-    """A request in the broker's hands."""
+    """The broker's state of a request that has no final answer yet."""
 
     id: str
     request: Request
@@ -50,18 +50,18 @@
     usage: Usage
     reservation: Reservation | None = None
     attempts: int = 0
-    maybe_executed: int = 0  # of them, those that may have run
+    maybe_executed: int = 0  # attempts that a chunk server may have executed
     current_attempt: Attempt | None = None
     next_step: asyncio.Future[Attempt | Refused | Failed] | None = None
     final: Refused | Failed | None = None
-    streaming: bool = False  # its answer has begun; the module has its outcome
+    streaming: bool = False  # the response body is being forwarded; the scheduler has the outcome
 
 
 class Broker:
     def __init__(self, settings: api.Settings, loop: asyncio.AbstractEventLoop | None = None) -> None:
         self._loop = loop or asyncio.get_running_loop()
-        # one clock for the module: Unix time at the start, moved on by the loop's steady clock, so that the
-        # starts of chunk servers compare with it and a step of the system's clock moves no deadline
+        # The scheduler's clock is Unix time at the start, advanced by the event loop's monotonic clock: it can be
+        # compared with the start times of chunk servers, and a step of the system clock moves no deadline.
         self._unix_time_offset = datetime.now(UTC).timestamp() - self._loop.time()
         self._settings = settings
         self._scheduler = Scheduler(settings, self._now())
@@ -75,21 +75,21 @@
 
     @property
     def pending(self) -> int:
-        """Requests that are still owed an answer."""
+        """The number of requests without a final answer."""
         return len(self._pending)
 
     @property
     def dispatches(self) -> int:
-        """Attempts that were written whole."""
+        """Attempts that were sent completely."""
         return self.counts.dispatches
 
     @property
     def concurrent(self) -> int:
-        """Requests taken and not yet ended."""
+        """Requests that were accepted and have not ended."""
         return self.pending
 
     def class_totals(self) -> dict[str, ClassTotals]:
-        """How the requests of each class ended, over all plans."""
+        """Ended requests by class and result, summed over all plans."""
         totals = {name: ClassTotals() for name in self._settings.classes}
         for (_, name), usage in self.counts.usage.items():
             totals[name].success += usage.served
@@ -98,7 +98,7 @@
         return totals
 
     def backing_off(self) -> set[str]:
-        """The chunk servers that the decisions avoid for now."""
+        """Ids of the chunk servers that the scheduler avoids after consecutive failures."""
         return {name for name, node in self._scheduler.nodes.items() if node.fails >= FAILS}
 
     def _now(self) -> float:
@@ -108,21 +108,21 @@
         return datetime.fromtimestamp(self._now(), UTC)
 
     def on_watch_requested(self, call: Callable[[], None]) -> None:
-        """Whom to tell that the module wants the list's changes."""
+        """Sets the callback for the scheduler's request to watch the list of chunk servers."""
         self._watch_requested = call
 
     def set_admission_gate(self, gate: AdmissionGate) -> None:
-        """From now on, requests with a claim need its word before the module sees them."""
+        """From now on, the gate must admit each request with a claim before the scheduler sees it."""
         self._gate = gate
 
     def now(self) -> float:
-        """The module's time: Unix time in seconds that only moves on."""
+        """The scheduler's clock: Unix time in seconds, monotonic."""
         return self._now()
 
-    # ---- the facade ----
+    # ---- interface for the fronts ----
 
     async def pick(self, request: Request) -> Attempt | Final:
-        """The next attempt of the request, or its final refusal or failure."""
+        """Waits for the next attempt of the request, or for its final refusal or failure."""
         pending = self._pending.get(request)
         if pending is None:
             pending = self._accept(request)
@@ -179,7 +179,7 @@
         return pending
 
     def _check(self, request: Request) -> None:
-        """Nothing that a client makes up may take part in the decisions, or leave a trace in them."""
+        """Rejects values that the settings do not define, so that clients cannot create scheduler state with them."""
         settings = self._settings
         if settings.plans and request.plan not in settings.plans:
             raise Unacceptable("there is no such plan")
@@ -195,13 +195,13 @@
             raise Unacceptable("there is no such shard")
 
     def report(self, outcome: Outcome) -> None:
-        """How an attempt ended. A served one ends its request; for any other, ask `pick` again."""
+        """Takes the outcome of an attempt. A success ends its request; after any other, call `pick` again."""
         pending = self._pending.get(outcome.attempt.request)
         if pending is None or pending.current_attempt is not outcome.attempt:
-            return  # the client left while the attempt was out: told as cancelled already
+            return  # the client disconnected during the attempt, which was reported as cancelled
         served = outcome.status is Status.OK
         pending.current_attempt = None
-        if not served:  # before the module hears of it: its next action may be the next attempt
+        if not served:  # before the scheduler gets the outcome: its next action may be the next attempt
             pending.next_step = self._loop.create_future()
             if pending.final:
                 pending.next_step.set_result(pending.final)
@@ -236,7 +236,7 @@
             self._remove(pending)
 
     def finish(self, request: Request, complete: bool) -> None:
-        """The end of an answer that was passed on as it came; not whole: its chunk server broke it off."""
+        """Ends a request whose response was streamed; not complete: the chunk server aborted the response."""
         pending = self._pending[request]
         pending.usage.served += complete
         pending.usage.failed += not complete
@@ -244,13 +244,13 @@
 
     @staticmethod
     def _attempt_limit(pending: _PendingRequest) -> int:
-        """Attempts that may be made as things stand; 0: any number."""
+        """The number of attempts allowed so far; 0: unlimited."""
         if not pending.request.repeatable:
             return 1
         return pending.reservation.attempts if pending.reservation else 0
 
     def _funded_attempts(self, pending: _PendingRequest) -> int:
-        """Attempts that are paid for, one more than were made if the budgets bear it; 0: any number."""
+        """The number of attempts covered by the budgets, after trying to reserve one more; 0: unlimited."""
         if pending.reservation is None or self._gate is None or not pending.request.repeatable:
             return self._attempt_limit(pending)
         if pending.attempts >= pending.reservation.attempts and pending.attempts < self._settings.max_attempts:
@@ -258,7 +258,7 @@
         return pending.reservation.attempts
 
     def abandon(self, request: Request) -> None:
-        """The client has left, or the front will not go on: nothing is owed any more."""
+        """Drops a request whose client disconnected or which the front does not continue; it needs no answer."""
         pending = self._pending.get(request)
         if pending is None:
             return
@@ -273,19 +273,19 @@
             self._handle(api.Outcome(pending.id, number, node, Status.CANCELLED, 0.0, closed=True))
 
     def tick(self) -> None:
-        """Lets the module see what time it is."""
+        """Passes a timer event to the scheduler."""
         try:
             self._handle(api.Timer(1))
-        except Exception:  # a fault met on a timer must not stop the clock for all other requests
-            log.exception("tick failed")
+        except Exception:  # an error in a timer event must not stop the timer for all other requests
+            log.exception("scheduler timer failed; retrying")
             self._set_timer(0.02)
 
     def complete_within(self, span: timedelta) -> None:
-        """The program is about to end: every request, held or still to come, has its final answer by then."""
+        """The process will exit: every request, pending or still to come, gets its final answer within this time."""
         self._handle(api.Ending(self._now() + span.total_seconds()))
 
     def update_servers(self, kind: ListKind, nodes: list[Node] | None = None) -> None:
-        """What discovery told."""
+        """Passes an update of the list of chunk servers to the scheduler."""
         self._handle(
             api.NodeList(
                 kind,
@@ -298,7 +298,7 @@
             )
         )
 
-    # ---- the module's side ----
+    # ---- scheduler events and actions ----
 
     def _handle(self, event: api.Event) -> None:
         for action in self._scheduler.handle(self._now(), [event]):
@@ -318,16 +318,16 @@
                 case api.WatchList():
                     self._watch_requested()
                 case api.Log(text):
-                    with unbound():  # it is of all requests, not of the one that brought it up
+                    with unbound():  # the line is not about the request whose event caused it
                         log.info(text)
 
     def _usage(self, request: Request) -> Usage:
-        """The counters of its plan and class; where the settings name no plan, clients make them up."""
+        """The counters of the request's plan and class; without plans in the settings, "other" replaces the client's."""
         plan = request.plan if self._settings.plans else "other"
         return self.counts.usage.setdefault((plan, request.cls), Usage())
 
     def _set_timer(self, delay: float) -> None:
-        # the module asks for a timer only when it needs an earlier one, or when the last has come
+        # the scheduler sets a timer only when it needs an earlier one or when the previous one has fired
         if self._timer is not None:
             self._timer.cancel()
         self._timer = self._loop.call_later(max(0.0, delay), self.tick)
@@ -347,7 +347,7 @@
             pending.final = final
             if pending.current_attempt is None:
                 self._resolve_step(pending, final)
-            else:  # the answer follows once it is; whatever a simulator lets cancel, a connection can be closed
+            else:  # the final answer follows the attempt's outcome; closing its connection is always possible here
                 pending.current_attempt.revoke()
 
     def _resolve_step(self, pending: _PendingRequest, next_step: Attempt | Refused | Failed) -> None:
--- a/ochrespan/exchange.py
+++ b/ochrespan/exchange.py
@@ -1,4 +1,4 @@
-"""One request and its answer, whichever wire they come and go on: what the fronts are written against."""
+"""One HTTP request and its response, independent of the HTTP version: the interface that request handlers use."""
 
 from __future__ import annotations
 
@@ -11,50 +11,51 @@
 
 @dataclass(slots=True)
 class Reply:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     body: bytes = b""
     headers: dict[str, str] = field(default_factory=dict)
-    close: bool = False  # the connection is to end after it, where the wire has one request at a time
+    close: bool = False  # whether to close the connection after it; HTTP/1.1 only
 
     @classmethod
-    def text(cls, status: int, words: str, headers: Mapping[str, str] | None = None, close: bool = False) -> Reply:
-        return cls(status, words.encode(), {"Content-Type": "text/plain; charset=utf-8"} | dict(headers or {}), close)
+    def text(cls, status: int, text: str, headers: Mapping[str, str] | None = None, close: bool = False) -> Reply:
+        return cls(status, text.encode(), {"Content-Type": "text/plain; charset=utf-8"} | dict(headers or {}), close)
 
 
 class BadBody(Exception):
-    """The request's body cannot be taken whole."""
+    """The request body cannot be received completely."""
 
-    def __init__(self, status: int, words: str) -> None:
-        super().__init__(words)
+    def __init__(self, status: int, text: str) -> None:
+        super().__init__(text)
         self.status = status
 
 
 class Exchange(ABC):
-    """A request whose head has come. The handler returns a `Reply`, or sends a streamed answer and returns None.
+    """A request whose header section has been received. The handler returns a `Reply`, or streams a response itself
+    and returns None.
 
-    A client that leaves cancels the handler.
+    If the client disconnects, the handler is cancelled.
     """
 
     method: str
-    target: str  # path and query, as on the wire
+    target: str  # path and query, undecoded
     headers: CIMultiDictProxy[str] | CIMultiDict[str]
     has_body: bool
-    has_length: bool  # whether where the body ends is told, in whichever way the wire has
-    length: int | None = None  # of the body, where it is announced
+    has_length: bool  # whether the end of the body is delimited, by length, chunked coding or stream end
+    length: int | None = None  # declared length of the body in bytes
 
     @property
     @abstractmethod
     def body_ended(self) -> bool:
-        """Whether nothing of the body is left to read."""
+        """Whether the body has been read to its end."""
 
     @abstractmethod
     async def read_available(self) -> bytes:
-        """What has come of the body, at least a byte; empty at its end."""
+        """The received part of the body, at least one byte; empty at its end."""
 
     async def read(self) -> bytes:
-        """The whole body; the wire bounds it in size and time, and raises BadBody beyond."""
+        """Reads the complete body. The protocol limits its size and time; BadBody is raised beyond them."""
         parts = []
         while some := await self.read_available():
             parts.append(some)
@@ -62,22 +63,22 @@
 
     @abstractmethod
     async def send_continue(self) -> None:
-        """Tells a client that waits for it to send the body (100 Continue)."""
+        """Sends 100 Continue to a client that waits for it before it sends the body."""
 
     @abstractmethod
     async def start(self, status: int, headers: Mapping[str, str], length: int | None, close: bool = False) -> None:
-        """The head of a streamed answer of so many bytes; None: as many as come before it is finished."""
+        """Sends the header section of a streamed response. `length` in bytes; None: unknown until `finish`."""
 
     @abstractmethod
     async def write(self, data: bytes) -> None:
-        """Some of its bytes; waits while the client does not take them."""
+        """Sends a part of the response body; waits while the client does not read it."""
 
     @abstractmethod
     async def finish(self) -> None: ...
 
     @abstractmethod
     def abort(self) -> None:
-        """Ends an answer that has begun and cannot go on, so that the client sees that it is not whole."""
+        """Aborts a response that cannot be completed, so that the client detects the truncation."""
 
 
 Handler = Callable[[Exchange], Awaitable[Reply | None]]
--- a/ochrespan/requests.py
+++ b/ochrespan/requests.py
@@ -1,4 +1,4 @@
-"""The core's words: requests, attempts, outcomes and ends, whichever front they came through. No wire, no policy."""
+"""Requests, attempts, outcomes and final answers, independent of the client protocol and of the scheduler."""
 
 from __future__ import annotations
 
@@ -36,16 +36,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """By what a request says it is covered. Empty: not said."""
+    """What a client presents to identify its contract; empty fields are absent."""
 
     token: str = ""
     bucket: str = ""
-    contract: Any = None  # what the gate itself told of an earlier step of the same work
+    contract: Any = None  # the contract that the gate found in an earlier step of the same operation
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """What a front has taken and owes one final answer."""
+    """A client request that a front has accepted; it gets exactly one final answer."""
 
     volume: str
     cls: str
@@ -55,25 +55,25 @@
     shard: int = -1
     key: str = ""
     hosts: int = 0
-    claim: Claim | None = None  # None: needs no contract
-    repeatable: bool = True  # whether a second attempt could send all of it again
-    id: str = ""  # the broker's, for the log
-    team: str = ""  # the contract's path, once it is known
+    claim: Claim | None = None  # None: no contract is needed
+    repeatable: bool = True  # whether the complete body is available for another attempt
+    id: str = ""  # assigned by the broker, for log lines
+    team: str = ""  # the contract's path, after admission
 
 
 class Unacceptable(ValueError):
-    """A request that names what the settings do not know, or asks for more than one request may."""
+    """The request names something that the settings do not define, or exceeds the units of one request."""
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One try at one node, for so long; `limited` ends it early when the broker takes it back."""
+    """One attempt at one chunk server; `time_limit` ends it at its timeout, or early when it is revoked."""
 
     request: Request
     number: int
     node: str
     timeout: timedelta
-    begin_within: timedelta | None = None  # from when it was decided; later it must not begin any more
+    begin_within: timedelta | None = None  # latest start of sending, counted from the scheduling decision
     revoked: bool = False
     _timeout_scope: asyncio.Timeout | None = None
     _decided_at: float = field(default_factory=time.monotonic)
@@ -85,7 +85,7 @@
 
     @asynccontextmanager
     async def time_limit(self) -> AsyncIterator[None]:
-        """A time limit round the exchange; TimeoutError when the front has to stop waiting."""
+        """Applies the timeout to the body of the context; raises TimeoutError at its end or on revocation."""
         if self.revoked:
             raise TimeoutError
         try:
@@ -95,37 +95,37 @@
             self._timeout_scope = None
 
     def suspend_timeout(self) -> None:
-        """Its time does not run while a long body is being sent: it is for the answer."""
+        """Suspends the timeout while a long body is being sent: it bounds the wait for the response."""
         if self._timeout_scope is not None and not self.revoked and not self._timeout_scope.expired():
             self._timeout_scope.reschedule(None)
 
     def restart_timeout(self) -> None:
-        """From now on it has all of its time."""
+        """Starts the full timeout again from now."""
         if self._timeout_scope is not None and not self.revoked and not self._timeout_scope.expired():
             self._timeout_scope.reschedule(asyncio.get_running_loop().time() + self.timeout.total_seconds())
 
     def revoke(self) -> None:
         self.revoked = True
-        # a limit that is just running out cannot be moved: the error would take the actions that follow with it
+        # rescheduling an expired timeout raises an error, which would lose the scheduler's following actions
         if self._timeout_scope is not None and not self._timeout_scope.expired():
             self._timeout_scope.reschedule(asyncio.get_running_loop().time())
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Final: trying again is harmless, after so long where that is told."""
+    """Final: the request may be retried, after `retry_after` where it is set."""
 
     retry_after: timedelta | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """Final: promises nothing."""
+    """Final: the request may have been executed or not."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotCovered:
-    """Final: no contract allows it, now or later."""
+    """Final: no contract allows the request; a retry will not help."""
 
     rule: str
     team: str = ""
@@ -134,7 +134,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OverBudget:
-    """Final: the contract's budget does not bear it now; it will after so long."""
+    """Final: the contract's budget does not cover the request now, but will after `retry_after`."""
 
     rule: str
     team: str
@@ -145,11 +145,11 @@
 
 
 class Reservation(Protocol):
-    """What an admitted request holds of its budgets."""
+    """The part of the budgets that an admitted request has reserved."""
 
     @property
     def attempts(self) -> int:
-        """The most that are paid for."""
+        """The number of attempts that are reserved."""
 
     @property
     def plan(self) -> str: ...
@@ -159,18 +159,18 @@
 
 
 class AdmissionGate(Protocol):
-    """Admission before the decision module; `now` is Unix time in seconds."""
+    """Admission control in front of the scheduler; `now` is Unix time in seconds."""
 
     def admit(self, now: float, request: Request) -> Reservation | NotCovered | OverBudget: ...
 
     def extend(self, now: float, reservation: Reservation) -> None:
-        """Pays for one more attempt, if the budgets bear it."""
+        """Reserves one more attempt, if the budgets allow it."""
 
     def release(self, now: float, reservation: Reservation, sent: int, ran: int) -> None:
-        """The end of what was admitted: so many attempts sent, so many of which may have run."""
+        """Ends a reservation: `sent` attempts were sent, `ran` of them may have been executed."""
 
     def record_usage_elsewhere(self, now: float, reservation: Reservation, units: float) -> None:
-        """So many units of the request's volume were served through other fronts."""
+        """Takes the units of the request's volume that were served through other fronts."""
 
 
 @dataclass(slots=True)
@@ -178,14 +178,14 @@
     attempt: Attempt
     status: Status
     latency: timedelta
-    streaming: bool = False  # served, and still being passed on: `Broker.finish` follows
+    streaming: bool = False  # successful, body still being forwarded: `Broker.finish` follows
     load: dict[str, float] = field(default_factory=dict)
     elsewhere: float = 0.0
 
 
 @dataclass(slots=True)
 class Node:
-    """An entry of the list of chunk servers."""
+    """An entry in the list of chunk servers."""
 
     id: str
     shard: int = -1
@@ -197,24 +197,24 @@
 
 @dataclass(slots=True)
 class Usage:
-    """What one plan has had in one class."""
+    """Counters of one plan in one class; the field names become metric names."""
 
     taken: int = 0
     served: int = 0
     refused: int = 0
     failed: int = 0
     left: int = 0
-    units: float = 0.0  # served
-    waited: timedelta = timedelta()  # from taken to served, summed
+    units: float = 0.0  # of served requests
+    waited: timedelta = timedelta()  # sum of the times from acceptance to success
 
 
 @dataclass(slots=True)
 class Counts:
-    """What has happened since the start, for the exporters."""
+    """Counters since the start of the process, for the metrics exporters."""
 
     attempts: int = 0
-    dispatches: int = 0  # attempts that were written whole
-    not_covered: int = 0  # refused before they were taken: no contract allows them ...
-    over_budget: int = 0  # ... or not now
+    dispatches: int = 0  # attempts that were sent completely
+    not_covered: int = 0  # requests refused at admission: not covered by a contract ...
+    over_budget: int = 0  # ... or over their budget
     outcomes: dict[Status, int] = field(default_factory=lambda: dict.fromkeys(Status, 0))
-    usage: dict[tuple[str, str], Usage] = field(default_factory=dict)  # by plan and class
+    usage: dict[tuple[str, str], Usage] = field(default_factory=dict)  # by (plan, class)
--- a/ochrespan/suspension.py
+++ b/ochrespan/suspension.py
@@ -1,7 +1,7 @@
-"""Chunk servers taken out by hand: the one owner of that set, and how it reaches the decisions.
+"""Chunk servers that an operator has suspended: the owner of that set, and its effect on the scheduler.
 
-The decision module is told of a suspended server as of one that drains, whatever discovery's list says. The set lasts
-over an upgrade: it is kept in a file that the old and the new process share.
+The scheduler sees a suspended server as draining, whatever the list from discovery says. The set survives an
+upgrade: it is stored in a file that the old and the new process share.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 FILE_NAME, LOCK_NAME = "suspended.json", "suspended.lock"
 VERSION = 1
-RESUMED_RETENTION_S = 600.0  # s that a resumed server's suspension is kept: longer than any server warms up
+RESUMED_RETENTION_S = 600.0  # how long a resumed server's record is kept: longer than any server's warm-up
 
 
 class UnknownServer(LookupError):
@@ -33,12 +33,12 @@
 
 
 class BadSuspensionFile(ValueError):
-    """The file of suspended servers cannot be read."""
+    """The file of suspended servers is not valid."""
 
 
 @dataclass(frozen=True, slots=True)
 class Suspension:
-    """When a server was taken out, and when it was taken back; Unix time in seconds."""
+    """When a server was suspended, and when it was resumed; Unix time in seconds."""
 
     since: float
     resumed: float | None = None
@@ -48,23 +48,23 @@
         return self.resumed is None
 
 
-Suspensions = dict[str, Suspension]  # by server
+Suspensions = dict[str, Suspension]  # by server id
 
 
 def parse(text: str) -> Suspensions:
-    """The file's content. Raises BadFile."""
+    """Parses the content of the file. Raises BadSuspensionFile."""
     try:
-        told = json.loads(text)
-        if told["version"] != VERSION:
-            raise BadSuspensionFile(f"version: found {told['version']!r}, allowed: {VERSION}")
-        return {_server(entry): _suspension(entry) for entry in told["servers"]}
+        document = json.loads(text)
+        if document["version"] != VERSION:
+            raise BadSuspensionFile(f"version: found {document['version']!r}, allowed: {VERSION}")
+        return {_server(entry): _suspension(entry) for entry in document["servers"]}
     except (ValueError, LookupError, TypeError) as why:
         raise BadSuspensionFile(f"{type(why).__name__}: {why}") from why
 
 
 def _server(entry: Any) -> str:
     if not isinstance(entry["id"], str) or not entry["id"]:
-        raise BadSuspensionFile("an id is no name")
+        raise BadSuspensionFile("id: expected a non-empty string")
     return entry["id"]
 
 
@@ -74,57 +74,63 @@
 
 
 def dump(suspensions: Suspensions) -> str:
-    servers = [{"id": server, "since": one.since, "resumed": one.resumed} for server, one in suspensions.items()]
+    servers = [
+        {"id": server, "since": suspension.since, "resumed": suspension.resumed}
+        for server, suspension in suspensions.items()
+    ]
     return json.dumps({"version": VERSION, "servers": servers})
 
 
 class SuspensionFile:
-    """The set on disk, written whole or not at all."""
+    """The stored set, replaced atomically."""
 
     def __init__(self, folder: Path) -> None:
         self._path, self._lock = folder / FILE_NAME, folder / LOCK_NAME
-        self._seen: tuple[int, int, int] | None = None  # what the file was when it was last read
+        self._seen: tuple[int, int, int] | None = None  # inode, mtime and size at the last read or write
 
     @contextmanager
     def locked(self) -> Iterator[None]:
-        """Keeps the other process from writing between our look and our write."""
+        """Prevents the other process from writing between our read and our write."""
         with self._lock.open("w") as lock:
             fcntl.flock(lock, fcntl.LOCK_EX)
             yield
 
     def changed(self) -> bool:
-        return self._stamp() != self._seen
+        return self._file_stamp() != self._seen
 
     def read(self) -> Suspensions | None:
-        """What the file says; None where there is none or it cannot be read, which is told."""
-        self._seen = self._stamp()
+        """The stored set; None where there is no file, or, with a log line, where it cannot be read."""
+        self._seen = self._file_stamp()
         try:
             return parse(self._path.read_text())
         except FileNotFoundError:
             return None
         except (OSError, BadSuspensionFile) as why:
-            log.error("the file of suspended servers is ignored", extra={"path": str(self._path), "why": str(why)})
+            log.error(
+                "ignoring the unreadable file of suspended chunk servers",
+                extra={"path": str(self._path), "why": str(why)},
+            )
             return None
 
     def write(self, suspensions: Suspensions) -> None:
-        fresh = self._path.with_suffix(f".{os.getpid()}")
-        with fresh.open("w") as file:
+        temporary = self._path.with_suffix(f".{os.getpid()}")
+        with temporary.open("w") as file:
             file.write(dump(suspensions))
             file.flush()
             os.fsync(file.fileno())
-        fresh.replace(self._path)
-        self._seen = self._stamp()
+        temporary.replace(self._path)
+        self._seen = self._file_stamp()
 
-    def _stamp(self) -> tuple[int, int, int] | None:
+    def _file_stamp(self) -> tuple[int, int, int] | None:
         try:
-            found = self._path.stat()
+            stat = self._path.stat()
         except OSError:
             return None
-        return found.st_ino, found.st_mtime_ns, found.st_size
+        return stat.st_ino, stat.st_mtime_ns, stat.st_size
 
 
 class SuspendedServers:
-    """The servers taken out by hand. Without a file the set ends with the process."""
+    """The suspended servers. Without a file the set is lost at the end of the process."""
 
     def __init__(self, file: SuspensionFile | None = None, clock: Callable[[], float] = time.time) -> None:
         self._file, self._clock = file, clock
@@ -134,7 +140,7 @@
         return server in self._known and self._known[server].active
 
     def suspend(self, server: str) -> None:
-        """Takes it out; a second time changes nothing."""
+        """Suspends a server; idempotent."""
 
         def change() -> None:
             if server not in self:
@@ -143,7 +149,7 @@
         self._change(change)
 
     def resume(self, server: str) -> None:
-        """Takes it back, however often it was taken out."""
+        """Resumes a server, however often it was suspended."""
 
         def change() -> None:
             if server in self:
@@ -152,23 +158,23 @@
         self._change(change)
 
     def refresh(self) -> bool:
-        """Takes over what the other process of an upgrade wrote; whether there was anything new."""
+        """Loads what the other process of an upgrade wrote; returns whether the set changed."""
         if self._file is None or not self._file.changed():
             return False
-        found = self._file.read()
-        if found is None or found == self._known:
+        stored = self._file.read()
+        if stored is None or stored == self._known:
             return False
-        self._known = found
+        self._known = stored
         return True
 
     def effective_entry(self, node: Node) -> Node:
-        """An entry of the list as the decisions are to see it."""
+        """The entry of the list as the scheduler is to see it."""
         known = self._known.get(node.id)
         if known is None or node.state is NodeState.GONE:
             return node
         if known.resumed is None:
             return dataclasses.replace(node, state=NodeState.DRAINING)
-        # a server is restarted while it is out; until the list tells of that start, this is as good as known
+        # Servers are usually restarted while suspended: until the list has the new start, the resumption stands for it.
         if node.started_at is None or node.started_at.timestamp() < known.since:
             return dataclasses.replace(node, started_at=datetime.fromtimestamp(known.resumed, UTC))
         return node
@@ -184,27 +190,29 @@
                 self._drop_expired()
                 self._file.write(self._known)
         except OSError as why:
-            log.error("suspended servers are not kept for an upgrade", extra={"why": str(why)})
+            log.error("suspended chunk servers are not saved and will be lost in an upgrade", extra={"why": str(why)})
             change()
 
     def _drop_expired(self) -> None:
         oldest = self._clock() - RESUMED_RETENTION_S
         self._known = {
-            server: one for server, one in self._known.items() if one.resumed is None or one.resumed >= oldest
+            server: suspension
+            for server, suspension in self._known.items()
+            if suspension.resumed is None or suspension.resumed >= oldest
         }
 
 
 class ServerList(Protocol):
-    """The list of chunk servers as it is known."""
+    """The current list of chunk servers."""
 
     def knows(self, server: str) -> bool: ...
 
     def relist(self) -> None:
-        """Tells the decisions the whole list anew."""
+        """Passes the complete list to the scheduler again."""
 
 
 class SuspensionController:
-    """Suspends and resumes chunk servers, and tells the decisions of it."""
+    """Suspends and resumes chunk servers, and updates the scheduler."""
 
     def __init__(self, suspended: SuspendedServers, servers: ServerList) -> None:
         self._suspended, self._servers = suspended, servers
@@ -222,9 +230,9 @@
         self._servers.relist()
 
     def refresh(self) -> None:
-        """Follows what the other process of an upgrade was told."""
+        """Applies the changes that were made through the other process of an upgrade."""
         if self._suspended.refresh():
-            log.info("suspended servers taken over")
+            log.info("suspended chunk servers updated by the other process")
             self._servers.relist()
 
     def _check(self, server: str) -> None:
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -136,7 +136,7 @@
 def test_where_nothing_can_be_written_the_suspension_still_holds_here(tmp_path, caplog):
     suspended = SuspendedServers(SuspensionFile(tmp_path / "missing"))
     suspended.suspend("a")
-    assert "a" in suspended and "not kept" in caplog.text
+    assert "a" in suspended and "not saved" in caplog.text
 
 
 def test_the_program_sends_nothing_to_a_suspended_server_and_uses_it_again_once_resumed():
