--- a/ochrespan/broker.py
+++ b/ochrespan/broker.py
@@ -322,7 +322,7 @@
                         log.info(text)
 
     def _usage(self, request: Request) -> Usage:
-        """The counters of the request's plan and class; without plans in the settings, "other" replaces the client's."""
+        """The counters of the plan and class; without plans in the settings, the client's plan counts as "other"."""
         plan = request.plan if self._settings.plans else "other"
         return self.counts.usage.setdefault((plan, request.cls), Usage())
 
--- a/ochrespan/front.py
+++ b/ochrespan/front.py
@@ -1,4 +1,4 @@
-"""One front: wiring, signals and its end."""
+"""One front process: assembly of its components, signal handling and shutdown."""
 
 from __future__ import annotations
 
@@ -37,84 +37,87 @@
 from .suspension import SuspendedServers, SuspensionController, SuspensionFile
 from .upgrade import ProcessRegistry, list_wait, process_age
 
-if TYPE_CHECKING:  # the operator's file and all that it switches on is loaded only where there is one
+if TYPE_CHECKING:  # loaded only if there is an operator's file, like the subsystems that it enables
     from .operator_config import OperatorConfig
 
 log = logging.getLogger("ochrespan")
 
-GRACE = timedelta(seconds=0.1)  # for what shuts down
-LOOK = timedelta(seconds=0.02)
-LAST = timedelta(seconds=0.1)  # for what arrived in the very last moment
-FIRST_LIST = timedelta(seconds=1)  # to hear it before the front is put to use, where it counts as told by then
-HELD_UP = timedelta(seconds=0.5)  # of the event loop, worth a line in the log
-FOLLOW = timedelta(seconds=0.1)  # between looks at what operators and the other process of an upgrade want
-SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGHUP}
+SHUTDOWN_GRACE = timedelta(seconds=0.1)  # for each listener to shut down
+DRAIN_POLL_INTERVAL = timedelta(seconds=0.02)
+LAST_RESPONSES_GRACE = timedelta(seconds=0.1)  # for requests that arrived just before the exit
+# Wait for the first list before the front is ready, where the settings take changes of the list as known at once.
+FIRST_LIST_TIMEOUT = timedelta(seconds=1)
+LOOP_DELAY_WARNING = timedelta(seconds=0.5)  # an event loop delay above this is logged
+PROCESS_POLL_INTERVAL = timedelta(seconds=0.1)  # between checks of the phase and of the other process of an upgrade
+HANDLED_SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGHUP}
 
 
-class Reloads:
-    """SIGHUP: each file goes on as it says now, or as before if it cannot be read or has a fault."""
+class ReloadHandler:
+    """Reloads both files on SIGHUP; a file that cannot be read or has errors leaves its previous content in effect."""
 
-    def __init__(self, told: config.Config, watch: Watch, path: Path | None, running: dict[str, Subsystem]) -> None:
-        self._told, self._watch, self._path, self._running = told, watch, path, running
-        self._wanted = False  # also while a file is being read: it may have changed since
-        self._reading: asyncio.Task[None] | None = None
+    def __init__(
+        self, configuration: config.Config, watch: Watch, path: Path | None, subsystems: dict[str, Subsystem]
+    ) -> None:
+        self._configuration, self._watch, self._path, self._subsystems = configuration, watch, path, subsystems
+        self._reload_requested = False  # may be set again during a reload: the file may have changed since it was read
+        self._operator_reload: asyncio.Task[None] | None = None
 
     def __call__(self) -> None:
-        self._configuration()
+        self._reload_configuration()
         if self._path is not None:
-            self._wanted = True
-            if self._reading is None or self._reading.done():
-                self._reading = asyncio.create_task(self._operator(self._path))
+            self._reload_requested = True
+            if self._operator_reload is None or self._operator_reload.done():
+                self._operator_reload = asyncio.create_task(self._reload_operator_config(self._path))
 
-    def _configuration(self) -> None:
+    def _reload_configuration(self) -> None:
         try:
-            new, fixed = config.reload(os.environ, self._told)
+            new, fixed = config.reload(os.environ, self._configuration)
         except config.BadConfig as why:
-            log.error("the old configuration stays", extra={"why": str(why)})
+            log.error("reload failed; keeping the previous configuration", extra={"why": str(why)})
             return
-        told_to = {"discovery": new.discovery, "only_by_restart": ",".join(fixed) or "-"}
-        log.info("configuration read anew", extra=told_to)
+        details = {"discovery": new.discovery, "only_by_restart": ",".join(fixed) or "-"}
+        log.info("configuration reloaded", extra=details)
         self._watch.move(new.discovery)
 
-    async def _operator(self, path: Path) -> None:
+    async def _reload_operator_config(self, path: Path) -> None:
         from . import operator_config
 
-        while self._wanted:
-            self._wanted = False
-            try:  # thousands of contracts take a second to read: requests go on meanwhile
-                new = await asyncio.to_thread(operator_config.load, path, self._told.settings)
+        while self._reload_requested:
+            self._reload_requested = False
+            try:  # in a thread: reading thousands of contracts takes a second and must not delay requests
+                new = await asyncio.to_thread(operator_config.load, path, self._configuration.settings)
             except config.BadConfig as why:
                 for fault in why.args:
-                    log.error("the old operator's file stays", extra={"why": fault})
+                    log.error("reload failed; keeping the previous operator's file", extra={"why": fault})
                 continue
             except Exception:
-                log.exception("the old operator's file stays")
+                log.exception("reload failed; keeping the previous operator's file")
                 continue
             for name, section in new.sections.items():
-                if name in self._running and (take := self._running[name].reload) is not None:
-                    take(section)
+                if name in self._subsystems and (apply_section := self._subsystems[name].reload) is not None:
+                    apply_section(section)
             fixed = [
                 name
-                for name in new.sections.keys() | self._running.keys()
-                if name not in self._running or name not in new.sections or self._running[name].reload is None
+                for name in new.sections.keys() | self._subsystems.keys()
+                if name not in self._subsystems or name not in new.sections or self._subsystems[name].reload is None
             ]
-            log.info("operator's file read anew", extra={"only_by_restart": ",".join(sorted(fixed)) or "-"})
+            log.info("operator's file reloaded", extra={"only_by_restart": ",".join(sorted(fixed)) or "-"})
 
 
-def start(extra: OperatorConfig | None, core: CoreComponents) -> dict[str, Subsystem]:
-    """Each subsystem that the operator's file names, by its package's name."""
+def start_subsystems(operator_settings: OperatorConfig | None, components: CoreComponents) -> dict[str, Subsystem]:
+    """Starts each subsystem that the operator's file enables; returns them by the name of their package."""
     return {
-        name: importlib.import_module(f".{name}.start", __package__).start(section, core)
-        for name, section in (extra.sections if extra else {}).items()
+        name: importlib.import_module(f".{name}.start", __package__).start(section, components)
+        for name, section in (operator_settings.sections if operator_settings else {}).items()
     }
 
 
-async def drain(told: config.Config, broker: Broker, listeners: list[Listener], lifecycle: Lifecycle) -> None:
-    """From SIGTERM on: serves for as long as the platform lets us, and ends with nothing unanswered."""
+async def drain(configuration: config.Config, broker: Broker, listeners: list[Listener], lifecycle: Lifecycle) -> None:
+    """Runs the shutdown after SIGTERM: serves until shortly before SIGKILL and leaves no request unanswered."""
 
-    async def wait(until: timedelta, wanted: Callable[[], object] = lambda: True) -> None:
-        while wanted() and loop.time() < began + until.total_seconds():
-            await asyncio.sleep(LOOK.total_seconds())
+    async def wait(until: timedelta, condition: Callable[[], object] = lambda: True) -> None:
+        while condition() and loop.time() < began + until.total_seconds():
+            await asyncio.sleep(DRAIN_POLL_INTERVAL.total_seconds())
 
     def connected() -> object:
         waiting = [listener for listener in listeners if not listener.stop_accepting()]
@@ -122,172 +125,182 @@
 
     loop = asyncio.get_running_loop()
     began = loop.time()
-    ending = shutdown_schedule(timedelta(seconds=cls.deadline) for cls in told.settings.classes.values())
-    await wait(min(ending.accept_until, ending.close_connections_from))
-    if ending.accept_until < ending.close_connections_from:
-        await wait(ending.close_connections_from, connected)
+    schedule = shutdown_schedule(timedelta(seconds=cls.deadline) for cls in configuration.settings.classes.values())
+    await wait(min(schedule.accept_until, schedule.close_connections_from))
+    if schedule.accept_until < schedule.close_connections_from:
+        await wait(schedule.close_connections_from, connected)
     lifecycle.advance(Phase.CLOSING)
-    broker.complete_within(ending.answer_deadline - ending.close_connections_from)
-    await wait(ending.accept_until)
-    await wait(ending.exit_at, connected)
-    # a client that does not read its answer may not hold us
-    await wait(ending.exit_at + LAST, lambda: any(listener.occupied for listener in listeners))
+    broker.complete_within(schedule.answer_deadline - schedule.close_connections_from)
+    await wait(schedule.accept_until)
+    await wait(schedule.exit_at, connected)
+    # a client that does not read its response must not delay the exit
+    await wait(schedule.exit_at + LAST_RESPONSES_GRACE, lambda: any(listener.occupied for listener in listeners))
     if lifecycle.in_flight:
-        log.warning("ends with answers that were not read", extra={"requests": lifecycle.in_flight})
+        log.warning("exiting with responses that clients have not read", extra={"requests": lifecycle.in_flight})
 
 
-async def send_clients_away(lifecycle: Lifecycle, listeners: list[Listener]) -> None:
-    """Ends idle connections: while operators want the front empty, once clients have stopped coming; and while the
-    new process of an upgrade takes them, as clients hold a bounded number over both."""
+async def close_idle_connections(lifecycle: Lifecycle, listeners: list[Listener]) -> None:
+    """Closes idle connections in two cases: an operator drains the front and its clients have had time to move away,
+    or the new process of an upgrade accepts connections, as clients open a bounded number to both processes."""
     loop = asyncio.get_running_loop()
-    since: float | None = None
+    inactive_since: float | None = None
     while True:
-        await asyncio.sleep(FOLLOW.total_seconds())
+        await asyncio.sleep(PROCESS_POLL_INTERVAL.total_seconds())
         inactive = lifecycle.phase is Phase.INACTIVE
-        since = (since or loop.time()) if inactive else None
-        left = since is not None and loop.time() - since >= CLIENTS_LEAVE_AFTER.total_seconds()
-        if left or lifecycle.has_successor:
+        inactive_since = (inactive_since or loop.time()) if inactive else None
+        clients_gone = (
+            inactive_since is not None and loop.time() - inactive_since >= CLIENTS_LEAVE_AFTER.total_seconds()
+        )
+        if clients_gone or lifecycle.has_successor:
             for listener in listeners:
                 listener.dismiss_idle(SILENT_IDLE_AFTER)
 
 
-async def first_list(watch: Watch, lifecycle: Lifecycle, span: timedelta) -> None:
-    """Waits until discovery has told its list, or the span is over, or the program is to end."""
-    waits = [asyncio.create_task(watch.heard(span)), asyncio.create_task(lifecycle.reached(Phase.DRAINING))]
+async def wait_for_first_list(watch: Watch, lifecycle: Lifecycle, timeout: timedelta) -> None:
+    """Waits for the first list from discovery, the timeout or the begin of the shutdown, whichever is first."""
+    waits = [asyncio.create_task(watch.heard(timeout)), asyncio.create_task(lifecycle.reached(Phase.DRAINING))]
     await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
     for wait in waits:
         wait.cancel()
 
 
-async def serve(told: config.Config, extra: OperatorConfig | None, path: Path | None) -> None:
+async def serve(configuration: config.Config, operator_settings: OperatorConfig | None, path: Path | None) -> None:
     lifecycle = Lifecycle()
     loop = asyncio.get_running_loop()
     for name in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(name, lifecycle.advance, Phase.DRAINING)
-    broker = Broker(told.settings)
-    suspended = SuspendedServers(SuspensionFile(told.shared_dir) if told.shared_dir else None)
+    broker = Broker(configuration.settings)
+    suspended = SuspendedServers(SuspensionFile(configuration.shared_dir) if configuration.shared_dir else None)
     directory = Directory(suspended)
-    roster = ProcessRegistry(told.shared_dir)
-    roster.register()
+    registry = ProcessRegistry(configuration.shared_dir)
+    registry.register()
     async with AsyncExitStack() as stack:
-        stack.callback(roster.unregister)
-        sockets = SocketBudget(told.sockets, controlled=told.control is not None)
-        sockets.reserve_for_others(roster.descriptors_of_others())
-        session = await stack.enter_async_context(open_session(told.links, sockets.outgoing))
-        asking = await stack.enter_async_context(discovery.open_session())
-        at_once = told.settings.ask_within == 0  # what could be heard counts as told; the known list may be old
-        watch = Watch(broker, directory, asking, told.discovery, timedelta() if at_once else discovery.FIRST_WAIT)
-        watch.known(told.known_servers)
-        core = CoreComponents(told, broker, ChunkClient(session, directory, broker.counts), lifecycle)
-        core.metric_sources.append(partial(front_samples, broker, watch))
-        core.handlers["platform"] = PlatformFront(core).handle
-        running = start(extra, core)
-        loop.add_signal_handler(signal.SIGHUP, Reloads(told, watch, path, running))
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
-        switch = SuspensionController(suspended, watch)
-        if told.control is not None:
-            await open_control(told.control, ControlFront(lifecycle, switch, core.metric_sources[0]), stack)
+        stack.callback(registry.unregister)
+        sockets = SocketBudget(configuration.sockets, controlled=configuration.control is not None)
+        sockets.reserve_for_others(registry.descriptors_of_others())
+        session = await stack.enter_async_context(open_session(configuration.links, sockets.outgoing))
+        discovery_session = await stack.enter_async_context(discovery.open_session())
+        list_due_at_once = configuration.settings.ask_within == 0  # the configured list may be outdated
+        watch = Watch(
+            broker,
+            directory,
+            discovery_session,
+            configuration.discovery,
+            timedelta() if list_due_at_once else discovery.FIRST_WAIT,
+        )
+        watch.known(configuration.known_servers)
+        components = CoreComponents(configuration, broker, ChunkClient(session, directory, broker.counts), lifecycle)
+        components.metric_sources.append(partial(front_samples, broker, watch))
+        components.handlers["platform"] = PlatformFront(components).handle
+        subsystems = start_subsystems(operator_settings, components)
+        loop.add_signal_handler(signal.SIGHUP, ReloadHandler(configuration, watch, path, subsystems))
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
+        suspensions = SuspensionController(suspended, watch)
+        if configuration.control is not None:
+            await open_control(
+                configuration.control, ControlFront(lifecycle, suspensions, components.metric_sources[0]), stack
+            )
         tasks = [asyncio.create_task(watch.run())]
-        successor = roster.has_predecessor()
-        if successor:  # it takes all that is new from the moment it listens
-            await first_list(watch, lifecycle, list_wait(process_age()))
+        is_successor = registry.has_predecessor()
+        if is_successor:  # it gets all new connections as soon as it listens
+            await wait_for_first_list(watch, lifecycle, list_wait(process_age()))
         listeners: list[Listener] = []
-        if not successor or lifecycle.phase is Phase.STARTING:  # one that is to end already takes nothing over
-            listeners = await open_fronts(core, running, sockets, stack)
-        jobs = [job for one in running.values() for job in one.jobs]
-        jobs.append(send_clients_away(lifecycle, listeners))
-        if told.shared_dir is not None:
-            jobs.append(follow_processes(roster, switch, lifecycle, sockets, session, listeners))
-        tasks += [asyncio.create_task(job) for job in jobs]
-        first = watch.heard(FIRST_LIST if at_once and not successor else timedelta())
-        tasks.append(asyncio.create_task(become_ready(first, lifecycle, roster)))
+        if not is_successor or lifecycle.phase is Phase.STARTING:  # else SIGTERM came before it listened
+            listeners = await open_fronts(components, subsystems, sockets, stack)
+        background_jobs = [job for subsystem in subsystems.values() for job in subsystem.jobs]
+        background_jobs.append(close_idle_connections(lifecycle, listeners))
+        if configuration.shared_dir is not None:
+            background_jobs.append(follow_processes(registry, suspensions, lifecycle, sockets, session, listeners))
+        tasks += [asyncio.create_task(job) for job in background_jobs]
+        first = watch.heard(FIRST_LIST_TIMEOUT if list_due_at_once and not is_successor else timedelta())
+        tasks.append(asyncio.create_task(become_ready(first, lifecycle, registry)))
         await lifecycle.reached(Phase.DRAINING)
-        lifecycle.has_successor = roster.has_ready_successor()
-        await drain(told, broker, listeners, lifecycle)
+        lifecycle.has_successor = registry.has_ready_successor()
+        await drain(configuration, broker, listeners, lifecycle)
         for task in tasks:
             task.cancel()
         broker.close()
-    # what comes now has nothing to end: without its handler, which goes with the loop, it would kill
-    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
+    # The signal handlers are removed with the event loop; a signal after that would kill the process.
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
     lifecycle.advance(Phase.STOPPED)
 
 
 async def open_fronts(
-    core: CoreComponents, running: dict[str, Subsystem], sockets: SocketBudget, stack: AsyncExitStack
+    components: CoreComponents, subsystems: dict[str, Subsystem], sockets: SocketBudget, stack: AsyncExitStack
 ) -> list[Listener]:
-    """The clients' addresses: the platform's and those of subsystems, until the stack ends."""
-    told = core.config
+    """Opens the listeners for clients, those of the platform and of the subsystems; the stack closes them."""
+    configuration = components.config
     fronts: list[tuple[Server, tuple[str, int]]] = [
-        (Http1Server(core.handlers["platform"], MOST_BODY, MOST_WHOLE), told.listen)
+        (Http1Server(components.handlers["platform"], MOST_BODY, MOST_WHOLE), configuration.listen)
     ]
-    fronts += [front for one in running.values() for front in one.fronts]
+    fronts += [front for subsystem in subsystems.values() for front in subsystem.fronts]
     listeners = []
     for server, address in fronts:
         listener = Listener(server, 1)
         sockets.allocate([listener], len(fronts))
-        await listener.open(address, shared=told.control is not None)
-        stack.push_async_callback(listener.shutdown, GRACE)
+        await listener.open(address, shared=configuration.control is not None)
+        stack.push_async_callback(listener.shutdown, SHUTDOWN_GRACE)
         listeners.append(listener)
     return listeners
 
 
-async def become_ready(first: Coroutine[Any, Any, None], lifecycle: Lifecycle, roster: ProcessRegistry) -> None:
-    """After the first list, where it is waited for; changes nothing where the end has begun meanwhile."""
+async def become_ready(first: Coroutine[Any, Any, None], lifecycle: Lifecycle, registry: ProcessRegistry) -> None:
+    """Enters READY after the first list; without effect if the shutdown has begun."""
     await first
     lifecycle.advance(Phase.READY)
     if lifecycle.serving:
-        roster.mark_ready()
-        roster.publish(open_descriptor_count())
+        registry.mark_ready()
+        registry.publish(open_descriptor_count())
 
 
 async def open_control(address: tuple[str, int], front: ControlFront, stack: AsyncExitStack) -> None:
-    """The operators' address: open from the start to the very end, beside all other listeners."""
+    """Opens the control address, which stays open during the whole shutdown."""
     listener = Listener(Http1Server(front.handle, CONTROL_MAX_BODY_BYTES), CONTROL_MAX_CONNECTIONS)
     await listener.open(address)
-    stack.push_async_callback(listener.shutdown, GRACE)
+    stack.push_async_callback(listener.shutdown, SHUTDOWN_GRACE)
 
 
 async def follow_processes(
-    roster: ProcessRegistry,
-    switch: SuspensionController,
+    registry: ProcessRegistry,
+    suspensions: SuspensionController,
     lifecycle: Lifecycle,
     sockets: SocketBudget,
     session: aiohttp.ClientSession,
     listeners: list[Listener],
 ) -> None:
-    """Keeps in step with the other process of an upgrade: what operators told it, and its part of the limits."""
-    known, loop = roster.process_count(), asyncio.get_running_loop()
+    """Follows the other process of an upgrade: its suspensions, its readiness and its use of descriptors."""
+    last_count, loop = registry.process_count(), asyncio.get_running_loop()
     while True:
-        due = loop.time() + FOLLOW.total_seconds()
-        await asyncio.sleep(FOLLOW.total_seconds())
-        if (late := loop.time() - due) > HELD_UP.total_seconds():
-            log.warning("event loop held up", extra={"seconds": round(late, 2)})
-        switch.refresh()
-        seen = await asyncio.to_thread(roster.publish_and_read, open_descriptor_count())
-        lifecycle.has_successor = seen.has_ready_successor
-        if seen.processes != known:
-            log.info("processes of this front", extra={"was": known, "now": seen.processes})
-            known = seen.processes
-        if sockets.reserve_for_others(seen.descriptors_of_others):
+        due = loop.time() + PROCESS_POLL_INTERVAL.total_seconds()
+        await asyncio.sleep(PROCESS_POLL_INTERVAL.total_seconds())
+        if (delay := loop.time() - due) > LOOP_DELAY_WARNING.total_seconds():
+            log.warning("event loop delayed", extra={"seconds": round(delay, 2)})
+        suspensions.refresh()
+        view = await asyncio.to_thread(registry.publish_and_read, open_descriptor_count())
+        lifecycle.has_successor = view.has_ready_successor
+        if view.processes != last_count:
+            log.info("number of processes of this front changed", extra={"was": last_count, "now": view.processes})
+            last_count = view.processes
+        if sockets.reserve_for_others(view.descriptors_of_others):
             resize(session, sockets.outgoing)
             sockets.allocate(listeners, len(listeners))
 
 
 def run(path: Path | None = None, log_format: str = "") -> int:
-    """Runs one front until it is told to end; `path`: the operator's file. Returns the exit code."""
+    """Runs one front until a signal ends it; `path`: the operator's file. Returns the exit code."""
     logs.set_up(log_format)
-    # signals may come while the files are being read: they wait until they can be heard
-    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
-    extra = None
+    # signals that arrive while the files are read stay pending until their handlers are installed
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
+    operator_settings = None
     try:
-        told = config.load(os.environ)
+        configuration = config.load(os.environ)
         if path is not None:
             from . import operator_config
 
-            extra = operator_config.load(path, told.settings)
+            operator_settings = operator_config.load(path, configuration.settings)
     except config.BadConfig as why:
         for fault in why.args:
             log.error("cannot start", extra={"why": fault})
         return 2
-    asyncio.run(serve(told, extra, path))
+    asyncio.run(serve(configuration, operator_settings, path))
     return 0
--- a/ochrespan/lifecycle.py
+++ b/ochrespan/lifecycle.py
@@ -1,4 +1,4 @@
-"""The program's phases, from start to exit, as the states of one object."""
+"""The phases of a front process, from its start to its exit."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class Phase(Enum):
-    STARTING = "starting"  # not yet to be put to use
+    STARTING = "starting"  # not ready for clients yet
     READY = "ready"
-    INACTIVE = "inactive"  # an operator sends the clients away; the process goes on and can be activated
-    DRAINING = "draining"  # told to end: still answers all that arrives, on the connections that clients keep
-    CLOSING = "closing"  # the platform's patience is about to end: every answer closes its connection
+    INACTIVE = "inactive"  # drained by an operator; the process keeps running and can be activated again
+    DRAINING = "draining"  # after SIGTERM: still serves everything, also on the open connections
+    CLOSING = "closing"  # shortly before SIGKILL: every response closes its connection
     STOPPED = "stopped"
 
 
@@ -24,33 +24,32 @@
 
 
 class Lifecycle:
-    """Moves forward only, but for READY and INACTIVE, between which operators choose; whoever needs a phase can
-    wait for it."""
+    """The current phase. It only moves forward, except that operators switch between READY and INACTIVE."""
 
     def __init__(self) -> None:
         self.phase = Phase.STARTING
-        self.has_successor = False  # another process of this front takes the new connections
-        self._active = True  # what operators want
-        self.in_flight = 0  # requests between their first look and their answer, on all fronts
+        self.has_successor = False  # the new process of an upgrade accepts the new connections
+        self._active = True  # False: an operator has drained this process
+        self.in_flight = 0  # requests being handled, on all listeners
         self._reached = {phase: asyncio.Event() for phase in Phase}
         self._reached[Phase.STARTING].set()
 
     def advance(self, phase: Phase) -> None:
         if ORDER[phase] <= ORDER[self.phase]:
-            return  # a second SIGTERM, or one that comes while we end anyway
+            return  # a repeated SIGTERM, or one during the shutdown
         self._enter(Phase.INACTIVE if phase is Phase.READY and not self._active else phase)
         for earlier in Phase:
             if ORDER[earlier] <= ORDER[phase]:
                 self._reached[earlier].set()
 
     def deactivate(self) -> None:
-        """An operator sends the clients away; during the start, as soon as it is over. The end goes on as it does."""
+        """Drains the process for an operator, after the start if it is not over; no effect during the shutdown."""
         self._active = False
         if self.phase is Phase.READY:
             self._enter(Phase.INACTIVE)
 
     def activate(self) -> bool:
-        """An operator takes the clients back; False where the program ends already."""
+        """Ends a drain; returns False during the shutdown."""
         if ORDER[self.phase] >= ORDER[Phase.DRAINING]:
             return False
         self._active = True
@@ -59,12 +58,12 @@
         return True
 
     def _enter(self, phase: Phase) -> None:
-        log.info("phase", extra={"was": self.phase.value, "now": phase.value})
+        log.info("phase changed", extra={"was": self.phase.value, "now": phase.value})
         self.phase = phase
 
     @contextmanager
     def track_request(self) -> Iterator[None]:
-        """One request's time in a front: the program does not stop under it."""
+        """Counts one request as in flight, so that the process does not exit before its end."""
         self.in_flight += 1
         try:
             yield
@@ -80,10 +79,10 @@
 
     @property
     def serving(self) -> bool:
-        """Whether this process can serve, used or not."""
+        """Whether this process can serve, also while it is drained."""
         return self.phase in (Phase.READY, Phase.INACTIVE)
 
     @property
     def closing(self) -> bool:
-        """Whether each answer ends its connection."""
+        """Whether each response closes its connection."""
         return self.has_successor or self.phase in (Phase.INACTIVE, Phase.CLOSING, Phase.STOPPED)
--- a/ochrespan/shutdown_schedule.py
+++ b/ochrespan/shutdown_schedule.py
@@ -1,4 +1,4 @@
-"""When a front that was told to end does what: from the settings alone; no I/O, no clock."""
+"""The schedule of a front's shutdown, computed from the settings alone; no I/O, no clock."""
 
 from __future__ import annotations
 
@@ -6,30 +6,29 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-# After SIGTERM new connections come for up to 0.4 s. Clients go on using those they have, since no other front
-# serves their volumes, until SIGKILL: it comes the longest deadline, at most 3 s, and 0.7 s later or after that.
+# After SIGTERM new connections arrive for up to 0.4 s. Clients keep using their open connections until SIGKILL, since
+# no other front serves their volumes. SIGKILL comes no earlier than 0.7 s after the longest deadline, at most 3 s.
 MAX_DEADLINE, KILL_DELAY = timedelta(seconds=3), timedelta(seconds=0.7)
 ACCEPT_FOR = timedelta(seconds=0.8)
-CLOSE_BEFORE_KILL = timedelta(seconds=0.75)  # so long before SIGKILL each answer ends its connection ...
-ANSWER_BEFORE_KILL = timedelta(seconds=0.4)  # ... every request has its final answer ...
-EXIT_BEFORE_KILL = timedelta(seconds=0.3)  # ... and the program ends
-# Clients that an operator sends away come for up to 0.3 s more; 4 s after the call no connection may be idle.
+CLOSE_BEFORE_KILL = timedelta(seconds=0.75)  # from then on each response closes its connection
+ANSWER_BEFORE_KILL = timedelta(seconds=0.4)  # by then every request has its final answer
+EXIT_BEFORE_KILL = timedelta(seconds=0.3)  # the process exits
+# After an operator's drain clients connect for up to 0.3 s more; 4 s after the call no connection may be idle.
 CLIENTS_LEAVE_AFTER = timedelta(seconds=0.4)
-SILENT_IDLE_AFTER = timedelta(seconds=1)  # from when on a connection without a request is idle too
-MIN_FULL_SCHEDULE = (
-    ACCEPT_FOR + CLOSE_BEFORE_KILL
-)  # where all deadlines are so short that there is less, all spans shrink alike
+SILENT_IDLE_AFTER = timedelta(seconds=1)  # a connection without any request for this long counts as idle
+# Where all deadlines are so short that SIGKILL comes earlier than this, all spans shrink in proportion.
+MIN_FULL_SCHEDULE = ACCEPT_FOR + CLOSE_BEFORE_KILL
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownSchedule:
-    """Points of time, counted from SIGTERM."""
+    """Points in time, counted from SIGTERM."""
 
-    accept_until: timedelta  # new connections are taken until then
-    close_connections_from: timedelta
-    answer_deadline: timedelta
+    accept_until: timedelta  # the end of accepting connections
+    close_connections_from: timedelta  # each response closes its connection
+    answer_deadline: timedelta  # every request has its final answer
     exit_at: timedelta
-    kill_at: timedelta
+    kill_at: timedelta  # the earliest SIGKILL
 
 
 def shutdown_schedule(deadlines: Iterable[timedelta]) -> ShutdownSchedule:
--- a/ochrespan/upgrade.py
+++ b/ochrespan/upgrade.py
@@ -1,7 +1,7 @@
-"""The processes of one front: usually one, two while an upgrade goes on.
+"""The processes of one front: usually one, two during an upgrade.
 
-Each holds a lock on a file of its own in a folder that they share, so that a process that dies, however it does,
-is known to be gone.
+Each holds a lock on its own file in a shared folder. The kernel releases the lock however the process ends, so the
+others detect its end reliably.
 """
 
 from __future__ import annotations
@@ -20,45 +20,44 @@
 log = logging.getLogger(__name__)
 
 SUFFIX = ".process"
-START_FIELD = 19  # of /proc/self/stat, behind the name: the start in clock ticks after the machine's
-LIST_DEADLINE = timedelta(
-    seconds=3
-)  # after its start; a new process has 6 s to serve, and the old one serves meanwhile
+START_FIELD = 19  # index in /proc/self/stat after the command name: start in clock ticks since boot
+# The new process of an upgrade must serve within 6 s of its start; the old one serves meanwhile.
+LIST_DEADLINE = timedelta(seconds=3)  # end of the wait for the first list, counted from the start of the process
 MIN_LIST_WAIT = timedelta(seconds=0.2)
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessState:
-    """What a process tells the others of its front."""
+    """What a process publishes to the others of its front."""
 
-    ready: bool = False  # it serves new connections
-    descriptors: int = 0  # that it holds
+    ready: bool = False  # it accepts new connections
+    descriptors: int = 0  # open descriptors
 
     def dump(self) -> bytes:
         return b"%d %8d\n" % (self.ready, self.descriptors)
 
     @classmethod
-    def parse(cls, told: bytes) -> ProcessState:
-        """Raises ValueError where it is none."""
-        ready, descriptors = map(int, told.split())
+    def parse(cls, content: bytes) -> ProcessState:
+        """Raises ValueError if the content is not a state."""
+        ready, descriptors = map(int, content.split())
         return cls(bool(ready), descriptors)
 
 
 def shared_folder(temporary: str | None, name: str) -> Path | None:
-    """The folder of the front with this name; None where there is no place for one."""
+    """Creates the shared folder of the front with this name; None if that is not possible."""
     if not temporary:
         return None
     folder = Path(temporary, f"ochrespan-{name.replace(os.sep, '_')}")
     try:
         folder.mkdir(mode=0o700, exist_ok=True)
     except OSError as why:
-        log.error("nothing is kept for an upgrade", extra={"folder": str(folder), "why": str(why)})
+        log.error("no shared folder: upgrades cannot hand over state", extra={"folder": str(folder), "why": str(why)})
         return None
     return folder
 
 
 def process_age() -> timedelta:
-    """Since this process was started, the start of the interpreter and the imports included."""
+    """Time since the process was started, including the start of the interpreter and the imports."""
     try:
         fields = Path("/proc/self/stat").read_text().rpartition(")")[2].split()
         started = int(fields[START_FIELD]) / os.sysconf("SC_CLK_TCK")
@@ -68,63 +67,68 @@
 
 
 def list_wait(age: timedelta) -> timedelta:
-    """How long the new process of an upgrade, so old by now, waits for its first list."""
+    """How long the new process of an upgrade waits for its first list; `age`: time since its start."""
     return max(MIN_LIST_WAIT, LIST_DEADLINE - age)
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessRegistryView:
-    """What the processes of a front know of each other."""
+    """What a process knows of the processes of its front."""
 
-    processes: int = 1  # that live, this one among them
-    descriptors_of_others: int = 0  # that they told of last
+    processes: int = 1  # running, including this one
+    descriptors_of_others: int = 0  # as last published by the other processes
     has_ready_successor: bool = False
 
 
 class ProcessRegistry:
-    """Which processes of this front live, in the order of their starts. Without a folder, this one alone.
+    """The running processes of this front, in the order of their starts. Without a folder, this one alone.
 
-    `exchange` may run in a thread while the others are called from the event loop.
+    `publish_and_read` may run in a thread while the other methods are called from the event loop.
     """
 
     def __init__(self, folder: Path | None) -> None:
         self._folder = folder
         self._own_file: IO[str] | None = None
-        self._lock = threading.Lock()  # of the own file, which `leave` closes
+        self._lock = threading.Lock()  # guards the own file, which `unregister` closes
         self._ready = False
-        self._name = f"{time.monotonic_ns():020d}-{secrets.token_hex(4)}{SUFFIX}"  # one clock for all processes
+        # the monotonic clock is the same in all processes: names sort by start
+        self._name = f"{time.monotonic_ns():020d}-{secrets.token_hex(4)}{SUFFIX}"
 
     def register(self) -> None:
         if self._folder is None:
             return
         try:
-            fresh = (self._folder / self._name).with_suffix(".new")
-            self._own_file = fresh.open("w")
+            temporary = (self._folder / self._name).with_suffix(".new")
+            self._own_file = temporary.open("w")
             fcntl.flock(self._own_file, fcntl.LOCK_EX)
-            fresh.replace(self._folder / self._name)  # under its name it is never seen without its lock
+            temporary.replace(
+                self._folder / self._name
+            )  # others never see the file under its final name without the lock
         except OSError as why:
-            log.error("other processes of this front are not seen", extra={"why": str(why)})
+            log.error(
+                "cannot register for upgrades; other processes of this front are ignored", extra={"why": str(why)}
+            )
             self._folder = None
 
     def mark_ready(self) -> None:
-        """From now on this process serves new connections."""
+        """From now on this process publishes that it accepts new connections."""
         self._ready = True
 
     def publish(self, descriptors: int) -> None:
-        """Tells the others how many descriptors this process holds, and whether it is ready."""
+        """Publishes the number of open descriptors of this process, and whether it is ready."""
         state = ProcessState(self._ready, descriptors)
         with self._lock:
             if self._own_file is None:
                 return
             try:
-                os.pwrite(self._own_file.fileno(), state.dump(), 0)  # always of one length: never seen in part
+                os.pwrite(self._own_file.fileno(), state.dump(), 0)  # fixed length: never read in part
             except OSError as why:
-                log.error("other processes of this front do not see this one", extra={"why": str(why)})
+                log.error("cannot publish this process to the other processes of this front", extra={"why": str(why)})
 
     def publish_and_read(self, descriptors: int) -> ProcessRegistryView:
-        """Tells the others how many descriptors this process holds, and gives what they tell.
+        """Publishes the number of open descriptors of this process, and reads what the others have published.
 
-        It opens, locks and closes files. A disk may hold any of that up, so it has no place in the event loop.
+        Opens, locks and closes files. A slow disk may block any of that: do not call it in the event loop.
         """
         self.publish(descriptors)
         return self._read_others()
@@ -143,19 +147,19 @@
         return self._read_others().has_ready_successor
 
     def descriptors_of_others(self) -> int:
-        """Descriptors that the other processes told of last."""
+        """Open descriptors of the other processes, as last published."""
         return self._read_others().descriptors_of_others
 
     def process_count(self) -> int:
-        """Processes that live, this one among them."""
+        """Running processes, including this one."""
         return self._read_others().processes
 
     def _read_others(self) -> ProcessRegistryView:
-        told = {name: self._state(name) for name in self._others()}
+        states = {name: self._state(name) for name in self._others()}
         return ProcessRegistryView(
-            1 + len(told),
-            sum(state.descriptors for state in told.values()),
-            any(name > self._name and state.ready for name, state in told.items()),
+            1 + len(states),
+            sum(state.descriptors for state in states.values()),
+            any(name > self._name and state.ready for name, state in states.items()),
         )
 
     def _others(self) -> list[str]:
@@ -173,7 +177,7 @@
         try:
             with path.open() as file:
                 fcntl.flock(file, fcntl.LOCK_SH | fcntl.LOCK_NB)
-                path.unlink(missing_ok=True)  # its process has ended without a word
+                path.unlink(missing_ok=True)  # its process ended without unregistering
         except BlockingIOError:
             return True
         except OSError:
--- a/tests/test_contract_fronts.py
+++ b/tests/test_contract_fronts.py
@@ -259,7 +259,7 @@
             held = [asyncio.create_task(ask(world, f"h{n}")) for n in range(2)]
             await wait_until(lambda: len(node.received) == 2)
             world.change_operator(contracts(a="plan = 7\nfrom = 2026-01-01T00:00:00Z"))
-            await wait_until(lambda: "the old operator's file stays" in world.log)
+            await wait_until(lambda: "keeping the previous operator's file" in world.log)
             assert (await ask(world, "t1"))[0] == 200  # the old contract holds
             world.change_operator(contracts(a='colour = "red"', b="budget = { units_per_s = -1 }"))
             await wait_until(lambda: "[[team]] a colour" in world.log and "units_per_s: found -1" in world.log)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -243,7 +243,7 @@
             writer.close()
             if name is signal.SIGHUP:
                 log = b""
-                while b"configuration read anew" not in log or b"now=ready" not in log:
+                while b"configuration reloaded" not in log or b"now=ready" not in log:
                     line = await asyncio.wait_for(front.stderr.readline(), 20)
                     assert line, log
                     log += line
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -51,7 +51,7 @@
             world.nodes[0].default_response = "any"
             await wait_until(lambda: world.calls)
             world.reload(text)
-            await wait_until(lambda: 'msg="the old configuration stays" why=' in world.log)
+            await wait_until(lambda: 'msg="reload failed; keeping the previous configuration" why=' in world.log)
             world.publish_state(world.nodes[0], "up")
             await wait_until(lambda: world.calls[-1][1] == "1")  # the old watch goes on
             assert (await world.send_request("t1"))[0] == 200
@@ -112,7 +112,7 @@
             if moment == "twice":  # there and back, and there again; a slow machine carries some of it out between
                 for where in (new, old, new):
                     world.reload(discovery=where)
-                    await wait_until(lambda: f"discovery={where}" in world.log.rsplit("read anew", 1)[-1])  # noqa: B023
+                    await wait_until(lambda: f"discovery={where}" in world.log.rsplit("configuration reloaded", 1)[-1])  # noqa: B023
                 await world.send_request(
                     "t0", shard=1
                 )  # whatever the answer: ends of calls before it have come in here by now
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -298,7 +298,7 @@
             client = asyncio.create_task(ask_often(world, answers, stop))
             world.failing = 1_000_000  # the new process waits for a list that does not come
             successor = await world.upgrade()
-            await wait_until(lambda: "processes of this front" in world.log)
+            await wait_until(lambda: "number of processes of this front changed" in world.log)
             await wait_until(lambda: len(answers) > 20)
             successor.process.terminate()
             assert await asyncio.wait_for(successor.process.wait(), 10) == 0
