--- a/ochrespan/__main__.py
+++ b/ochrespan/__main__.py
@@ -1,4 +1,4 @@
-"""Run as `python -m ochrespan`: one front. With words behind it, the command line: see `--help`."""
+"""Entry point of `python -m ochrespan`: runs one front, or, with arguments, the command line (see `--help`)."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
         from .cli import main as command_line
 
         return command_line()
-    # before all else is loaded, which takes a while: what is asked meanwhile is heard once the front can act on it
+    # Block signals before the slow imports: they stay pending until the front has installed its handlers.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
-    from .front import run  # a platform's front need not build the tree of commands
+    from .front import run  # without arguments, the command line is not loaded
 
     return run()
 
--- a/ochrespan/cli.py
+++ b/ochrespan/cli.py
@@ -1,4 +1,4 @@
-"""The command line. `serve` runs a front; the others tell what its files say and send nothing."""
+"""The command line. `serve` runs a front; the other commands only read its files and send nothing."""
 
 from __future__ import annotations
 
@@ -67,24 +67,24 @@
 
 
 def read_files(config_file: Path | None, operator_file: Path | None) -> tuple[Any, Any, list[str]]:
-    """The configuration, the operator's sections, and every fault in both."""
+    """Reads the configuration and the operator's sections; also returns every error in both."""
     faults: list[str] = []
-    told = extra = None
+    configuration = operator_settings = None
     environ = dict(os.environ) | ({"BALANCER_CONFIG": str(config_file)} if config_file else {})
     try:
-        told = config.load(environ)
-    except config.BadConfig as why:
-        faults += map(str, why.args)
-    if operator_file is not None and told is None:
+        configuration = config.load(environ)
+    except config.BadConfig as error:
+        faults += map(str, error.args)
+    if operator_file is not None and configuration is None:
         faults.append(f"{operator_file}: not checked: its names are those of the configuration's settings")
     elif operator_file is not None:
         from . import operator_config
 
         try:
-            extra = operator_config.load(operator_file, told.settings)
-        except config.BadConfig as why:
-            faults += map(str, why.args)
-    return told, extra, faults
+            operator_settings = operator_config.load(operator_file, configuration.settings)
+        except config.BadConfig as error:
+            faults += map(str, error.args)
+    return configuration, operator_settings, faults
 
 
 @cli.command()
@@ -96,18 +96,18 @@
     Every fault is told at once, each with the file, the place in it, what was found and what is allowed. Exit 0
     where a front would start, 2 where it would not.
     """
-    told, extra, faults = read_files(config_file, operator)
+    configuration, operator_settings, faults = read_files(config_file, operator)
     for fault in faults:
         click.echo(fault, err=True)
     if faults:
         sys.exit(2)
-    settings = told.settings
+    settings = configuration.settings
     click.echo(
         f"configuration: {len(settings.classes)} classes, {len(settings.plans)} plans, "
-        f"{len((told.known_servers or {}).get('members', []))} known chunk servers"
+        f"{len((configuration.known_servers or {}).get('members', []))} known chunk servers"
     )
-    if extra is not None:
-        click.echo("operator's file: " + ", ".join(sorted(extra.sections) or ["nothing switched on"]))
+    if operator_settings is not None:
+        click.echo("operator's file: " + ", ".join(sorted(operator_settings.sections) or ["nothing switched on"]))
 
 
 @cli.group()
@@ -124,8 +124,8 @@
 
     Budgets and reserves are those of all fronts together; a dash means that nothing bounds it there.
     """
-    _, extra, faults = read_files(config_file, operator)
-    section = extra.sections.get("contracts") if extra is not None else None
+    _, operator_settings, faults = read_files(config_file, operator)
+    section = operator_settings.sections.get("contracts") if operator_settings is not None else None
     if section is None and not faults:
         faults.append(f"{operator or 'no operator file'}: found no contracts; allowed: [[team]] tables")
     for fault in faults:
@@ -156,13 +156,13 @@
 
 
 def contract_rows(book: Any, one_front: bool) -> Iterator[tuple[str, ...]]:
-    """A row for each level, in the file's order."""
+    """Yields a table row for each level, in the order of the file."""
     for path, terms in book.levels.items():
         contract = book.contracts.get(path)
         fronts = ((contract.fronts if contract else 0) or book.fronts) if one_front else 1
         budget = terms.budget
 
-        def figure(value: float | None, fronts: int = fronts) -> str:
+        def format_amount(value: float | None, fronts: int = fronts) -> str:
             return "-" if not value else f"{value / fronts:g}"
 
         yield (
@@ -170,19 +170,19 @@
             terms.kind,
             contract.plan if contract else "-",
             ",".join(sorted(contract.classes - contract.withdrawn_classes)) if contract else "-",
-            _known_by(book, path, contract),
-            figure(terms.reserve.units_per_s),
+            _identified_by(book, path, contract),
+            format_amount(terms.reserve.units_per_s),
             f"{terms.weight:g}",
-            figure(budget.units_per_s),
-            figure(budget.attempts_per_s),
-            figure(budget.open),
-            figure(budget.units_per_hour),
-            figure(budget.units_per_day),
+            format_amount(budget.units_per_s),
+            format_amount(budget.attempts_per_s),
+            format_amount(budget.open),
+            format_amount(budget.units_per_hour),
+            format_amount(budget.units_per_day),
             _state(contract),
         )
 
 
-def _known_by(book: Any, path: str, contract: Any) -> str:
+def _identified_by(book: Any, path: str, contract: Any) -> str:
     counts = {
         "token": len(contract.tokens) if contract else 0,
         "volume": sum(owner == path for owner in book.by_volume.values()),
--- a/ochrespan/config.py
+++ b/ochrespan/config.py
@@ -1,4 +1,4 @@
-"""What a front is told at its start: the platform's configuration file and variables."""
+"""The platform's configuration of a front: its file and its environment variables."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class BadConfig(ValueError):
-    """The program cannot start with this. Each argument is one fault."""
+    """The configuration is not valid. Each argument describes one error."""
 
     def __str__(self) -> str:
         return "; ".join(map(str, self.args))
@@ -39,19 +39,19 @@
     known_servers: Any
     sockets: int
     memory: int  # bytes
-    control: tuple[str, int] | None = None  # the operators' address
-    shared_dir: Path | None = None  # a folder that the processes of this front share
+    control: tuple[str, int] | None = None  # control address, for operators
+    shared_dir: Path | None = None  # folder shared by the processes of this front
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """At the start: the variables go before what the file says. Raises BadConfig with every fault found."""
+    """Loads the file; environment variables override it. Raises BadConfig with every error found."""
     path = environ.get("BALANCER_CONFIG")
     if not path:
         raise BadConfig("BALANCER_CONFIG is not set")
     try:
         document = json.loads(Path(path).read_text())
-    except (OSError, ValueError) as why:
-        raise BadConfig(f"{path}: {type(why).__name__}: {why}") from why
+    except (OSError, ValueError) as error:
+        raise BadConfig(f"{path}: {type(error).__name__}: {error}") from error
     reader = _Reader(path, document)
     listen = reader.address("listen", environ.get("BALANCER_LISTEN"))
     discovery = reader.text("discovery", environ.get("BALANCER_DISCOVERY"))
@@ -70,7 +70,7 @@
 
 
 class _Reader:
-    """Reads the parts of the file one by one and keeps what is wrong with each."""
+    """Reads the file value by value and collects the errors."""
 
     def __init__(self, path: str, document: Any) -> None:
         self.path, self.faults = path, list[str]()
@@ -85,7 +85,7 @@
     def text(self, location: str, variable: str | None, default: str | None = None) -> str:
         value = variable or self.document.get(location, default)
         if not isinstance(value, str):
-            if location != "discovery":  # whose form is told with its address
+            if location != "discovery":  # reported when it is read as an address
                 self.fault(location, value, "a string")
             return ""
         return value
@@ -126,20 +126,20 @@
             fields = flatten(document)
             fields["InitSeed"] = str(seed)
             settings = read_settings(fields)
-            if not settings.list_on_request:  # pushed, but not to whoever does not watch: on the wire nothing comes
-                settings.list_on_request, settings.ask_within = True, 0.0  # unasked, and all counts as told at once
+            if not settings.list_on_request:  # "pushed" lists reach only fronts that watch discovery, so watch it ...
+                settings.list_on_request, settings.ask_within = True, 0.0  # ... and take changes as known at once
             return settings, read_links(fields)
-        except (LookupError, TypeError, ValueError, AttributeError) as why:
-            self.faults.append(f"{self.path}: settings: {why}")
+        except (LookupError, TypeError, ValueError, AttributeError) as error:
+            self.faults.append(f"{self.path}: settings: {error}")
             return None, None
 
 
 def reload(environ: Mapping[str, str], old: Config) -> tuple[Config, list[str]]:
-    """The file anew, and the names of what it changes that only a restart takes over.
+    """Loads the file again; also returns the names of changed values that take effect only after a restart.
 
-    The variables are those of the start: for where discovery is, the new file's word goes before them.
+    The environment is still that of the start; therefore the file overrides the variable for discovery's address.
     """
     new = load({name: value for name, value in environ.items() if name != "BALANCER_DISCOVERY"})
-    new.settings.seed = old.settings.seed  # is for one start
-    fixed = ("name", "listen", "control", "settings", "links", "sockets", "memory")
-    return new, [name for name in fixed if getattr(new, name) != getattr(old, name)]
+    new.settings.seed = old.settings.seed  # valid for the whole run of the process
+    restart_only = ("name", "listen", "control", "settings", "links", "sockets", "memory")
+    return new, [name for name in restart_only if getattr(new, name) != getattr(old, name)]
--- a/ochrespan/control/__init__.py
+++ b/ochrespan/control/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' address: readiness, figures, chunk servers taken out by hand, and drains of the front."""
+"""The control address for operators: readiness, metrics, suspension of chunk servers, drains of the front."""
--- a/ochrespan/control/commands.py
+++ b/ochrespan/control/commands.py
@@ -1,4 +1,4 @@
-"""The calls of the control address as typed commands; nothing is done here."""
+"""Parses calls of the control address into typed commands; does not execute them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from urllib.parse import unquote
 
-SERVER_CALL = re.compile(r"/v1/chunk-servers/([^/]+)/(suspend|resume)")
+SERVER_PATH = re.compile(r"/v1/chunk-servers/([^/]+)/(suspend|resume)")
 
 
 @dataclass(frozen=True, slots=True)
@@ -16,12 +16,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadMetrics:
-    """The figures of this process."""
+    """The metrics of this process."""
 
 
 @dataclass(frozen=True, slots=True)
 class SuspendServer:
-    """Leave a chunk server out until it is resumed."""
+    """Stop using a chunk server until it is resumed."""
 
     server: str
 
@@ -35,17 +35,17 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainFront:
-    """Send the clients away; the process goes on."""
+    """Make clients move to other fronts; the process keeps running."""
 
 
 @dataclass(frozen=True, slots=True)
 class ActivateFront:
-    """End of a drain."""
+    """End a drain."""
 
 
 Command = ReadReadiness | ReadMetrics | SuspendServer | ResumeServer | DrainFront | ActivateFront
 
-FIXED: dict[str, tuple[str, Command]] = {
+FIXED_PATHS: dict[str, tuple[str, Command]] = {
     "/v1/readyz": ("GET", ReadReadiness()),
     "/v1/metrics": ("GET", ReadMetrics()),
     "/v1/front/drain": ("POST", DrainFront()),
@@ -59,7 +59,7 @@
 
 
 class WrongMethod(ValueError):
-    """The call exists under another method only."""
+    """The path exists, but with another method."""
 
     def __init__(self, allowed: str) -> None:
         super().__init__(f"this call takes {allowed} only")
@@ -67,16 +67,16 @@
 
 
 def read_command(method: str, target: str) -> Command:
-    """The command of a call. Raises UnknownPath or WrongMethod."""
+    """Parses a call. Raises UnknownPath or WrongMethod."""
     path = target.partition("?")[0]
-    allowed, command = FIXED.get(path) or _server_command(path)
+    allowed, command = FIXED_PATHS.get(path) or _server_command(path)
     if method != allowed:
         raise WrongMethod(allowed)
     return command
 
 
 def _server_command(path: str) -> tuple[str, Command]:
-    found = SERVER_CALL.fullmatch(path)
-    if found is None:
+    match = SERVER_PATH.fullmatch(path)
+    if match is None:
         raise UnknownPath("there is no such call")
-    return "POST", SERVER_COMMANDS[found[2]](unquote(found[1]))
+    return "POST", SERVER_COMMANDS[match[2]](unquote(match[1]))
--- a/ochrespan/control/front.py
+++ b/ochrespan/control/front.py
@@ -1,4 +1,4 @@
-"""Carries out the calls of the control address and answers them."""
+"""Executes the calls of the control address."""
 
 from __future__ import annotations
 
@@ -25,40 +25,40 @@
 
 log = logging.getLogger(__name__)
 
-MAX_BODY_BYTES = 16 * 1024  # bytes of a call's body, which is read and ignored
-MAX_CONNECTIONS = 24  # at once: no client can take them, and operators do not need more
+MAX_BODY_BYTES = 16 * 1024  # the body of a call is read and ignored
+MAX_CONNECTIONS = 24  # concurrent; reserved for operators, clients cannot use them
 
 
 class ControlFront:
-    """One answer to each call; every answer ends its connection."""
+    """Answers each call with one response, which closes the connection."""
 
     def __init__(
-        self, lifecycle: Lifecycle, servers: SuspensionController, figures: Callable[[], Iterator[MetricSample]]
+        self, lifecycle: Lifecycle, servers: SuspensionController, metrics: Callable[[], Iterator[MetricSample]]
     ) -> None:
-        self._lifecycle, self._servers, self._figures = lifecycle, servers, figures
+        self._lifecycle, self._servers, self._metrics = lifecycle, servers, metrics
 
     async def handle(self, request: Exchange) -> Reply:
         try:
             await request.read()
-            reply = self._carry_out(read_command(request.method, request.target))
-        except UnknownPath as why:
-            reply = Reply.text(404, f"{why}\n")
-        except WrongMethod as why:
-            reply = Reply.text(405, f"{why}\n", {"Allow": why.allowed})
-        except UnknownServer as why:
-            reply = Reply.text(404, f"{why}\n")
+            reply = self._execute(read_command(request.method, request.target))
+        except UnknownPath as error:
+            reply = Reply.text(404, f"{error}\n")
+        except WrongMethod as error:
+            reply = Reply.text(405, f"{error}\n", {"Allow": error.allowed})
+        except UnknownServer as error:
+            reply = Reply.text(404, f"{error}\n")
         except Exception:
             log.exception("control call failed")
             reply = Reply(500)
         reply.close = True
         return reply
 
-    def _carry_out(self, command: Command) -> Reply:
+    def _execute(self, command: Command) -> Reply:
         match command:
             case ReadReadiness():
                 return self._readiness()
             case ReadMetrics():
-                return Reply.text(200, statsd_text(self._figures()))
+                return Reply.text(200, statsd_text(self._metrics()))
             case SuspendServer(server):
                 self._servers.suspend(server)
                 return Reply.text(200, "suspended\n")
@@ -67,14 +67,14 @@
                 return Reply.text(200, "resumed\n")
             case DrainFront():
                 self._lifecycle.deactivate()
-                return self._phase()
+                return self._phase_reply()
             case ActivateFront():
                 if not self._lifecycle.activate():
-                    return self._phase(409)
-                return self._phase()
+                    return self._phase_reply(409)
+                return self._phase_reply()
 
     def _readiness(self) -> Reply:
-        return self._phase(200 if self._lifecycle.serving else 503)
+        return self._phase_reply(200 if self._lifecycle.serving else 503)
 
-    def _phase(self, status: int = 200) -> Reply:
+    def _phase_reply(self, status: int = 200) -> Reply:
         return Reply.text(status, f"{self._lifecycle.phase.value}\n")
--- a/ochrespan/control/statsd.py
+++ b/ochrespan/control/statsd.py
@@ -1,4 +1,4 @@
-"""Readings as lines of the statsd text protocol: `balancer.NAME:VALUE|c` or `|g`."""
+"""Formats metric samples as lines of the statsd text protocol: `balancer.NAME:VALUE|c` or `|g`."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from ..metric_samples import FRONT_GROUP, MetricSample
 
 PREFIX = "balancer"
-RESERVED = re.compile(r"[:|@\s]")  # what would end a name early
+RESERVED = re.compile(r"[:|@\s]")  # delimiters of the protocol, replaced in names
 
 
 def statsd_line(sample: MetricSample) -> str:
-    """One reading."""
+    """The line of one sample."""
     group = [] if sample.group == FRONT_GROUP else [sample.group]
     path = ".".join([PREFIX, *group, sample.name])
     kind = "c" if sample.counter else "g"
@@ -20,5 +20,5 @@
 
 
 def statsd_text(samples: Iterable[MetricSample]) -> str:
-    """All readings, a line each."""
+    """The lines of all samples."""
     return "".join(map(statsd_line, samples))
--- a/ochrespan/lifecycle.py
+++ b/ochrespan/lifecycle.py
@@ -20,7 +20,14 @@
     STOPPED = "stopped"
 
 
-ORDER = {Phase.STARTING: 0, Phase.READY: 1, Phase.INACTIVE: 1, Phase.DRAINING: 2, Phase.CLOSING: 3, Phase.STOPPED: 4}
+PHASE_ORDER = {
+    Phase.STARTING: 0,
+    Phase.READY: 1,
+    Phase.INACTIVE: 1,
+    Phase.DRAINING: 2,
+    Phase.CLOSING: 3,
+    Phase.STOPPED: 4,
+}
 
 
 class Lifecycle:
@@ -35,11 +42,11 @@
         self._reached[Phase.STARTING].set()
 
     def advance(self, phase: Phase) -> None:
-        if ORDER[phase] <= ORDER[self.phase]:
+        if PHASE_ORDER[phase] <= PHASE_ORDER[self.phase]:
             return  # a repeated SIGTERM, or one during the shutdown
         self._enter(Phase.INACTIVE if phase is Phase.READY and not self._active else phase)
         for earlier in Phase:
-            if ORDER[earlier] <= ORDER[phase]:
+            if PHASE_ORDER[earlier] <= PHASE_ORDER[phase]:
                 self._reached[earlier].set()
 
     def deactivate(self) -> None:
@@ -50,7 +57,7 @@
 
     def activate(self) -> bool:
         """Ends a drain; returns False during the shutdown."""
-        if ORDER[self.phase] >= ORDER[Phase.DRAINING]:
+        if PHASE_ORDER[self.phase] >= PHASE_ORDER[Phase.DRAINING]:
             return False
         self._active = True
         if self.phase is Phase.INACTIVE:
--- a/ochrespan/logs.py
+++ b/ochrespan/logs.py
@@ -1,6 +1,6 @@
-"""One set-up for all log lines: structlog over the logging module, key=value by default, JSON lines by choice.
+"""Log configuration: structlog on top of the logging module, as key=value lines or as JSON lines.
 
-A request's id, team and attempt are bound to every line that is written on its behalf (`about`).
+Fields such as a request's id, team and attempt are added to every line logged in its task (`bind`).
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 import structlog
 
 FORMATS = ("key-value", "json")
-FIRST = ["at", "level", "from", "msg", "request", "team", "attempt"]
-NOTHING: dict[str, Any] = {}
-_bound: ContextVar[dict[str, Any]] = ContextVar("bound", default=NOTHING)
+LEADING_FIELDS = ["at", "level", "from", "msg", "request", "team", "attempt"]
+NO_FIELDS: dict[str, Any] = {}
+_bound: ContextVar[dict[str, Any]] = ContextVar("bound", default=NO_FIELDS)
 
 
-def bind(**words: Any) -> None:
-    """From here on in this task, lines carry these words; empty ones are left out."""
-    _bound.set({name: value for name, value in words.items() if value != ""})
+def bind(**fields: Any) -> None:
+    """Adds these fields to the following log lines of this task; empty values are omitted."""
+    _bound.set({name: value for name, value in fields.items() if value != ""})
 
 
 @contextmanager
 def unbound() -> Iterator[None]:
-    """For lines that are not of the request at hand."""
-    token = _bound.set(NOTHING)
+    """Logs without the bound fields, for lines that are not about the current request."""
+    token = _bound.set(NO_FIELDS)
     try:
         yield
     finally:
@@ -42,8 +42,8 @@
     return line
 
 
-def _named(_: Any, __: str, line: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-    """Our names for what structlog calls event, logger and exception."""
+def _rename_fields(_: Any, __: str, line: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
+    """Renames structlog's event, logger and exception to msg, from and error."""
     line["msg"] = line.pop("event", "")
     line["from"] = line.pop("logger", "")
     if "exception" in line:
@@ -51,40 +51,44 @@
     return line
 
 
-def _plain(_: Any, __: str, line: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-    """Values as they may stand in key=value: none spreads over more than one line."""
+def _escape_values(_: Any, __: str, line: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
+    """Escapes line breaks and backslashes in values, so that each record is one line of key=value."""
     for name, value in line.items():
         if not isinstance(value, bool | int | float):
-            words = str(value)
-            line[name] = words.replace("\\", "\\\\").replace("\n", "\\n").replace("\r", "\\r")
+            text = str(value)
+            line[name] = text.replace("\\", "\\\\").replace("\n", "\\n").replace("\r", "\\r")
     return line
 
 
-def set_up(form: str = "", level: int = logging.INFO) -> None:
-    """Lines go to standard error. `form`: one of FORMATS; empty: OCHRESPAN_LOG_FORMAT, or key-value."""
-    form = form or os.environ.get("OCHRESPAN_LOG_FORMAT", "")
-    steps: list[Any] = [
+def set_up(log_format: str = "", level: int = logging.INFO) -> None:
+    """Configures logging to standard error. `log_format`: one of FORMATS, or empty for the environment's or key-value."""
+    log_format = log_format or os.environ.get("OCHRESPAN_LOG_FORMAT", "")
+    processors: list[Any] = [
         structlog.stdlib.add_log_level,
         structlog.stdlib.add_logger_name,
         structlog.stdlib.ExtraAdder(),
         structlog.processors.TimeStamper(fmt="iso", utc=True, key="at"),
         structlog.processors.format_exc_info,
         _add_bound,
-        _named,
+        _rename_fields,
     ]
-    if form == "json":
-        last: list[Any] = [structlog.processors.JSONRenderer(default=str)]
+    if log_format == "json":
+        renderer: list[Any] = [structlog.processors.JSONRenderer(default=str)]
     else:
-        last = [_plain, structlog.processors.LogfmtRenderer(key_order=FIRST, drop_missing=True, bool_as_flag=False)]
+        renderer = [
+            _escape_values,
+            structlog.processors.LogfmtRenderer(key_order=LEADING_FIELDS, drop_missing=True, bool_as_flag=False),
+        ]
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
         structlog.stdlib.ProcessorFormatter(
-            foreign_pre_chain=steps, processors=[structlog.stdlib.ProcessorFormatter.remove_processors_meta, *last]
+            foreign_pre_chain=processors,
+            processors=[structlog.stdlib.ProcessorFormatter.remove_processors_meta, *renderer],
         )
     )
     logging.basicConfig(level=level, handlers=[handler], force=True)
     structlog.configure(
-        processors=[*steps[:2], *steps[3:], structlog.stdlib.ProcessorFormatter.wrap_for_formatter],
+        processors=[*processors[:2], *processors[3:], structlog.stdlib.ProcessorFormatter.wrap_for_formatter],
         logger_factory=structlog.stdlib.LoggerFactory(),
         wrapper_class=structlog.stdlib.BoundLogger,
         cache_logger_on_first_use=True,
--- a/ochrespan/metric_samples.py
+++ b/ochrespan/metric_samples.py
@@ -1,4 +1,4 @@
-"""Figures that subsystems tell, whichever exporter sends them."""
+"""Metric samples that subsystems provide, independent of the exporter that sends them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-FRONT_GROUP = "front"  # the group of what is of the whole front
+FRONT_GROUP = "front"  # group of the metrics that concern the front as a whole
 
 
 @dataclass(frozen=True, slots=True)
@@ -15,11 +15,11 @@
     group: str
     name: str
     value: float
-    counter: bool  # only grows, from the start on
+    counter: bool  # monotonic since the start; else a gauge
 
 
 class RequestCounters(Protocol):
-    """Who counts requests and attempts."""
+    """Provides counts of requests and attempts."""
 
     def class_totals(self) -> dict[str, ClassTotals]: ...
 
@@ -31,14 +31,14 @@
 
 
 class ServerCounters(Protocol):
-    """Who knows the list of chunk servers."""
+    """Provides counts of chunk servers."""
 
     def target_counts(self) -> TargetCounts: ...
 
 
 @dataclass(slots=True)
 class ClassTotals:
-    """Requests of a class that have ended, by how."""
+    """Ended requests of a class, by result."""
 
     success: int = 0
     overload: int = 0
@@ -47,14 +47,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetCounts:
-    """Chunk servers in the list, and those of them that the front avoids."""
+    """The number of chunk servers in the list, and of those that the front avoids."""
 
     listed: int
     avoided: int
 
 
 def front_samples(requests: RequestCounters, targets: ServerCounters) -> Iterator[MetricSample]:
-    """What tells from outside how the front does, for the control address and the exporters alike."""
+    """The operational metrics of the front, for the control address and for the exporters."""
     for name, totals in requests.class_totals().items():
         yield MetricSample("success", name, totals.success, True)
         yield MetricSample("overload", name, totals.overload, True)
@@ -67,5 +67,5 @@
 
 
 def metric_safe_name(name: str) -> str:
-    """A name as the exporters' protocols take it: dots and slashes would split it."""
+    """Replaces characters that the exporters' protocols do not allow in a name, such as dots and slashes."""
     return re.sub(r"[^A-Za-z0-9_-]", "_", name) or "_"
--- a/ochrespan/operator_config.py
+++ b/ochrespan/operator_config.py
@@ -1,4 +1,4 @@
-"""The operator's file: what is off without it. Each subsystem owns its tables and reads them in its `section.py`."""
+"""The operator's file, which enables optional subsystems. Each reads its own tables, in its `section.py`."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .config import BadConfig
 from .sections import Faults
 
-# the subsystems and their tables; one that needs what another has read stands after it
+# Tables by subsystem. A subsystem that uses the section of another comes after it.
 SUBSYSTEM_TABLES: dict[str, tuple[str, ...]] = {
     "contracts": ("contracts", "organisation", "team", "service"),
     "objects": ("objects",),
@@ -24,29 +24,29 @@
 
 @dataclass(slots=True)
 class OperatorConfig:
-    """What each subsystem that the file switches on has read."""
+    """The sections of the enabled subsystems, by the name of their package."""
 
     sections: dict[str, Any] = field(default_factory=dict)
 
 
 def load(path: Path, settings: api.Settings) -> OperatorConfig:
-    """Reads the file and checks it against the settings: a wrong name stops the start, not a request.
+    """Reads the file and checks its names against the settings, so that errors are found at the start.
 
-    Raises BadConfig with every fault: file, place, what was found, what is allowed.
+    Raises BadConfig with every error: file, location, value found, values allowed.
     """
     try:
-        told = tomllib.loads(path.read_text())
-    except (OSError, ValueError) as why:
-        raise BadConfig(f"{path}: {why}") from why
+        document = tomllib.loads(path.read_text())
+    except (OSError, ValueError) as error:
+        raise BadConfig(f"{path}: {error}") from error
     faults = Faults(str(path))
-    known = {name for names in SUBSYSTEM_TABLES.values() for name in names}
-    for name in told.keys() - known:
-        faults.add(f"[{name}]", "an unknown table", ", ".join(sorted(known)))
-    operator = OperatorConfig()
-    for owner, names in SUBSYSTEM_TABLES.items():
-        mine: Mapping[str, Any] = {name: told[name] for name in names if name in told}
-        if mine:
-            section = importlib.import_module(f".{owner}.section", __package__)
-            operator.sections[owner] = section.read(mine, settings, faults, operator.sections)
+    known_tables = {name for names in SUBSYSTEM_TABLES.values() for name in names}
+    for name in document.keys() - known_tables:
+        faults.add(f"[{name}]", "an unknown table", ", ".join(sorted(known_tables)))
+    operator_settings = OperatorConfig()
+    for package, names in SUBSYSTEM_TABLES.items():
+        own_tables: Mapping[str, Any] = {name: document[name] for name in names if name in document}
+        if own_tables:
+            section = importlib.import_module(f".{package}.section", __package__)
+            operator_settings.sections[package] = section.read(own_tables, settings, faults, operator_settings.sections)
     faults.raise_any()
-    return operator
+    return operator_settings
--- a/ochrespan/sections.py
+++ b/ochrespan/sections.py
@@ -1,4 +1,4 @@
-"""Reads tables of the operator's file into typed structs. Every fault is told, not only the first."""
+"""Reads tables of the operator's file into typed structs and reports all errors, not only the first."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Table(msgspec.Struct, forbid_unknown_fields=True):
-    """What all tables are."""
+    """Base of all tables: unknown fields are errors."""
 
 
 S = TypeVar("S", bound=Table)
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """What is wrong, where, and what would be right."""
+    """An error in the file: its location, the value found and the values allowed."""
 
     location: str
     found: str
@@ -31,7 +31,7 @@
 
 
 class Faults:
-    """All that is wrong with one file."""
+    """Collects the errors in one file."""
 
     def __init__(self, file: str) -> None:
         self.file, self.found = file, list[Fault]()
@@ -43,7 +43,7 @@
         self.found.append(Fault(location, found if isinstance(found, str) else repr(found), allowed))
 
     def check_choice(self, location: str, found: str, allowed: Collection[str]) -> bool:
-        """Whether the name is one of those allowed."""
+        """Returns whether the name is allowed; records an error if not."""
         if found in allowed:
             return True
         names = sorted(allowed)
@@ -55,48 +55,48 @@
             raise BadConfig(*(f"{self.file}: {fault}" for fault in self.found))
 
 
-def read_table(kind: type[S], value: Any, location: str, faults: Faults) -> S | None:
-    """The table as a struct of that kind, or None with its faults told; unknown names are faults."""
+def read_table(struct_type: type[S], value: Any, location: str, faults: Faults) -> S | None:
+    """Converts the table to a struct of that type. On errors, records all of them and returns None."""
     if not isinstance(value, dict):
         faults.add(location, value, "a table")
         return None
     try:
-        return msgspec.convert(value, kind)
+        return msgspec.convert(value, struct_type)
     except msgspec.ValidationError:
-        _explain(kind, value, location, faults)
+        _record_errors(struct_type, value, location, faults)
         return None
 
 
-def _explain(kind: type[Table], value: dict[str, Any], location: str, faults: Faults) -> None:
-    """Every fault in the table: the library tells the first one only."""
-    fields = {field.encode_name: field for field in msgspec.structs.fields(kind)}
+def _record_errors(struct_type: type[Table], value: dict[str, Any], location: str, faults: Faults) -> None:
+    """Records every error in the table; msgspec reports only the first."""
+    fields = {field.encode_name: field for field in msgspec.structs.fields(struct_type)}
     for name in value.keys() - fields.keys():
         faults.add(f"{location} {name}", "an unknown name", ", ".join(sorted(fields)))
     for name, field in fields.items():
         if name not in value:
             if field.required:
-                faults.add(f"{location} {name}", "nothing", _words(field.type))
-        elif (inner := _inner(field.type)) is not None:
-            read_table(inner, value[name], f"{location} {name}", faults)
+                faults.add(f"{location} {name}", "nothing", _type_name(field.type))
+        elif (nested := _nested_table(field.type)) is not None:
+            read_table(nested, value[name], f"{location} {name}", faults)
         else:
             try:
                 msgspec.convert(value[name], field.type)
-            except msgspec.ValidationError as why:
-                allowed = str(why).partition(" - at ")[0].removeprefix("Expected ").partition(", got ")[0]
+            except msgspec.ValidationError as error:
+                allowed = str(error).partition(" - at ")[0].removeprefix("Expected ").partition(", got ")[0]
                 faults.add(f"{location} {name}", value[name], allowed.replace("`", ""))
 
 
-def read_tables(kind: type[S], value: Any, name: str, faults: Faults) -> list[tuple[str, S]]:
-    """The tables of an array, each with its place; a faulty one is left out."""
+def read_tables(struct_type: type[S], value: Any, name: str, faults: Faults) -> list[tuple[str, S]]:
+    """Reads an array of tables; returns the valid ones, each with its location."""
     if not isinstance(value, list):
         faults.add(f"[[{name}]]", value, "an array of tables")
         return []
     found = []
     for i, entry in enumerate(value):
-        called = entry.get("name") if isinstance(entry, dict) else None
-        location = f"[[{name}]] {called if isinstance(called, str) else i + 1}"
-        if (read := read_table(kind, entry, location, faults)) is not None:
-            found.append((location, read))
+        entry_name = entry.get("name") if isinstance(entry, dict) else None
+        location = f"[[{name}]] {entry_name if isinstance(entry_name, str) else i + 1}"
+        if (converted := read_table(struct_type, entry, location, faults)) is not None:
+            found.append((location, converted))
     return found
 
 
@@ -108,12 +108,12 @@
         return "", 0
 
 
-def _inner(kind: Any) -> type[Table] | None:
-    for one in (kind, *get_args(kind)):
-        if isinstance(one, type) and issubclass(one, Table):
-            return one
+def _nested_table(annotation: Any) -> type[Table] | None:
+    for candidate in (annotation, *get_args(annotation)):
+        if isinstance(candidate, type) and issubclass(candidate, Table):
+            return candidate
     return None
 
 
-def _words(kind: Any) -> str:
-    return getattr(kind, "__name__", str(kind)).replace("typing.", "")
+def _type_name(annotation: Any) -> str:
+    return getattr(annotation, "__name__", str(annotation)).replace("typing.", "")
--- a/ochrespan/subsystem.py
+++ b/ochrespan/subsystem.py
@@ -1,4 +1,4 @@
-"""What a subsystem is given when it starts, and what it gives back. Each offers `start(section, core)`."""
+"""The interface of subsystems. The `start` module of each has `start(section, core) -> Subsystem`."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
 
 @dataclass(slots=True)
 class CoreComponents:
-    """The parts that all subsystems stand on."""
+    """Components of the front that all subsystems use."""
 
     config: Config
     broker: Broker
     client: ChunkClient
     lifecycle: Lifecycle
-    gate: ContractGate | None = None  # set by the contracts, where there are any
-    govern_platform: bool = False  # whether requests in the platform's protocol need a contract too
-    handlers: dict[str, Handler] = field(default_factory=dict)  # of the fronts that run, by name
+    gate: ContractGate | None = None  # set by the contracts subsystem, where it is enabled
+    govern_platform: bool = False  # whether requests over the platform's protocol need a contract
+    handlers: dict[str, Handler] = field(default_factory=dict)  # request handlers by the name of their front
     metric_sources: list[Callable[[], Iterator[MetricSample]]] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Subsystem:
-    """A subsystem's listeners (what makes their connections, and where), its jobs, and what takes a new section."""
+    """A started subsystem: its listeners with their addresses, its background jobs, and its handler for a reload."""
 
     fronts: list[tuple[Server, Address]] = field(default_factory=list)
     jobs: list[Coroutine[Any, Any, None]] = field(default_factory=list)
