--- a/ochrespan/logs.py
+++ b/ochrespan/logs.py
@@ -61,7 +61,7 @@
 
 
 def set_up(log_format: str = "", level: int = logging.INFO) -> None:
-    """Configures logging to standard error. `log_format`: one of FORMATS, or empty for the environment's or key-value."""
+    """Configures logging to standard error. `log_format`: one of FORMATS; empty: from the environment."""
     log_format = log_format or os.environ.get("OCHRESPAN_LOG_FORMAT", "")
     processors: list[Any] = [
         structlog.stdlib.add_log_level,
--- a/ochrespan/sockets.py
+++ b/ochrespan/sockets.py
@@ -30,7 +30,7 @@
 
     @property
     def outgoing(self) -> int:
-        """Limit of connections to chunk servers; clients may use as many for requests, and misbehaving ones some more."""
+        """Limit of connections to chunk servers; clients may use as many for requests, and misbehaving ones more."""
         return max(1, min((self._limit - self._used_by_others) // 3, self._available // 2))
 
     @property
--- a/tests/controlled_front.py
+++ b/tests/controlled_front.py
@@ -1,4 +1,4 @@
-"""A front with a control address, and further processes of it for upgrades."""
+"""Test harness of a front with a control address, and of further processes of it for upgrades."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ControlledFront(FrontHarness):
-    """A `World` whose front has a control address and a folder that its processes share."""
+    """A `FrontHarness` whose front has a control address and a folder shared by its processes."""
 
     async def __aenter__(self) -> ControlledFront:
         self.temporary = tempfile.TemporaryDirectory()
@@ -31,7 +31,7 @@
         self.temporary.cleanup()
 
     async def command(self, path: str, method: str = "POST", port: int = 0) -> tuple[int, str]:
-        """One call of the control address: its status and body."""
+        """Calls the control address; returns status and body."""
         status, _, body = await self.call(method, path, port=port or self.control)
         return status, body.decode()
 
@@ -42,7 +42,7 @@
         return (await self.command(f"/v1/chunk-servers/{server}/resume", port=port))[0]
 
     async def metrics(self, port: int = 0) -> dict[str, float]:
-        """The figures by name; each line has the statsd form."""
+        """The metrics by name; asserts that each line is in statsd format."""
         status, text = await self.command("/v1/metrics", "GET", port)
         assert status == 200
         found = {}
@@ -54,7 +54,7 @@
         return found
 
     async def upgrade(self) -> Successor:
-        """Starts the program once more beside the one that serves."""
+        """Starts a second process beside the one that serves."""
         successor = Successor(self)
         self.successors.append(successor)
         await successor.start()
@@ -62,34 +62,34 @@
 
 
 class Successor:
-    """A further process of a front, under the same addresses but for the control address."""
+    """A further process of a front, on the same addresses except for the control address."""
 
-    def __init__(self, world: ControlledFront) -> None:
-        self.world, self.control, self.log = world, free_port(), ""
+    def __init__(self, harness: ControlledFront) -> None:
+        self.harness, self.control, self.log = harness, free_port(), ""
 
     async def start(self, **env: str) -> None:
-        world = self.world
-        clean = {name: value for name, value in os.environ.items() if not name.startswith("BALANCER_")}
-        clean |= (
-            world.env
+        harness = self.harness
+        environment = {name: value for name, value in os.environ.items() if not name.startswith("BALANCER_")}
+        environment |= (
+            harness.env
             | {
-                "BALANCER_CONFIG": str(world.config),
-                "BALANCER_DISCOVERY": world.config_document["discovery"],
+                "BALANCER_CONFIG": str(harness.config),
+                "BALANCER_DISCOVERY": harness.config_document["discovery"],
                 "BALANCER_CONTROL": f"127.0.0.1:{self.control}",
             }
             | env
         )
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "ochrespan", env=clean, stderr=asyncio.subprocess.PIPE
+            sys.executable, "-m", "ochrespan", env=environment, stderr=asyncio.subprocess.PIPE
         )
         self._reading = asyncio.create_task(self._read_log())
 
     async def ready(self) -> None:
-        """Until it says that it can serve."""
+        """Waits until the process reports that it can serve."""
         while True:
             assert self.process.returncode is None, self.log
             try:
-                if (await self.world.command("/v1/readyz", "GET", self.control))[0] == 200:
+                if (await self.harness.command("/v1/readyz", "GET", self.control))[0] == 200:
                     return
             except aiohttp.ClientError:
                 pass
--- a/tests/front_harness.py
+++ b/tests/front_harness.py
@@ -1,4 +1,4 @@
-"""The real program as a process, between a client and stand-ins for chunk servers and discovery."""
+"""Test harness: a real front process between a test client and stub chunk servers and discovery."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 def front_settings(nodes: int, **changes) -> dict:
-    def cls(name, aim_ms, deadline_ms):
+    def cls(name, latency_target_ms, deadline_ms):
         return {
             "Name": name,
-            "ObjectiveNs": aim_ms * MS,
+            "ObjectiveNs": latency_target_ms * MS,
             "DeadlineNs": deadline_ms * MS,
             "Effect": "free",
             "Group": "all",
@@ -39,7 +39,7 @@
             "WindowNs": 0,
         }
 
-    told = {
+    document = {
         "Classes": [
             cls("read", 1500, 3000),
             cls("write", 1500, 3000),
@@ -75,27 +75,27 @@
         "Obligations": {"AskWithinNs": 1000 * MS, "StopSendingWithinNs": 2000 * MS},
     }
     for path, value in changes.items():
-        *at, name = path.split("__")
-        spot = told
-        for step in at:
-            spot = spot[step]
-        spot[name] = value
-    return told
+        *keys, name = path.split("__")
+        table = document
+        for step in keys:
+            table = table[step]
+        table[name] = value
+    return document
 
 
 class StubChunkServer:
-    """A chunk server that keeps what is written; `script` says what it does to coming requests instead."""
+    """A chunk server that stores what is written, or follows `scripted_responses` and `default_response`."""
 
     def __init__(self, shard: int) -> None:
         self.id, self.shard, self.phase, self.address = f"s-{shard}", shard, "up", ""
-        self.scripted_responses: deque[str | bytes] = deque()  # bytes are sent as they are
+        self.scripted_responses: deque[str | bytes] = deque()  # names of behaviours; bytes are sent verbatim
         self.default_response = ""
         self.delay, self.up_since_ms = 0.0, 0
         self.stored: dict[str, bytes] = {}
         self.received: list[tuple[str, str, dict[str, str], bytes]] = []
-        self.in_flight: dict[str, int] = {}  # attempts on open connections, by trace id
+        self.in_flight: dict[str, int] = {}  # attempts without a response, by trace id
         self.open_requests: dict[socket.socket, str] = {}
-        self.overlapping_attempts = 0  # times that a second attempt came while one was out
+        self.overlapping_attempts = 0  # attempts that arrived while another of the same request was in flight
         self.connections, self.connection_sockets = 0, list[socket.socket]()
         self.released = asyncio.Event()
 
@@ -107,75 +107,77 @@
         self.connections += 1
         self.connection_sockets.append(writer.get_extra_info("socket"))
         try:
-            while await self._one(reader, writer):
+            while await self._serve_request(reader, writer):
                 pass
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
             writer.close()
 
-    async def _one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+    async def _serve_request(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
         head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
         method, path, _ = head[0].split(" ")
         headers = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in head[1:] if line)}
         if self.scripted_responses and self.scripted_responses[0] == "cut":
             self.scripted_responses.popleft()
-            writer.transport.abort()  # with most of the body unread
+            writer.transport.abort()  # before most of the body is read
             return False
         body = await reader.readexactly(int(headers.get("content-length", 0)))
         trace = headers.get("x-trace-id", "")
         self.received.append((method, path, headers, body))
         sock = writer.get_extra_info("socket")
-        self.overlapping_attempts += any(is_open(other) for other, held in self.open_requests.items() if held == trace)
+        self.overlapping_attempts += any(
+            is_open(other) for other, other_trace in self.open_requests.items() if other_trace == trace
+        )
         self.open_requests[sock] = trace
         self.in_flight[trace] = self.in_flight.get(trace, 0) + 1
         try:
-            return await self._act(method, path, body, reader, writer)
+            return await self._respond(method, path, body, reader, writer)
         finally:
             self.in_flight[trace] -= 1
             self.open_requests.pop(sock, None)
 
-    async def _act(self, method, path, body, reader, writer) -> bool:
-        act = self.scripted_responses.popleft() if self.scripted_responses else self.default_response
-        if act == "reset":
+    async def _respond(self, method, path, body, reader, writer) -> bool:
+        behaviour = self.scripted_responses.popleft() if self.scripted_responses else self.default_response
+        if behaviour == "reset":
             writer.transport.abort()
             return False
-        if act == "stall":
-            gone = asyncio.ensure_future(reader.read(1))
-            held = asyncio.ensure_future(self.released.wait())
-            await asyncio.wait((gone, held), return_when=asyncio.FIRST_COMPLETED)
-            held.cancel()
-            gone.cancel()
+        if behaviour == "stall":
+            client_closed = asyncio.ensure_future(reader.read(1))
+            released = asyncio.ensure_future(self.released.wait())
+            await asyncio.wait((client_closed, released), return_when=asyncio.FIRST_COMPLETED)
+            released.cancel()
+            client_closed.cancel()
             return False
         await asyncio.sleep(self.delay)
-        if isinstance(act, bytes):
-            writer.write(act)
+        if isinstance(behaviour, bytes):
+            writer.write(behaviour)
             await writer.drain()
             return True
-        status, answer = 200, b""
-        if act == "full" or (act == "" and self.phase == "draining" and method == "PUT"):
+        status, body_out = 200, b""
+        if behaviour == "full" or (behaviour == "" and self.phase == "draining" and method == "PUT"):
             status = 503
-        elif act == "error":
+        elif behaviour == "error":
             status = 500
         elif method == "PUT":
             self.stored[path] = body
-        elif path in self.stored or act == "any":
-            answer = self.stored.get(path, b"body of " + path.encode())
+        elif path in self.stored or behaviour == "any":
+            body_out = self.stored.get(path, b"body of " + path.encode())
         else:
             status = 404
-        if act == "corrupt":
-            answer = answer[:-1] + bytes([answer[-1] ^ 1])
-        lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(answer)}"]
+        if behaviour == "corrupt":
+            body_out = body_out[:-1] + bytes([body_out[-1] ^ 1])
+        lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body_out)}"]
         lines += ["X-Never-Ran: 1"] if status == 503 else []
         lines += ["Endpoint-Load-Metrics: TEXT concurrent=1, depth=2, load_share=0.5, odd=nan"]
-        writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + answer[: len(answer) // 2])
+        writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body_out[: len(body_out) // 2])
         await writer.drain()
-        if act == "half":
+        if behaviour == "half":
             writer.transport.abort()
             return False
-        writer.write(answer[len(answer) // 2 :])
+        writer.write(body_out[len(body_out) // 2 :])
         await writer.drain()
-        return act != "close"
+        return behaviour != "close"
 
 
 class FrontHarness:
@@ -189,24 +191,24 @@
         self.changed: list[tuple[int, dict]] = []
         self.update_published = asyncio.Event()
         self.log, self.sockets = "", 1024
-        self.env: dict[str, str] = {}  # further variables for the front
+        self.env: dict[str, str] = {}  # additional environment variables for the front
 
-    def entry(self, node: StubChunkServer) -> dict:
+    def entry(self, server: StubChunkServer) -> dict:
         return {
-            "id": node.id,
-            "host_port": node.address,
+            "id": server.id,
+            "host_port": server.address,
             "locality": "a",
             "flavor": "m",
-            "cell": node.shard,
-            "phase": node.phase,
+            "cell": server.shard,
+            "phase": server.phase,
             "size": 1.0,
-            "up_since_ms": node.up_since_ms,
+            "up_since_ms": server.up_since_ms,
         }
 
-    def publish_state(self, node: StubChunkServer, phase: str) -> None:
-        node.phase = phase
+    def publish_state(self, server: StubChunkServer, phase: str) -> None:
+        server.phase = phase
         self.revision += 1
-        self.changed.append((self.revision, self.entry(node)))
+        self.changed.append((self.revision, self.entry(server)))
         self.update_published.set()
         self.update_published = asyncio.Event()
 
@@ -221,7 +223,7 @@
         self.process.send_signal(signal.SIGHUP)
 
     def change_operator(self, text: str) -> None:
-        """Another operator's file, read anew."""
+        """Replaces the operator's file and sends SIGHUP."""
         self.operator_file.write_text(text.replace("PORT", str(self.object_port)))
         self.process.send_signal(signal.SIGHUP)
 
@@ -234,18 +236,18 @@
         if after is not None and int(after) >= self.revision:
             with suppress(TimeoutError):
                 await asyncio.wait_for(self.update_published.wait(), int(request.query["wait_ms"]) / 1000)
-        members = [entry for at, entry in self.changed if after is not None and at > int(after)]
+        members = [entry for revision, entry in self.changed if after is not None and revision > int(after)]
         if after is None:
-            members = [self.entry(node) for node in self.nodes]
+            members = [self.entry(server) for server in self.nodes]
         return web.json_response({"revision": self.revision, "complete": after is None, "members": members})
 
     async def __aenter__(self) -> FrontHarness:
         self.folder = tempfile.TemporaryDirectory()
         if self.shared is None:
-            for node in self.nodes:
-                await node.start()
+            for server in self.nodes:
+                await server.start()
         self.port, self.object_port = free_port(), free_port()
-        known = {"revision": 0, "complete": True, "members": [self.entry(node) for node in self.nodes]}
+        known = {"revision": 0, "complete": True, "members": [self.entry(server) for server in self.nodes]}
         self.config, self.config_document = (
             Path(self.folder.name, "config.json"),
             {
@@ -273,7 +275,7 @@
         self.process = await asyncio.create_subprocess_exec(*command, env=env, stderr=asyncio.subprocess.PIPE)
         self.reading = asyncio.create_task(self._read_log())
         self.session = aiohttp.ClientSession(auto_decompress=False)
-        for _ in range(600):  # of 50 ms: a machine may be busy
+        for _ in range(600):  # times 50 ms: the machine may be busy
             if self.process.returncode is not None:
                 break
             try:
@@ -301,11 +303,11 @@
 
     async def call(self, method: str, path: str, body: bytes = b"", headers: dict | None = None, port: int = 0):
         url = URL(f"http://127.0.0.1:{port or self.port}{path}", encoded=True)
-        async with self.session.request(method, url, data=body or None, headers=headers) as answer:
-            return answer.status, answer.headers, await answer.read()
+        async with self.session.request(method, url, data=body or None, headers=headers) as response:
+            return response.status, response.headers, await response.read()
 
     async def send_request(self, trace: str = "t1", method: str = "GET", body: bytes = b"", shard: int = 0, **changes):
-        """A request in the platform's form."""
+        """Sends a request of the platform's protocol."""
         return await self.call(method, f"/api/{VOLUME}/{KEY}", body, request_headers(trace, shard, **changes))
 
     async def object_request(self, method: str, path: str, body: bytes = b"", **headers):
@@ -324,7 +326,7 @@
 
 
 class StubGraphite:
-    """A stand-in for Graphite: the newest value of each name."""
+    """A stub of Graphite that keeps the latest value of each metric."""
 
     def __init__(self) -> None:
         self.values: dict[str, float] = {}
@@ -343,52 +345,52 @@
 
 
 def is_open(sock: socket.socket) -> bool:
-    """Whether the peer has not closed its end, as the kernel knows it."""
+    """Whether the kernel has not yet seen the peer close the connection."""
     try:
         return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] == 1  # established
     except OSError:
         return False
 
 
-def run_scenario(story: Coroutine) -> None:
-    asyncio.run(asyncio.wait_for(story, 60))
+def run_scenario(scenario: Coroutine) -> None:
+    asyncio.run(asyncio.wait_for(scenario, 60))
 
 
 async def wait_until(condition, seconds: float = 10.0) -> None:
-    """Waits for something that must come; how long it takes is not judged."""
-    ends = time.monotonic() + seconds
+    """Waits for a condition that must become true; the timeout is no assertion about the duration."""
+    deadline = time.monotonic() + seconds
     while not condition():
-        assert time.monotonic() < ends, "it did not come"
+        assert time.monotonic() < deadline, "it did not come"
         await asyncio.sleep(0.01)
 
 
-MAX_TIMER_DELAY_S, MAX_RUNS = 0.05, 6  # of the test's own timer, from which a run says nothing of spans
+MAX_TIMER_DELAY_S, MAX_RUNS = 0.05, 6  # with a larger timer delay, a failed run says nothing about durations
 
 
-def run_timed_scenario(story: Callable[[], Coroutine]) -> None:
-    """Plays a story whose spans are judged. A run that fails says nothing if the machine did not keep time in it."""
+def run_timed_scenario(scenario: Callable[[], Coroutine]) -> None:
+    """Runs a scenario that asserts durations; repeats a failed run if the machine's timers were late in it."""
     for _ in range(MAX_RUNS):
-        lateness = [0.0]
+        timer_delay = [0.0]
         try:
-            run_scenario(_timed(story(), lateness))
+            run_scenario(_timed(scenario(), timer_delay))
             return
         except AssertionError:
-            if lateness[0] <= MAX_TIMER_DELAY_S:
+            if timer_delay[0] <= MAX_TIMER_DELAY_S:
                 raise
-    raise AssertionError(f"{MAX_RUNS} runs failed, and the machine was up to {lateness[0]:.2f} s late in the last")
+    raise AssertionError(f"{MAX_RUNS} runs failed, and the machine was up to {timer_delay[0]:.2f} s late in the last")
 
 
-async def _timed(story: Coroutine, lateness: list[float]) -> None:
-    watch = asyncio.create_task(_watch(lateness))
+async def _timed(scenario: Coroutine, timer_delay: list[float]) -> None:
+    timer_task = asyncio.create_task(_measure_timer_delay(timer_delay))
     try:
-        await story
+        await scenario
     finally:
-        watch.cancel()
+        timer_task.cancel()
 
 
-async def _watch(lateness: list[float]) -> None:
-    """Keeps the most by which a short sleep was too long."""
+async def _measure_timer_delay(timer_delay: list[float]) -> None:
+    """Records the largest delay of a short sleep."""
     while True:
         due = time.monotonic() + 0.01
         await asyncio.sleep(0.01)
-        lateness[0] = max(lateness[0], time.monotonic() - due)
+        timer_delay[0] = max(timer_delay[0], time.monotonic() - due)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line, and what it says of a wrong file. Nothing here sends anything."""
+"""The command line, and its reports of errors in files."""
 
 import json
 import subprocess
@@ -13,7 +13,7 @@
 from ochrespan.config import BadConfig
 from ochrespan.operator_config import load
 
-from .test_operator import TOLD
+from .test_operator import SETTINGS
 
 ROOT = Path(__file__).parent.parent
 CONFIG = ROOT / "examples" / "config.json"
@@ -51,15 +51,15 @@
     path = tmp_path / "o.toml"
     path.write_text(text)
     with pytest.raises(BadConfig) as caught:
-        load(path, TOLD)
+        load(path, SETTINGS)
     assert all(fault.startswith(str(path)) for fault in caught.value.args)
     return [fault.removeprefix(f"{path}: ") for fault in caught.value.args]
 
 
-def test_the_base_is_good(tmp_path):
+def test_base_file_is_valid(tmp_path):
     path = tmp_path / "o.toml"
     path.write_text(BASE)
-    book = load(path, TOLD).sections["contracts"].book
+    book = load(path, SETTINGS).sections["contracts"].book
     assert list(book.levels) == ["house", "house/a", "house/b", "house/b/reader"]
     assert set(book.contracts) == {"house/a", "house/b/reader"} and book.fronts == 2
     assert book.by_volume == {"00000000000000aa": "house/a", "00000000000000bb": "house/b"}
@@ -148,16 +148,18 @@
         ("fronts = 2", 'fronts = 2\nplatform = "closed"', "[contracts] platform", "'closed'", "closed"),
     ],
 )
-def test_each_fault_names_its_place_what_was_found_and_what_is_allowed(tmp_path, old, new, place, found, allowed):
+def test_each_error_names_location_value_found_and_values_allowed(tmp_path, old, new, location, found, allowed):
     assert old in BASE
-    told = faults(tmp_path, BASE.replace(old, new, 1))
-    assert any(fault.startswith(f"{place}: found ") and found in fault and allowed in fault for fault in told), told
+    reported = faults(tmp_path, BASE.replace(old, new, 1))
+    assert any(fault.startswith(f"{location}: found ") and found in fault and allowed in fault for fault in reported), (
+        reported
+    )
 
 
-def test_all_faults_are_told_in_one_go(tmp_path):
+def test_all_errors_are_reported_at_once(tmp_path):
     text = BASE.replace('plan = "basic"', 'plan = "golden"\ncolour = 1').replace("units_per_s = 80", "units_per_s = 0")
-    told = faults(tmp_path, text + '[graphite]\naddress = "nowhere"\n[objects]\n[chalk]\n')
-    for place in (
+    reported = faults(tmp_path, text + '[graphite]\naddress = "nowhere"\n[objects]\n[chalk]\n')
+    for location in (
         "[chalk]",
         "[[organisation]] house budget units_per_s",
         "[[team]] a colour",
@@ -165,10 +167,10 @@
         "[objects] listen",
         "[[team]] buckets",
     ):
-        assert any(fault.startswith(place + ":") for fault in told), (place, told)
+        assert any(fault.startswith(location + ":") for fault in reported), (location, reported)
 
 
-def test_ten_thousand_teams_are_read_and_each_is_there(tmp_path):
+def test_ten_thousand_teams_are_read(tmp_path):
     path = tmp_path / "o.toml"
     path.write_text(
         "[contracts]\n"
@@ -178,7 +180,7 @@
             for i in range(10_000)
         )
     )
-    book = load(path, TOLD).sections["contracts"].book
+    book = load(path, SETTINGS).sections["contracts"].book
     assert len(book.contracts) == 10_000 and book.by_volume[f"{9_999:016x}"] == "t9999"
 
 
@@ -192,8 +194,8 @@
 
 def test_help_and_version():
     assert run("--version").output.strip() == f"ochrespan, version {__version__}"
-    told = run("--help").output
-    assert all(word in told for word in ("serve", "check", "contracts", "examples/contracts.toml"))
+    reported = run("--help").output
+    assert all(word in reported for word in ("serve", "check", "contracts", "examples/contracts.toml"))
     assert "--log-format" in run("serve", "--help").output
 
 
@@ -204,7 +206,7 @@
     assert "contracts" in got.output and "3 classes" in got.output
 
 
-def test_check_tells_all_faults_of_both_files_and_exits_2(tmp_path):
+def test_check_reports_all_errors_of_both_files_and_exits_2(tmp_path):
     path = tmp_path / "o.toml"
     path.write_text(BASE.replace("house", "", 1))
     got = run("check", "--operator", str(path))
@@ -218,7 +220,7 @@
         '{"listen": 7, "discovery": "nowhere", "seed": "xyz", "limits": {"sockets": "many"}, '
         '"settings": {"Balancers": "three"}}'
     )
-    told = run("check", "--config", str(broken)).output
+    reported = run("check", "--config", str(broken)).output
     for words in (
         "listen: found 7; allowed: host:port",
         "discovery: found 'nowhere'; allowed: host:port",
@@ -226,10 +228,10 @@
         "limits.sockets: found 'many'",
         "settings: Balancers=three",
     ):
-        assert f"{broken}: {words}" in told
+        assert f"{broken}: {words}" in reported
 
 
-def test_contracts_show_is_a_table_of_what_is_in_effect(tmp_path):
+def test_contracts_show_prints_a_table_of_contracts_in_effect(tmp_path):
     got = run("contracts", "show", "--operator", str(ROOT / "examples" / "contracts.toml"))
     assert got.exit_code == 0
     lines = got.output.splitlines()
@@ -244,15 +246,15 @@
         )
     )
     config = tmp_path / "c.json"
-    told = json.loads(CONFIG.read_text())
-    config.write_text(json.dumps(told))
+    reported = json.loads(CONFIG.read_text())
+    config.write_text(json.dumps(reported))
     got = run("contracts", "show", "--front", "--operator", str(path), config=config)
     row = next(line for line in got.output.splitlines() if line.startswith("house/a"))
     assert "until 2030-01-01" in row and " 10 " in row  # half of 20: there are two fronts
     assert run("contracts", "show").exit_code == 2
 
 
-def test_a_bare_start_loads_nothing_that_is_off():
+def test_start_without_options_does_not_load_disabled_subsystems():
     code = (
         "import sys, ochrespan.front; print([m for m in ('click', 'msgspec', 'tomllib', 'ochrespan.contracts',"
         " 'ochrespan.objects', 'ochrespan.metrics', 'ochrespan.operator_config', 'ochrespan.cli',"
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""The control address: calls, figures and bad callers, against the real program."""
+"""The control address: calls, metrics and misbehaving callers, on a real front."""
 
 import asyncio
 import time
@@ -34,7 +34,7 @@
         ("POST", "/v1/front/activate", ActivateFront()),
     ],
 )
-def test_a_call_is_read_as_its_command(method, target, command):
+def test_calls_are_parsed_into_commands(method, target, command):
     assert read_command(method, target) == command
 
 
@@ -53,7 +53,7 @@
         "/up",
     ],
 )
-def test_a_path_without_a_call_is_unknown(target):
+def test_unknown_paths_are_rejected(target):
     with pytest.raises(UnknownPath):
         read_command("GET", target)
 
@@ -62,13 +62,13 @@
     ("method", "target", "allowed"),
     [("POST", "/v1/readyz", "GET"), ("GET", "/v1/front/drain", "POST"), ("GET", "/v1/chunk-servers/x/suspend", "POST")],
 )
-def test_a_call_under_another_method_names_the_right_one(method, target, allowed):
+def test_wrong_method_is_rejected_with_the_allowed_one(method, target, allowed):
     with pytest.raises(WrongMethod) as why:
         read_command(method, target)
     assert why.value.allowed == allowed
 
 
-def test_readings_become_statsd_lines_and_no_name_ends_early():
+def test_samples_become_statsd_lines_with_delimiters_replaced():
     samples = [
         MetricSample("success", "photo-read", 812, True),
         MetricSample("front", "concurrent", 14, False),
@@ -81,9 +81,9 @@
     )
 
 
-def test_each_call_has_one_answer_and_its_connection_ends():
-    async def story():
-        async with ControlledFront(1) as world:
+def test_each_call_gets_one_response_and_its_connection_is_closed():
+    async def scenario():
+        async with ControlledFront(1) as harness:
             for method, path, status in (
                 ("GET", "/v1/readyz", 200),
                 ("GET", "/v1/metrics", 200),
@@ -93,63 +93,69 @@
                 ("POST", "/v1/chunk-servers/nobody/resume", 404),
                 ("GET", "/up", 404),
             ):
-                reader, writer = await asyncio.open_connection("127.0.0.1", world.control)
+                reader, writer = await asyncio.open_connection("127.0.0.1", harness.control)
                 writer.write(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
-                got = await asyncio.wait_for(reader.read(), 1)  # to the end of the connection
+                got = await asyncio.wait_for(reader.read(), 1)  # until closed
                 assert got.startswith(f"HTTP/1.1 {status} ".encode()), (path, got)
                 writer.close()
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 def test_without_the_setting_there_is_no_control_address():
-    async def story():
-        async with FrontHarness(1) as world:
-            assert (await world.call("GET", "/v1/readyz"))[0] == 400
-            assert "control" not in world.log
+    async def scenario():
+        async with FrontHarness(1) as harness:
+            assert (await harness.call("GET", "/v1/readyz"))[0] == 400
+            assert "control" not in harness.log
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
-def test_callers_that_send_half_a_call_and_stay_hold_nobody_up():
-    async def story():
-        async with ControlledFront(1) as world:
-            stuck = []
+def test_callers_with_incomplete_requests_do_not_block_others():
+    async def scenario():
+        async with ControlledFront(1) as harness:
+            writers = []
             for i in range(40):
-                reader, writer = await asyncio.open_connection("127.0.0.1", world.control)
+                reader, writer = await asyncio.open_connection("127.0.0.1", harness.control)
                 if i % 2:
                     writer.write(b"POST /v1/front/drain HTTP/1.1\r\nContent-Le")
-                stuck.append(writer)
+                writers.append(writer)
             for _ in range(5):
                 began = time.monotonic()
-                assert (await asyncio.wait_for(world.command("/v1/readyz", "GET"), 1))[0] == 200
+                assert (await asyncio.wait_for(harness.command("/v1/readyz", "GET"), 1))[0] == 200
                 assert time.monotonic() - began < 1
                 await asyncio.sleep(0.1)
-            for writer in stuck:
+            for writer in writers:
                 writer.close()
 
-    run_scenario(story())
-
-
-def test_the_figures_count_ends_by_class_attempts_and_servers():
-    async def story():
-        async with ControlledFront(2) as world:
-            zero = await world.metrics()
-            assert zero["success.read"] == zero["overload.brief"] == zero["dispatches"] == zero["concurrent"] == 0
-            assert (zero["targets"], zero["targets_disabled"]) == (2, 0)
-            world.nodes[0].scripted_responses.extend(["any", "full", "any", "error", "error", "error"])
+    run_scenario(scenario())
+
+
+def test_metrics_count_results_by_class_attempts_and_servers():
+    async def scenario():
+        async with ControlledFront(2) as harness:
+            initial = await harness.metrics()
+            assert (
+                initial["success.read"]
+                == initial["overload.brief"]
+                == initial["dispatches"]
+                == initial["concurrent"]
+                == 0
+            )
+            assert (initial["targets"], initial["targets_disabled"]) == (2, 0)
+            harness.nodes[0].scripted_responses.extend(["any", "full", "any", "error", "error", "error"])
             for name in ("t1", "t2", "t3"):
-                await world.send_request(name)
-            await world.send_request("t4", "PUT", b"x" * 70, 1, cls="write")
-            found = await world.metrics()
-            assert (found["success.read"], found["overload.read"] + found["error.read"]) == (2, 1)
-            assert found["success.write"] == 1
-            assert found["dispatches"] == 7 == sum(len(node.received) for node in world.nodes)
-            world.nodes[0].default_response = "stall"
-            hanging = asyncio.create_task(world.send_request("t5"))
-            await wait_until(lambda: len(world.nodes[0].received) == 7)
-            found = await world.metrics()
-            assert (found["concurrent"], found["dispatches"]) == (1, 8)  # while its answer is still awaited
+                await harness.send_request(name)
+            await harness.send_request("t4", "PUT", b"x" * 70, 1, cls="write")
+            metrics = await harness.metrics()
+            assert (metrics["success.read"], metrics["overload.read"] + metrics["error.read"]) == (2, 1)
+            assert metrics["success.write"] == 1
+            assert metrics["dispatches"] == 7 == sum(len(node.received) for node in harness.nodes)
+            harness.nodes[0].default_response = "stall"
+            hanging = asyncio.create_task(harness.send_request("t5"))
+            await wait_until(lambda: len(harness.nodes[0].received) == 7)
+            metrics = await harness.metrics()
+            assert (metrics["concurrent"], metrics["dispatches"]) == (1, 8)  # in flight
             hanging.cancel()
 
-    run_scenario(story())
+    run_scenario(scenario())
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,4 +1,4 @@
-"""The operator's file is checked at the start; what it lays down holds for any front."""
+"""Validation of the operator's file; ranges, manifests and sealed chunks of the object API."""
 
 import tomllib
 from pathlib import Path
@@ -16,7 +16,7 @@
 ROOT = Path(__file__).parent.parent
 CLASSES = {name: api.RequestClass(name, 1, 2) for name in ("photo-read", "photo-write", "batch-export")}
 PLANS = {name: api.Plan(name, weight=3) for name in ("basic", "standard", "priority")}
-TOLD = api.Settings(heads=3, classes=CLASSES, plans=PLANS, most_units=8)
+SETTINGS = api.Settings(heads=3, classes=CLASSES, plans=PLANS, most_units=8)
 
 GOOD = """
 [objects]
@@ -31,14 +31,14 @@
 """
 
 
-def test_the_files_in_the_repository_are_good(tmp_path):
-    got = operator_config.load(ROOT / "deploy" / "operator.toml", TOLD).sections
+def test_files_in_the_repository_are_valid(tmp_path):
+    got = operator_config.load(ROOT / "deploy" / "operator.toml", SETTINGS).sections
     assert set(got) == {"contracts", "objects", "metrics"}
     book = got["contracts"].book
     assert book.by_bucket["review"] == "review-tools" and not got["contracts"].platform
     assert book.levels["review-tools"].budget.units_per_s == 400
     assert got["metrics"].graphite and got["metrics"].collectd
-    example = operator_config.load(ROOT / "examples" / "operator.toml", TOLD).sections["contracts"].book
+    example = operator_config.load(ROOT / "examples" / "operator.toml", SETTINGS).sections["contracts"].book
     assert example.by_bucket["photos"] == "inspection"
 
 
@@ -63,17 +63,17 @@
         ("units_per_s = 100", "units_per_s = 100, burst_units = 1", "at least 24"),  # 8 units at each of 3 fronts
     ],
 )
-def test_a_wrong_file_is_named_at_the_start(tmp_path, old, new, word):
+def test_error_in_the_file_is_reported_at_the_start(tmp_path, old, new, word):
     path = tmp_path / "o.toml"
     assert old in GOOD
     path.write_text(GOOD.replace(old, new))
     with pytest.raises(BadConfig, match=word):
-        operator_config.load(path, TOLD)
+        operator_config.load(path, SETTINGS)
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(sizes=st.lists(st.integers(0, 3 * layout.PAYLOAD), max_size=4), cut=st.tuples(st.floats(0, 1), st.floats(0, 1)))
-def test_the_pieces_of_a_range_are_its_bytes_in_order(sizes, cut):
+def test_slices_of_a_range_are_its_bytes_in_order(sizes, cut):
     parts = [Part(i + 1, size, "", "g") for i, size in enumerate(sizes)]
     manifest = Manifest("", layout.now(), parts)
     begin, end = sorted(round(c * manifest.size) for c in cut)
@@ -91,7 +91,7 @@
     first=st.one_of(st.none(), st.integers(0, 60)),
     last=st.one_of(st.none(), st.integers(0, 60)),
 )
-def test_ranges_read_as_the_rfc_says(size, first, last):
+def test_ranges_are_parsed_according_to_the_rfc(size, first, last):
     header = f"bytes={'' if first is None else first}-{'' if last is None else last}"
     numbers = list(range(size))
     if first is None:
@@ -108,7 +108,7 @@
         assert (wanted is None) == (got is None) and (got is None or numbers[slice(*got)] == wanted)
 
 
-def test_a_manifest_of_the_most_parts_fits_into_a_chunk_and_reads_back():
+def test_manifest_with_the_maximum_of_parts_fits_into_a_chunk_and_can_be_decoded():
     parts = [
         Part(n, 5 << 20, layout._digest((str(n),), 16).hex(), layout._digest((str(n),), 6).hex(), 10**12 + n)
         for n in range(1, layout.MOST_PARTS + 1)
@@ -118,7 +118,7 @@
     assert len(packed) <= layout.PAYLOAD and Manifest.decode(packed) == manifest
 
 
-def test_a_seal_opens_only_for_its_own_name_and_bytes():
+def test_sealed_chunk_opens_only_with_its_own_name_and_bytes():
     body = layout.seal(("data", "a"), b"bytes")
     assert layout.unseal(("data", "a"), body) == b"bytes"
     for names, other in [
@@ -131,6 +131,6 @@
             layout.unseal(names, other)
 
 
-def test_the_example_has_its_files():
+def test_example_is_consistent_with_its_readme():
     text = (ROOT / "examples" / "operator.toml").read_text()
     assert tomllib.loads(text)["objects"]["listen"] in (ROOT / "examples" / "README.md").read_text()
