--- a/ochrespan/config.py
+++ b/ochrespan/config.py
@@ -1,4 +1,4 @@
-"""What a front is told at its start: the platform's configuration file and variables."""
+"""The platform's configuration of a front: its file and its environment variables."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class BadConfig(ValueError):
-    """The program cannot start with this. Each argument is one fault."""
+    """The configuration is not valid. Each argument describes one error."""
 
     def __str__(self) -> str:
         return "; ".join(map(str, self.args))
@@ -36,23 +36,23 @@
     discovery: str
     settings: api.Settings
     links: ConnectionSettings
-    known: Any
+    known_servers: Any
     sockets: int
     memory: int  # bytes
-    control: tuple[str, int] | None = None  # the operators' address
-    shared: Path | None = None  # a folder that the processes of this front share
+    control: tuple[str, int] | None = None  # control address, for operators
+    shared_dir: Path | None = None  # folder shared by the processes of this front
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """At the start: the variables go before what the file says. Raises BadConfig with every fault found."""
+    """Loads the file; environment variables override it. Raises BadConfig with every error found."""
     path = environ.get("BALANCER_CONFIG")
     if not path:
         raise BadConfig("BALANCER_CONFIG is not set")
     try:
-        told = json.loads(Path(path).read_text())
-    except (OSError, ValueError) as why:
-        raise BadConfig(f"{path}: {type(why).__name__}: {why}") from why
-    reader = _Reader(path, told)
+        document = json.loads(Path(path).read_text())
+    except (OSError, ValueError) as error:
+        raise BadConfig(f"{path}: {type(error).__name__}: {error}") from error
+    reader = _Reader(path, document)
     listen = reader.address("listen", environ.get("BALANCER_LISTEN"))
     discovery = reader.text("discovery", environ.get("BALANCER_DISCOVERY"))
     reader.address("discovery", environ.get("BALANCER_DISCOVERY"))
@@ -64,45 +64,45 @@
     settings, links = reader.settings(seed)
     if reader.faults or settings is None or links is None:
         raise BadConfig(*reader.faults)
-    shared = shared_folder(environ.get("TMPDIR"), name) if control else None
-    known = reader.told.get("known")
-    return Config(name, listen, discovery, settings, links, known, sockets, memory, control, shared)
+    shared_dir = shared_folder(environ.get("TMPDIR"), name) if control else None
+    known_servers = reader.document.get("known")
+    return Config(name, listen, discovery, settings, links, known_servers, sockets, memory, control, shared_dir)
 
 
 class _Reader:
-    """Reads the parts of the file one by one and keeps what is wrong with each."""
+    """Reads the file value by value and collects the errors."""
 
-    def __init__(self, path: str, told: Any) -> None:
+    def __init__(self, path: str, document: Any) -> None:
         self.path, self.faults = path, list[str]()
-        if not isinstance(told, dict):
-            raise BadConfig(f"{path}: found {type(told).__name__}; allowed: an object")
-        self.told = told
+        if not isinstance(document, dict):
+            raise BadConfig(f"{path}: found {type(document).__name__}; allowed: an object")
+        self.document = document
 
-    def fault(self, place: str, found: object, allowed: str) -> None:
+    def fault(self, location: str, found: object, allowed: str) -> None:
         found = "nothing" if found is None else repr(found)
-        self.faults.append(f"{self.path}: {place}: found {found}; allowed: {allowed}")
+        self.faults.append(f"{self.path}: {location}: found {found}; allowed: {allowed}")
 
-    def text(self, place: str, variable: str | None, default: str | None = None) -> str:
-        value = variable or self.told.get(place, default)
+    def text(self, location: str, variable: str | None, default: str | None = None) -> str:
+        value = variable or self.document.get(location, default)
         if not isinstance(value, str):
-            if place != "discovery":  # whose form is told with its address
-                self.fault(place, value, "a string")
+            if location != "discovery":  # reported when it is read as an address
+                self.fault(location, value, "a string")
             return ""
         return value
 
-    def address(self, place: str, variable: str | None) -> tuple[str, int]:
-        value = variable or self.told.get(place)
+    def address(self, location: str, variable: str | None) -> tuple[str, int]:
+        value = variable or self.document.get(location)
         try:
             return split_address(value if isinstance(value, str) else "")
         except BadConfig:
-            self.fault(place, value, "host:port")
+            self.fault(location, value, "host:port")
             return "", 0
 
-    def optional_address(self, place: str, variable: str | None) -> tuple[str, int] | None:
-        return self.address(place, variable) if variable or self.told.get(place) is not None else None
+    def optional_address(self, location: str, variable: str | None) -> tuple[str, int] | None:
+        return self.address(location, variable) if variable or self.document.get(location) is not None else None
 
     def seed(self) -> int:
-        value = self.told.get("seed", "0")
+        value = self.document.get("seed", "0")
         try:
             return int(str(value), 16)
         except ValueError:
@@ -110,7 +110,7 @@
             return 0
 
     def limit(self, name: str, default: int) -> int:
-        limits = self.told.get("limits", {})
+        limits = self.document.get("limits", {})
         value = limits.get(name, default) if isinstance(limits, dict) else limits
         if isinstance(value, bool) or not isinstance(value, int) or value < 1:
             self.fault(f"limits.{name}", value, "a whole number above 0")
@@ -118,29 +118,31 @@
         return value
 
     def settings(self, seed: int) -> tuple[api.Settings | None, ConnectionSettings | None]:
-        told = self.told.get("settings")
-        if not isinstance(told, dict):
-            self.fault("settings", told, "an object")
+        document = self.document.get("settings")
+        if not isinstance(document, dict):
+            self.fault("settings", document, "an object")
             return None, None
         try:
-            fields = flatten(told)
+            fields = flatten(document)
             fields["InitSeed"] = str(seed)
             settings = read_settings(fields)
-            if not settings.list_on_request:  # pushed, but not to whoever does not watch: on the wire nothing comes
-                # unasked, and all counts as told at once
-                settings.list_on_request, settings.max_poll_interval = True, 0.0
+            if not settings.list_on_request:  # "pushed" lists reach only fronts that watch discovery, so watch it ...
+                settings.list_on_request, settings.max_poll_interval = (
+                    True,
+                    0.0,
+                )  # ... with changes known at once
             return settings, read_connection_settings(fields)
-        except (LookupError, TypeError, ValueError, AttributeError) as why:
-            self.faults.append(f"{self.path}: settings: {why}")
+        except (LookupError, TypeError, ValueError, AttributeError) as error:
+            self.faults.append(f"{self.path}: settings: {error}")
             return None, None
 
 
 def reload(environ: Mapping[str, str], old: Config) -> tuple[Config, list[str]]:
-    """The file anew, and the names of what it changes that only a restart takes over.
+    """Loads the file again; also returns the names of changed values that take effect only after a restart.
 
-    The variables are those of the start: for where discovery is, the new file's word goes before them.
+    The environment is still that of the start; therefore the file overrides the variable for discovery's address.
     """
     new = load({name: value for name, value in environ.items() if name != "BALANCER_DISCOVERY"})
-    new.settings.seed = old.settings.seed  # is for one start
-    fixed = ("name", "listen", "control", "settings", "links", "sockets", "memory")
-    return new, [name for name in fixed if getattr(new, name) != getattr(old, name)]
+    new.settings.seed = old.settings.seed  # valid for the whole run of the process
+    restart_only = ("name", "listen", "control", "settings", "links", "sockets", "memory")
+    return new, [name for name in restart_only if getattr(new, name) != getattr(old, name)]
--- a/ochrespan/contracts/gate.py
+++ b/ochrespan/contracts/gate.py
@@ -9,7 +9,7 @@
 import structlog
 
 from .. import requests as core
-from ..figures import Reading, plain
+from ..metric_samples import MetricSample, metric_safe_name
 from . import admission
 from .accounts import accounts, level_statistics
 from .adaptive_quota import AdaptiveQuota
@@ -61,13 +61,13 @@
         """Adds one attempt to the grant if the budgets allow it."""
         self.admission.extend(now, grant)
 
-    def settle(self, now: float, grant: Grant, sent: int, ran: int) -> None:
+    def release(self, now: float, grant: Grant, sent: int, ran: int) -> None:
         """Completes a grant: `sent` attempts were sent, of which `ran` may have run."""
         if quota := self._quotas.get(grant.team):
             quota.record_spent(ran * grant.units_per_attempt)
         self.admission.complete(now, grant, sent, ran)
 
-    def heard(self, now: float, grant: Grant, units: float) -> None:
+    def record_usage_elsewhere(self, now: float, grant: Grant, units: float) -> None:
         """Records units of the request's volume that were served by other fronts."""
         if quota := self._quotas.get(grant.team):
             quota.record_spent_elsewhere(units)
@@ -130,20 +130,22 @@
             if (scale := quota.update(now)) is not None:
                 self.admission.rescale(path, scale, now)
 
-    def metric_samples(self) -> Iterator[Reading]:
+    def metric_samples(self) -> Iterator[MetricSample]:
         """Yields every account and count, for the exporters."""
         now = self.now()
         for account in accounts(self.admission, now):
-            group = plain(f"contract-{account.path or 'installation'}")
+            group = metric_safe_name(f"contract-{account.path or 'installation'}")
             for name in ("granted", "spent", "held", "left"):
                 # not a counter: `granted` excludes overflow and can shrink, and so can `left`
-                yield Reading(group, f"{plain(account.budget)}_{name}", getattr(account, name), name == "spent")
+                yield MetricSample(
+                    group, f"{metric_safe_name(account.budget)}_{name}", getattr(account, name), name == "spent"
+                )
         for level in level_statistics(self.admission, now):
-            group = plain(f"contract-{level.path or 'installation'}")
-            yield Reading(group, "open", level.open, False)
-            yield Reading(group, "lent", level.lent, True)
-            yield Reading(group, "borrowed", level.borrowed, False)
+            group = metric_safe_name(f"contract-{level.path or 'installation'}")
+            yield MetricSample(group, "open", level.open, False)
+            yield MetricSample(group, "lent", level.lent, True)
+            yield MetricSample(group, "borrowed", level.borrowed, False)
             for name, number in level.counts.items():
-                yield Reading(group, plain(name), number, True)
+                yield MetricSample(group, metric_safe_name(name), number, True)
         for rule, number in list(self.admission.unattributed_refusals.items()):
-            yield Reading("contract-none", plain(f"not-covered.{rule}"), number, True)
+            yield MetricSample("contract-none", metric_safe_name(f"not-covered.{rule}"), number, True)
--- a/ochrespan/contracts/section.py
+++ b/ochrespan/contracts/section.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from .. import interface as api
-from ..sections import Faults, table, tables
+from ..sections import Faults, read_table, read_tables
 from .tables import (
     BudgetTable,
     ContractsTable,
@@ -33,12 +33,14 @@
     """Builds the contract registry; faults are collected in `faults`."""
     entry = ContractsTable(platform="open")  # teams without a [contracts] table apply to the object API only
     if "contracts" in tables_:
-        entry = table(ContractsTable, tables_["contracts"], "[contracts]", faults) or entry
+        entry = read_table(ContractsTable, tables_["contracts"], "[contracts]", faults) or entry
     builder = RegistryBuilder(entry, settings, faults)
-    for location, organisation in tables(OrganisationTable, tables_.get("organisation", []), "organisation", faults):
+    for location, organisation in read_tables(
+        OrganisationTable, tables_.get("organisation", []), "organisation", faults
+    ):
         builder.add_organisation(location, organisation)
-    teams = tables(TeamTable, tables_.get("team", []), "team", faults)
-    services = tables(ServiceTable, tables_.get("service", []), "service", faults)
+    teams = read_tables(TeamTable, tables_.get("team", []), "team", faults)
+    services = read_tables(ServiceTable, tables_.get("service", []), "service", faults)
     parents = {service.team for _, service in services}
     for location, team in teams:
         builder.add_team(location, team, team.name in parents)
@@ -77,14 +79,14 @@
             return
         if entry.organisation and entry.organisation not in self.registry.levels:
             known = [path for path, terms in self.registry.levels.items() if terms.kind == "organisation"]
-            self._faults.choice(f"{location} organisation", entry.organisation, known)
+            self._faults.check_choice(f"{location} organisation", entry.organisation, known)
             return
-        self._faults.choice(f"{location} plan", entry.plan, self._settings.plans)
+        self._faults.check_choice(f"{location} plan", entry.plan, self._settings.plans)
         if entry.token_sha256 is not None:
             entry.tokens_sha256 = [*entry.tokens_sha256, entry.token_sha256]
         class_by_purpose = {name: value for name in ("read", "write", "export") if (value := getattr(entry, name))}
         for name, cls in class_by_purpose.items():
-            self._faults.choice(f"{location} {name}", cls, entry.classes or self._settings.classes)
+            self._faults.check_choice(f"{location} {name}", cls, entry.classes or self._settings.classes)
         entry.classes = entry.classes or list(class_by_purpose.values())
         for name in ("read", "write") if entry.buckets or class_by_purpose else ():
             if name not in class_by_purpose:
@@ -105,7 +107,7 @@
     def add_service(self, location: str, entry: ServiceTable) -> None:
         """Adds one service of a team."""
         if entry.team not in self._teams:
-            self._faults.choice(f"{location} team", entry.team, self._teams)
+            self._faults.check_choice(f"{location} team", entry.team, self._teams)
             return
         path, team = self._teams[entry.team]
         entry.classes = entry.classes or list(team.classes)
@@ -164,7 +166,7 @@
     ) -> None:
         self._check_classes(location, entry.classes, self._settings.classes)
         for cls in entry.withdrawn_classes:
-            self._faults.choice(f"{location} withdrawn_classes", cls, entry.classes)
+            self._faults.check_choice(f"{location} withdrawn_classes", cls, entry.classes)
         if entry.begins is not None and entry.until is not None and entry.begins >= entry.until:
             self._faults.add(f"{location} until", entry.until.isoformat(), f"a time after {entry.begins.isoformat()}")
         if not (entry.tokens_sha256 or entry.volumes or entry.buckets or buckets):
@@ -195,7 +197,7 @@
         if not classes:
             self._faults.add(f"{location} classes", "nothing", "at least one of " + ", ".join(sorted(allowed)))
         for cls in classes:
-            self._faults.choice(f"{location} classes", cls, allowed)
+            self._faults.check_choice(f"{location} classes", cls, allowed)
 
     def _register_owner(self, location: str, path: str, entry: SenderTable) -> None:
         volumes = [name.lower() for name in entry.volumes]
--- a/ochrespan/contracts/start.py
+++ b/ochrespan/contracts/start.py
@@ -5,7 +5,7 @@
 import asyncio
 import gc
 
-from ..running import Core, Running
+from ..subsystem import CoreComponents, Subsystem
 from .adaptive_quota import UPDATE_INTERVAL_S
 from .gate import ContractGate
 from .section import Contracts
@@ -17,12 +17,12 @@
     gc.freeze()
 
 
-def start(section: Contracts, core: Core) -> Running:
+def start(section: Contracts, core: CoreComponents) -> Subsystem:
     """Installs the contract gate in the core."""
     gate = ContractGate(section.registry, core.broker.now)
-    core.broker.admit_by(gate)
+    core.broker.set_admission_gate(gate)
     core.gate, core.govern_platform = gate, section.platform
-    core.figures.append(gate.metric_samples)
+    core.metric_sources.append(gate.metric_samples)
 
     async def update_periodically() -> None:
         while True:
@@ -35,4 +35,4 @@
         exempt_from_garbage_collection()
 
     exempt_from_garbage_collection()
-    return Running(jobs=[update_periodically()], reload=reload)
+    return Subsystem(jobs=[update_periodically()], reload=reload)
--- a/ochrespan/metrics/exporters.py
+++ b/ochrespan/metrics/exporters.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterator
 from datetime import UTC, datetime, timedelta
 
-from ..figures import Reading, plain
+from ..metric_samples import MetricSample, metric_safe_name
 from .section import Sink
 
 log = logging.getLogger(__name__)
@@ -32,8 +32,8 @@
 class Exporter(ABC):
     """Sends the samples of all sources to one sink at regular intervals."""
 
-    def __init__(self, sink: Sink, host: str, sources: list[Callable[[], Iterator[Reading]]]) -> None:
-        self.sink, self.host, self._sources = sink, plain(host), sources
+    def __init__(self, sink: Sink, host: str, sources: list[Callable[[], Iterator[MetricSample]]]) -> None:
+        self.sink, self.host, self._sources = sink, metric_safe_name(host), sources
 
     async def run(self) -> None:
         """Sends until cancelled. A failing sink is logged once and retried in the next round."""
@@ -52,9 +52,9 @@
                 failing = True
                 self.close()
 
-    async def _collect(self) -> list[Reading]:
+    async def _collect(self) -> list[MetricSample]:
         """Collects all samples, yielding to the event loop: with thousands of contracts, this takes long."""
-        samples: list[Reading] = []
+        samples: list[MetricSample] = []
         for source in self._sources:
             for sample in source():
                 samples.append(sample)
@@ -63,7 +63,7 @@
         return samples
 
     @abstractmethod
-    async def send(self, samples: list[Reading], at: datetime) -> None:
+    async def send(self, samples: list[MetricSample], at: datetime) -> None:
         """Sends one round of samples."""
 
     @abstractmethod
@@ -76,7 +76,7 @@
 
     _writer: asyncio.StreamWriter | None = None
 
-    def lines(self, samples: list[Reading], at: datetime) -> bytes:
+    def lines(self, samples: list[MetricSample], at: datetime) -> bytes:
         """Encodes the samples, one per line."""
         timestamp = int(at.timestamp())
         return "".join(
@@ -84,7 +84,7 @@
             for sample in samples
         ).encode()
 
-    async def send(self, samples: list[Reading], at: datetime) -> None:
+    async def send(self, samples: list[MetricSample], at: datetime) -> None:
         if self._writer is not None and self._writer.is_closing():
             self.close()
         if self._writer is None:
@@ -109,7 +109,7 @@
     return struct.pack("!HHQ", kind, NUMBER_PART_SIZE, number)
 
 
-def values_part(sample: Reading) -> bytes:
+def values_part(sample: MetricSample) -> bytes:
     """Encodes one value: a derive is a signed integer in network order, a gauge a little-endian double."""
     header = struct.pack("!HHHB", VALUES, VALUE_PART_SIZE, 1, DERIVE if sample.counter else GAUGE)
     body = struct.pack("!q", round(sample.value)) if sample.counter else struct.pack("<d", sample.value)
@@ -121,7 +121,7 @@
 
     _transport: asyncio.DatagramTransport | None = None
 
-    def packets(self, samples: list[Reading], at: datetime) -> Iterator[bytes]:
+    def packets(self, samples: list[MetricSample], at: datetime) -> Iterator[bytes]:
         """Encodes the samples in as few packets as possible."""
         header = text_part(HOST, self.host)
         header += number_part(TIME_HR, int(at.timestamp() * TIME_SCALE))
@@ -138,7 +138,7 @@
             packet += parts
         yield packet
 
-    async def send(self, samples: list[Reading], at: datetime) -> None:
+    async def send(self, samples: list[MetricSample], at: datetime) -> None:
         if self._transport is None or self._transport.is_closing():
             loop = asyncio.get_running_loop()
             self._transport, _ = await loop.create_datagram_endpoint(
--- a/ochrespan/metrics/section.py
+++ b/ochrespan/metrics/section.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from .. import interface as api
-from ..sections import Faults, Table, address, table
+from ..sections import Faults, Table, read_address, read_table
 
 
 class SinkTable(Table):
@@ -44,7 +44,9 @@
 
 
 def _sink(location: str, value: Any, faults: Faults) -> Sink | None:
-    entry = table(SinkTable, value, location, faults)
+    entry = read_table(SinkTable, value, location, faults)
     if entry is None:
         return None
-    return Sink(address(entry.address, f"{location} address", faults), timedelta(seconds=entry.every_s), entry.prefix)
+    return Sink(
+        read_address(entry.address, f"{location} address", faults), timedelta(seconds=entry.every_s), entry.prefix
+    )
--- a/ochrespan/metrics/start.py
+++ b/ochrespan/metrics/start.py
@@ -1,19 +1,19 @@
-"""Starts the exporters configured in the operator's file."""
+"""Starts the exporters that the operator's file names."""
 
 from __future__ import annotations
 
-from ..running import Core, Running
+from ..subsystem import CoreComponents, Subsystem
 from .core_metrics import core_metrics
 from .exporters import Collectd, Graphite
 from .section import Metrics
 
 
-def start(section: Metrics, core: Core) -> Running:
-    """Creates one job for each configured exporter."""
-    core.figures.append(lambda: core_metrics(core.broker))
+def start(section: Metrics, core: CoreComponents) -> Subsystem:
+    """One job for each exporter."""
+    core.metric_sources.append(lambda: core_metrics(core.broker))
     exporters = [
-        kind(sink, core.told.name, core.figures)
+        kind(sink, core.config.name, core.metric_sources)
         for kind, sink in ((Graphite, section.graphite), (Collectd, section.collectd))
         if sink is not None
     ]
-    return Running(jobs=[exporter.run() for exporter in exporters])
+    return Subsystem(jobs=[exporter.run() for exporter in exporters])
