--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "place", "found", "allowed"),
+    ("old", "new", "location", "found", "allowed"),
     [
         ('plan = "basic"', 'plan = "golden"', "[[team]] a plan", "'golden'", "'basic' or 'priority' or 'standard'"),
         ('"photo-read"]\nvolumes', '"photo"]\nvolumes', "[[team]] a classes", "'photo'", "photo-read"),
