--- a/tests/controlled_front.py
+++ b/tests/controlled_front.py
@@ -82,7 +82,7 @@
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "ochrespan", env=environment, stderr=asyncio.subprocess.PIPE
         )
-        self._reading = asyncio.create_task(self._read_log())
+        self._log_reader = asyncio.create_task(self._read_log())
 
     async def ready(self) -> None:
         """Waits until the process reports that it can serve."""
@@ -99,7 +99,7 @@
         if self.process.returncode is None:
             self.process.send_signal(signal.SIGKILL)
         await self.process.wait()
-        await self._reading
+        await self._log_reader
 
     async def _read_log(self) -> None:
         async for line in self.process.stderr:
--- a/tests/front_harness.py
+++ b/tests/front_harness.py
@@ -273,7 +273,7 @@
             "BALANCER_DISCOVERY": self.config_document["discovery"],
         }
         self.process = await asyncio.create_subprocess_exec(*command, env=env, stderr=asyncio.subprocess.PIPE)
-        self.reading = asyncio.create_task(self._read_log())
+        self.log_reader = asyncio.create_task(self._read_log())
         self.session = aiohttp.ClientSession(auto_decompress=False)
         for _ in range(600):  # times 50 ms: the machine may be busy
             if self.process.returncode is not None:
@@ -295,7 +295,7 @@
         if self.process.returncode is None:
             self.process.kill()
         await self.process.wait()
-        await self.reading
+        await self.log_reader
         self.folder.cleanup()
 
     def stop(self) -> None:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "place", "found", "allowed"),
+    ("old", "new", "location", "found", "allowed"),
     [
         ('plan = "basic"', 'plan = "golden"', "[[team]] a plan", "'golden'", "'basic' or 'priority' or 'standard'"),
         ('"photo-read"]\nvolumes', '"photo"]\nvolumes', "[[team]] a classes", "'photo'", "photo-read"),
@@ -187,9 +187,9 @@
 # ---- the commands ----
 
 
-def run(*words: str, config: Path | None = CONFIG):
+def run(*arguments: str, config: Path | None = CONFIG):
     env = {"BALANCER_CONFIG": str(config) if config else None, "BALANCER_LISTEN": None, "BALANCER_DISCOVERY": None}
-    return CliRunner().invoke(cli, list(words), env=env)
+    return CliRunner().invoke(cli, list(arguments), env=env)
 
 
 def test_help_and_version():
@@ -221,14 +221,14 @@
         '"settings": {"Balancers": "three"}}'
     )
     reported = run("check", "--config", str(broken)).output
-    for words in (
+    for message in (
         "listen: found 7; allowed: host:port",
         "discovery: found 'nowhere'; allowed: host:port",
         "seed: found 'xyz'; allowed: hex digits",
         "limits.sockets: found 'many'",
         "settings: Balancers=three",
     ):
-        assert f"{broken}: {words}" in reported
+        assert f"{broken}: {message}" in reported
 
 
 def test_contracts_show_prints_a_table_of_contracts_in_effect(tmp_path):
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -28,14 +28,17 @@
     ("longest", "killed"), [(0.1, 0.8), (0.42, 1.12), (0.76, 1.46), (0.85, 1.55), (3, 3.7), (15, 3.7)]
 )
 def test_shutdown_phases_are_in_order_and_end_before_sigkill(longest, killed):
-    ending = shutdown_schedule([timedelta(seconds=0.05), timedelta(seconds=longest)])
-    assert ending.kill_at == timedelta(seconds=killed)
-    assert ending.close_connections_from < ending.answer_deadline < ending.exit_at < ending.kill_at
-    assert timedelta(seconds=0.4) < ending.accept_until <= ending.exit_at
-    assert ending.kill_at - ending.exit_at > timedelta(seconds=0.15)
+    schedule = shutdown_schedule([timedelta(seconds=0.05), timedelta(seconds=longest)])
+    assert schedule.kill_at == timedelta(seconds=killed)
+    assert schedule.close_connections_from < schedule.answer_deadline < schedule.exit_at < schedule.kill_at
+    assert timedelta(seconds=0.4) < schedule.accept_until <= schedule.exit_at
+    assert schedule.kill_at - schedule.exit_at > timedelta(seconds=0.15)
     if longest >= 0.85:
-        spans = [ending.kill_at - at for at in (ending.close_connections_from, ending.answer_deadline, ending.exit_at)]
-        assert spans == [timedelta(seconds=s) for s in (0.75, 0.4, 0.3)] and ending.accept_until == timedelta(
+        spans = [
+            schedule.kill_at - at
+            for at in (schedule.close_connections_from, schedule.answer_deadline, schedule.exit_at)
+        ]
+        assert spans == [timedelta(seconds=s) for s in (0.75, 0.4, 0.3)] and schedule.accept_until == timedelta(
             seconds=0.8
         )
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -72,17 +72,19 @@
 
     def handler(self, name: str):
         async def handle(request: web.BaseRequest) -> web.Response:
-            answer = asyncio.get_running_loop().create_future()
+            response = asyncio.get_running_loop().create_future()
             self.requests[name].append(request)
-            self.calls[name].append((request.query.get("after"), answer))
-            return web.json_response(await answer)
+            self.calls[name].append((request.query.get("after"), response))
+            return web.json_response(await response)
 
         return handle
 
     def open_watches(self, name: str) -> list[str | None]:
         """The requested revisions of the unanswered calls on open connections."""
         services = zip(self.requests[name], self.calls[name], strict=True)
-        return [after for request, (after, answer) in services if request.transport is not None and not answer.done()]
+        return [
+            after for request, (after, response) in services if request.transport is not None and not response.done()
+        ]
 
     def reply(self, name: str, revision: int, *phases: str, complete: bool = True) -> None:
         entries = [
