--- a/ochrespan/front.py
+++ b/ochrespan/front.py
@@ -136,7 +136,7 @@
     # a client that does not read its response must not delay the exit
     await wait(schedule.exit_at + LAST_RESPONSES_GRACE, lambda: any(listener.occupied for listener in listeners))
     if lifecycle.in_flight:
-        log.warning("exiting with responses that clients have not read", extra={"requests": lifecycle.in_flight})
+        log.warning("ends with answers that were not read", extra={"requests": lifecycle.in_flight})
 
 
 async def close_idle_connections(lifecycle: Lifecycle, listeners: list[Listener]) -> None:
@@ -274,12 +274,12 @@
         due = loop.time() + PROCESS_POLL_INTERVAL.total_seconds()
         await asyncio.sleep(PROCESS_POLL_INTERVAL.total_seconds())
         if (delay := loop.time() - due) > LOOP_DELAY_WARNING.total_seconds():
-            log.warning("event loop delayed", extra={"seconds": round(delay, 2)})
+            log.warning("event loop held up", extra={"seconds": round(delay, 2)})
         suspensions.refresh()
         view = await asyncio.to_thread(registry.publish_and_read, open_descriptor_count())
         lifecycle.has_successor = view.has_ready_successor
         if view.processes != last_count:
-            log.info("number of processes of this front changed", extra={"was": last_count, "now": view.processes})
+            log.info("processes of this front", extra={"was": last_count, "now": view.processes})
             last_count = view.processes
         if sockets.reserve_for_others(view.descriptors_of_others):
             resize(session, sockets.outgoing)
--- a/ochrespan/suspension.py
+++ b/ochrespan/suspension.py
@@ -107,7 +107,7 @@
             return None
         except (OSError, BadSuspensionFile) as why:
             log.error(
-                "ignoring the unreadable file of suspended chunk servers",
+                "the file of suspended servers is ignored",
                 extra={"path": str(self._path), "why": str(why)},
             )
             return None
@@ -190,7 +190,7 @@
                 self._drop_expired()
                 self._file.write(self._known)
         except OSError as why:
-            log.error("suspended chunk servers are not saved and will be lost in an upgrade", extra={"why": str(why)})
+            log.error("suspended servers are not kept for an upgrade", extra={"why": str(why)})
             change()
 
     def _drop_expired(self) -> None:
