--- a/ochrespan/policy/arr.py
+++ b/ochrespan/policy/arr.py
@@ -1,6 +1,7 @@
 """ARR: adaptive round robin among the flows with requests in the scheduler queue.
 
-A server with free capacity takes the flow with the smallest (sends in this round + 1) / (its fraction of all gains).
+A server with free capacity takes the flow with the smallest
+(sends in this round + 1) / (its fraction of all gains).
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 def end_round(flow: FlowState, confidence: float = 1.0) -> None:
-    """Adds GAIN_STEP, scaled by `confidence`, to a flow that missed its latency target, and resets its counters."""
+    """Adds GAIN_STEP times `confidence` to a flow that missed its latency target, and resets its counters."""
     if flow.latency_excess_s > 0:
         flow.gain += GAIN_STEP * confidence
     flow.sends_in_round, flow.latency_excess_s = 0, 0.0
--- a/ochrespan/policy/front.py
+++ b/ochrespan/policy/front.py
@@ -68,7 +68,8 @@
         self.jobs: dict[str, Job] = {}  # open requests, by id
         self.key_queues = KeyQueues()
         self.key_blocked_until: dict[str, float] = {}  # by key, while an attempt of it may still run
-        self.accepted, self.retries = SlidingSum(), SlidingSum()  # requests, and attempts after the first, by time
+        # requests, and attempts after the first, by time
+        self.accepted, self.retries = SlidingSum(), SlidingSum()
         self.max_time_left: dict[str, float] = {}  # by class: largest time_left of a request so far
         self.deadlines: list[tuple[float, int, Job]] = []  # heap: time, tie-breaker, request
         # tie-breakers of the heap, largest eta of a flow, end of the ARR round, time of the pending timer
@@ -374,18 +375,19 @@
     def _nodes_of(self, shard: int) -> list[Node]:
         return self.by_shard.get(shard, []) if shard != ANY_SHARD else self.table.usable()
 
-    def _promote(self, queues: ShardQueues, capacity: int) -> None:
-        """Promotes requests into a shard's segment of the scheduler queue; `capacity` is its part of L."""
+    def _promote(self, queues: ShardQueues, length: int) -> None:
+        """Promotes requests into a shard's segment of the scheduler queue; `length` is its part of L."""
         lift_lagging(list(queues.waiting), self.max_eta)
         t_max = upper_threshold(queues.waiting)
         while True:
             ready = sum(len(queues.ready[job.flow]) for job in self._first_jobs(queues.ready))
             best, pick = (2, inf), None
             for job in self._first_jobs(queues.waiting):
-                order = (0 if self._within_reserve(job) else 1, job.flow.normalized_usage)  # exception: reserve first
-                if order < best and not (order[0] and is_gated(job.flow.normalized_usage, t_max, ready, capacity)):
-                    best, pick = order, job
-            if pick is None or ready >= 2 * capacity:
+                # flows within their reserve come first and are never gated
+                key = (0 if self._within_reserve(job) else 1, job.flow.normalized_usage)
+                if key < best and not (key[0] and is_gated(job.flow.normalized_usage, t_max, ready, length)):
+                    best, pick = key, job
+            if pick is None or ready >= 2 * length:
                 return
             self._enqueue(self._promote_job(queues, pick))
 
--- a/ochrespan/policy/gating.py
+++ b/ochrespan/policy/gating.py
@@ -1,4 +1,7 @@
-"""LexAS: which flows may enter the scheduler queue, by normalized usage (units allocated to a flow over its weight)."""
+"""LexAS: which flows may enter the scheduler queue.
+
+Flows are compared by normalized usage: the units allocated to a flow over its weight.
+"""
 
 from __future__ import annotations
 
@@ -43,7 +46,7 @@
 def is_gated(normalized_usage: float, threshold: float, queued: int, queue_length: int) -> bool:
     """Returns whether a flow must wait.
 
-    It waits while the scheduler queue is full, and a flow above the upper threshold while it is half full, which
-    leaves ARR enough requests to choose from.
+    It waits while the scheduler queue is full, and a flow above the upper threshold while it is half full,
+    which leaves ARR enough requests to choose from.
     """
     return queued >= queue_length or (normalized_usage > threshold and queued >= ceil(queue_length / 2))
--- a/ochrespan/policy/window.py
+++ b/ochrespan/policy/window.py
@@ -1,4 +1,4 @@
-"""Congestion window of a server: more requests in flight while latency is near its minimum, fewer as it grows."""
+"""Congestion window of a server: wider while latency is near its minimum, narrower as it grows."""
 
 from __future__ import annotations
 
--- a/tests/golden/test_settings_findings.py
+++ b/tests/golden/test_settings_findings.py
@@ -263,7 +263,7 @@
         "listen.ready": ready,
         "limits.max_fds and memory_mb": astuple(granted),
         "zone": zone,
-        "decision_records": node.decision_log.share,
+        "decision_records": node.decision_log.sample_rate,
         "bounds.retry_budget_ratio": ratio,
         "bounds.budget_slack": slack,
         "bounds.budget_window_s": window_s,
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -39,7 +39,7 @@
         "typing",
         ".",
     }
-    records = [ROOT / name for name in ("interface.py", "state.py", "share.py", "recent.py")]
+    records = [ROOT / name for name in ("interface.py", "state.py", "flow_state.py", "sliding_sum.py")]
     for file in (*(ROOT / "policy").glob("*.py"), *records):
         for line in file.read_text().splitlines():
             if line.startswith(("import ", "from ")):
