--- a/ochrespan/raft/bootstrap.py
+++ b/ochrespan/raft/bootstrap.py
@@ -95,7 +95,7 @@
         self._knows_existing_group = False
         self._bootstrapped_at = 0.0
         self._all_without_entries_since: float | None = None
-        self._deserted_since: float | None = None
+        self._alone_since: float | None = None
         self._leaderless_since: float | None = None
 
     @classmethod
@@ -205,7 +205,7 @@
         """
         self._bootstrapped_at = now
         self.identity = replace(self.identity, cluster_id=cluster_id_of(message.members))
-        self._forget_spans()
+        self._reset_condition_timers()
         return MembershipConfig.of(message.members)
 
     def has_stalled(self, now: float, voters: Iterable[Member]) -> bool:
@@ -245,14 +245,14 @@
         others = set(self.identity.initial_members) - {self.settings.address}
         reports = self._recent_reports(now)
         are_all_in_reach = bool(others) and len(reports) == len(others)
-        is_deserted = all(report.cluster_id != self.identity.cluster_id for report in reports.values())
-        self._deserted_since = _start_of_span(self._deserted_since, now, are_all_in_reach and is_deserted)
-        self._leaderless_since = _start_of_span(self._leaderless_since, now, are_all_in_reach and lacks_leader)
-        is_deserted_for_long = self._deserted_since is not None and now - self._deserted_since >= ABANDON_AFTER_S
+        is_alone = all(report.cluster_id != self.identity.cluster_id for report in reports.values())
+        self._alone_since = _condition_since(self._alone_since, now, are_all_in_reach and is_alone)
+        self._leaderless_since = _condition_since(self._leaderless_since, now, are_all_in_reach and lacks_leader)
+        is_alone_for_long = self._alone_since is not None and now - self._alone_since >= ABANDON_AFTER_S
         is_leaderless_for_long = (
             self._leaderless_since is not None and now - self._leaderless_since >= LEADERLESS_AFTER_S
         )
-        return is_deserted_for_long or is_leaderless_for_long
+        return is_alone_for_long or is_leaderless_for_long
 
     def known_initial_members(self) -> tuple[Address, ...]:
         """The initial members as recorded here, or else as another process has reported them; empty if unknown."""
@@ -264,12 +264,12 @@
     def abandon(self) -> None:
         """Leaves a cluster that has acknowledged nothing, and takes a new id; the recorded addresses stay."""
         self.identity = Identity(generate_replica_id(self._random), 0, self.identity.initial_members)
-        self._forget_spans()
+        self._reset_condition_timers()
 
-    def _forget_spans(self) -> None:
+    def _reset_condition_timers(self) -> None:
         """What was observed of one cluster says nothing about the next."""
         self._all_without_entries_since = None
-        self._deserted_since = None
+        self._alone_since = None
         self._leaderless_since = None
 
     @staticmethod
@@ -322,8 +322,8 @@
         return max(started_at) - min(started_at) <= MAX_START_SPREAD_S
 
 
-def _start_of_span(since: float | None, now: float, holds: bool) -> float | None:
+def _condition_since(since: float | None, now: float, is_true: bool) -> float | None:
     """Since when a condition has held without a gap: `since`, or now if it begins; None where it does not hold."""
-    if not holds:
+    if not is_true:
         return None
     return now if since is None else since
--- a/ochrespan/raft/leader.py
+++ b/ochrespan/raft/leader.py
@@ -94,8 +94,8 @@
 
     def resend_after(self, resend_s: float) -> float:
         """Seconds without a response after which what is in flight counts as lost; doubled with each time in a row."""
-        carried_s = self.bytes_in_flight / MIN_LINK_BYTES_PER_S
-        return min(MAX_RESEND_S, resend_s * 2.0 ** min(self.resends, MAX_RESEND_DOUBLINGS)) + carried_s
+        transmission_s = self.bytes_in_flight / MIN_LINK_BYTES_PER_S
+        return min(MAX_RESEND_S, resend_s * 2.0 ** min(self.resends, MAX_RESEND_DOUBLINGS)) + transmission_s
 
 
 class LeaderReplication:
@@ -187,23 +187,23 @@
         progress.commit_index_sent_at = state.now
         state.send(member_id, Heartbeat(state.term, progress.commit_index_sent, stamp, seconds_since_quorum))
 
-    def send_entries(self, receiving: set[Address]) -> None:
+    def send_entries(self, snapshot_receivers: set[Address]) -> None:
         """Sends to each replica what it lacks, as far as its mode allows.
 
         Args:
-            receiving: Processes to which other groups transfer a snapshot: one group at a time does, so that a link
-                isn't filled by several. Those to which this group transfers one are added.
+            snapshot_receivers: Processes to which other groups transfer a snapshot: one group at a time does, so that a
+                link isn't filled by several. Those to which this group transfers one are added.
         """
         for member_id, progress in self.progress.items():
             while self._may_send(progress):
                 if self._needs_snapshot(progress):
-                    if progress.member.address in receiving:
+                    if progress.member.address in snapshot_receivers:
                         break
                     self._send_chunk(member_id, progress)
                 else:
                     self._send_append(member_id, progress)
             if progress.mode is ProgressMode.SNAPSHOT and self._is_alive(progress):
-                receiving.add(progress.member.address)
+                snapshot_receivers.add(progress.member.address)
 
     def handle_append_response(self, member_id: int, response: AppendEntriesResponse) -> None:
         """Moves a follower's match index, or probes further back where its log differs.
--- a/ochrespan/raft/leader_balancer.py
+++ b/ochrespan/raft/leader_balancer.py
@@ -24,14 +24,14 @@
     def _transfer_one(self, now: float) -> None:
         """Transfers one group to the voter that should lead it, if that voter has been stable for MIN_STABLE_S."""
         for replica in self._local.replicas.values():
-            core = replica.state
-            voters = core.configuration.voters
-            if not replica.is_leader or core.is_preferred_leader or core.configuration.is_joint or not voters:
+            state = replica.state
+            voters = state.configuration.voters
+            if not replica.is_leader or state.is_preferred_leader or state.configuration.is_joint or not voters:
                 continue
-            progress = replica.replication.progress.get(voters[core.group % len(voters)].id)
+            progress = replica.replication.progress.get(voters[state.group % len(voters)].id)
             if progress is None or not progress.eligible:
                 continue
-            stable_since = max(core.leader_since or now, progress.stable_since)
-            if now - stable_since > MIN_STABLE_S and progress.match_index >= core.commit_index:
+            stable_since = max(state.leader_since or now, progress.stable_since)
+            if now - stable_since > MIN_STABLE_S and progress.match_index >= state.commit_index:
                 replica.transfer_leadership(now, progress.member.id)
                 return
--- a/ochrespan/raft/multi_raft.py
+++ b/ochrespan/raft/multi_raft.py
@@ -67,7 +67,7 @@
         self._planned_leave = PlannedLeave(self._local)
         self._leader_balancer = LeaderBalancer(self._local, now)
         self.opening = Opening(self._local)
-        self._identity_taken = recovered.identity  # what `take_updates` last gave out
+        self._last_taken_identity = recovered.identity  # what `take_updates` last gave out
 
     @property
     def id(self) -> int:
@@ -146,8 +146,8 @@
     def take_updates(self) -> list[Identity | PersistentUpdate]:
         """What is to be written now, in one write; the caller calls `persisted` when it is durable."""
         updates: list[Identity | PersistentUpdate] = []
-        if self._identity_taken != self.bootstrap.identity:
-            self._identity_taken = self.bootstrap.identity
+        if self._last_taken_identity != self.bootstrap.identity:
+            self._last_taken_identity = self.bootstrap.identity
             updates.append(self.bootstrap.identity)
         updates += [update for replica in self.replicas.values() if (update := replica.take_update())]
         return updates
--- a/ochrespan/raft/reconfiguration.py
+++ b/ochrespan/raft/reconfiguration.py
@@ -59,8 +59,8 @@
 class Reconfiguration:
     """A leader's changes of the voters: one at a time, each through a joint configuration."""
 
-    def __init__(self, core: ReplicaState, replication: LeaderReplication, min_voters: int) -> None:
-        self._core = core
+    def __init__(self, state: ReplicaState, replication: LeaderReplication, min_voters: int) -> None:
+        self._state = state
         self._replication = replication
         self.min_voters = min_voters
         self._replaced: set[int] = set()  # voters whose address another id has taken
@@ -68,33 +68,33 @@
 
     def leave(self, member_id: int) -> None:
         """A voter is about to shut down; as it may come back under the same id, this expires."""
-        self._leaving_until[member_id] = self._core.now + LEAVE_TIMEOUT_S
+        self._leaving_until[member_id] = self._state.now + LEAVE_TIMEOUT_S
 
     def join(self, member: Member) -> None:
         """A replica asks to be added: as a learner, unless it is a voter already."""
-        core = self._core
+        state = self._state
         replication = self._replication
-        for known_id, known in core.configuration.members().items():
+        for known_id, known in state.configuration.members().items():
             if known.address == member.address and known_id != member.id:
                 self._replaced.add(known_id)
         for known_id, known in list(replication.learners.items()):
             if known.address == member.address and known_id != member.id:
                 del replication.learners[known_id]
-        if not core.configuration.is_voter(member.id):
+        if not state.configuration.is_voter(member.id):
             replication.learners[member.id] = member
             replication.sync_progress()
-            replication.progress[member.id].last_contact_at = core.now
+            replication.progress[member.id].last_contact_at = state.now
 
     def tick(self) -> None:
         """Appends the next configuration, if the latest one and an entry of this term are committed."""
-        core = self._core
+        state = self._state
         self._remove_expired_learners()
-        if core.commit_index < max(core.log.configuration_index, self._replication.term_start_index):
+        if state.commit_index < max(state.log.configuration_index, self._replication.term_start_index):
             return
-        if core.configuration.is_joint:
-            self._change_to(core.configuration.leave_joint())
-        elif voters := next_voters(core.configuration, self._health(), self.min_voters):
-            self._change_to(core.configuration.enter_joint(voters))
+        if state.configuration.is_joint:
+            self._change_to(state.configuration.leave_joint())
+        elif voters := next_voters(state.configuration, self._health(), self.min_voters):
+            self._change_to(state.configuration.enter_joint(voters))
 
     def _change_to(self, configuration: MembershipConfig) -> None:
         self._replication.append(EntryKind.CONFIGURATION, configuration.to_bytes())
@@ -108,61 +108,61 @@
         return tuple(sorted(standbys, key=lambda member: -progress[member.id].match_index))
 
     def _health(self) -> GroupHealth:
-        core = self._core
+        state = self._state
         progress = self._replication.progress
-        others = [member for member in core.configuration.voters if member.id in progress]
+        others = [member for member in state.configuration.voters if member.id in progress]
         lost = [member.id for member in others if self._is_lost(member.id)]
         lost.sort(key=lambda member_id: (member_id not in self._replaced, progress[member_id].last_contact_at))
-        if self._is_leaving(core.id):
-            lost.append(core.id)
+        if self._is_leaving(state.id):
+            lost.append(state.id)
         replaced = frozenset(member_id for member_id in lost if member_id in self._replaced)
         has_contact_with_all = not lost and all(self._is_in_contact(member.id) for member in others)
         return GroupHealth(self.standbys(), tuple(lost), replaced, has_contact_with_all)
 
     def failures_tolerated(self) -> int:
         """How many more voters may fail while the others are still a majority; below 0: they are none now."""
-        configuration = self._core.configuration
+        configuration = self._state.configuration
         sides = (side for side in (configuration.voters, configuration.outgoing) if side)
         return min(self._count_in_contact(side) - (len(side) // 2 + 1) for side in sides)
 
     def meets_fault_tolerance(self) -> bool:
         """Whether no change is under way and the group tolerates as many failures as the deployment asks for."""
-        core = self._core
-        is_committed = core.commit_index >= core.log.configuration_index
-        return not core.configuration.is_joint and is_committed and self.failures_tolerated() >= self.min_voters // 2
+        state = self._state
+        is_committed = state.commit_index >= state.log.configuration_index
+        return not state.configuration.is_joint and is_committed and self.failures_tolerated() >= self.min_voters // 2
 
     def _count_in_contact(self, voters: Iterable[Member]) -> int:
-        return sum(member.id == self._core.id or self._is_in_contact(member.id) for member in voters)
+        return sum(member.id == self._state.id or self._is_in_contact(member.id) for member in voters)
 
     def _is_in_contact(self, member_id: int) -> bool:
         """Whether a voter has responded in this term, and lately."""
         progress = self._replication.progress.get(member_id)
         if progress is None or progress.stamp == float("-inf"):
             return False
-        return self._core.now - progress.last_contact_at < self._core.timing.replaced_voter_timeout_s
+        return self._state.now - progress.last_contact_at < self._state.timing.replaced_voter_timeout_s
 
     def _is_leaving(self, member_id: int) -> bool:
-        return self._core.now < self._leaving_until.get(member_id, float("-inf"))
+        return self._state.now < self._leaving_until.get(member_id, float("-inf"))
 
     def _is_lost(self, member_id: int) -> bool:
-        timing = self._core.timing
+        timing = self._state.timing
         progress = self._replication.progress[member_id]
-        since_contact_s = self._core.now - progress.last_contact_at
+        since_contact_s = self._state.now - progress.last_contact_at
         if member_id in self._replaced:
             return since_contact_s >= timing.replaced_voter_timeout_s or progress.stamp == float("-inf")
         return self._is_leaving(member_id) or since_contact_s >= timing.voter_timeout_s
 
     def _has_caught_up(self, member_id: int) -> bool:
         progress = self._replication.progress[member_id]
-        is_in_contact = self._core.now - progress.last_contact_at < self._core.timing.election_min_s
-        missing_entries = self._core.log.last_index - progress.match_index
+        is_in_contact = self._state.now - progress.last_contact_at < self._state.timing.election_min_s
+        missing_entries = self._state.log.last_index - progress.match_index
         is_close = progress.mode is ProgressMode.PIPELINE and missing_entries <= CAUGHT_UP_ENTRIES
         return is_in_contact and is_close and not self._is_leaving(member_id)
 
     def _remove_expired_learners(self) -> None:
-        core = self._core
+        state = self._state
         replication = self._replication
-        oldest = core.now - core.timing.learner_timeout_s
+        oldest = state.now - state.timing.learner_timeout_s
         expired = [
             learner for learner in replication.learners if replication.progress[learner].last_contact_at < oldest
         ]
--- a/ochrespan/raft/replica.py
+++ b/ochrespan/raft/replica.py
@@ -240,15 +240,16 @@
 
     # Output
 
-    def take_messages(self, receiving: set[Address] | None = None) -> list[tuple[int, Message]]:
+    def take_messages(self, snapshot_receivers: set[Address] | None = None) -> list[tuple[int, Message]]:
         """Messages to send, each with its receiver's replica id.
 
         Args:
-            receiving: Processes to which other groups of this process transfer a snapshot; this group's are added.
+            snapshot_receivers: Processes to which other groups of this process transfer a snapshot; this group's are
+                added.
         """
         if self.state.role is Role.LEADER:
             self._reads.request_confirmation()
-            self.replication.send_entries(set() if receiving is None else receiving)
+            self.replication.send_entries(set() if snapshot_receivers is None else snapshot_receivers)
             self.replication.send_commit_index()
         messages = self.state.outbox
         self.state.outbox = []
