--- a/ochrespan/raft/bootstrap.py
+++ b/ochrespan/raft/bootstrap.py
@@ -1,10 +1,10 @@
-"""Which disks may form the groups of a new deployment: the rules, without messages and without replicas.
+"""Rules for which disks may form the Raft groups of a new deployment. Sends no messages and owns no replicas.
 
-A replica id is generated with an empty disk and lost with it, so an id never comes back with another disk. With
-`bootstrap: true` the seeds are the initial members of the deployment. Each of them records the addresses of all initial
-members on its disk, then queries the others for the state of theirs (`JoinRequest`, `JoinResponse`). The initial member
-with the lowest address among those that can take part proposes the voters of the first groups
-(`BootstrapProposal`) when one of two conditions holds:
+A replica id is generated when a process starts with an empty disk and is lost with that disk, so an id is never used
+with a second disk. With `bootstrap: true` the seeds are the initial members of the deployment. Each of them records the
+addresses of all initial members on its disk, then queries the others for the state of their disks (`JoinRequest`,
+`JoinResponse`). The initial member with the lowest address among those that can take part proposes the voters of the
+first groups (`BootstrapProposal`) when one of two conditions is met:
 
 - every initial member reports from its address that its disk belongs to no cluster, and a majority of the disks have
   the initial members recorded. A committed entry is on a majority of the disks, so if there were one, more disks would
@@ -14,11 +14,11 @@
   is late. One that started at a time when a group might already have existed, or that was started before with
   this disk, waits for the reports of all.
 
-A process without recorded initial members proposes nothing: that all processes that it knows have empty disks does not
-show that there is no cluster elsewhere.
+A process without recorded initial members proposes nothing: even if every process that it knows has an empty disk, a
+cluster may exist elsewhere.
 
 Several initial members may propose at the same time, with different members, if messages between them are lost or late.
-`bootstrap_protocol` describes how such bootstraps are reduced to one.
+`bootstrap_protocol` describes how such bootstraps are reduced to a single one.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 ALL_MEMBERS_WAIT_S = 0.1  # an initial member waits this long for the reports of all before those of a majority suffice
 # a bootstrap without progress is abandoned when no initial member has had an entry for this long
 ABANDON_AFTER_S = 1.5
-# the same in a first start where a majority of the initial members is there, but no majority of the bootstrap's voters
+# the same in a first start with a majority of the initial members, but without one of the bootstrap's voters
 ABANDON_FIRST_START_AFTER_S = 0.5
 LEADERLESS_AFTER_S = 3.0  # several elections: a group without a leader for longer has lost its majority for good
 MAX_REPORT_AGE_S = 1.0  # a report older than this is not considered
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class Identity:
-    """Who a process is in the groups: generated with an empty disk, kept on it."""
+    """A process's identity in the groups: generated when it starts with an empty disk, and stored on that disk."""
 
     replica_id: int
     cluster_id: int = 0  # 0: not a member of a cluster yet
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BootstrapSettings:
-    """What the deployment says about a process's part in the groups."""
+    """The settings that decide how a process takes part in a bootstrap."""
 
     address: Address  # of this process
     seeds: tuple[Address, ...]
@@ -100,10 +100,10 @@
 
     @classmethod
     def begin(cls, settings: BootstrapSettings, known: Identity | None, source: random.Random, now: float) -> Bootstrap:
-        """Starts with the identity on the disk, or generates one; an initial member's gets the recorded addresses.
+        """Uses the identity on the disk or generates one; that of an initial member lists all initial members.
 
         Args:
-            settings: what the deployment says.
+            settings: the bootstrap settings of this process.
             known: the identity on the disk; None for an empty disk.
             source: for replica ids.
             now: seconds of the steady clock.
@@ -138,7 +138,7 @@
         return now - self._first_started_at
 
     def record_existing_group(self) -> None:
-        """A leader has sent to another replica id at this address: a group exists, and had another disk here."""
+        """Records that a group exists: its leader has sent a message to the id of an earlier disk at this address."""
         self._knows_existing_group = True
 
     def record_report(
@@ -149,7 +149,7 @@
         message: JoinRequest | JoinResponse,
         cluster_id: int = 0,
     ) -> None:
-        """Keeps what a process, of the cluster `cluster_id` or of none, reports about its disk."""
+        """Stores a process's report about its disk; `cluster_id` is the cluster of that process, 0 for none."""
         first_started_at = None if message.age_s < 0 else now - message.age_s
         self._reports[address] = PeerReport(
             replica_id,
@@ -165,8 +165,8 @@
     def proposal(self, now: float) -> BootstrapProposal | None:
         """The voters of the first groups, if they may be formed now and this process is the one to propose them.
 
-        Initial members that have not reported get a new id, under which nobody answers: they take part as learners
-        later.
+        An initial member that has not reported is listed under a newly generated id that no process uses; it joins as
+        a learner later, under its own id.
         """
         initial_members = self.identity.initial_members
         own_address = self.settings.address
@@ -198,7 +198,7 @@
         return self.is_unbootstrapped and any(member.id == self.identity.replica_id for member in message.members)
 
     def accept(self, now: float, message: BootstrapProposal) -> MembershipConfig:
-        """Takes the identity of a member of the proposed cluster.
+        """Makes this process a member of the proposed cluster.
 
         Returns:
             The configuration with which each group begins.
@@ -209,11 +209,11 @@
         return MembershipConfig.of(message.members)
 
     def has_stalled(self, now: float, voters: Iterable[Member]) -> bool:
-        """Whether a bootstrap with these voters may be abandoned, as it will not come to an elected leader.
+        """Whether a bootstrap with these voters may be abandoned, since it is not going to elect a leader.
 
         To be called only while the logs here have no entry. Either no initial member has had an entry for
         ABANDON_AFTER_S; or this is a first start with a majority of the initial members, which is enough for another
-        bootstrap, while no majority of the voters of this one answers.
+        bootstrap, while no majority of this bootstrap's voters is reachable.
         """
         own_address = self.settings.address
         if own_address not in self.identity.initial_members:
@@ -235,12 +235,13 @@
         return is_overdue and lacks_majority and self._is_majority_in_first_start(now, without_entries)
 
     def is_stuck(self, now: float, lacks_leader: bool) -> bool:
-        """Whether this cluster is to be left for a new bootstrap, as it will not come to accept commands.
+        """Whether this process should leave its cluster, which is not going to accept commands, for a new bootstrap.
 
-        To be called only while it cannot have acknowledged any. Every other initial member is in reach, and
+        To be called only while the cluster cannot have acknowledged a command. True if all other initial members have
+        reported lately, and
 
-        - each is in another cluster or in none, for ABANDON_AFTER_S; or
-        - a group has no leader here (`lacks_leader`), for LEADERLESS_AFTER_S: the disks of its voters were lost.
+        - each has been in another cluster or in none for ABANDON_AFTER_S; or
+        - a group here has had no leader (`lacks_leader`) for LEADERLESS_AFTER_S: the disks of its voters were lost.
         """
         others = set(self.identity.initial_members) - {self.settings.address}
         reports = self._recent_reports(now)
@@ -262,19 +263,19 @@
         return next(recorded, ())
 
     def abandon(self) -> None:
-        """Leaves a cluster that has acknowledged nothing, and takes a new id; the recorded addresses stay."""
+        """Leaves a cluster that has acknowledged no command: generates a new id and retains the initial members."""
         self.identity = Identity(generate_replica_id(self._random), 0, self.identity.initial_members)
         self._reset_condition_timers()
 
     def _reset_condition_timers(self) -> None:
-        """What was observed of one cluster says nothing about the next."""
+        """Clears the durations observed in one cluster, which do not apply to the next."""
         self._all_without_entries_since = None
         self._alone_since = None
         self._leaderless_since = None
 
     @staticmethod
     def _is_reachable(now: float, report: PeerReport | None, voter: Member) -> bool:
-        """Whether a voter of a bootstrap has just reported, under the id that it has there."""
+        """Whether a voter of a bootstrap has reported lately, under the replica id that the bootstrap gives it."""
         return (
             report is not None
             and report.replica_id == voter.id
@@ -282,7 +283,7 @@
         )
 
     def _own_report(self, now: float, *, is_unbootstrapped: bool) -> PeerReport:
-        """This process beside its peers; to be used while its logs have no entry."""
+        """This process's own report, to compare with those of its peers; valid only while its logs have no entry."""
         identity = self.identity
         return PeerReport(
             identity.replica_id, is_unbootstrapped, True, identity.initial_members, self._first_started_at, now
@@ -297,17 +298,17 @@
         }
 
     def _all_initial_members_in(self, reports: Mapping[Address, PeerReport]) -> bool:
-        """Whether every initial member is among these, and a majority of their disks have the recorded addresses.
+        """Whether every initial member has a report, and a majority of their disks have the initial members recorded.
 
-        A single disk without them may belong to a process that was killed before its first sync. Several are machines
-        that lost their disks, perhaps after standbys had replaced them as voters elsewhere.
+        A single disk without this record may belong to a process that was killed before its first sync. Several such
+        disks mean machines that lost theirs, perhaps after standbys had replaced them as voters elsewhere.
         """
         initial_members = self.identity.initial_members
         recorded = sum(bool(report.initial_members) for report in reports.values())
         return len(reports) == len(initial_members) and 2 * recorded > len(initial_members)
 
     def _is_majority_in_first_start(self, now: float, reports: Mapping[Address, PeerReport]) -> bool:
-        """Whether these are a majority of the initial members in a first start, and none knows of a group."""
+        """Whether the reports show a majority of the initial members in a first start, and none knows of a group."""
         if (
             self._knows_existing_group
             or self.first_start_age(now) < ALL_MEMBERS_WAIT_S
@@ -323,7 +324,13 @@
 
 
 def _condition_since(since: float | None, now: float, is_true: bool) -> float | None:
-    """Since when a condition has held without a gap: `since`, or now if it begins; None where it does not hold."""
+    """The start of the time for which a condition has been true without a gap; None while it is false.
+
+    Args:
+        since: the previous result.
+        now: seconds of the steady clock.
+        is_true: whether the condition is true now.
+    """
     if not is_true:
         return None
     return now if since is None else since
--- a/ochrespan/raft/bootstrap_protocol.py
+++ b/ochrespan/raft/bootstrap_protocol.py
@@ -1,32 +1,33 @@
-"""How initial members agree on one bootstrap: proposals, and what becomes of bootstraps that crossed.
+"""How initial members agree on one bootstrap: proposals, and how concurrent bootstraps are resolved.
 
 In a first start two initial members may each send a `BootstrapProposal` before the other's arrives. An example with
-initial members A, B and C, where A and B cannot reach each other for a moment: A takes B for late and proposes A, C and
-a new id in B's place, B proposes B, C and a new id in A's place. C takes the proposal that arrives first and belongs to
-that cluster. The process of the other proposal is alone in a cluster of its own, whose id is computed from the member
-ids and so differs. Nothing is lost by leaving a cluster whose logs have no entry, as nothing in it was acknowledged.
+initial members A, B and C, where A and B cannot reach each other for a moment: A assumes that B is late and proposes
+A, C and a new id in B's place, B proposes B, C and a new id in A's place. C accepts the proposal that arrives first and
+joins that cluster. The process of the other proposal is alone in a cluster of its own, whose id is computed from the
+member ids and so differs. A process may leave a cluster whose logs have no entry, as it has acknowledged nothing.
 These rules lead to a single cluster:
 
 - A process with an entry in a log never leaves its cluster.
 - A member of a cluster without entries sends its proposal to all voters again at each query, also to those in another
   cluster. A receiver without entries that has entered no term (so it has voted for nobody), and that is named under its
-  current id, changes over to the proposal that ranks first: those of senders that have voted go before those of
-  senders that haven't, then those of the lower cluster id. All processes compare alike, so none goes back and forth.
+  current id, switches to the proposal that ranks first: proposals of senders that have voted rank before those of
+  senders that haven't, then the lower cluster id ranks first. The order is the same for all processes, so none switches
+  back and forth.
 - A process in another cluster with committed entries responds to `JoinRequest` and `BootstrapProposal` with a
   `JoinResponse` that says so (`has_commits`). A receiver without entries abandons its own bootstrap: it gets a new
   id and empty replicas, and asks to join.
-- A bootstrap without progress is abandoned as `Bootstrap.has_stalled` decides: for example, if the id in the place
-  of a late member answers nobody and one of the others was lost.
+- A bootstrap without progress is abandoned as `Bootstrap.has_stalled` decides: for example, if a new id stands
+  in for a late member, so that no process responds under it, and one of the other voters was lost.
 
-Two clusters with entries come to be where an initial member has lost its disk, and together with a late one takes that
-for a first start, or where the others of a bootstrap have lost their disks. `opening` sees to it that at most one of
-them acknowledges commands. A process whose cluster has acknowledged nothing leaves it
+Two clusters with entries arise if an initial member that has lost its disk forms groups with a late one as in a first
+start, or if the other members of a bootstrap have lost their disks. `opening` ensures that at most one of the clusters
+acknowledges commands. A process whose cluster has acknowledged no command leaves it
 
 - when a process at the address of a seed says that its own cluster may have acknowledged commands (`ClusterInUse`);
-- when all initial members are in reach, and it is alone in its cluster or a group there has no leader for long
+- when all initial members are reachable, and it is alone in its cluster or a group has had no leader for long
   (`Bootstrap.is_stuck`).
 
-All other messages of another cluster are ignored: two deployments may have been given each other's addresses.
+All other messages of another cluster are ignored: two deployments may be configured with each other's addresses.
 """
 
 from __future__ import annotations
@@ -46,12 +47,12 @@
 
 
 class BootstrapProtocol:
-    """Sends and receives the proposals of a process, and abandons a bootstrap where another has won."""
+    """Sends and receives the proposals of a process, and abandons its bootstrap where another one prevails."""
 
     def __init__(self, local: LocalGroups, now: float) -> None:
         self._local = local
         self.next_query_at = now
-        self._reported_clusters: set[Address] = set()  # processes of other clusters that a log line has named
+        self._reported_clusters: set[Address] = set()  # processes of other clusters that were logged already
 
     def schedule_query(self, now: float) -> None:
         """Sets the time of the next query: soon, while this initial member waits for the groups to be formed."""
@@ -67,7 +68,10 @@
             and local.has_acknowledged_nothing
             and local.bootstrap.is_stuck(now, any(lacks_leader(now, replica) for replica in local.replicas.values()))
         ):
-            log.warning("bootstrap abandoned: no commands to come replica=%d", local.bootstrap.identity.replica_id)
+            log.warning(
+                "bootstrap abandoned: its cluster cannot start to accept commands replica=%d",
+                local.bootstrap.identity.replica_id,
+            )
             local.abandon_bootstrap(now)
         self.propose(now)
         if voters := self._voters_without_entries():
@@ -80,16 +84,16 @@
             self._announce(now, self._voters_without_entries())
 
     def receive_report(self, now: float, envelope: Envelope, message: JoinRequest | JoinResponse) -> None:
-        """Keeps what a process of this cluster, or of none, reports of its disk."""
+        """Stores a process's report about its disk."""
         self._local.bootstrap.record_report(now, envelope.sender, envelope.address, message, envelope.cluster_id)
 
     def receive_proposal(self, now: float, message: BootstrapProposal) -> None:
-        """Takes the proposal of a process of this cluster, or of none, if this process is unbootstrapped."""
+        """Accepts the proposal of a process of this cluster, or of none, if this process is unbootstrapped."""
         if self._local.bootstrap.accepts(message):
             self._start_groups(now, message)
 
     def receive_from_other_cluster(self, now: float, envelope: Envelope) -> None:
-        """Handles what processes of bootstraps that crossed send each other; see the head of this module."""
+        """Handles the messages between processes of concurrent bootstraps; see the module's docstring."""
         local = self._local
         if not local.has_acknowledged_nothing and not any(
             isinstance(message, ClusterInUse) for _, message in envelope.frames
@@ -123,13 +127,13 @@
             )
 
     def _yields_to(self, address: Address) -> bool:
-        """Whether this process leaves its cluster because that of a process at `address` has been used."""
+        """Whether this process leaves its cluster in favour of that of the process at `address`, which is in use."""
         bootstrap = self._local.bootstrap
         seeds = {*bootstrap.identity.initial_members, *bootstrap.settings.seeds}
         return self._local.has_acknowledged_nothing and address in seeds
 
     def _prefers(self, message: BootstrapProposal) -> bool:
-        """Whether the bootstrap of another cluster takes the place of this process's own."""
+        """Whether the proposed bootstrap of another cluster ranks before this process's own and replaces it."""
         local = self._local
         own_id = local.bootstrap.identity.replica_id
         if not local.has_no_entries or local.has_voted or all(member.id != own_id for member in message.members):
@@ -146,7 +150,7 @@
     def _announce(self, now: float, voters: tuple[Member, ...]) -> None:
         """Sends the bootstrap to its voters, or abandons it if it has stalled.
 
-        Until there is an entry, a voter may not have received the proposal, or may be in a bootstrap that crossed it.
+        Until there is an entry, a voter may not have received the proposal, or may have joined a concurrent bootstrap.
         """
         local = self._local
         if local.bootstrap.has_stalled(now, voters):
--- a/ochrespan/raft/cluster_messages.py
+++ b/ochrespan/raft/cluster_messages.py
@@ -1,6 +1,6 @@
 """Messages between processes that concern all of their groups: bootstrap, joining and planned leave.
 
-Their form on the wire is the business of the driver (`control_plane.replication.raft_wire`).
+Their wire format is defined by `control_plane.replication.raft_wire`.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class JoinResponse:
-    """The receiver of a `JoinRequest` names further processes to contact and reports the state of its own disk."""
+    """The response to a `JoinRequest`: further processes to contact, and the state of the responder's own disk."""
 
     is_unbootstrapped: bool
     contacts: tuple[Address, ...]  # members of the groups that the sender asked for
--- a/ochrespan/raft/election.py
+++ b/ochrespan/raft/election.py
@@ -30,15 +30,15 @@
                 state.role = Role.FOLLOWER
 
     def handle_timeout_now(self, message: TimeoutNow) -> None:
-        """The leader transfers its leadership: no pre-vote, and the leader's lease is no reason to reject."""
+        """The leader transfers its leadership: campaigns without a pre-vote, and voters ignore the leader's lease."""
         state = self._state
         if message.term == state.term and state.role is Role.FOLLOWER and self._may_campaign():
             self._campaign(pre_vote=False, leadership_transfer=True)
 
     def campaign_after_transfer(self) -> None:
-        """The successor has not taken over: this replica, which led, asks for its leadership back in the next term.
+        """Campaigns in the next term, after the successor of this former leader has not taken over in time.
 
-        It has given up its lease, so the lease is no reason to reject, as in an election that the successor starts.
+        It has given up its lease, so voters ignore the lease, as in an election that the successor starts.
         """
         if self._may_campaign():
             self._campaign(pre_vote=False, leadership_transfer=True)
@@ -46,8 +46,8 @@
     def handle_vote_request(self, candidate: int, request: RequestVote) -> None:
         """Grants or rejects a vote, or a pre-vote.
 
-        While a leader is alive both are rejected, so that a replica that was cut off cannot depose it when it returns;
-        an election that the leader itself has requested is the exception.
+        While a leader is alive both are rejected, so that a replica that returns from a partition cannot depose it; an
+        election that the leader itself has requested is the exception.
         """
         state = self._state
         if request.term < state.term or (self._has_leader() and not request.leadership_transfer):
@@ -68,7 +68,7 @@
         state.send_when_persisted(candidate, RequestVoteResponse(state.term, granted, False))
 
     def handle_vote_response(self, voter: int, response: RequestVoteResponse) -> None:
-        """Counts a vote or pre-vote, unless it belongs to another campaign than the present one."""
+        """Counts a vote or pre-vote, unless it belongs to an earlier campaign."""
         state = self._state
         if response.term > state.term and not response.granted:
             state.become_follower(response.term, leader_id=0)
@@ -87,7 +87,7 @@
         return state.role is Role.LEADER or state.now - state.last_leader_contact_at < state.timing.election_min_s
 
     def _campaign(self, pre_vote: bool, leadership_transfer: bool) -> None:
-        """Requests votes of all members, of both configurations while a change of members is in progress."""
+        """Requests votes from all members, those of both configurations while a change of members is in progress."""
         state = self._state
         state.role = Role.PRE_CANDIDATE if pre_vote else Role.CANDIDATE
         state.leader_id = 0
--- a/ochrespan/raft/follower.py
+++ b/ochrespan/raft/follower.py
@@ -16,7 +16,7 @@
 
 
 class Follower:
-    """Takes what the leader of the current term sends; the caller has checked term and sender."""
+    """Handles the messages of the current term's leader; the caller has checked term and sender."""
 
     def __init__(self, state: ReplicaState) -> None:
         self._state = state
@@ -24,12 +24,12 @@
         self._snapshot_key: tuple[int, int] = (0, 0)  # its term and index
 
     def receive_entries(self, leader: int, message: AppendEntries) -> None:
-        """Adds entries that follow what is here; else tells the leader which index to try next."""
+        """Appends entries that continue this log; otherwise responds with the index that the leader should try next."""
         state = self._state
         log = state.log
         known_term = log.term_at(message.previous_index)
         if message.previous_index < log.first_index - 1:
-            # Compacted here, so committed: the leader may go on behind the commit index.
+            # Compacted here, so committed: the leader may continue after the commit index.
             state.send_when_persisted(
                 leader, AppendEntriesResponse(state.term, True, state.commit_index, message.stamp)
             )
@@ -43,7 +43,7 @@
         state.send_when_persisted(leader, AppendEntriesResponse(state.term, True, last, message.stamp))
 
     def receive_heartbeat(self, leader: int, message: Heartbeat) -> None:
-        """Moves the commit index, which the leader has bounded by what it knows to match here."""
+        """Advances the commit index, which the leader has bounded by this follower's match index."""
         state = self._state
         state.commit_index = max(state.commit_index, min(message.commit, state.log.last_index))
         state.last_quorum_at = max(state.last_quorum_at, state.now - message.seconds_since_quorum)
@@ -52,8 +52,8 @@
     def receive_snapshot_chunk(self, leader: int, message: InstallSnapshot) -> None:
         """Collects a snapshot's chunks and installs it when it is complete.
 
-        A chunk behind a gap is dropped; the response tells the offset from which the leader has to send again. The
-        snapshot is acknowledged as entries are, once it is persisted.
+        A chunk after a gap is dropped; the response has the offset from which the leader has to resend. The snapshot
+        is acknowledged as entries are, once it is persisted.
         """
         state = self._state
         if message.index <= state.commit_index:
@@ -77,7 +77,7 @@
         state.send_when_persisted(leader, AppendEntriesResponse(state.term, True, message.index, message.stamp))
 
     def _retry_index(self, message: AppendEntries) -> int:
-        """Where the leader should try next: behind our end, or at the start of the term that differs."""
+        """The index to try next: after the end of this log, or where the conflicting term begins in it."""
         log = self._state.log
         if message.previous_index > log.last_index:
             return log.last_index + 1
--- a/ochrespan/raft/joining.py
+++ b/ochrespan/raft/joining.py
@@ -1,4 +1,4 @@
-"""How a replica without a leader asks to be added to its groups as a learner, and what it is told in response."""
+"""How a replica without a leader asks to be added to its groups as a learner, and the response that it gets."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
     def send_requests(self, now: float) -> None:
         """Asks every known process to add the replicas that have no leader.
 
-        As long as the cluster may have acknowledged nothing it also asks where all have one, so that the initial
-        members know of each other.
+        Until the cluster may have acknowledged a command, it sends requests even if all replicas have a leader, so that
+        the initial members know of each other.
         """
         request = build_join_request(self._local, now, every_group=False)
         if request.groups or self._local.has_acknowledged_nothing:
@@ -35,7 +35,7 @@
                 self._local.send(address, 0, request)
 
     def receive_request(self, now: float, envelope: Envelope, request: JoinRequest) -> None:
-        """Adds the sender as a learner where this process leads, and tells it whom else to contact."""
+        """Adds the sender as a learner to groups that are led here, and responds with further processes to contact."""
         local = self._local
         contacts: set[Address] = set()
         if not local.bootstrap.is_unbootstrapped:
@@ -48,7 +48,7 @@
         local.send(envelope.address, envelope.sender, build_join_response(local, now, tuple(sorted(contacts))))
 
     def receive_response(self, response: JoinResponse) -> None:
-        """Keeps the processes that a response names."""
+        """Adds the processes that a response names to the contacts."""
         self.contacts.update(response.contacts)
 
 
--- a/ochrespan/raft/multi_raft.py
+++ b/ochrespan/raft/multi_raft.py
@@ -67,7 +67,7 @@
         self._planned_leave = PlannedLeave(self._local)
         self._leader_balancer = LeaderBalancer(self._local, now)
         self.opening = Opening(self._local)
-        self._last_taken_identity = recovered.identity  # what `take_updates` last gave out
+        self._last_taken_identity = recovered.identity  # what `take_updates` last returned
 
     @property
     def id(self) -> int:
