--- a/ochrespan/raft/leader.py
+++ b/ochrespan/raft/leader.py
@@ -28,13 +28,13 @@
 MAX_APPEND_ENTRIES = 256
 MAX_APPEND_BYTES = 32 * 1024
 MAX_APPENDS_IN_FLIGHT = 32
-MAX_BYTES_IN_FLIGHT = 64 * 1024  # of appends: what a follower's link and disk have taken bounds what it is sent
+MAX_BYTES_IN_FLIGHT = 64 * 1024  # of appends; a follower gets more only once its link and disk have processed these
 SNAPSHOT_CHUNK_BYTES = 32 * 1024
-MAX_CHUNKS_IN_FLIGHT = 2  # heartbeats and votes travel behind them: 0.1 s at 5 Mbit/s
+MAX_CHUNKS_IN_FLIGHT = 2  # heartbeats and votes queue behind them, for 0.1 s at 5 Mbit/s
 MIN_LINK_BYTES_PER_S = 125_000  # a message counts as lost only when a link of this rate would have carried it
 MAX_RESEND_S = 5.0
 MAX_RESEND_DOUBLINGS = 10
-COMMIT_NOTICE_INTERVAL_S = 0.02  # between messages to one follower that only tell it a higher commit index
+COMMIT_NOTICE_INTERVAL_S = 0.02  # between messages to one follower that carry only a higher commit index
 
 
 class ProgressMode(Enum):
@@ -55,8 +55,8 @@
 
     member: Member
     next_index: int
-    last_contact_at: float  # when anything last came from it
-    stable_since: float  # since when it has been heard from without a long gap
+    last_contact_at: float  # when its last message arrived
+    stable_since: float  # since when it has been in contact without a long gap
     match_index: int = 0
     stamp: float = float("-inf")  # the newest stamp that it has repeated
     eligible: bool = True
@@ -66,14 +66,14 @@
     sent_at: float = float("-inf")
     sent_stamp: float = float("-inf")
     resends: int = 0  # in a row, without anything being acknowledged
-    snapshot: Snapshot | None = None  # the one in transfer: it is sent to its end, whatever is compacted meanwhile
+    snapshot: Snapshot | None = None  # the one in transfer, sent completely even if a newer one replaces it meanwhile
     snapshot_offset: int = 0  # bytes of it that have arrived
     snapshot_sent: int = 0
     commit_index_sent: int = 0  # the highest commit index that it was sent
     commit_index_sent_at: float = float("-inf")
 
     def resend(self) -> None:
-        """Counts what is in flight as lost and goes back to what was last acknowledged."""
+        """Counts the messages in flight as lost and continues from the last acknowledged position."""
         self.in_flight = 0
         self.bytes_in_flight = 0
         if self.mode is ProgressMode.SNAPSHOT:
@@ -84,7 +84,7 @@
             self.next_index = self.match_index + 1
 
     def begin_transfer(self, snapshot: Snapshot) -> None:
-        """The log doesn't reach back to what the follower has: it gets a snapshot first."""
+        """Starts to transfer a snapshot, since the log no longer has the entries that the follower needs next."""
         self.mode = ProgressMode.SNAPSHOT
         self.snapshot = snapshot
         self.snapshot_offset = 0
@@ -93,7 +93,7 @@
         self.bytes_in_flight = 0
 
     def resend_after(self, resend_s: float) -> float:
-        """Seconds without a response after which what is in flight counts as lost; doubled with each time in a row."""
+        """Seconds without a response after which messages in flight count as lost; doubled by each resend in a row."""
         transmission_s = self.bytes_in_flight / MIN_LINK_BYTES_PER_S
         return min(MAX_RESEND_S, resend_s * 2.0 ** min(self.resends, MAX_RESEND_DOUBLINGS)) + transmission_s
 
@@ -110,7 +110,7 @@
         self._heartbeat_due = 0.0
 
     def start(self) -> None:
-        """Begins a term of leadership by an entry that repeats the configuration; it commits what came before."""
+        """Begins a term of leadership by an entry that repeats the configuration; its commit covers earlier ones."""
         state = self._state
         self.progress = {}
         self.learners = {}
@@ -126,7 +126,7 @@
         return index
 
     def sync_progress(self) -> None:
-        """Keeps a progress for each voter and learner, and for nobody else."""
+        """Creates missing `Progress` records of voters and learners, and removes those of other replicas."""
         state = self._state
         members = {**self.learners, **state.configuration.members()}
         for member_id, member in members.items():
@@ -136,7 +136,7 @@
             del self.progress[member_id]
 
     def tick(self) -> None:
-        """Sends heartbeats when they are due and sends again what has had no response for too long."""
+        """Sends heartbeats that are due, and resends messages that have had no response for too long."""
         state = self._state
         if state.now >= self._heartbeat_due:
             self.broadcast_heartbeat()
@@ -147,12 +147,12 @@
                 progress.resend()
 
     def resume(self, progress: Progress) -> None:
-        """A follower is heard from again after a gap: nothing of what it was sent meanwhile counts as received."""
+        """Resends after a gap in the contact with a follower: all messages in flight to it count as lost."""
         progress.resends = 0
         progress.resend()
 
     def discard_acknowledgements(self, address: Address) -> None:
-        """The connections with a process have ended: it counts towards a quorum again with its next response."""
+        """Called when the connections with a process have ended: it counts towards a quorum again once it responds."""
         for progress in self.progress.values():
             if progress.member.address == address:
                 progress.stamp = float("-inf")
@@ -163,7 +163,7 @@
         return min(indexes, default=None)
 
     def broadcast_heartbeat(self) -> None:
-        """Heartbeats fall on multiples of their interval, so those of several groups travel together."""
+        """Sends heartbeats, on multiples of their interval, so that those of several groups share an envelope."""
         state = self._state
         self._heartbeat_due = (state.now // state.timing.heartbeat_s + 1) * state.timing.heartbeat_s
         stamp = state.stamp()
@@ -173,7 +173,7 @@
             self._send_heartbeat(member_id, progress, stamp, seconds_since_quorum)
 
     def send_commit_index(self) -> None:
-        """Tells followers what they may apply now, so that a change need not wait for the next heartbeat."""
+        """Sends a higher commit index to followers, so that a command need not wait for the next periodic heartbeat."""
         state = self._state
         for member_id, progress in self.progress.items():
             has_advanced = min(state.commit_index, progress.match_index) > progress.commit_index_sent
@@ -181,7 +181,7 @@
                 self._send_heartbeat(member_id, progress, state.stamp(), state.now - state.last_quorum_at)
 
     def _send_heartbeat(self, member_id: int, progress: Progress, stamp: float, seconds_since_quorum: float) -> None:
-        """A heartbeat's commit index is bounded by the match index: the follower may hold other entries behind it."""
+        """Bounds the commit index by the match index: later entries in the follower's log may be different ones."""
         state = self._state
         progress.commit_index_sent = min(state.commit_index, progress.match_index)
         progress.commit_index_sent_at = state.now
@@ -228,7 +228,7 @@
             progress.bytes_in_flight = 0
 
     def handle_snapshot_response(self, member_id: int, response: InstallSnapshotResponse) -> None:
-        """Notes how much of a snapshot has arrived.
+        """Records how much of a snapshot has arrived.
 
         A response without progress means a gap where it repeats the newest stamp: a chunk before that one was lost.
         With an older stamp it may have been overtaken by what was sent since, so it is ignored.
@@ -289,11 +289,11 @@
                 return progress.next_index <= last_index and has_headroom and progress.in_flight < MAX_APPENDS_IN_FLIGHT
 
     def _is_alive(self, progress: Progress) -> bool:
-        """Whether a transfer goes on: a voter whose disk is gone must not hold up the one that has its address now."""
+        """Whether the receiver is in contact: a voter whose disk is gone must not block the next id at its address."""
         return self._state.now - progress.last_contact_at < self._state.timing.election_min_s
 
     def _needs_snapshot(self, progress: Progress) -> bool:
-        """Whether a snapshot has to come first, since the log doesn't reach back far enough."""
+        """Whether a snapshot has to be sent first, since the log doesn't reach back far enough."""
         return progress.mode is ProgressMode.SNAPSHOT or self._state.log.term_at(progress.next_index - 1) is None
 
     def _send_append(self, member_id: int, progress: Progress) -> None:
@@ -308,7 +308,7 @@
             progress.next_index += len(entries)
 
     def _send_chunk(self, member_id: int, progress: Progress) -> None:
-        """Sends the next chunk; where all were sent and none is in flight, the last one again."""
+        """Sends the next chunk, or the last one again if all were sent and none is in flight."""
         state = self._state
         if progress.mode is not ProgressMode.SNAPSHOT:
             progress.begin_transfer(state.log.snapshot)
--- a/ochrespan/raft/leader_balancer.py
+++ b/ochrespan/raft/leader_balancer.py
@@ -4,7 +4,7 @@
 
 from .local_groups import LocalGroups
 
-MIN_STABLE_S = 5.0  # a voter in contact for this long may be given the groups that it should lead
+MIN_STABLE_S = 5.0  # a voter in contact for this long may be made leader of the groups that it should lead
 TRANSFER_INTERVAL_S = 1.0
 
 
@@ -16,7 +16,7 @@
         self._next_transfer_at = now
 
     def tick(self, now: float) -> None:
-        """Transfers one group at most, once a TRANSFER_INTERVAL_S."""
+        """Transfers one group at most every TRANSFER_INTERVAL_S."""
         if now >= self._next_transfer_at:
             self._next_transfer_at = now + TRANSFER_INTERVAL_S
             self._transfer_one(now)
--- a/ochrespan/raft/leadership_transfer.py
+++ b/ochrespan/raft/leadership_transfer.py
@@ -1,8 +1,9 @@
-"""Planned transfer of leadership: the successor gets the rest of the log, then is told to campaign at once.
+"""Planned transfer of leadership: the successor gets the rest of the log, then `TimeoutNow`, and campaigns at once.
 
-TimeoutNow may arrive at any later time, and an election that it starts ignores the lease of the leader that sent it. It
-starts one in the term after the leader's alone. So a leader that has sent one never leads in its term again: where the
-successor does not take over in time, it campaigns in the next term itself, in which the message has no effect.
+TimeoutNow may be delayed without limit, and the election that it starts ignores the lease of the leader that sent it.
+That election is always for the term after the leader's. So a leader that has sent TimeoutNow never leads in its term
+again: where the successor does not take over in time, it campaigns in the next term itself, in which the message has no
+effect.
 
 Source: Ongaro, "Consensus: Bridging Theory and Practice", section 3.10.
 """
@@ -17,8 +18,8 @@
 class LeadershipTransfer:
     """One attempt at a time. While it is in progress the leader accepts no proposals.
 
-    An attempt whose successor was not told to campaign times out by itself, and leadership goes on. One whose successor
-    was told ends with the leader's term.
+    An attempt that has not sent TimeoutNow yet times out, and leadership continues. One that has sent it ends with the
+    leader's term.
     """
 
     def __init__(self, state: ReplicaState, replication: LeaderReplication) -> None:
@@ -33,12 +34,12 @@
 
     @property
     def is_successor_notified(self) -> bool:
-        """Whether the successor was told to campaign: it may lead from now on, whatever this leader hears."""
+        """Whether TimeoutNow was sent: the successor may lead from then on, whatever messages this leader receives."""
         return self._timeout_now_sent
 
     @property
     def has_successor_failed(self) -> bool:
-        """Whether the successor was told to campaign and has not taken over in time."""
+        """Whether TimeoutNow was sent and the successor has not taken over in time."""
         return self._timeout_now_sent and self._state.now >= self._deadline
 
     @property
@@ -47,13 +48,13 @@
         return self._target != 0
 
     def reset(self) -> None:
-        """A new term: whatever was attempted is over."""
+        """Ends any attempt, since a new term has begun."""
         self._target = 0
         self._deadline = float("-inf")
         self._timeout_now_sent = False
 
     def clear_attempt(self) -> None:
-        """The reason for a transfer is gone; one that is in progress goes on."""
+        """Clears a past attempt, since there is no reason for a transfer any more; one in progress continues."""
         if not self.in_progress:
             self._target = 0
 
@@ -62,7 +63,7 @@
 
         Args:
             target: Replica id of the successor. Where it is 0 or not eligible, the eligible voter with the highest
-                match index among those heard from lately is chosen; without one nothing happens.
+                match index among those in contact lately is chosen; without one nothing happens.
         """
         if self.in_progress:
             return
@@ -74,7 +75,7 @@
             self.advance()
 
     def advance(self) -> None:
-        """Tells the successor to campaign once it has the complete log."""
+        """Sends TimeoutNow to the successor once it has the complete log."""
         progress = self._replication.progress.get(self._target)
         if not self.in_progress or self._timeout_now_sent or not progress:
             return
--- a/ochrespan/raft/local_groups.py
+++ b/ochrespan/raft/local_groups.py
@@ -28,7 +28,7 @@
         self.bootstrap = bootstrap
         self.timing = timing
         self.outbox: list[tuple[Address, int, Any]] = []  # address, replica id (0: unknown), message
-        # Whether the leader of a group accepts commands as far as the initial members are concerned
+        # Whether the leader of a group may accept commands, given which initial members have joined (see `opening`)
         self.may_accept_commands: Callable[[Replica], bool] = lambda _replica: True
         self._random = source
         self.replicas = {group: self._create_replica(group, state, now) for group, state in durable.items()}
@@ -45,7 +45,7 @@
 
     @property
     def has_acknowledged_nothing(self) -> bool:
-        """Whether this cluster cannot have acknowledged a command yet: the groups here have not even a marker."""
+        """Whether this cluster cannot have acknowledged a command: the groups here have neither marker nor command."""
         return all(
             replica.state.log.marker_index is None and not replica.state.log.has_commands
             for replica in self.replicas.values()
@@ -53,7 +53,7 @@
 
     @property
     def has_voted(self) -> bool:
-        """Whether a replica has entered a term, and with it may have voted."""
+        """Whether a replica has entered a term, so that it may have voted."""
         return any(replica.state.term for replica in self.replicas.values())
 
     @property
@@ -73,7 +73,7 @@
             self.outbox.append((address, to, message))
 
     def abandon_bootstrap(self, now: float) -> None:
-        """Leaves a cluster that has acknowledged nothing: continues with empty replicas under a new id."""
+        """Leaves a cluster that has acknowledged no command: continues with empty replicas under a new id."""
         self.bootstrap.abandon()
         for group in self.replicas:
             self.replicas[group] = self._create_replica(group, PersistentState(), now)
--- a/ochrespan/raft/log.py
+++ b/ochrespan/raft/log.py
@@ -24,9 +24,9 @@
 class ReplicaLog:
     """Entries from `first_index` on. A configuration is in force as soon as its entry is in the log.
 
-    Three positions tell how far the disk is: up to `persisted_index` entries are on it, up to `_write_end` a write is
-    in flight, and up to `_taken_index` they were handed out for writing. The last two differ only where entries were
-    truncated or appended since.
+    Three indexes track how much is on the disk: entries up to `persisted_index` are persisted, those up to `_write_end`
+    are covered by the write in flight, and those up to `_taken_index` were handed out for writing. The last two differ
+    only where entries were truncated or appended since.
     """
 
     def __init__(self, snapshot: Snapshot = EMPTY_SNAPSHOT, entries: list[Entry] | None = None) -> None:
@@ -119,7 +119,7 @@
         return self.last_index
 
     def merge(self, previous_index: int, entries: list[Entry]) -> None:
-        """Takes a leader's entries: those that match stay, and the log is truncated at the first conflict."""
+        """Adds a leader's entries: those that match are retained, and the log is truncated at the first conflict."""
         for index, entry in enumerate(entries, previous_index + 1):
             if index <= self._start:
                 continue
@@ -142,7 +142,7 @@
         transfer_index: int | None = None,
         transfer_retained_bytes: int = 0,
     ) -> None:
-        """Replaces entries up to `snapshot.index` by it, except the newest of them, for followers that lag a little.
+        """Replaces entries up to `snapshot.index` by it, but retains the newest for followers that lag a little.
 
         Args:
             snapshot: The state after an applied index.
@@ -172,7 +172,7 @@
         self._configurations = [(start, self.configuration_at(start)), *later]
 
     def take_unpersisted(self) -> tuple[int, list[Entry]]:
-        """The first index and the entries that no write has covered; the next `persisted` is about them."""
+        """The first index and the entries that no write has covered; the next `persisted` confirms them."""
         first = self._taken_index + 1
         self._taken_index = self._write_end = self.last_index
         return first, self._entries[first - self._start - 1 :]
@@ -182,7 +182,7 @@
         return self._taken_index < self.last_index
 
     def persisted(self) -> None:
-        """The write that was in flight is on the disk."""
+        """Called when the write in flight is on the disk."""
         self.persisted_index = max(self.persisted_index, self._write_end)
 
     def _push(self, entry: Entry) -> None:
@@ -193,7 +193,7 @@
             self._marker_index = self.last_index
 
     def _truncate(self, index: int) -> None:
-        """Drops the entries from `index` on; a write in flight no longer says anything about them."""
+        """Drops the entries from `index` on; a write in flight no longer covers these indexes."""
         del self._entries[index - self._start - 1 :]
         if self._marker_index is not None and self._marker_index >= index:
             self._marker_index = None
--- a/ochrespan/raft/membership_config.py
+++ b/ochrespan/raft/membership_config.py
@@ -49,13 +49,13 @@
         return any(member.id == replica_id for member in (*self.voters, *self.outgoing))
 
     def has_majority(self, agreeing: Callable[[int], bool]) -> bool:
-        """Whether the replicas for which `agreeing` holds decide for the group."""
+        """Whether the replicas for which `agreeing` is true are a majority; of each side, amid a change of voters."""
         return bool(self.voters) and all(
             2 * sum(agreeing(member.id) for member in side) > len(side) for side in (self.voters, self.outgoing) if side
         )
 
     def majority_value(self, value_of: Callable[[int], float]) -> float:
-        """The largest value that a majority has reached; of both sides, while a change is under way."""
+        """The largest value that a majority has reached; a majority of each side, while a change is under way."""
         reached = []
         for side in (self.voters, self.outgoing):
             if side:
--- a/ochrespan/raft/messages.py
+++ b/ochrespan/raft/messages.py
@@ -89,11 +89,11 @@
 
 @dataclass(slots=True)
 class HeartbeatResponse:
-    """The follower is alive; also what a leader of an older term gets, with the newer term."""
+    """The follower is alive; also sent, with the newer term, to a leader of an older term."""
 
     term: int
     stamp: float
-    eligible: bool  # whether it would lead: its disk keeps up
+    eligible: bool  # whether it may lead: its disk keeps up with the writes
 
 
 @dataclass(slots=True)
--- a/ochrespan/raft/multi_raft.py
+++ b/ochrespan/raft/multi_raft.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredGroups:
-    """What a process knows from its disk when it starts."""
+    """The state that a process reads from its disk when it starts."""
 
     identity: Identity | None  # None: the disk is empty
     replicas: dict[int, PersistentState]  # by group, one for each group that the process has a replica of
@@ -42,7 +42,7 @@
     """Routes messages to the replicas and collects what they send and write.
 
     Args:
-        settings: what the deployment says of this process.
+        settings: the bootstrap settings of this process.
         recovered: what is on the disk; its groups are those that the process takes part in.
         source: for replica ids and election time-outs.
         now: seconds of the steady clock, as in all methods.
@@ -80,7 +80,7 @@
         return self._local.has_acknowledged_nothing and self.opening.awaits_others
 
     def tick(self, now: float) -> None:
-        """Does what is due by the clock."""
+        """Runs the periodic work that is due."""
         for replica in self.replicas.values():
             replica.tick(now)
         self._planned_leave.tick(now)
@@ -112,7 +112,7 @@
                     self.opening.advance(now)
 
     def peer_disconnected(self, now: float, address: Address) -> None:
-        """The connection from a process has ended: if it led, it has probably failed, and pre-vote shows whether."""
+        """Called when the connection from a process has ended: a leader there may have failed, as pre-votes show."""
         for replica in self.replicas.values():
             replica.peer_disconnected(now, address)
 
@@ -167,7 +167,7 @@
             replica.withhold_votes(now, withholding_votes)
 
     def _receive_for_other_id(self, now: float, envelope: Envelope) -> None:
-        """The sender knows another replica id at this address: it learns the current one from a join request."""
+        """Sends a join request, with the current replica id, to a sender that used another one for this address."""
         if any(isinstance(message, AppendEntries | Heartbeat | InstallSnapshot) for _, message in envelope.frames):
             self.bootstrap.record_existing_group()
         self._local.send(envelope.address, 0, build_join_request(self._local, now, every_group=True))
--- a/ochrespan/raft/opening.py
+++ b/ochrespan/raft/opening.py
@@ -2,15 +2,15 @@
 
 A majority of the initial members is enough to form the groups. But an initial member that has lost its disk while its
 settings still say `bootstrap: true` looks like one that starts for the first time. Together with one that is late it
-may form a second cluster, if the members of the first one are out of reach, and no process can tell that from a first
-start. So a cluster acknowledges nothing before every initial member has been in it. In each group the leader
+may form a second cluster, if the members of the first one are unreachable, and no process can distinguish that from a
+first start. So a cluster acknowledges no command before every initial member has been in it. In each group the leader
 
 1. waits until each initial member is a voter and has acknowledged an entry: its disk belongs to this cluster;
 2. appends a marker, a command without content, and waits until each initial member has acknowledged that too.
 
 Then it accepts commands. A process whose logs have no marker and no command therefore knows that its cluster has
-acknowledged nothing, and may leave it. Groups of a cluster that has accepted a command are open, as are those of an
-operator who has confirmed that the missing initial members will not come (`proceed_without_missing`).
+acknowledged no command, and may leave it. Groups of a cluster that has accepted a command are open, as are those for
+which an operator has confirmed that the missing initial members will not join (`proceed_without_missing`).
 """
 
 from __future__ import annotations
@@ -45,11 +45,11 @@
         return bool(self._awaited_members())
 
     def proceed_without_missing(self) -> None:
-        """An operator confirms that no initial member which is missing belongs to another cluster."""
+        """Called when an operator confirms that no missing initial member belongs to another cluster."""
         self._proceeds_without_missing = True
 
     def is_open(self, replica: Replica) -> bool:
-        """Whether the leader of a group accepts commands as far as the initial members are concerned."""
+        """Whether the leader of a group may accept commands, given which initial members have joined."""
         if self._proceeds_without_missing or self._local.has_commands:
             return True
         initial_members = self._awaited_members()
--- a/ochrespan/raft/planned_leave.py
+++ b/ochrespan/raft/planned_leave.py
@@ -7,7 +7,7 @@
 from .state import Role
 
 LEAVE_INTERVAL_S = 0.1
-MAX_REPLACEMENT_S = 0.4  # a leader that leaves waits no longer than this for a standby to become a voter
+MAX_REPLACEMENT_S = 0.4  # a leader that shuts down waits no longer than this for a standby to become a voter
 
 
 class PlannedLeave:
--- a/ochrespan/raft/reads.py
+++ b/ochrespan/raft/reads.py
@@ -10,7 +10,7 @@
 from .leader import LeaderReplication
 from .state import ReplicaState
 
-# A read begins no further round of heartbeats sooner than this after one that is not yet confirmed.
+# Minimum interval before reads start another round of heartbeats while the last one is not confirmed.
 READ_HEARTBEAT_INTERVAL_S = 0.02
 
 
@@ -18,8 +18,8 @@
     """A read that waits for its confirmation."""
 
     stamp: float  # of the leader's clock when the read began: a majority has to repeat this one or a later one
-    commit_index: int  # at that time; it has to be applied
-    token: Any  # the caller's
+    commit_index: int  # of the leader when the read began; has to be applied
+    token: Any  # identifies the read to the caller
 
 
 class ConfirmedReads:
--- a/ochrespan/raft/reconfiguration.py
+++ b/ochrespan/raft/reconfiguration.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupHealth:
-    """What a leader knows of the voters and of the candidates to replace them."""
+    """A leader's view of the voters and of the standbys that may replace them."""
 
     standbys: tuple[Member, ...]  # learners that have caught up
     lost: tuple[int, ...]  # voters that timed out, leave, or came back under another id; the longest lost first
@@ -30,9 +30,9 @@
     """The voters that a group should change to, or None if it should stay as it is.
 
     A lost voter is replaced by a standby. Above `min_voters`, a lost voter of a group of even size is removed, and one
-    whose disk is gone from a group of any size. A group grows only while all its voters respond, or the ids of lost
-    disks could stay in it for good. A group of even size gains one standby, a group of odd size two, since a single one
-    would not raise the number of failures that it tolerates.
+    whose disk is gone from a group of any size. A group grows only while all its voters respond; otherwise the ids
+    of lost disks could stay in it for good. A group of even size gains one standby, a group of odd size two, since a
+    single one would not raise the number of failures that it tolerates.
     """
     voters = configuration.voters
     standbys = health.standbys
@@ -64,7 +64,7 @@
         self._replication = replication
         self.min_voters = min_voters
         self._replaced: set[int] = set()  # voters whose address another id has taken
-        self._leaving_until: dict[int, float] = {}  # voters that announced a planned shutdown, and until when it counts
+        self._leaving_until: dict[int, float] = {}  # by voter: when its notice of a planned shutdown expires
 
     def leave(self, member_id: int) -> None:
         """A voter is about to shut down; as it may come back under the same id, this expires."""
@@ -120,7 +120,7 @@
         return GroupHealth(self.standbys(), tuple(lost), replaced, has_contact_with_all)
 
     def failures_tolerated(self) -> int:
-        """How many more voters may fail while the others are still a majority; below 0: they are none now."""
+        """How many more voters may fail while the others are still a majority; negative if they are none now."""
         configuration = self._state.configuration
         sides = (side for side in (configuration.voters, configuration.outgoing) if side)
         return min(self._count_in_contact(side) - (len(side) // 2 + 1) for side in sides)
--- a/ochrespan/raft/replica.py
+++ b/ochrespan/raft/replica.py
@@ -38,9 +38,9 @@
 from .state import PersistentState, PersistentUpdate, ReplicaSettings, ReplicaState, Role
 
 MEMBERS_WAIT_S = 0.6  # how long a new leader of a new group waits for enough members before its first command
-RETAINED_ENTRIES = 500  # entries kept behind a snapshot, so that followers who lag a little need no snapshot
+RETAINED_ENTRIES = 500  # before the index of a snapshot, so that followers that lag a little need no snapshot
 RETAINED_BYTES = 1024 * 1024
-MAX_TRANSFER_RETAINED_BYTES = 16 * 1024 * 1024  # the same behind a snapshot that is being transferred to a follower
+MAX_TRANSFER_RETAINED_BYTES = 16 * 1024 * 1024  # limit in place of RETAINED_BYTES during a snapshot transfer
 
 
 class Replica:
@@ -54,9 +54,7 @@
         self.state.on_step_down = self._stepped_down
         self.replication = LeaderReplication(self.state)
         self.reconfiguration = Reconfiguration(self.state, self.replication, settings.min_voters)
-        self.failed_reads: list[
-            Any
-        ] = []  # tokens of reads that waited when the leadership ended; the caller empties it
+        self.failed_reads: list[Any] = []  # tokens of reads pending when leadership ended; emptied by the caller
         self._election = Election(self.state, self._elected)
         self._follower = Follower(self.state)
         self._reads = ConfirmedReads(self.state, self.replication)
@@ -69,10 +67,10 @@
 
     @property
     def is_leader(self) -> bool:
-        """Leader whose own term's first entry is committed: its state holds all that was ever acknowledged.
+        """Whether this replica leads and its term's first entry is committed, so that it has every acknowledged entry.
 
-        Not once another was told to campaign, for the rest of the term: that one is elected however lately a majority
-        was heard here.
+        False for the rest of the term once TimeoutNow was sent: the successor may be elected however recently a
+        majority has responded to this leader.
         """
         state = self.state
         has_started = state.role is Role.LEADER and state.commit_index >= self.replication.term_start_index
@@ -94,8 +92,8 @@
     def _awaits_members(self) -> bool:
         """Before its first command a group waits a while until it tolerates as many failures as it has to.
 
-        What a majority of a group that is too small, or amid a change of members, has acknowledged could be lost with
-        them.
+        In a group that is too small, or amid a change of members, the loss of the tolerated number of disks could lose
+        an acknowledged entry.
         """
         state = self.state
         if state.log.has_commands or state.now - (state.leader_since or state.now) >= MEMBERS_WAIT_S:
@@ -113,7 +111,7 @@
         return self._leadership_transfer.in_progress
 
     def seconds_since_quorum(self, now: float) -> float:
-        """Seconds since this replica knew that the group has a majority."""
+        """Seconds since the leader is last known here to have had a majority."""
         return now - self.state.last_quorum_at
 
     def lease_age_s(self, now: float) -> float:
@@ -126,7 +124,7 @@
     # Events
 
     def bootstrap(self, now: float, configuration: MembershipConfig) -> None:
-        """The group begins with these members, in place of a bootstrap that has left no entry here."""
+        """Begins the group with these members; an earlier bootstrap, if any, has left no entry here."""
         state = self.state
         state.now = now
         state.install(Snapshot(0, 0, configuration, b""))
@@ -135,7 +133,7 @@
         self.tick(now)
 
     def tick(self, now: float) -> None:
-        """Time has passed: heartbeats, time-outs, elections and changes of members that are due."""
+        """Handles the heartbeats, time-outs, elections and changes of members that are due."""
         self.state.now = now
         if self.state.role is Role.LEADER:
             self._lead()
@@ -143,7 +141,7 @@
         self._deliver_own_votes()
 
     def receive(self, now: float, sender: int, message: Message) -> None:
-        """A message of another replica of this group has arrived."""
+        """Handles a message from another replica of this group."""
         self.state.now = now
         match message:
             case RequestVote():
@@ -178,15 +176,15 @@
         return True
 
     def join(self, now: float, member: Member) -> None:
-        """A replica that is no voter requests to be a learner."""
+        """Adds a replica that is no voter as a learner, at its request, if this one leads."""
         self.state.now = now
         if self.state.role is Role.LEADER:
             self.reconfiguration.join(member)
 
     def peer_disconnected(self, now: float, address: Address) -> None:
-        """The connections with a process have ended: its replica may elect another leader sooner than by time-out.
+        """Called when the connections with a process have ended: if it led, an election may start before the time-out.
 
-        What it acknowledged before is no sign of a majority any more.
+        Its earlier responses no longer count towards a leader's majority.
         """
         state = self.state
         state.now = now
@@ -231,7 +229,7 @@
             )
 
     def full_update(self) -> PersistentUpdate:
-        """All that a disk needs to know of this replica, for a checkpoint."""
+        """The complete durable state of this replica, for a checkpoint."""
         state = self.state
         log = state.log
         first = log.snapshot.index + 1
@@ -274,7 +272,7 @@
         return restored
 
     def take_committed(self) -> list[tuple[int, Entry]]:
-        """Committed entries that the state machine hasn't got, in order, each with its index."""
+        """Committed entries that the state machine has not received yet, in order, each with its index."""
         state = self.state
         first = state.applied_index + 1
         committed = [(index, state.log.entry(index)) for index in range(first, state.commit_index + 1)]
@@ -288,7 +286,7 @@
     # Leader
 
     def _lead(self) -> None:
-        """One tick of a leader, which steps down without a majority, or when it may not lead and nobody takes over."""
+        """One tick of a leader, which steps down without a majority, or if it may not lead and no transfer succeeds."""
         state = self.state
         self._record_quorum()
         if state.now - max(state.last_quorum_at, state.leader_since or 0.0) > state.timing.election_max_s:
@@ -311,7 +309,7 @@
         self.replication.tick()
 
     def _record_quorum(self) -> None:
-        """Notes when a majority last responded."""
+        """Records when a majority last responded."""
         stamp = self.replication.quorum_stamp()
         self._lease_start = max(self._lease_start, stamp)
         self.state.last_quorum_at = max(self.state.last_quorum_at, stamp)
--- a/ochrespan/raft/state.py
+++ b/ochrespan/raft/state.py
@@ -1,4 +1,4 @@
-"""What the parts of a replica share: term, vote, role, log, and what is to be sent, written and applied."""
+"""State shared by the parts of a replica: term, vote, role, log, and what is to be sent, written and applied."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Role(Enum):
-    """Raft's roles, with the state of one that asks for pre-votes."""
+    """Raft's roles, and PRE_CANDIDATE for a replica that requests pre-votes."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """Spans in seconds of the steady clock."""
+    """Intervals and time-outs of the protocol, in seconds."""
 
     heartbeat_s: float = 0.12
     election_min_s: float = 0.6
@@ -31,14 +31,14 @@
     resend_s: float = 0.3
     voter_timeout_s: float = 1.0
     replaced_voter_timeout_s: float = 0.3  # the same for a voter whose address another id has taken
-    disconnect_timeout_s: float = 0.2  # after its connection has ended, the time in which a leader has to be back
+    disconnect_timeout_s: float = 0.2  # a leader whose connection has ended has to be in contact again within this time
     learner_timeout_s: float = 3.0
     leadership_transfer_s: float = 0.6
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaSettings:
-    """What a replica is told at its start and keeps."""
+    """The settings of one replica, fixed at its start."""
 
     group: int
     replica_id: int
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class PersistentState:
-    """What a replica needs from its disk when it starts."""
+    """The state that a replica reads from its disk when it starts."""
 
     term: int = 0
     vote: int = 0
@@ -134,7 +134,7 @@
     # Election deadlines. Each is drawn at random; the preferred leader's span comes first, so that it usually wins.
 
     def reset_election_deadline(self) -> None:
-        """A leader was heard from: the preferred successor waits the shortest span, the others longer."""
+        """Restarts the time-out after contact with a leader; shortest for the preferred leader, so that it succeeds."""
         min_s = self.timing.election_min_s
         max_s = self.timing.election_max_s
         middle_s = min_s + (max_s - min_s) / 4
@@ -180,7 +180,7 @@
         self.outbox.append((to, message))
 
     def send_when_persisted(self, to: int, message: Message) -> None:
-        """Holds a message back until all that is in memory now has been written."""
+        """Queues a message that is sent once everything in memory now has been persisted."""
         write = self._writes_started + self.needs_write()
         if write > self._writes_completed:
             self._pending_messages.append((write, to, message))
@@ -221,7 +221,7 @@
             self.on_step_down()
 
     def install(self, snapshot: Snapshot) -> None:
-        """Takes a snapshot in place of the log and of the state machine's state."""
+        """Replaces the log and the state machine's state by a snapshot."""
         self.log.reset(snapshot)
         self._snapshot_dirty = True
         self.commit_index = max(self.commit_index, snapshot.index)
@@ -246,7 +246,7 @@
         return PersistentUpdate(self.group, self.term, self.vote, snapshot, first_index, entries)
 
     def persisted(self) -> None:
-        """The write that `take_update` started is on the disk: what waited for it may be sent."""
+        """The write that `take_update` started is on the disk: messages that waited for it may be sent."""
         completed = self._writes_completed = self._writes_started
         self.log.persisted()
         self.outbox += [(to, message) for write, to, message in self._pending_messages if write <= completed]
