--- a/ochrespan/common/__init__.py
+++ b/ochrespan/common/__init__.py
@@ -1,4 +1,4 @@
-"""What all packages share: network addresses, and the validation of documents and settings.
+"""Code shared by all packages: network addresses, and the validation of documents and settings.
 
 State: none. Imports: the standard library alone.
 """
--- a/ochrespan/common/validation.py
+++ b/ochrespan/common/validation.py
@@ -1,7 +1,7 @@
-"""Validation of documents and settings: all faults are collected with their places, then reported together.
+"""Validation of documents and settings: all faults are collected with their paths, then reported together.
 
-A `Check` is a function that appends the faults of a value to a list of findings, and raises nothing. The functions here
-make checks: `text`, `integer` and `number` for bounds, `list_of`, `map_of` and `optional` from the check of an item,
+A `Check` is a function that appends the faults of a value to a list of findings, and never raises. The functions here
+build checks: `text`, `integer` and `number` for bounds, `list_of`, `map_of` and `optional` from the check of an item,
 and `typed_dict(SomeTypedDict)` from the annotations of a TypedDict, whose fields carry their checks as
 `Annotated[type, check]`. Fields that a TypedDict doesn't name are allowed, as a newer version may send them.
 
@@ -25,8 +25,8 @@
     """One fault of a document.
 
     Attributes:
-        where: The place, such as `services[0].name`; empty for the document itself.
-        found: What was found there, in short.
+        where: The path of the value, such as `services[0].name`; empty for the document itself.
+        found: A short rendering of what was found there.
         allowed: What is allowed there.
     """
 
@@ -46,7 +46,7 @@
     """Collects the findings of several checks. Only the first MAX_FINDINGS are kept.
 
     Attributes:
-        total: How many were added; checks that depend on earlier ones compare it, as the length is bounded.
+        total: How many were added, also beyond MAX_FINDINGS; checks that depend on earlier ones compare this number.
     """
 
     def __init__(self) -> None:
@@ -55,7 +55,7 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether further findings are only counted: their texts need not be made."""
+        """Whether further findings are only counted: their texts need not be built."""
         return len(self) >= MAX_FINDINGS
 
     def error(self) -> ValidationError:
@@ -64,7 +64,7 @@
 
 
 Check = Callable[[Any, str, Findings], None]
-"""`check(value, where, findings)` appends the faults of `value`, which stands at `where` in its document."""
+"""`check(value, where, findings)` appends the faults of `value`, whose path in its document is `where`."""
 
 
 class ValidationError(ValueError):
@@ -123,7 +123,7 @@
 
 
 def integer(minimum: int = 0, maximum: int = MAX_INTEGER) -> Check:
-    """Checks for an integer of `minimum` to `maximum`; true and false are none."""
+    """Checks for an integer of `minimum` to `maximum`; true and false are not accepted."""
     allowed = f"a whole number of {minimum} to {maximum}"
 
     def check(value: Any, where: str, findings: Findings) -> None:
--- a/ochrespan/membership/agent.py
+++ b/ochrespan/membership/agent.py
@@ -1,7 +1,7 @@
 """The SWIM agent of a process: owns the datagram socket and the clock, and drives `SwimProtocol` with both.
 
-`SwimProtocol` is not thread-safe and doesn't yield: the greenlet of `_run` and those of received datagrams call it in
-turn.
+`SwimProtocol` is not thread-safe and doesn't yield: the greenlet of `_run` and those of received datagrams call it
+one after the other.
 """
 
 from __future__ import annotations
@@ -83,7 +83,7 @@
         self._endpoint.stop()
 
     def seeds_changed(self, seeds: Iterable[Address]) -> None:
-        """Takes the seeds of reloaded settings; members that are known stay."""
+        """Replaces the seeds by those of reloaded settings; known members are retained."""
         self._protocol.seeds_changed(tuple(seeds))
 
     def routers(self) -> list[str]:
@@ -95,7 +95,7 @@
         return {member.address: member.zone for member in self._protocol.alive(CONTROLLER_ROLE)}
 
     def alive(self, role: str | None = None) -> list[FleetMember]:
-        """The alive members with a role, or with any where it is None, this process among them."""
+        """The alive members with a role, or of all roles where it is None, this process included."""
         return self._protocol.alive(role)
 
     def _run(self) -> None:
--- a/ochrespan/membership/gossip_queue.py
+++ b/ochrespan/membership/gossip_queue.py
@@ -1,4 +1,4 @@
-"""Which member updates are still to be disseminated, and how often each was transmitted.
+"""The queue of member updates to disseminate, with the number of transmissions of each.
 
 SWIM piggybacks updates on its probe messages and sends each of them a limited number of times, the least transmitted
 first (Das, Gupta, Motivala, "SWIM", 2002, section 4.1).
@@ -14,13 +14,13 @@
 
 
 class GossipQueue:
-    """Addresses of the members with an update to disseminate. The update itself is made when it is sent."""
+    """Addresses of the members with an update to disseminate. The update itself is built when it is sent."""
 
     def __init__(self) -> None:
         self._transmissions: dict[Address, int] = {}
 
     def push(self, address: Address) -> None:
-        """Disseminates the newest update about a member, from a transmission count of 0."""
+        """Queues the newest update about a member, with a transmission count of 0."""
         self._transmissions[address] = 0
 
     def discard(self, address: Address) -> None:
--- a/ochrespan/membership/member_table.py
+++ b/ochrespan/membership/member_table.py
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class MemberUpdate:
-    """What a message says about one member. `suspected_by` is the `member_number` of the process that suspects it.
+    """A message's report on one member. `suspected_by` is the `member_number` of the process that suspects it.
 
     The order of the fields is part of the wire format.
     """
@@ -61,7 +61,7 @@
 
     @property
     def member(self) -> FleetMember:
-        """The member that this is about."""
+        """The member that the update is about."""
         return FleetMember(self.address, self.role, self.zone, self.node)
 
 
@@ -82,7 +82,7 @@
 
 
 def member_number(address: Address) -> int:
-    """A short number that stands for a process in `suspected_by`."""
+    """A short number that identifies a process in `suspected_by`."""
     return zlib.crc32(f"{address[0]}:{address[1]}".encode())
 
 
@@ -94,8 +94,8 @@
         incarnation: This process's own incarnation.
         is_leaving: Whether this process has announced its planned shutdown.
         records: The other members.
-        has_changed: The set of alive members has changed since the flag was cleared.
-        has_refuted: This process has refuted a suspicion or its death since the flag was cleared.
+        has_changed: Whether the set of alive members has changed since the flag was cleared.
+        has_refuted: Whether this process has refuted a suspicion or its death since the flag was cleared.
     """
 
     def __init__(self, own: FleetMember) -> None:
@@ -113,7 +113,7 @@
         return [record for record in self.records.values() if record.is_alive_or_suspect]
 
     def merge(self, now: float, update: MemberUpdate) -> None:
-        """Applies an update if it overrides what is known, and queues it for dissemination then."""
+        """Applies an update if it overrides the state known here, and queues it for dissemination in that case."""
         address = update.address
         if address == self.own.address:
             self._merge_about_self(update)
@@ -154,13 +154,13 @@
                 self._gossip.discard(address)
 
     def own_update(self) -> MemberUpdate:
-        """What this process says about itself."""
+        """The update that this process sends about itself."""
         state = MemberState.LEFT if self.is_leaving else MemberState.ALIVE
         own = self.own
         return MemberUpdate(*own.address, own.role, own.zone, own.node, state, self.incarnation)
 
     def update_for(self, address: Address) -> MemberUpdate | None:
-        """What is known about another member; None where it isn't in the table."""
+        """The update about another member as known here; None where it isn't in the table."""
         record = self.records.get(address)
         return self._update_for_record(record) if record else None
 
@@ -195,15 +195,15 @@
         self.has_changed |= was_alive != record.is_alive_or_suspect or old_member != record.member
 
     def _add_suspecting_member(self, record: MemberRecord, suspected_by: int) -> None:
-        """Counts a further suspecting process, and disseminates that: it shortens the suspicion time-out of all."""
+        """Counts another suspecting process, and disseminates that: it shortens the suspicion time-out everywhere."""
         if suspected_by not in record.suspecting_members:
             record.suspecting_members.add(suspected_by)
             self._gossip.push(record.member.address)
 
     def _merge_about_self(self, update: MemberUpdate) -> None:
-        """Refutes an update about this process that isn't true, with a higher incarnation.
+        """Refutes a false update about this process with a higher incarnation.
 
-        It comes from a suspicion, from a declared death, or from an earlier process at this address.
+        Such an update comes from a suspicion, from a declared death, or from an earlier process at this address.
         """
         own = self.own_update()
         is_wrong = update.state != own.state or update.member != self.own
--- a/ochrespan/membership/messages.py
+++ b/ochrespan/membership/messages.py
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class Ack:
-    """The sender is alive or, relayed for a `PingRequest`, the member that it names."""
+    """The sender is alive; if relayed for a `PingRequest`, the member named in that request is alive."""
 
     sequence_number: int
     updates: list[MemberUpdate]
@@ -28,9 +28,9 @@
 
 @dataclass(slots=True)
 class Nack:
-    """The sender, asked for an indirect probe, has no acknowledgement yet from the member; it is itself healthy.
+    """The sender of an indirect probe has no acknowledgement from the probed member yet, but is itself healthy.
 
-    Lifeguard's refinement: a missing Nack says that the requesting process itself may be the slow one.
+    Lifeguard's refinement: a missing Nack indicates that the requesting process itself may be the slow one.
     """
 
     sequence_number: int
--- a/ochrespan/membership/protocol.py
+++ b/ochrespan/membership/protocol.py
@@ -5,7 +5,7 @@
 
 A process that misses acknowledgements, or has to refute a suspicion, may itself be the slow one. Its local health
 multiplier then stretches its own time-outs, so that a process short of processor time doesn't declare healthy members
-dead. A suspicion times out sooner the more processes share it.
+dead. A suspicion times out sooner the more processes suspect the same member.
 """
 
 from __future__ import annotations
@@ -29,11 +29,13 @@
 PINGED_SUSPECTS = 2
 UPDATES_PER_MESSAGE = 10
 UPDATES_PER_SYNC = 10
-CONTACT_INTERVAL_S = 1.0  # between messages to seeds that aren't known, and to dead members, which may have restarted
+CONTACT_INTERVAL_S = (
+    1.0  # between messages to seeds that aren't known to be alive, and to dead members, which may have restarted
+)
 SYNC_INTERVAL_S = 15.0
 # After the start of a full fleet, gossip alone would take a while to reach every member. Doubles with each sync.
 INITIAL_SYNC_INTERVAL_S = 2.5
-# A tick later than this shows that this process was stalled: no time-out may count the time that it missed.
+# A tick that is later than this shows that this process was stalled: its time-outs are extended by that time.
 MAX_TICK_DELAY_S = 0.3
 
 
@@ -69,7 +71,7 @@
     Args:
         own: This process as a member.
         seeds: Where to look for other members.
-        source: Draws targets, members that probe on behalf of this process, and sync times.
+        source: Random source for probe targets, for members that probe on behalf of this process, and for sync times.
         now: Seconds of the clock that all calls use.
     """
 
@@ -82,7 +84,7 @@
         self._last_sequence_number = 0
         self._probe: _Probe | None = None
         self._relayed_probes: dict[int, _RelayedProbe] = {}
-        self._probe_targets: list[Address] = []  # the rest of this round
+        self._probe_targets: list[Address] = []  # those still to be probed in this round
         self._period_ends_at = now
         self._contact_at = now
         self._sync_interval_s = INITIAL_SYNC_INTERVAL_S
@@ -127,7 +129,7 @@
             self._send(address, Ping(self._next_sequence_number(), [self.table.own_update()]))
 
     def tick(self, now: float) -> None:
-        """Does what has become due."""
+        """Runs the probes, time-outs and syncs that are due."""
         delay_s = now - self._planned_tick_at
         if delay_s > MAX_TICK_DELAY_S:
             self._extend_timeouts_after_stall(delay_s)
@@ -242,7 +244,7 @@
                 self.table.declare_dead(now, record.member.address)
 
     def _suspicion_timeout_s(self, suspecting_members: int) -> float:
-        """Lifeguard's suspicion time-out: falls with the logarithm of the number of processes that share it."""
+        """Lifeguard's suspicion time-out: falls with the logarithm of the number of suspecting processes."""
         members = len(self.table.alive_members())
         min_timeout_s = (
             SUSPICION_PERIODS
@@ -290,7 +292,7 @@
     def _contact_seeds_and_dead(self, now: float) -> None:
         """Sends to the seeds that aren't known to be alive, and to one dead member: they may be up, or up again.
 
-        One seed alone is asked for its table, as the reply grows with the fleet; the others only learn of this process.
+        Only one seed is asked for its table, as the reply grows with the fleet; the others only learn of this process.
         """
         self._contact_at = now + CONTACT_INTERVAL_S
         records = self.table.records
@@ -307,13 +309,13 @@
             self._send(address, Sync(True, [self.table.own_update()]))
 
     def _sync_with(self, address: Address, wants_reply: bool) -> None:
-        """Sends the full table in several messages, of which the first alone asks for a reply."""
+        """Sends the full table in several messages, of which only the first asks for a reply."""
         updates = self.table.all_updates()
         for start in range(0, len(updates), UPDATES_PER_SYNC):
             self._send(address, Sync(wants_reply and start == 0, updates[start : start + UPDATES_PER_SYNC]))
 
     def _updates_for(self, address: Address) -> list[MemberUpdate]:
-        """Updates to piggyback. What is said about the receiver itself comes first, so that it can refute it."""
+        """Updates to piggyback. An update about the receiver itself comes first, so that the receiver can refute it."""
         record = self.table.records.get(address)
         if record is None or record.state is MemberState.ALIVE:
             return self.table.next_updates(UPDATES_PER_MESSAGE)
--- a/ochrespan/observability/logs.py
+++ b/ochrespan/observability/logs.py
@@ -1,4 +1,4 @@
-"""Logs of the fleet's programs: one event a line on standard error, limited in rate, with a level that can be changed.
+"""Logs of the fleet's programs: one event per line on standard error, rate-limited, with a level that can be changed.
 
 A line is `LEVEL logger event text key=value ...`.
 """
@@ -19,7 +19,7 @@
 class RateLimit(logging.Filter):
     """Limits the lines of each call site with a token bucket of BURST and LINES_PER_S.
 
-    The first line that passes again carries the number of those dropped before it as `left_out`.
+    The first line that passes after dropped ones has their number as `left_out`.
 
     Args:
         clock: Seconds, monotonic.
--- a/ochrespan/observability/metrics.py
+++ b/ochrespan/observability/metrics.py
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Family:
-    """A metric with its values, which `read` gives when the registry is rendered."""
+    """A metric and `read`, which returns its values when the registry is rendered."""
 
     kind: str
     help_text: str
@@ -52,13 +52,13 @@
         return counter
 
     def gauge(self, name: str, help_text: str, read: Callable[[], float]) -> None:
-        """Registers a gauge without labels, whose value `read()` gives at each rendering."""
+        """Registers a gauge without labels, whose value `read()` returns at each rendering."""
         self._register(name, _Family("gauge", help_text, (), lambda: {(): read()}))
 
     def gauges(
         self, name: str, help_text: str, label_names: tuple[str, ...], read: Callable[[], Mapping[LabelValues, float]]
     ) -> None:
-        """Registers a gauge with labels; `read()` gives its values by label values at each rendering."""
+        """Registers a gauge with labels; `read()` returns its values by label values at each rendering."""
         self._register(name, _Family("gauge", help_text, label_names, read))
 
     def render(self) -> str:
@@ -76,7 +76,7 @@
             if not _NAME.fullmatch(identifier):
                 raise ValueError(f"found {identifier!r}, allowed letters, digits and underscores")
         if name in self._families:
-            raise ValueError(f"there is a metric {name!r} already")
+            raise ValueError(f"metric {name!r} is already registered")
         self._families[name] = family
 
 
--- a/ochrespan/storage/records.py
+++ b/ochrespan/storage/records.py
@@ -7,7 +7,7 @@
 - Log: header, then records of length (32 bits), checksum (32 bits) and payload.
 
 The checksum of a record covers its length and payload and continues that of the record before it, the first one that of
-the header. So a record that an earlier generation has left in the file is never taken for one of this generation.
+the header. So a record that an earlier generation has left in the file is never mistaken for one of this generation.
 """
 
 from __future__ import annotations
@@ -43,8 +43,8 @@
     Attributes:
         generation: The generation that the log belongs to.
         records: Their payloads, the oldest first.
-        end: The offset behind the last good record, in bytes.
-        checksum: That of the last good record, or of the header; the next record continues it.
+        end: The offset after the last good record, in bytes.
+        checksum: The checksum of the last good record, or of the header; the next record continues it.
     """
 
     generation: int
@@ -60,7 +60,7 @@
 
 
 def decode_slot(data: bytes | None) -> SlotContent | None:
-    """The content of a slot; None where it was never written, or not to its end.
+    """The content of a slot; None where it was never written, or not completely.
 
     Raises:
         FormatError: The file has another format version, or is no slot.
--- a/ochrespan/storage/snapshot_store.py
+++ b/ochrespan/storage/snapshot_store.py
@@ -1,4 +1,4 @@
-"""Durable state: a checkpoint in one of two slots that are written in turn, and a short log of what came after it.
+"""Durable state: a checkpoint in one of two slots that are written in turn, and a short log of later records.
 
 Generation g has its checkpoint in slot g mod 2 and its records in log g mod 2. A new checkpoint begins log g+1, then
 writes slot g+1; until that slot is durable, slot g with both logs holds the state. The files of g+1 replace only those
@@ -38,7 +38,7 @@
         self._slot_generation = 0
         self._log_generation = 0
         self._durable_end = 0  # of the current log, in bytes
-        self._pending = bytearray()  # belongs behind `_durable_end`; perhaps written, but not known to be durable
+        self._pending = bytearray()  # bytes that follow `_durable_end`; perhaps written, but not known to be durable
         self._checksum = 0
         self._is_log_stale = False  # the log file holds an older generation, and is emptied before it is written
 
@@ -49,11 +49,11 @@
 
     @property
     def checkpoint_in_progress(self) -> bool:
-        """The log of the next generation has begun, and its slot is still to be written."""
+        """Whether the log of the next generation has begun while its slot is still to be written."""
         return self._log_generation > self._slot_generation
 
     def open(self) -> RecoveredState:
-        """Reads the state from the disk, and makes all of it durable first.
+        """Reads the state from the disk, after syncing all files.
 
         A process that was killed may have left records that were written but not synced. They are returned, so a later
         loss of power must not remove them.
--- a/ochrespan/transport/compact.py
+++ b/ochrespan/transport/compact.py
@@ -1,4 +1,4 @@
-"""Values as msgpack, compressed with zlib above a size: for commands, snapshots and the change feed.
+"""Values as msgpack, compressed with zlib from a minimum size on: for commands, snapshots and the change feed.
 
 The first byte says whether the rest is compressed.
 """
@@ -40,7 +40,7 @@
 
 
 def compress(data: bytes) -> bytes:
-    """`data` behind its first byte, compressed from COMPRESSED_FROM_BYTES on."""
+    """`data` after the byte that says whether it is compressed, which it is from COMPRESSED_FROM_BYTES on."""
     if len(data) < COMPRESSED_FROM_BYTES:
         return _PLAIN + data
     return _COMPRESSED + zlib.compress(data, COMPRESSION_LEVEL)
--- a/ochrespan/transport/errors.py
+++ b/ochrespan/transport/errors.py
@@ -8,10 +8,10 @@
 
 
 class MessageError(TransportError, ValueError):
-    """Bytes that are no message.
+    """Bytes that are not a valid message.
 
     Attributes:
-        where: The place of the fault, such as a tag or the length of a frame.
+        where: What is at fault, such as a tag or the length of a frame.
         found: What was found there.
         allowed: What is allowed there.
     """
@@ -24,7 +24,7 @@
 
 
 class PackingError(TransportError, ValueError):
-    """A value that msgpack cannot express: a string that is no Unicode, or a number of more than 64 bits."""
+    """A value that msgpack cannot express: a string that is not valid Unicode, or a number of more than 64 bits."""
 
 
 class ConnectionClosedError(TransportError):
@@ -34,5 +34,5 @@
 class RpcError(TransportError):
     """No response to a call: the connection ended, the call timed out, or its handler at the peer failed.
 
-    Unless the handler failed, it is unknown whether the peer has carried the call out.
+    Unless the handler failed, it is unknown whether the peer has executed the call.
     """
--- a/ochrespan/transport/peer_connections.py
+++ b/ochrespan/transport/peer_connections.py
@@ -1,6 +1,6 @@
 """One outgoing connection to each peer process, opened when there is something to send.
 
-Messages that can't be sent are dropped: the protocols above, Raft first of all, send them again.
+Messages that can't be sent are dropped: the protocols that use the connections, mainly Raft, resend them.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class PeerConnection:
-    """The outgoing connection to one peer, opened again after it has ended. `used_at`: when it was last sent to."""
+    """The outgoing connection to one peer, reopened after it has ended. `used_at`: when a message was last sent."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
@@ -53,8 +53,8 @@
     def close_if_timed_out(self, last_contact_at: float) -> None:
         """Closes the connection if the peer has sent nothing for PEER_TIMEOUT_S; the next message opens a new one.
 
-        Data that a network fault has held up is retransmitted after growing pauses, the last of which may end long
-        after the fault. A new connection is tried at once.
+        TCP retransmits data that a network fault has delayed with increasing backoff, so the next attempt may come long
+        after the fault has ended. A new connection is tried at once.
         """
         now = time.monotonic()
         if self._connection is not None and now - max(last_contact_at, self._connected_at) > PEER_TIMEOUT_S:
@@ -99,7 +99,7 @@
         connection.send(encode(value))
 
     def record_contact(self, address: Address) -> None:
-        """Notes that a message from the peer has arrived, over whichever connection."""
+        """Records that a message from the peer has arrived, over any connection."""
         self._last_contact_at[address] = time.monotonic()
 
     def maintain(self) -> None:
--- a/ochrespan/transport/rpc.py
+++ b/ochrespan/transport/rpc.py
@@ -2,7 +2,7 @@
 
 A request carries a number that its response repeats; a message without one is a push. Calls are independent of each
 other: responses come in any order. A call whose connection ends gets no response, and it is unknown whether it was
-carried out. Nothing here retries a call: the caller knows whether it may be repeated.
+executed. This module never retries a call: the caller knows whether it may be repeated.
 """
 
 from __future__ import annotations
--- a/ochrespan/transport/tcp.py
+++ b/ochrespan/transport/tcp.py
@@ -26,7 +26,7 @@
     from .tls import MutualTls
 
 MAX_FRAME_BYTES = 64 * 1024 * 1024
-MAX_QUEUED_BYTES = 16 * 1024 * 1024  # unsent; the connection to a peer that reads too slowly is closed
+MAX_QUEUED_BYTES = 16 * 1024 * 1024  # unsent; above this the connection is closed, as its peer reads too slowly
 USER_TIMEOUT_MS = 2500  # data that stays unacknowledged for this long ends the connection
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
@@ -199,7 +199,7 @@
         timeout: Seconds for the connection, and again for the handshake.
 
     Raises:
-        OSError: There is no connection; TimeoutError and ssl.SSLError are such.
+        OSError: The connection or the handshake failed; TimeoutError and ssl.SSLError are subclasses of it.
     """
     sock = socket.create_connection(address, timeout=timeout)
     if _security is not None:
@@ -221,7 +221,8 @@
 class Listener:
     """Accepts connections and runs `handle(connection)` in a greenlet for each.
 
-    The connection is closed when `handle` returns or raises; its ConnectionClosedError and MessageError end there.
+    The connection is closed when `handle` returns or raises; a ConnectionClosedError or MessageError that it raises is
+    not passed on.
     """
 
     def __init__(self, address: Address, handle: Callable[[Connection], None]) -> None:
--- a/ochrespan/transport/tls.py
+++ b/ochrespan/transport/tls.py
@@ -1,6 +1,6 @@
-"""Mutual TLS between the processes of the fleet: each presents a certificate of the fleet's authority.
+"""Mutual TLS between the processes of the fleet: each presents a certificate signed by the fleet's authority.
 
-The files may be replaced while the process runs. Connections that are opened from then on use the new ones; where these
+The files may be replaced while the process runs. Connections that are opened from then on use the new ones; if these
 cannot be read, the previous ones stay in use.
 """
 
@@ -27,7 +27,7 @@
     authority: str
 
     def versions(self) -> FileVersions:
-        """A value that changes when a file is replaced; raises OSError."""
+        """A value that changes when a file is replaced. Raises OSError."""
         stats = [os.stat(path) for path in (self.certificate, self.key, self.authority)]
         return tuple((stat.st_mtime_ns, stat.st_size, stat.st_ino) for stat in stats)
 
@@ -76,7 +76,9 @@
     def _context(self, protocol: Any) -> Any:
         context = ssl.SSLContext(protocol)
         context.minimum_version = ssl.TLSVersion.TLSv1_3
-        context.check_hostname = False  # peers have no host names; a certificate of the authority is what is required
+        context.check_hostname = (
+            False  # peers have no host names; a certificate signed by the authority is required instead
+        )
         context.verify_mode = ssl.CERT_REQUIRED
         context.load_verify_locations(self._files.authority)
         context.load_cert_chain(self._files.certificate, self._files.key)
--- a/ochrespan/transport/udp.py
+++ b/ochrespan/transport/udp.py
@@ -23,8 +23,8 @@
 
     Args:
         address: Where to listen; port 0 takes a free one.
-        handle: Called as `handle(message, peer)` for each datagram, in a greenlet of its own. Bytes that are no message
-            are logged and dropped.
+        handle: Called as `handle(message, peer)` for each datagram, in a greenlet of its own. Bytes that are not a
+            valid message are logged and dropped.
     """
 
     def __init__(self, address: Address, handle: Callable[[Any, Address], None]) -> None:
