--- a/ochrespan/transport/codec.py
+++ b/ochrespan/transport/codec.py
@@ -36,7 +36,7 @@
     def register(message_type: MessageType) -> MessageType:
         """Adds the class under the tag, which no other class may have."""
         if tag in _types_by_tag:
-            raise ValueError(f"tag {tag!r} is already registered for {_types_by_tag[tag].__name__}")
+            raise ValueError(f"tag {tag!r} is registered for {_types_by_tag[tag].__name__} already")
         _types_by_tag[tag] = message_type
         _tags_by_type[message_type] = tag
         _field_names[message_type] = tuple(field.name for field in dataclasses.fields(message_type))
--- a/tests/membership/test_gossip_queue.py
+++ b/tests/membership/test_gossip_queue.py
@@ -1,4 +1,4 @@
-"""The queue of updates to disseminate: order, limit of transmissions, and what resets them."""
+"""The queue of updates to disseminate: order, limit of transmissions, and resets of the count."""
 
 from ochrespan.membership.gossip_queue import GossipQueue
 
--- a/tests/membership/test_protocol.py
+++ b/tests/membership/test_protocol.py
@@ -1,4 +1,4 @@
-"""SWIM membership on a simulated network: datagrams lost, processes killed, stalled and restarted; virtual time."""
+"""SWIM membership on a simulated network in virtual time: lost datagrams, killed, stalled and restarted processes."""
 
 import heapq
 import random
@@ -30,7 +30,7 @@
         self.stalled: set[tuple[str, int]] = set()
         self._events: list = []
         self._count = 0
-        # when, by whom and who was declared dead while it ran
+        # time, declaring process and member, of running members that were declared dead
         self.falsely_dead: list[tuple[float, tuple[str, int], tuple[str, int]]] = []
         for number in range(1, size + 1):
             self.start(number)
--- a/tests/raft/test_bootstrap.py
+++ b/tests/raft/test_bootstrap.py
@@ -1,4 +1,4 @@
-"""How groups are formed: first starts in any order, bootstraps that cross, and what must never form a second fleet."""
+"""Forming the groups: first starts in any order, concurrent bootstraps, and cases that must not form a second fleet."""
 
 import random
 
@@ -39,7 +39,7 @@
 
 
 def is_command_acknowledged(world: World, shard: int = 0, within_s: float = 2.0) -> bool:
-    """Whether a new command is acknowledged in this time, sent repeatedly as an operator would."""
+    """Whether a new command, sent repeatedly as an operator would, is acknowledged within `within_s`."""
     before, until = len(world.checks.acked[shard]), world.now + within_s
     while world.now < until and len(world.checks.acked[shard]) == before:
         world.propose(shard)
@@ -48,7 +48,7 @@
 
 
 def proceed_without_missing(world: World) -> None:
-    """The operator's word, at every controller, that the missing initial members will not come."""
+    """Confirms at every controller, as an operator, that the missing initial members will not join."""
     for node in world.running():
         node.multi_raft.opening.proceed_without_missing()
 
@@ -129,7 +129,7 @@
     assert [member.address for member in proposals[0].members] == list(map(address, (1, 2, 3)))
 
 
-# Bootstraps that cross, and bootstraps without progress
+# Concurrent bootstraps, and bootstraps without progress
 
 
 def test_crossed_bootstraps_end_in_one_cluster():
@@ -155,7 +155,7 @@
     for node in others:
         node.wipe()
         node.start(world.seeds, bootstrap=True)
-    world.run(MAX_START_SPREAD_S)  # from here on the reports of a majority are not enough for the two
+    world.run(MAX_START_SPREAD_S)  # from here on the reports of a majority are not enough for these two
     assert initial_member.multi_raft.replicas[0].state.log.last_index == 0
     world.cuts.clear()
     world.run(ABANDON_AFTER_S + 4.0)
@@ -168,7 +168,7 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_a_wiped_initial_member_with_the_settings_of_its_first_start_neither_votes_nor_bootstraps(seed):
-    """The lagging one and the wiped one would elect a leader without the command that the other two acknowledged."""
+    """The lagging and the wiped member would elect a leader without the command that the other two acknowledged."""
     world = World(seed)
     world.run(3.0)
     leader = world.leader(0)
@@ -230,7 +230,7 @@
 
 
 def test_a_cluster_without_commands_yields_to_one_that_has_some():
-    """The operator's word was right for the first cluster, and another machine 2 and 3 were started with its seeds."""
+    """The operator opened the first cluster rightly; then a wiped machine 2 and machine 3 start with its seeds."""
     world = world_of(1, {1: 0.0, 2: 0.0})
     world.run(1.5)
     proceed_without_missing(world)
@@ -262,7 +262,7 @@
 
 
 def test_empty_replicas_wait_while_an_initial_member_is_unreachable():
-    """The unreachable one may have all that was acknowledged."""
+    """Only the unreachable member may have the acknowledged commands."""
     world = World(1)
     world.run(3.0)
     assert is_command_acknowledged(world)
@@ -276,7 +276,7 @@
 
 
 def test_processes_killed_before_their_first_entry_form_the_groups_again():
-    """Their disks have the recorded initial members and nothing else."""
+    """Their disks contain the recorded initial members and nothing else."""
     world = World(1)
     world.cuts |= {(first, second) for first in world.nodes for second in world.nodes}
     world.run(0.5)
@@ -291,7 +291,7 @@
 
 
 def test_an_initial_member_that_never_joined_does_not_bootstrap_with_two_wiped_ones():
-    """A standby replaced the first that lost its disk; it has what was acknowledged, and is unreachable."""
+    """The standby that replaced the first wiped member has the acknowledged commands and is unreachable."""
     world = World(4, size=4)
     never_joined = world.nodes[address(3)]
     isolate(world, never_joined)
@@ -314,7 +314,7 @@
 
 
 def test_disks_without_recorded_initial_members_bootstrap_only_if_the_settings_say_so():
-    """All were lost before their first sync: the settings say once more that the whole system starts."""
+    """All disks were lost before their first sync, so `bootstrap: true` has to be set again."""
     world = World(1)
     for node in world.nodes.values():
         node.latency_factor = 1e6
@@ -342,7 +342,7 @@
 
 
 def test_a_member_without_recorded_initial_members_stays_in_its_cluster():
-    """It lost its disk before its first sync and the others count it as a voter: its vote may be needed."""
+    """Its disk was lost before its first sync; the others count it as a voter, so its vote may be needed."""
     seeds = tuple(map(address, (1, 2, 3)))
     bootstrap = Bootstrap.begin(BootstrapSettings(address(3), seeds, False, 1), None, random.Random(1), 0.0)
     proposal = BootstrapProposal(
@@ -380,7 +380,7 @@
     ("ages", "knows_group", "may_propose"),
     [
         ({2: 0.1}, False, True),
-        ({2: MAX_START_SPREAD_S + 0.3}, False, False),  # it started long before: a group may exist that it doesn't know
+        ({2: MAX_START_SPREAD_S + 0.3}, False, False),  # it started long before: a group that it doesn't know may exist
         ({2: -1.0}, False, False),  # it was started before with its disk
         ({2: 0.1}, True, False),
         ({}, False, False),
@@ -425,11 +425,11 @@
     assert cluster_id_of(first) == cluster_id_of(first[::-1])
 
 
-# The checkers catch the faults that they are for
+# The checkers of the simulation catch planted faults
 
 
 def test_a_bootstrap_on_the_reports_of_empty_disks_alone_is_caught(monkeypatch):
-    """Without the rule that all initial members have to be in a cluster, which makes it harmless."""
+    """The rule that all initial members have to join before commands would make this harmless, so it is off."""
     monkeypatch.setattr(Opening, "is_open", lambda *_: True)
     monkeypatch.setattr(Bootstrap, "_is_majority_in_first_start", lambda self, now, reports: len(reports) > 1)
     world = World(1)
@@ -454,7 +454,7 @@
 @pytest.mark.parametrize("wipes", [False, True])
 @pytest.mark.parametrize("seed", range(40))
 def test_a_first_start_with_faults_forms_one_fleet(seed, wipes):
-    """Whatever was acknowledged stays; without a lost disk commands are acknowledged in the end."""
+    """No acknowledged command is lost; without a lost disk commands are acknowledged in the end."""
     world = World(1000 + seed)
     play_faulty_first_start(world, wipes)
     if not wipes:
--- a/tests/raft/test_embedding.py
+++ b/tests/raft/test_embedding.py
@@ -18,7 +18,7 @@
 
 
 def imported(path: Path) -> set[str]:
-    """Modules of other packages that a module imports; its own package's come with a leading dot and are left out."""
+    """Modules that a module imports from other packages; those of its own package are left out."""
     names = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
--- a/tests/raft/test_history_checkers.py
+++ b/tests/raft/test_history_checkers.py
@@ -1,4 +1,4 @@
-"""Each checker of the simulation catches the fault that it is for; only these tests plant the faults."""
+"""Each checker of the simulation reports the fault that it was written for. The tests plant these faults."""
 
 import dataclasses
 
@@ -17,7 +17,7 @@
 
 
 def caught(rules: set[str], kinds: tuple[str, ...], gap_s: float = 0.7) -> str:
-    """Plays seeds until a checker reports; what it reports has to be one of `rules`."""
+    """Plays seeds until a checker reports a violation, whose rule has to be one of `rules`."""
     for seed in range(SEEDS):
         try:
             play(World(seed), 15.0, gap_s, kinds)
@@ -25,7 +25,7 @@
             assert violation.rule in rules, str(violation)
             return violation.rule
         except AssertionError:
-            continue  # no progress: a planted fault may bring that too
+            continue  # no progress, which a planted fault may also cause
     pytest.fail(f"none of {sorted(rules)} was reported in {SEEDS} seeds")
 
 
@@ -103,8 +103,8 @@
 
 def test_a_leader_that_commits_what_it_has_not_persisted_is_caught(monkeypatch):
     def in_memory(self, member_id):
-        core = self._state
-        return core.log.last_index if member_id == core.id else self.progress[member_id].match_index
+        state = self._state
+        return state.log.last_index if member_id == state.id else self.progress[member_id].match_index
 
     monkeypatch.setattr(LeaderReplication, "_match_index", in_memory)
     caught({"lost order", "two histories"}, ("final", "power_all", "slow_disk"), gap_s=0.4)
--- a/tests/raft/test_planned_shutdown.py
+++ b/tests/raft/test_planned_shutdown.py
@@ -1,4 +1,4 @@
-"""At each step of a change of voters, the tolerated number of disks is lost while all other machines lose power."""
+"""Loss of the tolerated number of disks at each step of a change of voters, while all other machines lose power."""
 
 import itertools
 
@@ -25,7 +25,7 @@
 
 
 def lose_disks_and_power(world: World, wiped: list[Node]) -> None:
-    """Some lose their disks, the others power; all restart: no acknowledged command is missing, new ones succeed."""
+    """Some machines lose their disks, the others power. After all restart, no acknowledged command is missing."""
     for node in world.nodes.values():
         node.wipe() if node in wiped else node.lose_power()
     world.run(DOWN_S)
@@ -97,7 +97,7 @@
 
 @pytest.mark.parametrize("delay", [0.0, 0.01, 0.05, 0.1, 0.2, 0.4])
 def test_a_member_that_leaves_and_loses_its_disk_loses_no_command(delay):
-    """It begins its planned shutdown with an entry that nobody else has, and its disk is lost during it."""
+    """The leader begins its planned shutdown with an entry that no other replica has, and loses its disk meanwhile."""
     for seed in range(8):
         world = World(seed, size=4)
         world.run(6.0)
--- a/tests/raft/test_raft_behaviour.py
+++ b/tests/raft/test_raft_behaviour.py
@@ -1,4 +1,4 @@
-"""Single behaviours of the replicas in virtual time: joining, reconfiguration, leadership, snapshots, bounds."""
+"""Individual behaviours of the replicas in virtual time: joining, reconfiguration, leadership, snapshots, bounds."""
 
 import random
 import statistics
@@ -21,7 +21,7 @@
 
 
 def voters(world: World, shard: int = 0) -> set[int]:
-    """Last part of the address of each voter, as the leader has it."""
+    """The last number of the address of each voter in the leader's configuration."""
     configuration = world.leader(shard).multi_raft.replicas[shard].state.configuration
     return {int(member.address[0].rsplit(".", 1)[1]) for member in configuration.voters}
 
@@ -172,7 +172,7 @@
 
 @pytest.mark.parametrize("aware", [True, False])
 def test_a_leader_that_sent_timeout_now_no_longer_responds_by_its_lease(aware, monkeypatch):
-    """However lately it heard a majority: the successor is elected at once, and no message of that need arrive."""
+    """Even if a majority responded just now: the successor is elected at once, perhaps without any message to it."""
     if not aware:
         monkeypatch.setattr(LeadershipTransfer, "is_successor_notified", False)
     world = World(6)
@@ -194,11 +194,11 @@
         assert aware
 
 
-LATE_S = 0.75  # later than a leader waits for its successor
+LATE_S = 0.75  # longer than a leader waits for its successor
 
 
 def lead_on_after_a_failed_transfer(monkeypatch):
-    """Plants the fault: a leader whose successor does not take over in time goes on in the same term."""
+    """Plants the fault that a leader whose successor does not take over in time continues in the same term."""
     in_progress = property(lambda self: self._state.now < self._deadline)
     monkeypatch.setattr(LeadershipTransfer, "in_progress", in_progress)
     notified = property(lambda self: self.in_progress and self._timeout_now_sent)
@@ -207,7 +207,7 @@
 
 
 def play_late_transfer(late_message: str) -> World:
-    """One message of a leadership transfer arrives after LATE_S; from then on the old leader hears nobody."""
+    """One message of a leadership transfer arrives after LATE_S; from then on the old leader receives no messages."""
     world = World(6)
     world.run(5.0)
     shard = 1
@@ -276,7 +276,7 @@
     leader = world.leader(0)
     others = [at for at in world.nodes if at != leader.address]
     world.cuts |= {(leader.address, at) for at in others} | {(at, leader.address) for at in others}
-    assert leader.read(0, object())  # would raise when confirmed: the token is no read
+    assert leader.read(0, object())  # would raise if confirmed, as the token is not a read of the simulation
     world.run(1.5)
     assert not leader.multi_raft.replicas[0].is_leader
     assert world.leader(0) is not None
@@ -294,7 +294,7 @@
 
 @pytest.mark.parametrize("checks_alive", [True, False])
 def test_a_transfer_to_a_lost_disk_does_not_delay_its_replacement(checks_alive, monkeypatch):
-    """One group at a time transfers a snapshot to a process; one to the old id of an address must not count."""
+    """One group at a time sends a snapshot to a process; a transfer to an earlier id of its address must not count."""
     monkeypatch.setattr(replication, "SNAPSHOT_CHUNK_BYTES", 40)
     monkeypatch.setattr(replica_module, "RETAINED_ENTRIES", 5)
     if not checks_alive:
@@ -384,7 +384,7 @@
 
 
 def test_leaders_are_back_soon_after_all_machines_lost_power():
-    """No leader has to be awaited at a start: pre-votes are rejected where one is alive."""
+    """A starting replica need not wait for a leader: pre-votes are rejected where one is alive."""
     spans = []
     for seed in range(12):
         world = World(seed)
--- a/tests/raft/test_simulation.py
+++ b/tests/raft/test_simulation.py
@@ -1,4 +1,4 @@
-"""All replicas under seeded faults: three machines, one more as a standby, and five of which the seeds name three."""
+"""All replicas under seeded faults: three machines, a fourth as a standby, and five of which three are seeds."""
 
 import pytest
 
@@ -27,7 +27,7 @@
     [(size, fault_tolerance, seed) for size, fault_tolerance, seeds in HARSH_SIZES for seed in seeds],
 )
 def test_no_rule_is_broken_when_disks_are_lost_amid_cuts_and_kills(size, fault_tolerance, seed):
-    """5146: two ids of lost disks stayed among seven voters, and the next two losses left no majority."""
+    """Seed 5146: two ids of lost disks stayed among seven voters, so that two more losses left no majority."""
     world = World(seed, size, fault_tolerance)
     gap_s = world.random.choice([0.4, 1.0, 2.5])
     play(world, 40.0, gap_s, injector=HarshFaultInjector)
--- a/tests/raft/test_snapshot_transfer.py
+++ b/tests/raft/test_snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""Catching up over slow links: snapshots of megabytes, compaction meanwhile, and what waits behind the chunks."""
+"""Catching up over slow links: large snapshots, compaction during a transfer, and messages behind the chunks."""
 
 import random
 
@@ -21,7 +21,7 @@
 LEADER, LEARNER = 1, 2
 DELAY_S = 0.001
 STEP_S = 0.01
-OVERHEAD = 1.3  # over the time that the link alone needs
+OVERHEAD = 1.3  # factor on the time that the link itself needs
 SLACK_S = 0.5
 
 
@@ -38,10 +38,10 @@
             ),
             LEARNER: Replica(ReplicaSettings(0, LEARNER, 1), PersistentState(), random.Random(2), self.now),
         }
-        self._waiting: list = []  # arrival, receiver, message
+        self._waiting: list = []  # in transit: arrival time, receiver, message
         self._free_at = dict.fromkeys(self.replicas, self.now)
         self.carried = 0
-        self.max_heartbeat_delay_s = 0.0  # of a heartbeat behind other messages
+        self.max_heartbeat_delay_s = 0.0  # in the link's queue
         self.lose_next = 0
         while self.leader.state.role is not Role.LEADER:
             self.step()
@@ -59,7 +59,7 @@
 
     @property
     def progress(self):
-        """What the leader knows of the learner."""
+        """The leader's progress record of the learner."""
         return self.leader.replication.progress[LEARNER]
 
     def step(self) -> None:
@@ -110,7 +110,7 @@
         self.leader.compact(random.Random(self.leader.state.applied_index).randbytes(snapshot_bytes))
 
     def until_caught_up(self, limit_s: float, compact_every_s: float | None = None, snapshot_bytes: int = 0) -> float:
-        """Seconds until the learner could be a voter, with commands all along; `limit_s` if it takes longer."""
+        """Seconds until the learner has caught up, with a command in each step; `limit_s` if it takes longer."""
         began, compact_at = self.now, self.now + (compact_every_s or 0.0)
         while not self.leader.reconfiguration.standbys() and self.now - began < limit_s:
             self.propose()
@@ -137,7 +137,7 @@
 
 @pytest.mark.parametrize(("snapshot_bytes", "mbit_per_s"), CASES)
 def test_compaction_at_the_leader_meanwhile_delays_nothing(snapshot_bytes, mbit_per_s):
-    """A transfer ends on the snapshot that it began with, and the entries after that are retained."""
+    """A transfer completes with the snapshot that it began with, and the entries after that are retained."""
     link = Link(snapshot_bytes, mbit_per_s)
     assert link.until_caught_up(60.0, 0.6, snapshot_bytes) < bound_s(snapshot_bytes, mbit_per_s)
 
@@ -187,11 +187,11 @@
     assert link.until_caught_up(10.0) < 3.0
 
 
-# What the bound rests on: each of these takes it away
+# The mechanisms that the bound depends on: each test disables one
 
 
 def test_a_fixed_resend_timeout_is_caught_beyond_the_bound(monkeypatch):
-    """Everything counts as lost after 0.3 s, with chunks that a slow link carries for longer."""
+    """Messages count as lost after 0.3 s, while a slow link takes longer to transmit a chunk."""
     monkeypatch.setattr("ochrespan.raft.leader.SNAPSHOT_CHUNK_BYTES", 256 * 1024)
     monkeypatch.setattr("ochrespan.raft.leader.Progress.resend_after", lambda _self, resend_s: resend_s)
     link = Link(MEGABYTE, 5)
--- a/tests/raft/test_state_search.py
+++ b/tests/raft/test_state_search.py
@@ -1,4 +1,4 @@
-"""Bounded exhaustive search of the replica group; the large budgets are played by benchmarks/soak_core.py."""
+"""Bounded exhaustive search of the replica group; benchmarks/soak_core.py covers larger budgets."""
 
 import pytest
 
@@ -21,7 +21,7 @@
 def test_every_schedule_of_a_small_budget_keeps_the_rules(budget, states):
     found = search(budget, max_states=10_000)
     assert found.complete
-    assert found.states == states  # a change of the protocol changes it: look at what became possible
+    assert found.states == states  # changes with the protocol: review which states became reachable
     assert found.committed == budget.orders + 1
 
 
@@ -40,7 +40,7 @@
 
 
 def test_every_schedule_with_a_wiped_initial_member_keeps_the_rules():
-    """It comes back under a new id before, amid or after the first election, and all others lose power once."""
+    """The member returns under a new id before, amid or after the first election; all others lose power once."""
     found = search(Budget(timeouts=1, orders=1, crashes=0, wipes=1, power=1), max_states=10_000)
     assert found.complete
     assert found.states == WIPED_MEMBER_STATES
@@ -67,7 +67,7 @@
 
 
 def test_the_search_finds_an_acknowledgement_before_the_write(monkeypatch):
-    """A follower ends between its acknowledgement and its write, and then elects a leader without the command."""
+    """A follower crashes between its acknowledgement and its write, then elects a leader without the command."""
     monkeypatch.setattr(ReplicaState, "send_when_persisted", ReplicaState.send)
     monkeypatch.setattr(ReplicaState, "needs_write", lambda _self: False)
     with pytest.raises(Violation):
--- a/tests/storage/test_snapshot_store.py
+++ b/tests/storage/test_snapshot_store.py
@@ -1,4 +1,4 @@
-"""The store under every failing call, every end of the process and every loss of power of a run."""
+"""The store with a fault at each call of a run: the call fails, the process ends, or power is lost."""
 
 import errno
 import itertools
@@ -11,12 +11,12 @@
 from ochrespan.storage.snapshot_store import LOG_NAMES, SLOT_NAMES, SnapshotStore
 from tests.support.raft_simulation.disk import ProcessEnds, SimDirectory
 
-ROUNDS = 4  # checkpoints of the run; records before, between and after their parts
+ROUNDS = 4  # checkpoints of the run, each with records before and after it
 MAX_LEFT_DISKS = 3**6
 
 
 class Journal:
-    """Numbers 0, 1, 2... written through a store, as the replicas write theirs."""
+    """Writes the numbers 0, 1, 2... through a store, as the replicas write their updates."""
 
     def __init__(self, directory) -> None:
         self.store = SnapshotStore(directory)
@@ -45,7 +45,7 @@
 
 
 def replay(checkpoint: list[int], later: list[int]) -> list[int]:
-    """Records that the checkpoint contains already are skipped, as a log's entries up to its snapshot are."""
+    """Skips records that the checkpoint contains already, as a replica does with entries up to its snapshot."""
     values = list(checkpoint)
     for value in later:
         assert value <= len(values), "a gap"
@@ -55,7 +55,7 @@
 
 
 def run(journal: Journal, retry: bool) -> None:
-    """The run whose calls are counted; with `retry`, what fails is called again."""
+    """The run whose calls are counted; with `retry`, a failed operation is repeated."""
 
     def step(operation) -> None:
         for _ in range(3 if retry else 1):
@@ -84,7 +84,7 @@
 
 
 def assert_recovers(directory, journal: Journal) -> None:
-    """What is found is what was written, in order, and no less than was known to be durable; and it goes on."""
+    """Recovers a prefix of the written values with at least the durable ones, to which more can be added."""
     again = Journal(directory)
     again.open()
     assert again.values == journal.values[: len(again.values)]
@@ -131,7 +131,7 @@
 
 
 def test_unsynced_records_of_a_killed_process_are_durable_once_they_were_read():
-    """A record that was never synced and yet was found must not vanish at a later loss of power."""
+    """A record that was recovered without ever being synced must not be lost at a later loss of power."""
     directory = SimDirectory()
     journal = Journal(directory)
     journal.open()
--- a/tests/transport/test_peer_connections.py
+++ b/tests/transport/test_peer_connections.py
@@ -18,7 +18,7 @@
 
 
 class Peer:
-    """A listener that keeps what it has received, and counts its connections."""
+    """A listener that records received messages and counts its connections."""
 
     def __init__(self, port: int = 0) -> None:
         self.received: Queue = Queue()
@@ -70,7 +70,7 @@
 def test_a_peer_that_was_unreachable_gets_its_messages_after_the_backoff(connections):
     port = free_port()
     connections.send(("127.0.0.1", port), Note(1))
-    gevent.sleep(0.02)  # the attempt has failed
+    gevent.sleep(0.02)  # the attempt to connect has failed by now
     peer = Peer(port)
     gevent.sleep(peer_connections.DIAL_BACKOFF_S)
     connections.send(("127.0.0.1", port), Note(2))
--- a/tests/transport/test_tls.py
+++ b/tests/transport/test_tls.py
@@ -1,4 +1,4 @@
-"""Mutual TLS between the processes of the fleet: which peers are accepted, and certificates that change in service."""
+"""Mutual TLS between the processes of the fleet: which peers are accepted, and certificates replaced at run time."""
 
 import contextlib
 import logging
@@ -24,7 +24,7 @@
 
 
 def key_files(folder, authority: trustme.CA) -> CertificateFiles:
-    """Puts a new certificate of the authority into the folder's files, each replaced whole."""
+    """Writes a new certificate of the authority to the folder, replacing each file atomically."""
     issued = authority.issue_cert("fleet.example")
     blobs = {"certificate": issued.cert_chain_pems[0], "key": issued.private_key_pem, "authority": authority.cert_pem}
     for name, blob in blobs.items():
@@ -63,7 +63,7 @@
 
 def test_a_peer_without_tls_is_rejected_and_logged(tmp_path, authority, use, server, caplog):
     plain = tcp.dial(server.address, 5.0)
-    gevent.sleep(0)  # accepted while there was no TLS: it stays
+    gevent.sleep(0)  # accepted while TLS was off; stays open
     use(MutualTls(key_files(tmp_path, authority)))
     with caplog.at_level(logging.WARNING):
         stranger = tcp.socket.create_connection(server.address, timeout=5.0)
@@ -164,7 +164,7 @@
 
 
 def test_the_settings_turn_tls_on_and_findings_name_their_faults(tmp_path, authority, use):
-    secure_peers(settings())  # off where nothing asks for it
+    secure_peers(settings())  # TLS is off unless the settings ask for it
     assert tcp._security is None
     files = key_files(tmp_path, authority)
     secure_peers(settings(certificate=files.certificate, key=files.key, authority=files.authority))
--- a/tests/transport/test_transport.py
+++ b/tests/transport/test_transport.py
@@ -181,7 +181,7 @@
 
 
 def test_a_response_after_its_call_has_timed_out_completes_no_other_call():
-    """The server responds to each call only when the next has come, to the earlier one first."""
+    """The server responds to each call only once the next has arrived, to the earlier one first."""
     numbers = []
 
     def serve(connection):
@@ -201,7 +201,7 @@
 
 
 def test_the_end_of_a_connection_fails_no_call_of_its_successor():
-    """The end of the old connection is seen only after a call has been sent over the new one."""
+    """The client notices the end of the old connection only after it has sent a call over the new one."""
     connections, respond = [], Event()
 
     def serve(connection):
@@ -219,7 +219,7 @@
     while not connections:
         gevent.sleep(0.001)
     old = caller._connection
-    caller._connection = None  # as if it were closed, before its greenlet has seen the end
+    caller._connection = None  # as if it were closed before its greenlet has noticed
     second = gevent.spawn(caller.call, Echo("second"), 5.0)
     while len(connections) < 2:
         gevent.sleep(0.001)
@@ -233,7 +233,7 @@
 
 
 def test_a_call_whose_connection_is_closed_after_it_was_read_is_sent_once(server):
-    """Whether it was carried out is not known: it is the caller that may repeat it."""
+    """It is unknown whether the call was executed, so only the caller may repeat it."""
     seen = []
 
     def serve(connection):
