--- a/ochrespan/common/validation.py
+++ b/ochrespan/common/validation.py
@@ -43,7 +43,7 @@
 
 
 class Findings(list[Finding]):
-    """Collects the findings of several checks. Only the first MAX_FINDINGS are kept.
+    """Collects the findings of several checks. Only the first MAX_FINDINGS are retained.
 
     Attributes:
         total: How many were added, also beyond MAX_FINDINGS; checks that depend on earlier ones compare this number.
--- a/ochrespan/membership/agent.py
+++ b/ochrespan/membership/agent.py
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """What the agent takes from a process's settings. `address` and `seeds`: IP and first port of `port_range`."""
+    """The settings that the agent needs. `address` and `seeds`: IP and first port of `port_range`."""
 
     address: Address
     seeds: tuple[Address, ...]
@@ -54,11 +54,11 @@
 
 
 class MembershipAgent:
-    """Keeps the list of the fleet's alive processes.
+    """Maintains the list of the fleet's alive processes.
 
     Args:
         settings: This process as a member, and the seeds.
-        on_change: Called without arguments after each change of the list, in the greenlet that saw the change.
+        on_change: Called without arguments after each change of the list, in the greenlet that detected the change.
     """
 
     def __init__(self, settings: MembershipSettings, on_change: Callable[[], None]) -> None:
@@ -117,7 +117,7 @@
         self._send_messages()
         self._notify_of_change()
         if self._protocol.next_tick_at < planned_tick_at:
-            self._wake.set()  # `_run` waits for a later tick than is needed now
+            self._wake.set()  # `_run` waits for a later tick than the one that is due now
 
     def _send_messages(self) -> None:
         for address, value in self._protocol.take_messages():
--- a/ochrespan/membership/errors.py
+++ b/ochrespan/membership/errors.py
@@ -8,4 +8,4 @@
 
 
 class MalformedMessageError(MembershipError, ValueError):
-    """A datagram that does not hold a SWIM message: unknown kind, or fields that don't fit the kind."""
+    """A datagram that contains no valid SWIM message: unknown kind, or fields that don't fit the kind."""
--- a/ochrespan/membership/messages.py
+++ b/ochrespan/membership/messages.py
@@ -1,6 +1,6 @@
 """Messages of SWIM membership. `updates` are piggybacked on probes and their acknowledgements.
 
-The order of the fields is part of the wire format; `wire` holds the kinds and their numbers.
+The order of the fields is part of the wire format; `wire` defines the kinds and their numbers.
 """
 
 from __future__ import annotations
--- a/ochrespan/membership/protocol.py
+++ b/ochrespan/membership/protocol.py
@@ -29,13 +29,11 @@
 PINGED_SUSPECTS = 2
 UPDATES_PER_MESSAGE = 10
 UPDATES_PER_SYNC = 10
-CONTACT_INTERVAL_S = (
-    1.0  # between messages to seeds that aren't known to be alive, and to dead members, which may have restarted
-)
+CONTACT_INTERVAL_S = 1.0  # between messages to seeds not known to be alive and to dead members, which may be back
 SYNC_INTERVAL_S = 15.0
 # After the start of a full fleet, gossip alone would take a while to reach every member. Doubles with each sync.
 INITIAL_SYNC_INTERVAL_S = 2.5
-# A tick that is later than this shows that this process was stalled: its time-outs are extended by that time.
+# A later tick shows that this process was stalled: its time-outs are extended by the time that it missed.
 MAX_TICK_DELAY_S = 0.3
 
 
@@ -65,8 +63,8 @@
 class SwimProtocol:
     """The protocol state of one process.
 
-    The owner calls `tick` at `next_tick_at` and `receive` for each message, and then takes out what is to be sent and
-    whether the members have changed.
+    The owner calls `tick` at `next_tick_at` and `receive` for each message, and then calls `take_messages`
+    and `take_has_changed`.
 
     Args:
         own: This process as a member.
@@ -123,7 +121,7 @@
         self._seeds = tuple(seed for seed in seeds if seed != self.table.own.address)
 
     def leave(self) -> None:
-        """Announces the planned shutdown to some members; gossip brings it to the others."""
+        """Announces the planned shutdown to some members, which disseminate it to the others."""
         self.table.leave()
         for address in self._pick_members(INDIRECT_PROBES, exclude=None):
             self._send(address, Ping(self._next_sequence_number(), [self.table.own_update()]))
--- a/ochrespan/raft/bootstrap_protocol.py
+++ b/ochrespan/raft/bootstrap_protocol.py
@@ -11,8 +11,8 @@
 - A member of a cluster without entries sends its proposal to all voters again at each query, also to those in another
   cluster. A receiver without entries that has entered no term (so it has voted for nobody), and that is named under its
   current id, switches to the proposal that ranks first: proposals of senders that have voted rank before those of
-  senders that haven't, then the lower cluster id ranks first. The order is the same for all processes, so none switches
-  back and forth.
+  senders that haven't, then the lower cluster id ranks first. The order is the same for all processes, so none
+  alternates between two proposals.
 - A process in another cluster with committed entries responds to `JoinRequest` and `BootstrapProposal` with a
   `JoinResponse` that says so (`has_commits`). A receiver without entries abandons its own bootstrap: it gets a new
   id and empty replicas, and asks to join.
--- a/ochrespan/raft/cluster_messages.py
+++ b/ochrespan/raft/cluster_messages.py
@@ -60,7 +60,7 @@
 def cluster_id_of(members: Iterable[Member]) -> int:
     """The id of the cluster that these initial members form: never 0, and 63 bits at most.
 
-    It depends on the replica ids alone, in any order, so each member computes the same.
+    It depends only on the replica ids, in any order, so each member computes the same one.
     """
     listed = ",".join(str(member_id) for member_id in sorted(member.id for member in members))
     return int.from_bytes(hashlib.sha256(listed.encode()).digest()[:8], "big") >> 1 or 1
--- a/ochrespan/raft/election.py
+++ b/ochrespan/raft/election.py
@@ -12,7 +12,7 @@
 
 
 class Election:
-    """Campaigns when no leader is heard from, and responds to the campaigns of others."""
+    """Campaigns when there is no contact with a leader, and responds to the vote requests of other replicas."""
 
     def __init__(self, state: ReplicaState, on_elected: Callable[[], None]) -> None:
         self._state = state
@@ -20,7 +20,7 @@
         self._granted: set[int] = set()  # replicas that have granted the vote, or pre-vote, of this campaign
 
     def tick(self) -> None:
-        """Asks for pre-votes once the election deadline has passed."""
+        """Requests pre-votes once the election deadline has passed."""
         state = self._state
         if state.role is not Role.LEADER and state.now >= state.election_deadline:
             state.reset_pre_vote_deadline()
--- a/ochrespan/raft/follower.py
+++ b/ochrespan/raft/follower.py
@@ -20,7 +20,7 @@
 
     def __init__(self, state: ReplicaState) -> None:
         self._state = state
-        self._received = bytearray()  # chunks of the snapshot that is arriving, without a gap
+        self._received = bytearray()  # contiguous chunks of the snapshot in transfer
         self._snapshot_key: tuple[int, int] = (0, 0)  # its term and index
 
     def receive_entries(self, leader: int, message: AppendEntries) -> None:
--- a/ochrespan/raft/joining.py
+++ b/ochrespan/raft/joining.py
@@ -78,6 +78,6 @@
 
 
 def lacks_leader(now: float, replica: Replica) -> bool:
-    """Whether a replica neither leads nor has heard from a leader for LEADER_TIMEOUT_S."""
+    """Whether a replica does not lead and has had no contact with a leader for LEADER_TIMEOUT_S."""
     state = replica.state
     return state.role is not Role.LEADER and now - state.last_leader_contact_at > LEADER_TIMEOUT_S
--- a/ochrespan/raft/leader.py
+++ b/ochrespan/raft/leader.py
@@ -260,7 +260,7 @@
         return self._state.configuration.majority_value(self._stamp)
 
     def voters_by_match_index(self) -> Iterator[tuple[int, Progress]]:
-        """Other voters that were heard from within the voter time-out, the highest match index first."""
+        """Other voters in contact within the voter time-out, the highest match index first."""
         state = self._state
         ids = [member.id for member in state.configuration.voters if member.id in self.progress]
         for member_id in sorted(ids, key=lambda voter: -self.progress[voter].match_index):
--- a/ochrespan/raft/local_groups.py
+++ b/ochrespan/raft/local_groups.py
@@ -35,7 +35,7 @@
 
     @property
     def has_no_entries(self) -> bool:
-        """Whether no log has an entry: nothing that was acknowledged to a client can be on this disk alone."""
+        """Whether no log has an entry, so that no acknowledged command can be on this disk only."""
         return all(not replica.state.log.last_index for replica in self.replicas.values())
 
     @property
--- a/ochrespan/raft/log.py
+++ b/ochrespan/raft/log.py
@@ -68,7 +68,7 @@
 
     @property
     def configuration_index(self) -> int:
-        """Index of the entry that holds `configuration`."""
+        """Index of the entry that contains `configuration`."""
         return self._configurations[-1][0]
 
     @property
--- a/ochrespan/raft/messages.py
+++ b/ochrespan/raft/messages.py
@@ -1,8 +1,8 @@
 """Messages between the replicas of one group (Raft's RPCs, each request and each response a message of its own).
 
-They are plain data: `ochrespan.control_plane.replication.raft_wire` gives them their form on the wire.
+They are plain data: `ochrespan.control_plane.replication.raft_wire` defines their wire format.
 
-`stamp` is a strictly increasing reading, in seconds, of the sending leader's steady clock. A response repeats the stamp
+`stamp` is a strictly increasing time, in seconds, of the sending leader's steady clock. A response repeats the stamp
 of the message that it responds to, so a leader knows how recent the agreement of its majority is without any clock but
 its own.
 
@@ -17,7 +17,7 @@
 
 
 class EntryKind(IntEnum):
-    """What a log entry holds: a command of the state machine, or a configuration of the group."""
+    """The content of a log entry: a command of the state machine, or a configuration of the group."""
 
     COMMAND = 0
     CONFIGURATION = 1
--- a/ochrespan/raft/multi_raft.py
+++ b/ochrespan/raft/multi_raft.py
@@ -39,11 +39,11 @@
 
 
 class MultiRaft:
-    """Routes messages to the replicas and collects what they send and write.
+    """Routes messages to the replicas, and collects their messages and their updates to write.
 
     Args:
         settings: the bootstrap settings of this process.
-        recovered: what is on the disk; its groups are those that the process takes part in.
+        recovered: the state on the disk; its groups are those that the process takes part in.
         source: for replica ids and election time-outs.
         now: seconds of the steady clock, as in all methods.
         timing: of elections and replication.
@@ -91,7 +91,7 @@
         self.opening.advance(now)
 
     def receive(self, now: float, envelope: Envelope) -> None:
-        """Passes the messages of an envelope on, unless it is from another cluster or for another replica id."""
+        """Dispatches the messages of an envelope, unless it is from another cluster or for another replica id."""
         own = self.bootstrap.identity
         if envelope.cluster_id and own.cluster_id and envelope.cluster_id != own.cluster_id:
             self._bootstrap_protocol.receive_from_other_cluster(now, envelope)
@@ -121,7 +121,7 @@
         self._planned_leave.send_notices(now)
 
     def take_envelopes(self) -> list[tuple[Address, Envelope]]:
-        """What is to be sent now, one envelope for each receiver."""
+        """The messages to send now, one envelope for each receiver."""
         envelopes: dict[tuple[Address, int], Envelope] = {}
         identity = self.bootstrap.identity
 
@@ -144,7 +144,7 @@
         return [(address, value) for (address, _), value in envelopes.items()]
 
     def take_updates(self) -> list[Identity | PersistentUpdate]:
-        """What is to be written now, in one write; the caller calls `persisted` when it is durable."""
+        """The updates to write now, in one write; the caller calls `persisted` when they are durable."""
         updates: list[Identity | PersistentUpdate] = []
         if self._last_taken_identity != self.bootstrap.identity:
             self._last_taken_identity = self.bootstrap.identity
@@ -153,16 +153,16 @@
         return updates
 
     def persisted(self, now: float) -> None:
-        """The write of the last `take_updates` is durable."""
+        """Called when the write of the last `take_updates` is durable."""
         for replica in self.replicas.values():
             replica.persisted(now)
 
     def add_contacts(self, addresses: Iterable[Address]) -> None:
-        """Further processes that may know the groups, from changed settings for example."""
+        """Adds processes that may know the groups, from changed settings for example."""
         self._joining.contacts.update(addresses)
 
     def withhold_votes(self, now: float, withholding_votes: bool) -> None:
-        """The disk doesn't keep up, or does again: while it doesn't, no replica here leads or becomes a candidate."""
+        """Called when the disk cannot keep up, or can again; until then no replica here leads or campaigns."""
         for replica in self.replicas.values():
             replica.withhold_votes(now, withholding_votes)
 
--- a/ochrespan/raft/opening.py
+++ b/ochrespan/raft/opening.py
@@ -89,7 +89,7 @@
         return () if initial_members == (self._local.bootstrap.settings.address,) else initial_members
 
     def _report_missing(self, now: float) -> None:
-        """Names the missing initial members in the log once, where a leader has waited for long."""
+        """Logs the missing initial members once, after a leader has waited for REPORT_MISSING_AFTER_S."""
         since = [
             replica.state.leader_since or now
             for replica in self._local.replicas.values()
--- a/ochrespan/raft/reads.py
+++ b/ochrespan/raft/reads.py
@@ -35,7 +35,7 @@
         self._pending.append(PendingRead(self._state.stamp(), self._state.commit_index, token))
 
     def take_all(self) -> list[Any]:
-        """Tokens of all reads that wait: the leadership has ended, so they will not be confirmed here."""
+        """Tokens of all pending reads: leadership has ended, so they will not be confirmed here."""
         tokens = [read.token for read in self._pending]
         self._pending = []
         return tokens
--- a/ochrespan/raft/reconfiguration.py
+++ b/ochrespan/raft/reconfiguration.py
@@ -21,7 +21,7 @@
     """A leader's view of the voters and of the standbys that may replace them."""
 
     standbys: tuple[Member, ...]  # learners that have caught up
-    lost: tuple[int, ...]  # voters that timed out, leave, or came back under another id; the longest lost first
+    lost: tuple[int, ...]  # voters that timed out, shut down, or returned under another id; longest lost first
     replaced: frozenset[int] = frozenset()  # those of them whose disk is gone: another id has their address
     has_contact_with_all: bool = True  # every voter has lately responded to this leader
 
@@ -67,11 +67,11 @@
         self._leaving_until: dict[int, float] = {}  # by voter: when its notice of a planned shutdown expires
 
     def leave(self, member_id: int) -> None:
-        """A voter is about to shut down; as it may come back under the same id, this expires."""
+        """Records that a voter is about to shut down; expires, as the voter may return under the same id."""
         self._leaving_until[member_id] = self._state.now + LEAVE_TIMEOUT_S
 
     def join(self, member: Member) -> None:
-        """A replica asks to be added: as a learner, unless it is a voter already."""
+        """Adds a replica as a learner at its request, unless it is a voter already."""
         state = self._state
         replication = self._replication
         for known_id, known in state.configuration.members().items():
--- a/ochrespan/raft/replica.py
+++ b/ochrespan/raft/replica.py
@@ -83,7 +83,7 @@
 
     @property
     def accepts_proposals(self) -> bool:
-        """Whether `propose` takes a command now."""
+        """Whether `propose` accepts a command now."""
         is_available = self.state.role is Role.LEADER and not self.is_transferring_leadership
         is_opened = self.may_accept_commands is None or self.may_accept_commands()
         return is_available and is_opened and not self._awaits_members
@@ -164,7 +164,7 @@
         return self.replication.append(EntryKind.COMMAND, command), self.state.term
 
     def read(self, now: float, token: Any) -> bool:
-        """Begins a confirmed read; the token comes out of `take_reads` or of `failed_reads`.
+        """Begins a confirmed read; its token is returned by `take_reads` or added to `failed_reads`.
 
         Returns:
             False where this replica doesn't lead: nothing was begun.
@@ -196,7 +196,7 @@
             self._lease_start = self.replication.quorum_stamp()
 
     def leave(self, now: float, member_id: int) -> None:
-        """A voter announces its planned shutdown: a standby should replace it."""
+        """Records a voter's planned shutdown, so that a standby replaces it."""
         self.state.now = now
         self.reconfiguration.leave(member_id)
 
@@ -207,7 +207,7 @@
             self._leadership_transfer.start(target)
 
     def withhold_votes(self, now: float, withholding_votes: bool) -> None:
-        """The disk doesn't keep up, or does again: while it doesn't, this replica neither leads nor campaigns."""
+        """Called when the disk cannot keep up, or can again; until then this replica neither leads nor campaigns."""
         self.state.withholding_votes = withholding_votes
         if withholding_votes:
             self.transfer_leadership(now)
@@ -254,11 +254,11 @@
         return messages
 
     def take_update(self) -> PersistentUpdate | None:
-        """What is to be written now, if anything; call `persisted` when it is on the disk."""
+        """The update to write now, if any; the caller calls `persisted` when it is on the disk."""
         return self.state.take_update()
 
     def persisted(self, now: float) -> None:
-        """The write that `take_update` started is on the disk."""
+        """Called when the write that `take_update` started is on the disk."""
         self.state.now = now
         self.state.persisted()
         if self.state.role is Role.LEADER:
--- a/ochrespan/raft/state.py
+++ b/ochrespan/raft/state.py
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class PersistentUpdate:
-    """What is to be written: term and vote, then a snapshot that replaces the log, then entries from `first_index` on.
+    """An update to write: term and vote, then a snapshot that replaces the log, then entries from `first_index` on.
 
     Entries on the disk from `first_index` on are dropped before `entries` are added.
     """
@@ -78,7 +78,7 @@
 class ReplicaState:
     """State of one replica of one group. `now` is set by the caller before each step.
 
-    A replica must not promise what a loss of power can undo: votes and acknowledgements of entries go out through
+    A replica must not promise what a loss of power can undo: votes and acknowledgements of entries are sent through
     `send_when_persisted`. Writes are numbered in the order of `take_update`, and one is in flight at a time.
     """
 
@@ -121,7 +121,7 @@
         return self.configuration.is_voter(self.id)
 
     def stamp(self) -> float:
-        """A strictly increasing reading of the steady clock."""
+        """A strictly increasing time of the steady clock."""
         self._last_stamp = max(self.now, self._last_stamp + 1e-6)
         return self._last_stamp
 
@@ -131,7 +131,7 @@
         voters = self.configuration.voters
         return bool(voters) and voters[self.group % len(voters)].id == self.id
 
-    # Election deadlines. Each is drawn at random; the preferred leader's span comes first, so that it usually wins.
+    # Election deadlines. Each is drawn at random; the preferred leader's range comes first, so that it usually wins.
 
     def reset_election_deadline(self) -> None:
         """Restarts the time-out after contact with a leader; shortest for the preferred leader, so that it succeeds."""
@@ -142,9 +142,9 @@
         self.election_deadline = self.now + self.random.uniform(*span)
 
     def suspect_leader(self) -> None:
-        """The leader's connection has ended: its process may be gone, or may connect again within a few heartbeats.
+        """The leader's connection has ended: its process may have ended, or may reconnect within a few heartbeats.
 
-        Until it is heard from again this replica also grants votes, which a live leader's lease would rule out.
+        Until the leader is in contact again this replica also grants votes, which its lease would otherwise exclude.
         """
         self.last_leader_contact_at = float("-inf")
         min_s = self.timing.disconnect_timeout_s * (1.0 if self.is_preferred_leader else 1.25)
@@ -152,24 +152,24 @@
         self.election_deadline = min(self.election_deadline, deadline)
 
     def set_startup_deadline(self) -> None:
-        """The process has just started: no leader need be awaited, as pre-votes are rejected where one is alive."""
+        """Used when the process starts: it need not wait for a leader, as pre-votes are rejected if one is alive."""
         min_s = self.timing.election_min_s
         span = (min_s / 12, min_s / 6) if self.is_preferred_leader else (min_s / 5, min_s / 2)
         self.election_deadline = self.now + self.random.uniform(*span)
 
     def set_bootstrap_deadline(self) -> None:
-        """The group has just been bootstrapped: there is no leader yet, and the other members learn of it now."""
+        """Used right after a bootstrap: there is no leader yet, and the other members receive the proposal now."""
         min_s = self.timing.election_min_s
         span = (0.0, 0.0) if self.is_preferred_leader else (min_s / 10, min_s / 3)
         self.election_deadline = self.now + self.random.uniform(*span)
 
     def reset_pre_vote_deadline(self) -> None:
-        """A pre-vote has been requested: it changes nothing at the others, so it is soon requested again."""
+        """Used after a pre-vote request: it changes nothing at the other replicas, so the next one may follow soon."""
         min_s = self.timing.election_min_s
         self.election_deadline = self.now + self.random.uniform(min_s / 8, min_s / 3)
 
     def reset_campaign_deadline(self) -> None:
-        """A campaign has begun: the next attempt comes sooner than a leader would be timed out."""
+        """Used when a campaign begins: the next attempt comes sooner than a leader would time out."""
         min_s = self.timing.election_min_s
         self.election_deadline = self.now + self.random.uniform(min_s / 4, min_s)
 
@@ -190,7 +190,7 @@
     # Term, vote and role
 
     def enter_term(self, term: int, vote: int = 0) -> None:
-        """Moves to a newer term, with a vote in it if one is given."""
+        """Enters a newer term, with `vote` as the vote in it; 0 for none."""
         self.term = term
         self.vote = vote
         self._state_dirty = True
@@ -235,7 +235,7 @@
         return self._state_dirty or self._snapshot_dirty or self.log.has_unpersisted()
 
     def take_update(self) -> PersistentUpdate | None:
-        """What is to be written now; `persisted` follows when it is on the disk. One write is in flight at a time."""
+        """The update to write now; `persisted` is called when it is on the disk. One write is in flight at a time."""
         if not self.needs_write():
             return None
         self._writes_started += 1
@@ -246,7 +246,7 @@
         return PersistentUpdate(self.group, self.term, self.vote, snapshot, first_index, entries)
 
     def persisted(self) -> None:
-        """The write that `take_update` started is on the disk: messages that waited for it may be sent."""
+        """Called when the write that `take_update` started is on the disk: messages that wait for it may be sent."""
         completed = self._writes_completed = self._writes_started
         self.log.persisted()
         self.outbox += [(to, message) for write, to, message in self._pending_messages if write <= completed]
--- a/ochrespan/storage/files.py
+++ b/ochrespan/storage/files.py
@@ -10,7 +10,7 @@
 class Directory(Protocol):
     """A directory of a few files, which are read completely and written at an offset.
 
-    Names are plain file names. Every call blocks and may raise OSError; what a failed call has left in the file is then
+    Names are plain file names. Every call blocks and may raise OSError; the content of the file after a failed call is
     unknown, and the call may be repeated. Nothing is durable, that is, certain to survive a loss of power, before the
     matching sync has returned.
     """
@@ -31,7 +31,7 @@
         """Makes durable what has been written to a file, and its length."""
 
     def sync_directory(self) -> None:
-        """Makes the names of the files durable."""
+        """Makes the directory entries of the files durable."""
 
 
 class PosixDirectory:
--- a/ochrespan/storage/snapshot_store.py
+++ b/ochrespan/storage/snapshot_store.py
@@ -1,7 +1,7 @@
 """Durable state: a checkpoint in one of two slots that are written in turn, and a short log of later records.
 
 Generation g has its checkpoint in slot g mod 2 and its records in log g mod 2. A new checkpoint begins log g+1, then
-writes slot g+1; until that slot is durable, slot g with both logs holds the state. The files of g+1 replace only those
+writes slot g+1; until that slot is durable, the state is slot g with both logs. The files of g+1 replace only those
 of g-1, so at any moment a complete state is on the disk.
 
 Calls block and may raise OSError; whatever has failed is written again by the next call.
@@ -40,7 +40,7 @@
         self._durable_end = 0  # of the current log, in bytes
         self._pending = bytearray()  # bytes that follow `_durable_end`; perhaps written, but not known to be durable
         self._checksum = 0
-        self._is_log_stale = False  # the log file holds an older generation, and is emptied before it is written
+        self._is_log_stale = False  # the log file is of an older generation, and is truncated before it is written
 
     @property
     def log_bytes(self) -> int:
--- a/ochrespan/transport/compact.py
+++ b/ochrespan/transport/compact.py
@@ -47,10 +47,10 @@
 
 
 def decompress(data: bytes) -> bytes:
-    """The data that `compress` was given. Raises zlib.error where it is damaged."""
+    """The data that was passed to `compress`. Raises zlib.error if the data is corrupt."""
     return data[1:] if data[:1] == _PLAIN else zlib.decompress(data[1:])
 
 
 def unpack(data: bytes) -> Any:
-    """The value that `pack` was given, with lists in place of tuples. Raises ValueError or zlib.error if damaged."""
+    """The value that was passed to `pack`, with lists for tuples. Raises ValueError or zlib.error if corrupt."""
     return ormsgpack.unpackb(decompress(data))
--- a/ochrespan/transport/rpc.py
+++ b/ochrespan/transport/rpc.py
@@ -1,6 +1,6 @@
 """Remote procedure calls and pushed messages over one framed connection.
 
-A request carries a number that its response repeats; a message without one is a push. Calls are independent of each
+A request has a number that its response repeats; any other message is a push. Calls are independent of each
 other: responses come in any order. A call whose connection ends gets no response, and it is unknown whether it was
 executed. This module never retries a call: the caller knows whether it may be repeated.
 """
@@ -139,7 +139,7 @@
             pending.result.set(response)
 
     def _fail_calls(self, connection: Connection, reason: str) -> None:
-        """Fails the calls of one connection; those of its successor go on.
+        """Fails the calls of one connection; those of its successor continue.
 
         A successor may have been opened before this connection's greenlet has seen the end.
         """
@@ -209,5 +209,5 @@
         except Exception as error:  # noqa: BLE001 - whatever a handler raises is reported to the caller, which decides
             log.warning("request handler failed error=%r", error)
             response = RpcResponse(call.number, b"", repr(error))
-        with contextlib.suppress(ConnectionClosedError):  # the caller is gone, or has its own time-out
+        with contextlib.suppress(ConnectionClosedError):  # the caller has disconnected, or times out by itself
             connection.send(response)
--- a/ochrespan/transport/tcp.py
+++ b/ochrespan/transport/tcp.py
@@ -67,7 +67,7 @@
 class Connection:
     """One framed connection, which owns its socket and the greenlet that writes to it.
 
-    `send` queues and never waits; `receive` waits for the next message and is called by one greenlet alone.
+    `send` queues and never waits; `receive` waits for the next message and may be called by one greenlet only.
     """
 
     def __init__(self, sock: socket.socket, peer: Address) -> None:
@@ -83,7 +83,7 @@
 
     @property
     def closed(self) -> bool:
-        """Whether this side has closed the connection, also after a fault."""
+        """Whether this side has closed the connection, on request or after a fault."""
         return self._closed
 
     def send(self, value: Any) -> None:
@@ -91,7 +91,7 @@
         self.send_encoded(encode(value))
 
     def send_encoded(self, data: bytes) -> None:
-        """Queues the bytes that `codec.encode` has made, which may go to many connections.
+        """Queues the bytes of `codec.encode`, so that one encoded message can go to many connections.
 
         Raises:
             ConnectionClosedError: The connection has ended, or is closed here since the peer reads too slowly.
@@ -108,7 +108,7 @@
     def receive(self, timeout: float | None = None) -> Any:
         """Waits for the next message.
 
-        A frame is taken completely or not at all: after a time-out, the next call continues with the bytes that have
+        A frame is consumed completely or not at all: after a time-out, the next call continues with the bytes that have
         arrived.
 
         Args:
@@ -116,7 +116,7 @@
 
         Raises:
             ConnectionClosedError: The connection has ended.
-            MessageError: The frame is too large, which closes the connection, or holds no message.
+            MessageError: The frame is too large, which closes the connection, or contains no valid message.
             TimeoutError: No complete message has arrived in time.
         """
         limit = gevent.Timeout.start_new(timeout)
--- a/ochrespan/transport/tls.py
+++ b/ochrespan/transport/tls.py
@@ -76,9 +76,7 @@
     def _context(self, protocol: Any) -> Any:
         context = ssl.SSLContext(protocol)
         context.minimum_version = ssl.TLSVersion.TLSv1_3
-        context.check_hostname = (
-            False  # peers have no host names; a certificate signed by the authority is required instead
-        )
+        context.check_hostname = False  # peers have no host names; a certificate of the authority is required instead
         context.verify_mode = ssl.CERT_REQUIRED
         context.load_verify_locations(self._files.authority)
         context.load_cert_chain(self._files.certificate, self._files.key)
--- a/ochrespan/transport/udp.py
+++ b/ochrespan/transport/udp.py
@@ -22,7 +22,7 @@
     """A UDP socket that owns its greenlets.
 
     Args:
-        address: Where to listen; port 0 takes a free one.
+        address: Where to listen; port 0 selects a free one.
         handle: Called as `handle(message, peer)` for each datagram, in a greenlet of its own. Bytes that are not a
             valid message are logged and dropped.
     """
--- a/tests/membership/test_protocol.py
+++ b/tests/membership/test_protocol.py
@@ -161,7 +161,7 @@
     assert fleet.agreed()
 
 
-def test_two_halves_that_took_each_other_for_dead_find_each_other_again():
+def test_two_halves_that_declared_each_other_dead_find_each_other_again():
     fleet = Fleet(6, 1)
     fleet.run(5.0)
     half = {address(number) for number in (4, 5, 6)}
--- a/tests/raft/test_bootstrap.py
+++ b/tests/raft/test_bootstrap.py
@@ -266,8 +266,8 @@
     world = World(1)
     world.run(3.0)
     assert is_command_acknowledged(world)
-    keeper, *others = world.nodes.values()
-    keeper.lose_power()
+    unreachable, *others = world.nodes.values()
+    unreachable.lose_power()
     for node in others:
         node.wipe()
         node.start(world.seeds, bootstrap=False)
--- a/tests/raft/test_raft_behaviour.py
+++ b/tests/raft/test_raft_behaviour.py
@@ -81,9 +81,9 @@
     world.run(5.0)
     world.propose(0)
     world.run(0.5)
-    gone = world.leader(0)
-    gone.lose_power()
-    del world.nodes[gone.address]
+    lost_leader = world.leader(0)
+    lost_leader.lose_power()
+    del world.nodes[lost_leader.address]
     world.run(1.0)
     world.add(4).start(world.seeds, bootstrap=False)
     world.run(4.0)
@@ -156,7 +156,7 @@
         assert max(took_s) < max_s  # votes may be split once
 
 
-def test_a_leader_whose_disk_hangs_transfers_leadership_and_its_commands_are_kept():
+def test_a_leader_whose_disk_hangs_transfers_leadership_and_loses_no_command():
     world = World(5)
     world.run(5.0)
     leader = world.leader(0)
@@ -194,10 +194,10 @@
         assert aware
 
 
-LATE_S = 0.75  # longer than a leader waits for its successor
+MESSAGE_DELAY_S = 0.75  # longer than a leader waits for its successor
 
 
-def lead_on_after_a_failed_transfer(monkeypatch):
+def continue_term_after_failed_transfer(monkeypatch):
     """Plants the fault that a leader whose successor does not take over in time continues in the same term."""
     in_progress = property(lambda self: self._state.now < self._deadline)
     monkeypatch.setattr(LeadershipTransfer, "in_progress", in_progress)
@@ -207,23 +207,23 @@
 
 
 def play_late_transfer(late_message: str) -> World:
-    """One message of a leadership transfer arrives after LATE_S; from then on the old leader receives no messages."""
+    """One message of a transfer arrives after MESSAGE_DELAY_S; from then on the old leader receives no messages."""
     world = World(6)
     world.run(5.0)
     shard = 1
     leader = world.leader(shard)
     successor, third = (node for node in world.nodes.values() if node is not leader)
     if late_message == "TimeoutNow":
-        world.stall(leader.address, successor.address, LATE_S)
+        world.stall(leader.address, successor.address, MESSAGE_DELAY_S)
     else:
-        world.stall(successor.address, third.address, LATE_S)
-        world.stall(successor.address, leader.address, LATE_S)
+        world.stall(successor.address, third.address, MESSAGE_DELAY_S)
+        world.stall(successor.address, leader.address, MESSAGE_DELAY_S)
     world.quota_traffic.begin(world.now + 4.0)
     leader.multi_raft.replicas[shard].transfer_leadership(world.now, successor.multi_raft.id)
     leader.pump()
     world.run(0.01)
     successor.multi_raft.replicas[shard].state.election_deadline = float("inf")  # it remains a candidate if it is one
-    world.run(LATE_S - 0.012)
+    world.run(MESSAGE_DELAY_S - 0.012)
     world.cuts |= {(node.address, leader.address) for node in (successor, third)}
     world.run(3.0)
     assert world.leader(shard) is not None
@@ -237,15 +237,15 @@
 
 
 @pytest.mark.parametrize("late_message", ["TimeoutNow", "RequestVote"])
-def test_a_leader_that_goes_on_in_the_term_of_its_transfer_is_caught_as_two_owners(late_message, monkeypatch):
-    lead_on_after_a_failed_transfer(monkeypatch)
+def test_a_leader_that_continues_in_the_term_of_its_transfer_is_caught_as_two_owners(late_message, monkeypatch):
+    continue_term_after_failed_transfer(monkeypatch)
     with pytest.raises(Violation, match="two owners"):
         play_late_transfer(late_message)
 
 
 @pytest.mark.parametrize("late_message", ["TimeoutNow", "RequestVote"])
 def test_grants_beside_a_late_transfer_are_caught_as_a_quota_granted_twice(late_message, monkeypatch):
-    lead_on_after_a_failed_transfer(monkeypatch)
+    continue_term_after_failed_transfer(monkeypatch)
     monkeypatch.setattr(Checks, "_check_one_owner", lambda *_: None)
     with pytest.raises(Violation, match="quota granted twice"):
         play_late_transfer(late_message)
@@ -319,12 +319,12 @@
 def test_entries_behind_a_snapshot_are_bounded_by_count_and_bytes(monkeypatch):
     monkeypatch.setattr(replica_module, "RETAINED_ENTRIES", 10)
     monkeypatch.setattr(replica_module, "RETAINED_BYTES", 1000)
-    for size, kept in [(10, 10), (300, 3)]:
+    for size, retained in [(10, 10), (300, 3)]:
         log = ReplicaLog(entries=[Entry(1, EntryKind.COMMAND, bytes(size)) for _ in range(50)])
         replica = replica_module.Replica(ReplicaSettings(0, 1, 3), PersistentState(1, 0, log), random.Random(1), 0.0)
         replica.state.commit_index = replica.state.applied_index = 40
         replica.compact(b"state")
-        assert (log.first_index, log.last_index) == (41 - kept, 50)
+        assert (log.first_index, log.last_index) == (41 - retained, 50)
 
 
 @pytest.mark.parametrize("missed", [1, 300, 1000])
@@ -349,15 +349,15 @@
     world.run(2.0)
     assert len(member.machines[0].commands) >= acknowledged
     assert member.multi_raft.replicas[0].state.is_voter
-    gone = world.leader(0)
-    gone.lose_power()
+    lost_leader = world.leader(0)
+    lost_leader.lose_power()
     world.run(2.0)
     assert world.leader(0) is not None
     assert all(command in world.leader(0).machines[0].commands for command in world.checks.acked[0])
 
 
 def test_a_wiped_voter_behind_a_slow_link_becomes_a_voter_and_delays_no_command():
-    """Snapshots of all shards, appends, heartbeats and votes share a link of 5 Mbit/s, and commands go on."""
+    """Snapshots of all shards, appends, heartbeats and votes share a link of 5 Mbit/s, while commands continue."""
     world = World(11)
     world.run(8.0)
     for number in range(60):
@@ -374,7 +374,7 @@
         before = len(world.checks.acked[0])
         world.propose(0)
         world.run(0.1)
-        assert len(world.checks.acked[0]) > before  # a leader all along, or a transfer of milliseconds
+        assert len(world.checks.acked[0]) > before  # there was always a leader, but for milliseconds of a transfer
         assert world.now - began < bound_s
     carried = sum(size for (_, receiver), size in world.carried.items() if receiver == member.address)
     assert snapshot_bytes < carried < 1.5 * snapshot_bytes
--- a/tests/raft/test_snapshot_transfer.py
+++ b/tests/raft/test_snapshot_transfer.py
@@ -38,9 +38,9 @@
             ),
             LEARNER: Replica(ReplicaSettings(0, LEARNER, 1), PersistentState(), random.Random(2), self.now),
         }
-        self._waiting: list = []  # in transit: arrival time, receiver, message
-        self._free_at = dict.fromkeys(self.replicas, self.now)
-        self.carried = 0
+        self._in_transit: list = []  # in transit: arrival time, receiver, message
+        self._link_free_at = dict.fromkeys(self.replicas, self.now)
+        self.bytes_sent = 0
         self.max_heartbeat_delay_s = 0.0  # in the link's queue
         self.lose_next = 0
         while self.leader.state.role is not Role.LEADER:
@@ -71,8 +71,8 @@
         self._exchange()
 
     def _deliver(self) -> None:
-        while self._waiting and self._waiting[0][0] <= self.now:
-            arrival, receiver, message = self._waiting.pop(0)
+        while self._in_transit and self._in_transit[0][0] <= self.now:
+            arrival, receiver, message = self._in_transit.pop(0)
             sender = LEADER if receiver == LEARNER else LEARNER
             self.replicas[receiver].receive(max(arrival, self.replicas[receiver].state.now), sender, message)
             self._exchange()
@@ -92,14 +92,14 @@
         size = 60 + len(getattr(message, "data", b"")) + sum(len(each.data) for each in getattr(message, "entries", ()))
         now = self.replicas[sender].state.now
         if isinstance(message, Heartbeat):
-            self.max_heartbeat_delay_s = max(self.max_heartbeat_delay_s, self._free_at[sender] - now)
-        self._free_at[sender] = max(self._free_at[sender], now) + size / self.rate
-        self.carried += size
+            self.max_heartbeat_delay_s = max(self.max_heartbeat_delay_s, self._link_free_at[sender] - now)
+        self._link_free_at[sender] = max(self._link_free_at[sender], now) + size / self.rate
+        self.bytes_sent += size
         if self.lose_next and isinstance(message, InstallSnapshot):
             self.lose_next -= 1
             return
-        self._waiting.append((self._free_at[sender] + DELAY_S, receiver, message))
-        self._waiting.sort(key=lambda item: item[0])
+        self._in_transit.append((self._link_free_at[sender] + DELAY_S, receiver, message))
+        self._in_transit.sort(key=lambda item: item[0])
 
     def propose(self, size: int = 500) -> None:
         """Proposes a command of `size` bytes."""
@@ -132,7 +132,7 @@
 def test_a_learner_catches_up_in_the_time_that_its_link_needs(snapshot_bytes, mbit_per_s):
     link = Link(snapshot_bytes, mbit_per_s)
     assert link.until_caught_up(60.0) < bound_s(snapshot_bytes, mbit_per_s)
-    assert link.carried < snapshot_bytes * OVERHEAD + MEGABYTE
+    assert link.bytes_sent < snapshot_bytes * OVERHEAD + MEGABYTE
 
 
 @pytest.mark.parametrize(("snapshot_bytes", "mbit_per_s"), CASES)
--- a/tests/transport/test_tls.py
+++ b/tests/transport/test_tls.py
@@ -26,9 +26,13 @@
 def key_files(folder, authority: trustme.CA) -> CertificateFiles:
     """Writes a new certificate of the authority to the folder, replacing each file atomically."""
     issued = authority.issue_cert("fleet.example")
-    blobs = {"certificate": issued.cert_chain_pems[0], "key": issued.private_key_pem, "authority": authority.cert_pem}
-    for name, blob in blobs.items():
-        blob.write_to_path(str(folder / f"{name}.new"))
+    contents = {
+        "certificate": issued.cert_chain_pems[0],
+        "key": issued.private_key_pem,
+        "authority": authority.cert_pem,
+    }
+    for name, content in contents.items():
+        content.write_to_path(str(folder / f"{name}.new"))
         os.replace(folder / f"{name}.new", folder / f"{name}.pem")
     return CertificateFiles(*(str(folder / f"{name}.pem") for name in ("certificate", "key", "authority")))
 
@@ -39,7 +43,7 @@
 
 
 @pytest.fixture
-def use():
+def use_tls():
     yield tcp.secure_connections
     tcp.secure_connections(None)
 
@@ -53,18 +57,18 @@
     server.stop()
 
 
-def test_calls_of_any_size_pass_between_processes_of_one_authority(tmp_path, authority, use, server):
-    use(MutualTls(key_files(tmp_path, authority)))
+def test_calls_of_any_size_pass_between_processes_of_one_authority(tmp_path, authority, use_tls, server):
+    use_tls(MutualTls(key_files(tmp_path, authority)))
     caller = rpc.RpcClient(server.address)
     texts = ["a", "b" * 3_000_000, "c"]
     calls = [gevent.spawn(caller.call, Secret(text), 20.0) for text in texts]
     assert [call.get().text for call in calls] == [text * 2 for text in texts]
 
 
-def test_a_peer_without_tls_is_rejected_and_logged(tmp_path, authority, use, server, caplog):
+def test_a_peer_without_tls_is_rejected_and_logged(tmp_path, authority, use_tls, server, caplog):
     plain = tcp.dial(server.address, 5.0)
     gevent.sleep(0)  # accepted while TLS was off; stays open
-    use(MutualTls(key_files(tmp_path, authority)))
+    use_tls(MutualTls(key_files(tmp_path, authority)))
     with caplog.at_level(logging.WARNING):
         stranger = tcp.socket.create_connection(server.address, timeout=5.0)
         stranger.sendall(b"\x00\x00\x00\x05hello")
@@ -76,25 +80,27 @@
     plain.close()
 
 
-def test_a_peer_with_a_certificate_of_another_authority_gets_no_response(tmp_path, authority, use, server):
+def test_a_peer_with_a_certificate_of_another_authority_gets_no_response(tmp_path, authority, use_tls, server):
     own, foreign = tmp_path / "own", tmp_path / "foreign"
     own.mkdir(), foreign.mkdir()
     security = MutualTls(key_files(own, authority))
     stranger = MutualTls(key_files(foreign, trustme.CA()))
 
-    class TwoSides:
+    class MixedTls:
         wrap_client, wrap_server = stranger.wrap_client, security.wrap_server
 
-    use(TwoSides())
+    use_tls(MixedTls())
     with pytest.raises(rpc.RpcError):
         rpc.RpcClient(server.address).call(Secret("a"), 5.0)
-    TwoSides.wrap_client = security.wrap_client
+    MixedTls.wrap_client = security.wrap_client
     assert rpc.RpcClient(server.address).call(Secret("a"), 5.0) == Secret("aa")
 
 
-def test_replaced_certificates_apply_to_new_connections_and_open_ones_stay(tmp_path, authority, use, server, caplog):
+def test_replaced_certificates_apply_to_new_connections_and_open_ones_stay(
+    tmp_path, authority, use_tls, server, caplog
+):
     caplog.set_level(logging.INFO)
-    use(MutualTls(key_files(tmp_path, authority)))
+    use_tls(MutualTls(key_files(tmp_path, authority)))
     old = rpc.RpcClient(server.address)
     assert old.call(Secret("a"), 5.0) == Secret("aa")
     key_files(tmp_path, trustme.CA())
@@ -103,7 +109,7 @@
     assert old.call(Secret("c"), 5.0) == Secret("cc")
 
 
-def test_during_a_change_of_the_authority_certificates_of_both_are_accepted(tmp_path, authority, use, server):
+def test_during_a_change_of_the_authority_certificates_of_both_are_accepted(tmp_path, authority, use_tls, server):
     old, new, both = (tmp_path / name for name in ("old", "new", "both"))
     for folder in (old, new, both):
         folder.mkdir()
@@ -115,16 +121,16 @@
         (folder / "authority.pem").write_text(authorities)
     unchanged = MutualTls(CertificateFiles(*(str(old / f"{name}.pem") for name in ("certificate", "key", "authority"))))
 
-    class TwoSides:
+    class MixedTls:
         wrap_client, wrap_server = MutualTls(files).wrap_client, unchanged.wrap_server
 
-    use(TwoSides())
+    use_tls(MixedTls())
     assert rpc.RpcClient(server.address).call(Secret("a"), 5.0) == Secret("aa")
 
 
 @pytest.mark.parametrize("spoil", ["certificate", "key", "authority"])
-def test_certificates_that_cannot_be_read_change_nothing(tmp_path, authority, use, server, spoil, caplog):
-    use(MutualTls(key_files(tmp_path, authority)))
+def test_certificates_that_cannot_be_read_change_nothing(tmp_path, authority, use_tls, server, spoil, caplog):
+    use_tls(MutualTls(key_files(tmp_path, authority)))
     (tmp_path / f"{spoil}.pem").write_text("spoilt")
     assert rpc.RpcClient(server.address).call(Secret("a"), 5.0) == Secret("aa")
     assert "the previous ones stay" in caplog.text
@@ -132,8 +138,8 @@
     assert rpc.RpcClient(server.address).call(Secret("b"), 5.0) == Secret("bb")
 
 
-def test_raft_groups_bootstrap_and_transfer_leadership_over_tls(tmp_path, authority, use):
-    use(MutualTls(key_files(tmp_path, authority)))
+def test_raft_groups_bootstrap_and_transfer_leadership_over_tls(tmp_path, authority, use_tls):
+    use_tls(MutualTls(key_files(tmp_path, authority)))
     port = free_port()
     hosts = [make_host(tmp_path, number, port) for number in (1, 2, 3)]
     try:
@@ -163,7 +169,7 @@
     return parse_settings(text, "node.yaml")
 
 
-def test_the_settings_turn_tls_on_and_findings_name_their_faults(tmp_path, authority, use):
+def test_the_settings_turn_tls_on_and_findings_name_their_faults(tmp_path, authority, use_tls):
     secure_peers(settings())  # TLS is off unless the settings ask for it
     assert tcp._security is None
     files = key_files(tmp_path, authority)
--- a/tests/transport/test_transport.py
+++ b/tests/transport/test_transport.py
@@ -114,11 +114,11 @@
     accepted = AsyncResult()
     ended = Event()
 
-    def hold(connection: tcp.Connection) -> None:
+    def keep_open(connection: tcp.Connection) -> None:
         accepted.set(connection)
         ended.wait()
 
-    listener = tcp.Listener(("127.0.0.1", 0), hold)
+    listener = tcp.Listener(("127.0.0.1", 0), keep_open)
     listener.start()
     raw = gevent.socket.create_connection(listener.address)
     connection = accepted.get()
