--- a/tests/raft/test_raft_behaviour.py
+++ b/tests/raft/test_raft_behaviour.py
@@ -286,7 +286,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_snapshots_in_many_chunks_stand_the_faults_too(seed, monkeypatch):
+def test_snapshots_in_many_chunks_survive_the_faults_too(seed, monkeypatch):
     monkeypatch.setattr(replication, "SNAPSHOT_CHUNK_BYTES", 40)
     monkeypatch.setattr(replica_module, "RETAINED_ENTRIES", 5)
     play(World(seed, size=4), 15.0)
@@ -385,7 +385,7 @@
 
 def test_leaders_are_back_soon_after_all_machines_lost_power():
     """A starting replica need not wait for a leader: pre-votes are rejected where one is alive."""
-    spans = []
+    durations_s = []
     for seed in range(12):
         world = World(seed)
         world.run(3.0)
@@ -397,8 +397,8 @@
             node.start(world.seeds, bootstrap=False)
         while any(world.leader(shard) is None for shard in world.shards):
             world.run(0.01)
-        spans.append(world.now - began)
-    assert sorted(spans)[len(spans) // 2] < 0.2
+        durations_s.append(world.now - began)
+    assert sorted(durations_s)[len(durations_s) // 2] < 0.2
 
 
 def test_a_machine_that_starts_while_a_leader_is_alive_does_not_replace_it():
@@ -421,7 +421,7 @@
 def test_followers_apply_a_command_without_waiting_for_a_heartbeat():
     world = World(5)
     world.run(8.0)
-    spans = []
+    durations_s = []
     for _ in range(20):
         world.run(0.317)
         began = world.now
@@ -432,5 +432,5 @@
             for replica in replicas
         ):
             world.run(0.001)
-        spans.append(world.now - began)
-    assert sorted(spans)[len(spans) // 2] < Timing().heartbeat_s / 4
+        durations_s.append(world.now - began)
+    assert sorted(durations_s)[len(durations_s) // 2] < Timing().heartbeat_s / 4
--- a/tests/raft/test_snapshot_transfer.py
+++ b/tests/raft/test_snapshot_transfer.py
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize(("snapshot_bytes", "mbit_per_s"), CASES)
-def test_compaction_at_the_leader_meanwhile_delays_nothing(snapshot_bytes, mbit_per_s):
+def test_compaction_at_the_leader_does_not_delay_a_transfer(snapshot_bytes, mbit_per_s):
     """A transfer completes with the snapshot that it began with, and the entries after that are retained."""
     link = Link(snapshot_bytes, mbit_per_s)
     assert link.until_caught_up(60.0, 0.6, snapshot_bytes) < bound_s(snapshot_bytes, mbit_per_s)
@@ -190,7 +190,7 @@
 # The mechanisms that the bound depends on: each test disables one
 
 
-def test_a_fixed_resend_timeout_is_caught_beyond_the_bound(monkeypatch):
+def test_a_fixed_resend_timeout_exceeds_the_bound(monkeypatch):
     """Messages count as lost after 0.3 s, while a slow link takes longer to transmit a chunk."""
     monkeypatch.setattr("ochrespan.raft.leader.SNAPSHOT_CHUNK_BYTES", 256 * 1024)
     monkeypatch.setattr("ochrespan.raft.leader.Progress.resend_after", lambda _self, resend_s: resend_s)
@@ -198,7 +198,7 @@
     assert link.until_caught_up(10.0) > bound_s(MEGABYTE, 5)
 
 
-def test_a_transfer_that_begins_anew_with_each_compaction_is_caught_beyond_the_bound(monkeypatch):
+def test_a_transfer_that_restarts_with_each_compaction_exceeds_the_bound(monkeypatch):
     original = LeaderReplication._send_chunk
 
     def newest(self, member_id, progress):
@@ -211,14 +211,14 @@
     assert link.until_caught_up(10.0, 0.6, 4 * MEGABYTE) > bound_s(4 * MEGABYTE, 50)
 
 
-def test_entries_that_are_dropped_during_a_transfer_are_caught_beyond_the_bound(monkeypatch):
+def test_entries_dropped_during_a_transfer_exceed_the_bound(monkeypatch):
     monkeypatch.setattr(LeaderReplication, "transfer_index", lambda _self: None)
     monkeypatch.setattr("ochrespan.raft.replica.RETAINED_ENTRIES", 20)
     link = Link(4 * MEGABYTE, 50)
     assert link.until_caught_up(10.0, 0.6, 4 * MEGABYTE) > bound_s(4 * MEGABYTE, 50)
 
 
-def test_a_log_keeps_what_a_transfer_needs_up_to_a_bound():
+def test_a_log_retains_the_entries_that_a_transfer_needs_up_to_a_bound():
     entries = [Entry(1, EntryKind.COMMAND, bytes(100)) for _ in range(50)]
     for transfer_retained_bytes, first in [(10_000, 11), (1_000, 31)]:
         log = ReplicaLog(entries=list(entries))
--- a/tests/storage/test_snapshot_store.py
+++ b/tests/storage/test_snapshot_store.py
@@ -164,7 +164,7 @@
     assert_recovers(directory, journal)
 
 
-def test_records_of_an_earlier_use_of_the_file_are_never_taken_for_new_ones():
+def test_records_of_an_earlier_generation_are_never_mistaken_for_new_ones():
     old, checksum = records.log_header(3)
     for payload in (b"a", b"b", b"c"):
         data, checksum = records.encode_record(payload, checksum)
