--- a/ochrespan/membership/protocol.py
+++ b/ochrespan/membership/protocol.py
@@ -69,15 +69,15 @@
     Args:
         own: This process as a member.
         seeds: Where to look for other members.
-        source: Random source for probe targets, for members that probe on behalf of this process, and for sync times.
+        random_source: For probe targets, members that probe on behalf of this process, and sync times.
         now: Seconds of the clock that all calls use.
     """
 
-    def __init__(self, own: FleetMember, seeds: tuple[Address, ...], source: random.Random, now: float) -> None:
+    def __init__(self, own: FleetMember, seeds: tuple[Address, ...], random_source: random.Random, now: float) -> None:
         self.table = MemberTable(own)
         self.local_health_multiplier = 0  # 0 is healthy; time-outs are stretched by 1 + multiplier
         self._seeds = tuple(seed for seed in seeds if seed != own.address)
-        self._random = source
+        self._random = random_source
         self._outbox: list[tuple[Address, SwimMessage]] = []
         self._last_sequence_number = 0
         self._probe: _Probe | None = None
@@ -86,7 +86,7 @@
         self._period_ends_at = now
         self._contact_at = now
         self._sync_interval_s = INITIAL_SYNC_INTERVAL_S
-        self._sync_at = now + INITIAL_SYNC_INTERVAL_S * source.uniform(0.5, 1.0)
+        self._sync_at = now + INITIAL_SYNC_INTERVAL_S * random_source.uniform(0.5, 1.0)
         self._planned_tick_at = now
 
     @property
--- a/ochrespan/raft/bootstrap.py
+++ b/ochrespan/raft/bootstrap.py
@@ -76,20 +76,24 @@
     cluster_id: int = 0  # 0: of no cluster
 
 
-def generate_replica_id(source: random.Random) -> int:
+def generate_replica_id(random_source: random.Random) -> int:
     """An id that no other disk has."""
-    return source.getrandbits(62) + 1
+    return random_source.getrandbits(62) + 1
 
 
 class Bootstrap:
     """The identity of a process, the reports of its peers, and what they allow it to propose, accept or abandon."""
 
     def __init__(
-        self, settings: BootstrapSettings, identity: Identity, source: random.Random, first_started_at: float | None
+        self,
+        settings: BootstrapSettings,
+        identity: Identity,
+        random_source: random.Random,
+        first_started_at: float | None,
     ) -> None:
         self.settings = settings
         self.identity = identity
-        self._random = source
+        self._random = random_source
         self._first_started_at = first_started_at  # None: this process was started before with its disk
         self._reports: dict[Address, PeerReport] = {}
         self._knows_existing_group = False
@@ -99,23 +103,25 @@
         self._leaderless_since: float | None = None
 
     @classmethod
-    def begin(cls, settings: BootstrapSettings, known: Identity | None, source: random.Random, now: float) -> Bootstrap:
+    def begin(
+        cls, settings: BootstrapSettings, known: Identity | None, random_source: random.Random, now: float
+    ) -> Bootstrap:
         """Uses the identity on the disk or generates one; that of an initial member lists all initial members.
 
         Args:
             settings: the bootstrap settings of this process.
             known: the identity on the disk; None for an empty disk.
-            source: for replica ids.
+            random_source: for replica ids.
             now: seconds of the steady clock.
         """
         initial_members = tuple(sorted(set(settings.seeds)))
         is_initial_member = settings.bootstrap and settings.address in initial_members
         if known is None:
             recorded = initial_members if is_initial_member else ()
-            return cls(settings, Identity(generate_replica_id(source), 0, recorded), source, now)
+            return cls(settings, Identity(generate_replica_id(random_source), 0, recorded), random_source, now)
         if is_initial_member and not known.cluster_id and not known.initial_members:
             known = replace(known, initial_members=initial_members)
-        return cls(settings, known, source, None)
+        return cls(settings, known, random_source, None)
 
     @property
     def is_unbootstrapped(self) -> bool:
--- a/ochrespan/raft/local_groups.py
+++ b/ochrespan/raft/local_groups.py
@@ -21,7 +21,7 @@
         self,
         bootstrap: Bootstrap,
         durable: dict[int, PersistentState],
-        source: random.Random,
+        random_source: random.Random,
         timing: Timing,
         now: float,
     ) -> None:
@@ -30,7 +30,7 @@
         self.outbox: list[tuple[Address, int, Any]] = []  # address, replica id (0: unknown), message
         # Whether the leader of a group may accept commands, given which initial members have joined (see `opening`)
         self.may_accept_commands: Callable[[Replica], bool] = lambda _replica: True
-        self._random = source
+        self._random = random_source
         self.replicas = {group: self._create_replica(group, state, now) for group, state in durable.items()}
 
     @property
--- a/ochrespan/raft/multi_raft.py
+++ b/ochrespan/raft/multi_raft.py
@@ -44,7 +44,7 @@
     Args:
         settings: the bootstrap settings of this process.
         recovered: the state on the disk; its groups are those that the process takes part in.
-        source: for replica ids and election time-outs.
+        random_source: for replica ids and election time-outs.
         now: seconds of the steady clock, as in all methods.
         timing: of elections and replication.
     """
@@ -53,14 +53,14 @@
         self,
         settings: BootstrapSettings,
         recovered: RecoveredGroups,
-        source: random.Random,
+        random_source: random.Random,
         now: float,
         timing: Timing | None = None,
     ) -> None:
         self.settings = settings
-        self.bootstrap = Bootstrap.begin(settings, recovered.identity, source, now)
+        self.bootstrap = Bootstrap.begin(settings, recovered.identity, random_source, now)
         self.addresses: dict[int, Address] = {}  # by replica id, of processes that have sent to this one
-        self._local = LocalGroups(self.bootstrap, recovered.replicas, source, timing or Timing(), now)
+        self._local = LocalGroups(self.bootstrap, recovered.replicas, random_source, timing or Timing(), now)
         self.replicas = self._local.replicas
         self._bootstrap_protocol = BootstrapProtocol(self._local, now)
         self._joining = Joining(self._local, settings.seeds)
