--- a/tests/membership/test_protocol.py
+++ b/tests/membership/test_protocol.py
@@ -145,7 +145,7 @@
     assert fleet.processes[address(4)].local_health_multiplier > 0
     fleet.run(20.0)
     assert fleet.agreed()
-    assert {suspected_by for _, suspected_by, _ in fleet.falsely_dead if suspected_by == address(4)} == set()
+    assert {declared_by for _, declared_by, _ in fleet.falsely_dead if declared_by == address(4)} == set()
 
 
 @pytest.mark.parametrize("seed", range(3))
--- a/tests/raft/test_history_checkers.py
+++ b/tests/raft/test_history_checkers.py
@@ -67,8 +67,8 @@
 def test_a_wiped_replica_that_keeps_its_id_is_caught_when_it_starts(monkeypatch):
     original = Bootstrap.begin.__func__
 
-    def by_address(cls, settings, known, source, now):
-        bootstrap = original(cls, settings, known, source, now)
+    def by_address(cls, settings, known, random_source, now):
+        bootstrap = original(cls, settings, known, random_source, now)
         if known is None:
             number = int(settings.address[0].rsplit(".", 1)[1])
             bootstrap.identity = dataclasses.replace(bootstrap.identity, replica_id=number)
