--- a/ochrespan/membership/agent.py
+++ b/ochrespan/membership/agent.py
@@ -1,7 +1,7 @@
 """The SWIM agent of a process: owns the datagram socket and the clock, and drives `SwimProtocol` with both.
 
-`SwimProtocol` is not thread-safe and doesn't yield: the greenlet of `_run` and those of received datagrams call it in
-turn.
+`SwimProtocol` is not thread-safe and doesn't yield: the greenlet of `_run` and those of received datagrams call it
+one after the other.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """What the agent takes from a process's settings. `address` and `seeds`: IP and first port of `port_range`."""
+    """The settings that the agent needs. `address` and `seeds`: IP and first port of `port_range`."""
 
     address: Address
     seeds: tuple[Address, ...]
@@ -54,11 +54,11 @@
 
 
 class MembershipAgent:
-    """Keeps the list of the fleet's alive processes.
+    """Maintains the list of the fleet's alive processes.
 
     Args:
         settings: This process as a member, and the seeds.
-        on_change: Called without arguments after each change of the list, in the greenlet that saw the change.
+        on_change: Called without arguments after each change of the list, in the greenlet that detected the change.
     """
 
     def __init__(self, settings: MembershipSettings, on_change: Callable[[], None]) -> None:
@@ -83,7 +83,7 @@
         self._endpoint.stop()
 
     def seeds_changed(self, seeds: Iterable[Address]) -> None:
-        """Takes the seeds of reloaded settings; members that are known stay."""
+        """Replaces the seeds by those of reloaded settings; known members are retained."""
         self._protocol.seeds_changed(tuple(seeds))
 
     def routers(self) -> list[str]:
@@ -95,7 +95,7 @@
         return {member.address: member.zone for member in self._protocol.alive(CONTROLLER_ROLE)}
 
     def alive(self, role: str | None = None) -> list[FleetMember]:
-        """The alive members with a role, or with any where it is None, this process among them."""
+        """The alive members with a role, or of all roles where it is None, this process included."""
         return self._protocol.alive(role)
 
     def _run(self) -> None:
@@ -117,7 +117,7 @@
         self._send_messages()
         self._notify_of_change()
         if self._protocol.next_tick_at < planned_tick_at:
-            self._wake.set()  # `_run` waits for a later tick than is needed now
+            self._wake.set()  # `_run` waits for a later tick than the one that is due now
 
     def _send_messages(self) -> None:
         for address, value in self._protocol.take_messages():
--- a/ochrespan/raft/cluster_messages.py
+++ b/ochrespan/raft/cluster_messages.py
@@ -1,6 +1,6 @@
 """Messages between processes that concern all of their groups: bootstrap, joining and planned leave.
 
-Their form on the wire is the business of the driver (`control_plane.replication.raft_wire`).
+Their wire format is defined by `control_plane.replication.raft_wire`.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class JoinResponse:
-    """The receiver of a `JoinRequest` names further processes to contact and reports the state of its own disk."""
+    """The response to a `JoinRequest`: further processes to contact, and the state of the responder's own disk."""
 
     is_unbootstrapped: bool
     contacts: tuple[Address, ...]  # members of the groups that the sender asked for
@@ -60,7 +60,7 @@
 def cluster_id_of(members: Iterable[Member]) -> int:
     """The id of the cluster that these initial members form: never 0, and 63 bits at most.
 
-    It depends on the replica ids alone, in any order, so each member computes the same.
+    It depends only on the replica ids, in any order, so each member computes the same one.
     """
     listed = ",".join(str(member_id) for member_id in sorted(member.id for member in members))
     return int.from_bytes(hashlib.sha256(listed.encode()).digest()[:8], "big") >> 1 or 1
--- a/ochrespan/raft/multi_raft.py
+++ b/ochrespan/raft/multi_raft.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredGroups:
-    """What a process knows from its disk when it starts."""
+    """The state that a process reads from its disk when it starts."""
 
     identity: Identity | None  # None: the disk is empty
     replicas: dict[int, PersistentState]  # by group, one for each group that the process has a replica of
@@ -39,12 +39,12 @@
 
 
 class MultiRaft:
-    """Routes messages to the replicas and collects what they send and write.
+    """Routes messages to the replicas, and collects their messages and their updates to write.
 
     Args:
-        settings: what the deployment says of this process.
-        recovered: what is on the disk; its groups are those that the process takes part in.
-        source: for replica ids and election time-outs.
+        settings: the bootstrap settings of this process.
+        recovered: the state on the disk; its groups are those that the process takes part in.
+        random_source: for replica ids and election time-outs.
         now: seconds of the steady clock, as in all methods.
         timing: of elections and replication.
     """
@@ -53,21 +53,21 @@
         self,
         settings: BootstrapSettings,
         recovered: RecoveredGroups,
-        source: random.Random,
+        random_source: random.Random,
         now: float,
         timing: Timing | None = None,
     ) -> None:
         self.settings = settings
-        self.bootstrap = Bootstrap.begin(settings, recovered.identity, source, now)
+        self.bootstrap = Bootstrap.begin(settings, recovered.identity, random_source, now)
         self.addresses: dict[int, Address] = {}  # by replica id, of processes that have sent to this one
-        self._local = LocalGroups(self.bootstrap, recovered.replicas, source, timing or Timing(), now)
+        self._local = LocalGroups(self.bootstrap, recovered.replicas, random_source, timing or Timing(), now)
         self.replicas = self._local.replicas
         self._bootstrap_protocol = BootstrapProtocol(self._local, now)
         self._joining = Joining(self._local, settings.seeds)
         self._planned_leave = PlannedLeave(self._local)
         self._leader_balancer = LeaderBalancer(self._local, now)
         self.opening = Opening(self._local)
-        self._identity_taken = recovered.identity  # what `take_updates` last gave out
+        self._last_taken_identity = recovered.identity  # what `take_updates` last returned
 
     @property
     def id(self) -> int:
@@ -80,7 +80,7 @@
         return self._local.has_acknowledged_nothing and self.opening.awaits_others
 
     def tick(self, now: float) -> None:
-        """Does what is due by the clock."""
+        """Runs the periodic work that is due."""
         for replica in self.replicas.values():
             replica.tick(now)
         self._planned_leave.tick(now)
@@ -91,7 +91,7 @@
         self.opening.advance(now)
 
     def receive(self, now: float, envelope: Envelope) -> None:
-        """Passes the messages of an envelope on, unless it is from another cluster or for another replica id."""
+        """Dispatches the messages of an envelope, unless it is from another cluster or for another replica id."""
         own = self.bootstrap.identity
         if envelope.cluster_id and own.cluster_id and envelope.cluster_id != own.cluster_id:
             self._bootstrap_protocol.receive_from_other_cluster(now, envelope)
@@ -112,7 +112,7 @@
                     self.opening.advance(now)
 
     def peer_disconnected(self, now: float, address: Address) -> None:
-        """The connection from a process has ended: if it led, it has probably failed, and pre-vote shows whether."""
+        """Called when the connection from a process has ended: a leader there may have failed, as pre-votes show."""
         for replica in self.replicas.values():
             replica.peer_disconnected(now, address)
 
@@ -121,7 +121,7 @@
         self._planned_leave.send_notices(now)
 
     def take_envelopes(self) -> list[tuple[Address, Envelope]]:
-        """What is to be sent now, one envelope for each receiver."""
+        """The messages to send now, one envelope for each receiver."""
         envelopes: dict[tuple[Address, int], Envelope] = {}
         identity = self.bootstrap.identity
 
@@ -144,30 +144,30 @@
         return [(address, value) for (address, _), value in envelopes.items()]
 
     def take_updates(self) -> list[Identity | PersistentUpdate]:
-        """What is to be written now, in one write; the caller calls `persisted` when it is durable."""
+        """The updates to write now, in one write; the caller calls `persisted` when they are durable."""
         updates: list[Identity | PersistentUpdate] = []
-        if self._identity_taken != self.bootstrap.identity:
-            self._identity_taken = self.bootstrap.identity
+        if self._last_taken_identity != self.bootstrap.identity:
+            self._last_taken_identity = self.bootstrap.identity
             updates.append(self.bootstrap.identity)
         updates += [update for replica in self.replicas.values() if (update := replica.take_update())]
         return updates
 
     def persisted(self, now: float) -> None:
-        """The write of the last `take_updates` is durable."""
+        """Called when the write of the last `take_updates` is durable."""
         for replica in self.replicas.values():
             replica.persisted(now)
 
     def add_contacts(self, addresses: Iterable[Address]) -> None:
-        """Further processes that may know the groups, from changed settings for example."""
+        """Adds processes that may know the groups, from changed settings for example."""
         self._joining.contacts.update(addresses)
 
     def withhold_votes(self, now: float, withholding_votes: bool) -> None:
-        """The disk doesn't keep up, or does again: while it doesn't, no replica here leads or becomes a candidate."""
+        """Called when the disk cannot keep up, or can again; until then no replica here leads or campaigns."""
         for replica in self.replicas.values():
             replica.withhold_votes(now, withholding_votes)
 
     def _receive_for_other_id(self, now: float, envelope: Envelope) -> None:
-        """The sender knows another replica id at this address: it learns the current one from a join request."""
+        """Sends a join request, with the current replica id, to a sender that used another one for this address."""
         if any(isinstance(message, AppendEntries | Heartbeat | InstallSnapshot) for _, message in envelope.frames):
             self.bootstrap.record_existing_group()
         self._local.send(envelope.address, 0, build_join_request(self._local, now, every_group=True))
--- a/ochrespan/raft/state.py
+++ b/ochrespan/raft/state.py
@@ -1,4 +1,4 @@
-"""What the parts of a replica share: term, vote, role, log, and what is to be sent, written and applied."""
+"""State shared by the parts of a replica: term, vote, role, log, and what is to be sent, written and applied."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Role(Enum):
-    """Raft's roles, with the state of one that asks for pre-votes."""
+    """Raft's roles, and PRE_CANDIDATE for a replica that requests pre-votes."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """Spans in seconds of the steady clock."""
+    """Intervals and time-outs of the protocol, in seconds."""
 
     heartbeat_s: float = 0.12
     election_min_s: float = 0.6
@@ -31,14 +31,14 @@
     resend_s: float = 0.3
     voter_timeout_s: float = 1.0
     replaced_voter_timeout_s: float = 0.3  # the same for a voter whose address another id has taken
-    disconnect_timeout_s: float = 0.2  # after its connection has ended, the time in which a leader has to be back
+    disconnect_timeout_s: float = 0.2  # a leader whose connection has ended has to be in contact again within this time
     learner_timeout_s: float = 3.0
     leadership_transfer_s: float = 0.6
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaSettings:
-    """What a replica is told at its start and keeps."""
+    """The settings of one replica, fixed at its start."""
 
     group: int
     replica_id: int
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class PersistentState:
-    """What a replica needs from its disk when it starts."""
+    """The state that a replica reads from its disk when it starts."""
 
     term: int = 0
     vote: int = 0
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class PersistentUpdate:
-    """What is to be written: term and vote, then a snapshot that replaces the log, then entries from `first_index` on.
+    """An update to write: term and vote, then a snapshot that replaces the log, then entries from `first_index` on.
 
     Entries on the disk from `first_index` on are dropped before `entries` are added.
     """
@@ -78,7 +78,7 @@
 class ReplicaState:
     """State of one replica of one group. `now` is set by the caller before each step.
 
-    A replica must not promise what a loss of power can undo: votes and acknowledgements of entries go out through
+    A replica must not promise what a loss of power can undo: votes and acknowledgements of entries are sent through
     `send_when_persisted`. Writes are numbered in the order of `take_update`, and one is in flight at a time.
     """
 
@@ -121,7 +121,7 @@
         return self.configuration.is_voter(self.id)
 
     def stamp(self) -> float:
-        """A strictly increasing reading of the steady clock."""
+        """A strictly increasing time of the steady clock."""
         self._last_stamp = max(self.now, self._last_stamp + 1e-6)
         return self._last_stamp
 
@@ -131,10 +131,10 @@
         voters = self.configuration.voters
         return bool(voters) and voters[self.group % len(voters)].id == self.id
 
-    # Election deadlines. Each is drawn at random; the preferred leader's span comes first, so that it usually wins.
+    # Election deadlines. Each is drawn at random; the preferred leader's range comes first, so that it usually wins.
 
     def reset_election_deadline(self) -> None:
-        """A leader was heard from: the preferred successor waits the shortest span, the others longer."""
+        """Restarts the time-out after contact with a leader; shortest for the preferred leader, so that it succeeds."""
         min_s = self.timing.election_min_s
         max_s = self.timing.election_max_s
         middle_s = min_s + (max_s - min_s) / 4
@@ -142,9 +142,9 @@
         self.election_deadline = self.now + self.random.uniform(*span)
 
     def suspect_leader(self) -> None:
-        """The leader's connection has ended: its process may be gone, or may connect again within a few heartbeats.
+        """The leader's connection has ended: its process may have ended, or may reconnect within a few heartbeats.
 
-        Until it is heard from again this replica also grants votes, which a live leader's lease would rule out.
+        Until the leader is in contact again this replica also grants votes, which its lease would otherwise exclude.
         """
         self.last_leader_contact_at = float("-inf")
         min_s = self.timing.disconnect_timeout_s * (1.0 if self.is_preferred_leader else 1.25)
@@ -152,24 +152,24 @@
         self.election_deadline = min(self.election_deadline, deadline)
 
     def set_startup_deadline(self) -> None:
-        """The process has just started: no leader need be awaited, as pre-votes are rejected where one is alive."""
+        """Used when the process starts: it need not wait for a leader, as pre-votes are rejected if one is alive."""
         min_s = self.timing.election_min_s
         span = (min_s / 12, min_s / 6) if self.is_preferred_leader else (min_s / 5, min_s / 2)
         self.election_deadline = self.now + self.random.uniform(*span)
 
     def set_bootstrap_deadline(self) -> None:
-        """The group has just been bootstrapped: there is no leader yet, and the other members learn of it now."""
+        """Used right after a bootstrap: there is no leader yet, and the other members receive the proposal now."""
         min_s = self.timing.election_min_s
         span = (0.0, 0.0) if self.is_preferred_leader else (min_s / 10, min_s / 3)
         self.election_deadline = self.now + self.random.uniform(*span)
 
     def reset_pre_vote_deadline(self) -> None:
-        """A pre-vote has been requested: it changes nothing at the others, so it is soon requested again."""
+        """Used after a pre-vote request: it changes nothing at the other replicas, so the next one may follow soon."""
         min_s = self.timing.election_min_s
         self.election_deadline = self.now + self.random.uniform(min_s / 8, min_s / 3)
 
     def reset_campaign_deadline(self) -> None:
-        """A campaign has begun: the next attempt comes sooner than a leader would be timed out."""
+        """Used when a campaign begins: the next attempt comes sooner than a leader would time out."""
         min_s = self.timing.election_min_s
         self.election_deadline = self.now + self.random.uniform(min_s / 4, min_s)
 
@@ -180,7 +180,7 @@
         self.outbox.append((to, message))
 
     def send_when_persisted(self, to: int, message: Message) -> None:
-        """Holds a message back until all that is in memory now has been written."""
+        """Queues a message that is sent once everything in memory now has been persisted."""
         write = self._writes_started + self.needs_write()
         if write > self._writes_completed:
             self._pending_messages.append((write, to, message))
@@ -190,7 +190,7 @@
     # Term, vote and role
 
     def enter_term(self, term: int, vote: int = 0) -> None:
-        """Moves to a newer term, with a vote in it if one is given."""
+        """Enters a newer term, with `vote` as the vote in it; 0 for none."""
         self.term = term
         self.vote = vote
         self._state_dirty = True
@@ -221,7 +221,7 @@
             self.on_step_down()
 
     def install(self, snapshot: Snapshot) -> None:
-        """Takes a snapshot in place of the log and of the state machine's state."""
+        """Replaces the log and the state machine's state by a snapshot."""
         self.log.reset(snapshot)
         self._snapshot_dirty = True
         self.commit_index = max(self.commit_index, snapshot.index)
@@ -235,7 +235,7 @@
         return self._state_dirty or self._snapshot_dirty or self.log.has_unpersisted()
 
     def take_update(self) -> PersistentUpdate | None:
-        """What is to be written now; `persisted` follows when it is on the disk. One write is in flight at a time."""
+        """The update to write now; `persisted` is called when it is on the disk. One write is in flight at a time."""
         if not self.needs_write():
             return None
         self._writes_started += 1
@@ -246,7 +246,7 @@
         return PersistentUpdate(self.group, self.term, self.vote, snapshot, first_index, entries)
 
     def persisted(self) -> None:
-        """The write that `take_update` started is on the disk: what waited for it may be sent."""
+        """Called when the write that `take_update` started is on the disk: messages that wait for it may be sent."""
         completed = self._writes_completed = self._writes_started
         self.log.persisted()
         self.outbox += [(to, message) for write, to, message in self._pending_messages if write <= completed]
--- a/ochrespan/transport/compact.py
+++ b/ochrespan/transport/compact.py
@@ -1,4 +1,4 @@
-"""Values as msgpack, compressed with zlib above a size: for commands, snapshots and the change feed.
+"""Values as msgpack, compressed with zlib from a minimum size on: for commands, snapshots and the change feed.
 
 The first byte says whether the rest is compressed.
 """
@@ -40,17 +40,17 @@
 
 
 def compress(data: bytes) -> bytes:
-    """`data` behind its first byte, compressed from COMPRESSED_FROM_BYTES on."""
+    """`data` after the byte that says whether it is compressed, which it is from COMPRESSED_FROM_BYTES on."""
     if len(data) < COMPRESSED_FROM_BYTES:
         return _PLAIN + data
     return _COMPRESSED + zlib.compress(data, COMPRESSION_LEVEL)
 
 
 def decompress(data: bytes) -> bytes:
-    """The data that `compress` was given. Raises zlib.error where it is damaged."""
+    """The data that was passed to `compress`. Raises zlib.error if the data is corrupt."""
     return data[1:] if data[:1] == _PLAIN else zlib.decompress(data[1:])
 
 
 def unpack(data: bytes) -> Any:
-    """The value that `pack` was given, with lists in place of tuples. Raises ValueError or zlib.error if damaged."""
+    """The value that was passed to `pack`, with lists for tuples. Raises ValueError or zlib.error if corrupt."""
     return ormsgpack.unpackb(decompress(data))
--- a/ochrespan/transport/tcp.py
+++ b/ochrespan/transport/tcp.py
@@ -26,7 +26,7 @@
     from .tls import MutualTls
 
 MAX_FRAME_BYTES = 64 * 1024 * 1024
-MAX_QUEUED_BYTES = 16 * 1024 * 1024  # unsent; the connection to a peer that reads too slowly is closed
+MAX_QUEUED_BYTES = 16 * 1024 * 1024  # unsent; above this the connection is closed, as its peer reads too slowly
 USER_TIMEOUT_MS = 2500  # data that stays unacknowledged for this long ends the connection
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
@@ -67,7 +67,7 @@
 class Connection:
     """One framed connection, which owns its socket and the greenlet that writes to it.
 
-    `send` queues and never waits; `receive` waits for the next message and is called by one greenlet alone.
+    `send` queues and never waits; `receive` waits for the next message and may be called by one greenlet only.
     """
 
     def __init__(self, sock: socket.socket, peer: Address) -> None:
@@ -83,7 +83,7 @@
 
     @property
     def closed(self) -> bool:
-        """Whether this side has closed the connection, also after a fault."""
+        """Whether this side has closed the connection, on request or after a fault."""
         return self._closed
 
     def send(self, value: Any) -> None:
@@ -91,7 +91,7 @@
         self.send_encoded(encode(value))
 
     def send_encoded(self, data: bytes) -> None:
-        """Queues the bytes that `codec.encode` has made, which may go to many connections.
+        """Queues the bytes of `codec.encode`, so that one encoded message can go to many connections.
 
         Raises:
             ConnectionClosedError: The connection has ended, or is closed here since the peer reads too slowly.
@@ -108,7 +108,7 @@
     def receive(self, timeout: float | None = None) -> Any:
         """Waits for the next message.
 
-        A frame is taken completely or not at all: after a time-out, the next call continues with the bytes that have
+        A frame is consumed completely or not at all: after a time-out, the next call continues with the bytes that have
         arrived.
 
         Args:
@@ -116,7 +116,7 @@
 
         Raises:
             ConnectionClosedError: The connection has ended.
-            MessageError: The frame is too large, which closes the connection, or holds no message.
+            MessageError: The frame is too large, which closes the connection, or contains no valid message.
             TimeoutError: No complete message has arrived in time.
         """
         limit = gevent.Timeout.start_new(timeout)
@@ -199,7 +199,7 @@
         timeout: Seconds for the connection, and again for the handshake.
 
     Raises:
-        OSError: There is no connection; TimeoutError and ssl.SSLError are such.
+        OSError: The connection or the handshake failed; TimeoutError and ssl.SSLError are subclasses of it.
     """
     sock = socket.create_connection(address, timeout=timeout)
     if _security is not None:
@@ -221,7 +221,8 @@
 class Listener:
     """Accepts connections and runs `handle(connection)` in a greenlet for each.
 
-    The connection is closed when `handle` returns or raises; its ConnectionClosedError and MessageError end there.
+    The connection is closed when `handle` returns or raises; a ConnectionClosedError or MessageError that it raises is
+    not passed on.
     """
 
     def __init__(self, address: Address, handle: Callable[[Connection], None]) -> None:
--- a/tests/membership/test_protocol.py
+++ b/tests/membership/test_protocol.py
@@ -1,4 +1,4 @@
-"""SWIM membership on a simulated network: datagrams lost, processes killed, stalled and restarted; virtual time."""
+"""SWIM membership on a simulated network in virtual time: lost datagrams, killed, stalled and restarted processes."""
 
 import heapq
 import random
@@ -30,7 +30,7 @@
         self.stalled: set[tuple[str, int]] = set()
         self._events: list = []
         self._count = 0
-        # when, by whom and who was declared dead while it ran
+        # time, declaring process and member, of running members that were declared dead
         self.falsely_dead: list[tuple[float, tuple[str, int], tuple[str, int]]] = []
         for number in range(1, size + 1):
             self.start(number)
@@ -145,7 +145,7 @@
     assert fleet.processes[address(4)].local_health_multiplier > 0
     fleet.run(20.0)
     assert fleet.agreed()
-    assert {suspected_by for _, suspected_by, _ in fleet.falsely_dead if suspected_by == address(4)} == set()
+    assert {declared_by for _, declared_by, _ in fleet.falsely_dead if declared_by == address(4)} == set()
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -161,7 +161,7 @@
     assert fleet.agreed()
 
 
-def test_two_halves_that_took_each_other_for_dead_find_each_other_again():
+def test_two_halves_that_declared_each_other_dead_find_each_other_again():
     fleet = Fleet(6, 1)
     fleet.run(5.0)
     half = {address(number) for number in (4, 5, 6)}
--- a/tests/raft/test_snapshot_transfer.py
+++ b/tests/raft/test_snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""Catching up over slow links: snapshots of megabytes, compaction meanwhile, and what waits behind the chunks."""
+"""Catching up over slow links: large snapshots, compaction during a transfer, and messages behind the chunks."""
 
 import random
 
@@ -21,7 +21,7 @@
 LEADER, LEARNER = 1, 2
 DELAY_S = 0.001
 STEP_S = 0.01
-OVERHEAD = 1.3  # over the time that the link alone needs
+OVERHEAD = 1.3  # factor on the time that the link itself needs
 SLACK_S = 0.5
 
 
@@ -38,10 +38,10 @@
             ),
             LEARNER: Replica(ReplicaSettings(0, LEARNER, 1), PersistentState(), random.Random(2), self.now),
         }
-        self._waiting: list = []  # arrival, receiver, message
-        self._free_at = dict.fromkeys(self.replicas, self.now)
-        self.carried = 0
-        self.max_heartbeat_delay_s = 0.0  # of a heartbeat behind other messages
+        self._in_transit: list = []  # in transit: arrival time, receiver, message
+        self._link_free_at = dict.fromkeys(self.replicas, self.now)
+        self.bytes_sent = 0
+        self.max_heartbeat_delay_s = 0.0  # in the link's queue
         self.lose_next = 0
         while self.leader.state.role is not Role.LEADER:
             self.step()
@@ -59,7 +59,7 @@
 
     @property
     def progress(self):
-        """What the leader knows of the learner."""
+        """The leader's progress record of the learner."""
         return self.leader.replication.progress[LEARNER]
 
     def step(self) -> None:
@@ -71,8 +71,8 @@
         self._exchange()
 
     def _deliver(self) -> None:
-        while self._waiting and self._waiting[0][0] <= self.now:
-            arrival, receiver, message = self._waiting.pop(0)
+        while self._in_transit and self._in_transit[0][0] <= self.now:
+            arrival, receiver, message = self._in_transit.pop(0)
             sender = LEADER if receiver == LEARNER else LEARNER
             self.replicas[receiver].receive(max(arrival, self.replicas[receiver].state.now), sender, message)
             self._exchange()
@@ -92,14 +92,14 @@
         size = 60 + len(getattr(message, "data", b"")) + sum(len(each.data) for each in getattr(message, "entries", ()))
         now = self.replicas[sender].state.now
         if isinstance(message, Heartbeat):
-            self.max_heartbeat_delay_s = max(self.max_heartbeat_delay_s, self._free_at[sender] - now)
-        self._free_at[sender] = max(self._free_at[sender], now) + size / self.rate
-        self.carried += size
+            self.max_heartbeat_delay_s = max(self.max_heartbeat_delay_s, self._link_free_at[sender] - now)
+        self._link_free_at[sender] = max(self._link_free_at[sender], now) + size / self.rate
+        self.bytes_sent += size
         if self.lose_next and isinstance(message, InstallSnapshot):
             self.lose_next -= 1
             return
-        self._waiting.append((self._free_at[sender] + DELAY_S, receiver, message))
-        self._waiting.sort(key=lambda item: item[0])
+        self._in_transit.append((self._link_free_at[sender] + DELAY_S, receiver, message))
+        self._in_transit.sort(key=lambda item: item[0])
 
     def propose(self, size: int = 500) -> None:
         """Proposes a command of `size` bytes."""
@@ -110,7 +110,7 @@
         self.leader.compact(random.Random(self.leader.state.applied_index).randbytes(snapshot_bytes))
 
     def until_caught_up(self, limit_s: float, compact_every_s: float | None = None, snapshot_bytes: int = 0) -> float:
-        """Seconds until the learner could be a voter, with commands all along; `limit_s` if it takes longer."""
+        """Seconds until the learner has caught up, with a command in each step; `limit_s` if it takes longer."""
         began, compact_at = self.now, self.now + (compact_every_s or 0.0)
         while not self.leader.reconfiguration.standbys() and self.now - began < limit_s:
             self.propose()
@@ -132,12 +132,12 @@
 def test_a_learner_catches_up_in_the_time_that_its_link_needs(snapshot_bytes, mbit_per_s):
     link = Link(snapshot_bytes, mbit_per_s)
     assert link.until_caught_up(60.0) < bound_s(snapshot_bytes, mbit_per_s)
-    assert link.carried < snapshot_bytes * OVERHEAD + MEGABYTE
+    assert link.bytes_sent < snapshot_bytes * OVERHEAD + MEGABYTE
 
 
 @pytest.mark.parametrize(("snapshot_bytes", "mbit_per_s"), CASES)
-def test_compaction_at_the_leader_meanwhile_delays_nothing(snapshot_bytes, mbit_per_s):
-    """A transfer ends on the snapshot that it began with, and the entries after that are retained."""
+def test_compaction_at_the_leader_does_not_delay_a_transfer(snapshot_bytes, mbit_per_s):
+    """A transfer completes with the snapshot that it began with, and the entries after that are retained."""
     link = Link(snapshot_bytes, mbit_per_s)
     assert link.until_caught_up(60.0, 0.6, snapshot_bytes) < bound_s(snapshot_bytes, mbit_per_s)
 
@@ -187,18 +187,18 @@
     assert link.until_caught_up(10.0) < 3.0
 
 
-# What the bound rests on: each of these takes it away
+# The mechanisms that the bound depends on: each test disables one
 
 
-def test_a_fixed_resend_timeout_is_caught_beyond_the_bound(monkeypatch):
-    """Everything counts as lost after 0.3 s, with chunks that a slow link carries for longer."""
+def test_a_fixed_resend_timeout_exceeds_the_bound(monkeypatch):
+    """Messages count as lost after 0.3 s, while a slow link takes longer to transmit a chunk."""
     monkeypatch.setattr("ochrespan.raft.leader.SNAPSHOT_CHUNK_BYTES", 256 * 1024)
     monkeypatch.setattr("ochrespan.raft.leader.Progress.resend_after", lambda _self, resend_s: resend_s)
     link = Link(MEGABYTE, 5)
     assert link.until_caught_up(10.0) > bound_s(MEGABYTE, 5)
 
 
-def test_a_transfer_that_begins_anew_with_each_compaction_is_caught_beyond_the_bound(monkeypatch):
+def test_a_transfer_that_restarts_with_each_compaction_exceeds_the_bound(monkeypatch):
     original = LeaderReplication._send_chunk
 
     def newest(self, member_id, progress):
@@ -211,14 +211,14 @@
     assert link.until_caught_up(10.0, 0.6, 4 * MEGABYTE) > bound_s(4 * MEGABYTE, 50)
 
 
-def test_entries_that_are_dropped_during_a_transfer_are_caught_beyond_the_bound(monkeypatch):
+def test_entries_dropped_during_a_transfer_exceed_the_bound(monkeypatch):
     monkeypatch.setattr(LeaderReplication, "transfer_index", lambda _self: None)
     monkeypatch.setattr("ochrespan.raft.replica.RETAINED_ENTRIES", 20)
     link = Link(4 * MEGABYTE, 50)
     assert link.until_caught_up(10.0, 0.6, 4 * MEGABYTE) > bound_s(4 * MEGABYTE, 50)
 
 
-def test_a_log_keeps_what_a_transfer_needs_up_to_a_bound():
+def test_a_log_retains_the_entries_that_a_transfer_needs_up_to_a_bound():
     entries = [Entry(1, EntryKind.COMMAND, bytes(100)) for _ in range(50)]
     for transfer_retained_bytes, first in [(10_000, 11), (1_000, 31)]:
         log = ReplicaLog(entries=list(entries))
