--- a/ochrespan/control_plane/replication/applier.py
+++ b/ochrespan/control_plane/replication/applier.py
@@ -1,4 +1,4 @@
-"""Applies committed entries to the state machines, and passes the results to the proposers that wait for them."""
+"""Applies committed entries to the state machines, and returns the results to the waiting proposers."""
 
 from __future__ import annotations
 
@@ -21,14 +21,16 @@
 
 @dataclass(frozen=True, slots=True)
 class _Proposal:
-    """A proposer that waits; an entry of another term at the same index is not its own."""
+    """A waiting proposer; an entry of another term at the same index is not the proposed one."""
 
     term: int
     result: AsyncResult
 
 
 class Applier:
-    """The state machines of a process's shards. Callbacks run in place; a failure of one is logged.
+    """The state machines of a process's shards.
+
+    Callbacks run synchronously in the calling greenlet; an exception in one is logged and otherwise ignored.
 
     Attributes:
         machines: State machine of each shard.
@@ -44,18 +46,22 @@
 
     @contextmanager
     def pending_result(self, shard: int, index: int, term: int) -> Iterator[AsyncResult]:
-        """The result of the entry that was proposed at `index` in `term`, as long as the context is open."""
+        """Registers a proposer for the entry that was proposed at `index` in `term`, until the context is left.
+
+        The yielded result is the state machine's, or raises OutcomeUnknownError if another entry or a snapshot took the
+        place of the proposed one.
+        """
         proposal = _Proposal(term, AsyncResult())
         self._proposals[shard, index] = proposal
         try:
             yield proposal.result
         finally:
-            # Another term's proposal may have taken this index over meanwhile
+            # A proposal of another term may have been registered for this index in the meantime
             if self._proposals.get((shard, index)) is proposal:
                 del self._proposals[shard, index]
 
     def step(self, shard: int, replica: Replica) -> None:
-        """Applies what the replica has committed, and completes its confirmed reads."""
+        """Applies the entries that the replica has committed, and completes its confirmed and its failed reads."""
         if restored := replica.take_restored():
             self.restore(shard, restored.index, restored.data)
         for index, entry in replica.take_committed():
@@ -69,7 +75,7 @@
     def restore(self, shard: int, last_index: int, data: bytes) -> None:
         """Replaces a machine's state by a snapshot that covers the log up to `last_index`.
 
-        Proposals up to there fail: the snapshot does not say whether it contains their commands.
+        Pending proposals up to that index fail: the snapshot does not show whether it contains their commands.
         """
         self.machines[shard].restore(data)
         for key in [key for key in self._proposals if key[0] == shard and key[1] <= last_index]:
@@ -78,7 +84,7 @@
 
     def _apply(self, shard: int, index: int, entry: Entry) -> None:
         result = None
-        if entry.kind == EntryKind.COMMAND and entry.data:  # one without content is a marker, see `raft.opening`
+        if entry.kind == EntryKind.COMMAND and entry.data:  # an empty command is a marker, see `raft.opening`
             result = self._apply_command(shard, index, entry.data)
         proposal = self._proposals.pop((shard, index), None)
         if proposal is None:
@@ -89,10 +95,10 @@
             proposal.result.set_exception(OutcomeUnknownError("leadership was lost before commitment"))
 
     def _apply_command(self, shard: int, index: int, command: bytes) -> Any:
-        """A machine that raises does so at every replica: its command has no effect and no result."""
+        """Returns the machine's result; None if it raised: then it does so at every replica, as it is deterministic."""
         try:
             result = self.machines[shard].apply(index, command)
-        except Exception:  # noqa: BLE001 - a command that fails must not stop the entries behind it
+        except Exception:  # noqa: BLE001 - a command that fails must not stop the entries after it
             log.exception("command failed shard=%d index=%d", shard, index)
             return None
         run_callback(self.on_applied, shard, index, command, result)
@@ -100,7 +106,7 @@
 
 
 def run_callback(callback: Callable[..., None], *arguments: Any) -> None:
-    """Calls a callback; its failure is logged and does not stop the entries behind it."""
+    """Calls a callback; an exception in it is logged and does not stop the entries after this one."""
     try:
         callback(*arguments)
     except Exception:  # noqa: BLE001 - callbacks are the users' code and may raise anything
--- a/ochrespan/control_plane/replication/disk_writer.py
+++ b/ochrespan/control_plane/replication/disk_writer.py
@@ -1,6 +1,6 @@
 """Writes the updates of all replicas of a process to its disk: group commit, one write and one sync at a time.
 
-The disk is used in a thread of the pool, so a slow or hanging disk delays neither heartbeats nor anything else.
+Disk operations run in gevent's thread pool, so a slow or hanging disk does not block the process's other greenlets.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 
 
 RETRY_S = 0.25
-MIN_LOG_BYTES = 1024 * 1024  # below, a checkpoint costs more than it saves
-LOG_DISK_DIVISOR = 16  # the log may grow to the disk's size divided by this
+MIN_LOG_BYTES = 1024 * 1024  # a checkpoint of a shorter log costs more than it saves
+LOG_DISK_DIVISOR = 16  # a checkpoint is due once the log exceeds the disk's size divided by this
 
 
 class DiskWriter:
-    """Appends records to the store whenever it is woken, and replaces the log by a checkpoint once it is long.
+    """Appends records to the store after each `wake()`, and replaces the log by a checkpoint once it is too long.
 
-    It owns the greenlet that writes; `stop()` ends that. A write in the thread pool is not interrupted.
+    Owns the greenlet that writes; `stop()` ends it, but does not interrupt a write in the thread pool.
     """
 
     def __init__(
@@ -37,13 +37,13 @@
         on_persisted: Callable[[], None],
         make_checkpoint: Callable[[], bytes],
     ) -> None:
-        """Takes the store and what connects it to the replicas.
+        """Sets the store and the callbacks to the replicas.
 
         Args:
             store: An opened store.
-            disk_bytes: Size of the disk, which bounds the log.
-            take_records: Returns the records that are not written yet.
-            on_persisted: Called when the records taken last are synced to the disk.
+            disk_bytes: Size of the disk in bytes, which bounds the log.
+            take_records: Returns the records that have not been written yet.
+            on_persisted: Called when the records of the last `take_records` call are synced to the disk.
             make_checkpoint: Returns the complete state, which replaces all records taken so far.
         """
         self._store = store
@@ -60,12 +60,12 @@
 
     @property
     def pending_for(self) -> float:
-        """Seconds since the current write started; 0 where there is none."""
+        """Seconds since the current write started; 0 while no write is in progress."""
         return 0.0 if self._write_started_at is None else time.monotonic() - self._write_started_at
 
     @property
     def has_failed(self) -> bool:
-        """Whether the last write failed: the disk is full or broken."""
+        """Whether the last write failed, for example because the disk is full or broken."""
         return self._has_failed
 
     def start(self) -> None:
@@ -78,15 +78,15 @@
             self._greenlet.kill(block=False)
 
     def wake(self) -> None:
-        """Says that there may be records to write."""
+        """Notifies the writer that there may be records to write."""
         self._wake.set()
 
     def _run_forever(self) -> None:
-        """Restarts the loop after an error other than the disk's own: replicas cannot commit without a writer."""
+        """Restarts the loop after any error other than a disk error: replicas cannot commit without a writer."""
         while True:
             try:
                 self._run()
-            except Exception:  # noqa: BLE001 - a callback's failure must not end the only writer of this process
+            except Exception:  # noqa: BLE001 - a failing callback must not end the only writer of this process
                 log.exception("disk writer step failed, continuing")
                 gevent.sleep(RETRY_S)
                 self._wake.set()
@@ -108,7 +108,7 @@
             gevent.sleep(RETRY_S)
 
     def _try(self, operation: Callable[[], None]) -> bool:
-        """Runs an operation of the disk in a thread; whether it succeeded. Only the first failure is logged."""
+        """Runs a disk operation in a thread and returns whether it succeeded; logs the first failure only."""
         self._write_started_at = time.monotonic()
         try:
             gevent.get_hub().threadpool.apply(operation)
@@ -131,7 +131,7 @@
         return self._store.log_bytes > max(self._max_log_bytes, 2 * self._checkpoint_bytes)
 
     def _write_checkpoint(self) -> None:
-        """Makes one attempt. If it fails, the log keeps growing and the next attempt follows after RETRY_S."""
+        """Attempts to write a checkpoint. If that fails, the log keeps growing; the next one follows after RETRY_S."""
         self._retry_checkpoint_at = time.monotonic() + RETRY_S
         self._store.begin_checkpoint()
         checkpoint = self._make_checkpoint()
--- a/ochrespan/control_plane/replication/errors.py
+++ b/ochrespan/control_plane/replication/errors.py
@@ -7,14 +7,14 @@
 
 
 class OutcomeUnknownError(ControlPlaneError):
-    """The command may or may not be applied: leadership was lost, the time-out passed, or there is no quorum."""
+    """The command may or may not be applied, or the read is unconfirmed: no quorum, a time-out, or lost leadership."""
 
 
 class NotLeaderError(ControlPlaneError):
     """This process does not lead the shard; the command was not appended here, so it can be sent to the leader.
 
     Attributes:
-        leader: Address of the leader as far as this process knows it.
+        leader: Address of the leader; None where this process does not know it.
     """
 
     def __init__(self, leader: Address | None) -> None:
--- a/ochrespan/control_plane/replication/host.py
+++ b/ochrespan/control_plane/replication/host.py
@@ -1,4 +1,4 @@
-"""Runs the replicas of all shards in one process: their start, the calls of the control plane, and their end."""
+"""Runs the replicas of all shards in one process: start, proposals and reads of the control plane, and shutdown."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 class ReplicaHost:
     """The replicas of one process; implements `groups.ReplicaGroups`.
 
-    The disk is read after `start()` in the background. Until then there are no replicas: proposals fail with
-    NotLeaderError, and messages of peers are dropped, which Raft repeats. Callbacks run in the greenlet that drives the
-    replicas and must not wait.
+    After `start()` the disk is read in the background. Until that is done there are no replicas: proposals fail with
+    NotLeaderError, and messages of peers are dropped, which Raft sends again. Callbacks run in the greenlet that drives
+    the replicas and must not wait.
 
     Attributes:
-        settings: The settings it was made with.
-        call_server: Takes the messages of peers; the rest of the process registers its calls there too.
+        settings: The settings that were passed to the constructor.
+        call_server: Receives the messages of peers; the rest of the process registers its RPC handlers there too.
     """
 
     def __init__(self, settings: HostSettings, machines: Mapping[int, StateMachine]) -> None:
@@ -70,7 +70,7 @@
 
     @property
     def on_leadership(self) -> Callable[[int, bool], None]:
-        """`on_leadership(shard, leads)` runs when this process has begun or ceased to lead a shard."""
+        """`on_leadership(shard, leads)` runs when this process has gained or lost the leadership of a shard."""
         return self._reporter.on_leadership
 
     @on_leadership.setter
@@ -78,10 +78,10 @@
         """Sets the callback in place of the one before."""
         self._reporter.on_leadership = callback
 
-    # Start and end
+    # Start and shutdown
 
     def start(self) -> None:
-        """Starts in the background: the disk is read first, which may take its time."""
+        """Starts in the background: the replicas run once the stored state has been read, which a slow disk delays."""
         self.call_server.on_push(RaftBatch, self._receive)
         self.call_server.on_closed = self._connection_closed
         self.call_server.start()
@@ -89,7 +89,7 @@
         self._recovery.link_exception(_log_failed_start)
 
     def stop(self) -> None:
-        """Transfers what this process leads, within about a second, and ends."""
+        """Transfers leadership of all shards, which takes about a second at most, and stops the replicas."""
         if self._running is not None:
             self._running.leave()
         if self._recovery is not None:
@@ -135,7 +135,7 @@
 
         Args:
             shard: Shard whose machine applies the command.
-            command: The command in the form that the machine reads.
+            command: The encoded command, as the machine decodes it.
             timeout: Seconds to wait.
 
         Returns:
@@ -143,7 +143,7 @@
 
         Raises:
             NotLeaderError: This process does not lead the shard, and the command was not appended.
-            OutcomeUnknownError: It was appended, and is not known to be committed in time.
+            OutcomeUnknownError: The command was appended, but is not known to be committed in time.
         """
         running = self._running
         if running is None:
@@ -160,11 +160,13 @@
                 raise OutcomeUnknownError("not committed in time") from error
 
     def read_barrier(self, shard: int, timeout: float) -> None:
-        """Returns when the state here holds all that was acknowledged before (ReadIndex, dissertation, section 6.4).
+        """Returns when the state here contains every command acknowledged before the call (ReadIndex).
+
+        See section 6.4 of the Raft dissertation.
 
         Raises:
             NotLeaderError: This process does not lead the shard.
-            OutcomeUnknownError: No majority has confirmed the leadership in time.
+            OutcomeUnknownError: No majority has confirmed the leadership within `timeout` seconds.
         """
         running = self._running
         if running is None:
@@ -181,7 +183,7 @@
     # Leadership
 
     def leader(self, shard: int) -> Address | None:
-        """Address of the shard's leader, if it is known here."""
+        """Address of the shard's leader; None where this process does not know it."""
         replica = self._replica(shard)
         member = replica.leader if replica is not None else None
         return member.address if member else None
@@ -192,65 +194,68 @@
         return replica is not None and replica.is_leader
 
     def decline_leadership(self, duration_s: float) -> None:
-        """Transfers what this process leads, and leads nothing for `duration_s` while others can; 0 ends that."""
+        """Transfers leadership of all shards, and leads none for `duration_s` seconds unless no other process can.
+
+        0 ends an earlier request.
+        """
         self._eligibility.decline(time.monotonic(), duration_s)
 
     def declines_leadership_for(self) -> float:
-        """Seconds for which `decline_leadership` still holds."""
+        """Seconds until the last `decline_leadership` request expires; 0 if there is none."""
         return self._eligibility.declines_for(time.monotonic())
 
     def lease_age_s(self, shard: int) -> float:
-        """Seconds since a majority responded to this process as the leader; infinite where it does not lead."""
+        """Seconds since a majority responded to this process as the shard's leader; infinite if it does not lead."""
         replica = self._replica(shard)
         return replica.lease_age_s(time.monotonic()) if replica is not None else float("inf")
 
     # State of the groups
 
     def cluster(self) -> int:
-        """Number of the cluster that this process belongs to.
+        """Id of the cluster that this process belongs to.
 
-        0 while it belongs to none, or may still leave it for another, as nothing was acknowledged there.
+        0 while it belongs to none, or may still leave it for another because no command was acknowledged in it.
         """
         if self._running is None or self._running.multi_raft.may_leave_cluster:
             return 0
         return self._running.multi_raft.bootstrap.identity.cluster_id
 
     def missing_initial_members(self) -> list[Address]:
-        """The initial members without which a shard that is led here accepts no commands yet."""
+        """The initial members that a shard led by this process awaits before it accepts commands."""
         return self._running.multi_raft.opening.missing_members() if self._running is not None else []
 
     def proceed_without_missing(self) -> None:
-        """An operator says that the missing initial members will not come; this holds until the process ends."""
+        """Lets shards led here accept commands without the missing initial members, until the process ends."""
         if self._running is not None:
             self._running.multi_raft.opening.proceed_without_missing()
 
     def voters(self, shard: int) -> set[Address]:
-        """Addresses of the shard's voters as far as known here; in a change of members, the old and the new ones."""
+        """Addresses of the shard's voters that are known here; of both configurations during a membership change."""
         replica = self._replica(shard)
         if replica is None:
             return set()
         return {member.address for member in replica.state.configuration.members().values()}
 
     def failures_tolerated(self, shard: int) -> int | None:
-        """How many more voters may fail now, of a shard that is led here; None of another."""
+        """How many more of the shard's voters may fail while the others can commit; None if it is not led here."""
         replica = self._replica(shard)
         return replica.failures_tolerated if replica is not None else None
 
     def seconds_since_quorum(self, shard: int) -> float:
-        """Seconds since this process knew that the shard's group had a majority."""
+        """Seconds since this process last knew that the shard's group has a majority; infinite before recovery."""
         replica = self._replica(shard)
         return replica.seconds_since_quorum(time.monotonic()) if replica is not None else float("inf")
 
     def applied_index(self, shard: int) -> int:
-        """Index of the last log entry that is applied here; 0 before recovery."""
+        """Index of the shard's last log entry that is applied here; 0 before recovery."""
         replica = self._replica(shard)
         return replica.state.applied_index if replica is not None else 0
 
     def _replica(self, shard: int) -> Replica | None:
-        """The shard's replica now, None before recovery; an abandoned bootstrap replaces the replicas by others."""
+        """The shard's current replica, None before recovery; abandoning a bootstrap replaces the replicas."""
         return self._running.multi_raft.replicas[shard] if self._running is not None else None
 
 
 def _log_failed_start(recovery: gevent.Greenlet) -> None:
-    """Without replicas this process keeps running and serves nothing; gevent prints the traceback."""
+    """Logs a failed recovery: the process keeps running without replicas; gevent prints the traceback."""
     log.error("replica host not started error=%r", recovery.exception)
--- a/ochrespan/control_plane/replication/lag_detector.py
+++ b/ochrespan/control_plane/replication/lag_detector.py
@@ -1,4 +1,4 @@
-"""Detects that this controller's state lags behind that of another. Pure: the time is an argument.
+"""Detects that this controller's applied state lags behind that of another one. Pure: the time is an argument.
 
 A replica whose disk hangs may still be in contact with its group's majority while it applies nothing new, so the age of
 the quorum alone does not show that its state is stale.
@@ -15,7 +15,7 @@
     """An offset that another controller has applied and this one has not."""
 
     offset: int
-    since: float
+    since: float  # when it was reported
 
 
 class LagDetector:
@@ -25,11 +25,11 @@
         self._missing: dict[int, _MissingOffset] = {}  # by shard: the first offset that was found missing here
 
     def record_offsets(self, offsets: Mapping[int, int], applied: Mapping[int, int], now: float) -> None:
-        """Takes in a report of another controller.
+        """Records the offsets that another controller has reported.
 
         Args:
             offsets: By shard, the index up to which the other controller has applied the log.
-            applied: The same of this controller.
+            applied: By shard, the index up to which this controller has applied the log.
             now: Seconds of the monotonic clock.
         """
         for shard, offset in offsets.items():
@@ -37,7 +37,7 @@
                 self._missing[shard] = _MissingOffset(offset, now)
 
     def lags(self, applied: Mapping[int, int], now: float) -> dict[int, float]:
-        """Seconds for which this controller has been behind, by shard; 0 where it is not."""
+        """Seconds for which this controller has lagged, by shard; 0 for a shard that is up to date."""
         for shard, missing in list(self._missing.items()):
             if applied.get(shard, 0) >= missing.offset:
                 del self._missing[shard]
--- a/ochrespan/control_plane/replication/leader_eligibility.py
+++ b/ochrespan/control_plane/replication/leader_eligibility.py
@@ -10,30 +10,31 @@
 
 log = logging.getLogger(__name__)
 
-# An operator's request ends once any shard has had no leader for so long: a shard without a leader is worse.
+# An operator's request to decline leadership ends once any shard has had no leader for this long: a shard without a
+# leader commits nothing, which is worse than one that is led here.
 MAX_LEADERLESS_S = 3.0
 
 
 @dataclass(slots=True)
 class LeaderEligibility:
-    """The reasons for which this process may not lead now."""
+    """The conditions under which this process may not lead: a slow disk, or an operator's request."""
 
     _declines_until: float = 0.0
     _leaderless_since: float | None = None
     _is_disk_slow: bool = False
 
     def decline(self, now: float, duration_s: float) -> None:
-        """Records an operator's request that this process lead nothing for `duration_s`; 0 ends an earlier one."""
+        """Records an operator's request to lead no shard for `duration_s` seconds; 0 ends an earlier request."""
         self._declines_until = now + duration_s
         self._leaderless_since = None
         log.info("leadership declined by an operator duration_s=%g", duration_s)
 
     def declines_for(self, now: float) -> float:
-        """Seconds for which an operator's request still holds."""
+        """Seconds until the operator's request expires; 0 if there is none."""
         return max(0.0, self._declines_until - now)
 
     def withholds_votes(self, now: float, is_disk_slow: bool, has_leaders: bool) -> bool:
-        """Whether this process has to give up leadership and to stay out of elections.
+        """Whether this process has to transfer its leadership, and neither vote nor stand in elections.
 
         Args:
             now: Seconds of the monotonic clock.
@@ -48,7 +49,7 @@
         return is_disk_slow or self.declines_for(now) > 0
 
     def _end_request_if_leaderless(self, now: float, has_leaders: bool) -> None:
-        """Tolerates the gap of an election; a longer one means that no other process can lead."""
+        """Ends the request once no leader was known for longer than an election takes: no other process can lead."""
         if has_leaders:
             self._leaderless_since = None
         elif self._leaderless_since is None:
--- a/ochrespan/control_plane/replication/leadership_reporter.py
+++ b/ochrespan/control_plane/replication/leadership_reporter.py
@@ -1,4 +1,4 @@
-"""Reports changes of leadership and of the failures that a shard tolerates, to the log and to a callback."""
+"""Reports changes of leadership to a callback and to the log; logs how many failures a shard tolerates."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class LeadershipReporter:
-    """Compares each replica with what was reported of it last.
+    """Compares the state of each replica with its last report, and reports changes.
 
     Attributes:
         on_leadership: Called with the shard and whether this process leads it, after each change.
@@ -25,7 +25,7 @@
         self._failures_tolerated: dict[int, int | None] = {}  # as last reported, by shard
 
     def report_leadership(self, shard: int, replica: Replica) -> None:
-        """Reports that this process has begun or ceased to lead a shard."""
+        """Reports that this process has gained or lost the leadership of a shard."""
         leads = replica.is_leader
         if leads == (shard in self._led_shards):
             return
@@ -37,7 +37,7 @@
         run_callback(self.on_leadership, shard, leads)
 
     def report_failures_tolerated(self, shard: int, replica: Replica) -> None:
-        """Logs that a shard which is led here tolerates more or fewer failures than before."""
+        """Logs that the number of voters that may fail has changed, for a shard that is led here."""
         tolerated = replica.failures_tolerated
         if tolerated == self._failures_tolerated.get(shard):
             return
--- a/ochrespan/control_plane/replication/persistent_records.py
+++ b/ochrespan/control_plane/replication/persistent_records.py
@@ -1,6 +1,6 @@
-"""The msgpack form of what a process stores: its identity, and the updates of its groups' persistent state.
+"""The msgpack encoding of what a process stores: its identity, and the updates of its groups' persistent state.
 
-A record is a list: the number of its kind, and the fields. A checkpoint is a list of records.
+A record is a list of the number of its kind and its fields. A checkpoint is a list of records.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 def pack_record(value: Identity | PersistentUpdate) -> bytes:
-    """The record of an identity or of an update of a group."""
+    """Encodes an identity, or an update of a group, as a record."""
     if isinstance(value, Identity):
         return ormsgpack.packb([_IDENTITY, value.replica_id, value.cluster_id, value.initial_members])
     return ormsgpack.packb(
@@ -41,12 +41,12 @@
 
 
 def pack_checkpoint(identity: Identity, updates: list[PersistentUpdate]) -> bytes:
-    """The complete state, as the records that lead to it."""
+    """Encodes the complete state as a list of records: the identity, and one full update of each group."""
     return ormsgpack.packb([pack_record(identity), *map(pack_record, updates)])
 
 
 def unpack_checkpoint(checkpoint: bytes) -> list[bytes]:
-    """The records of a checkpoint."""
+    """Returns the encoded records of a checkpoint."""
     records: list[bytes] = ormsgpack.unpackb(checkpoint)
     return records
 
@@ -61,7 +61,7 @@
     entries: list[Entry] = field(default_factory=list)
 
     def apply(self, update: PersistentUpdate) -> None:
-        """Entries replace those from `first_index` on; a newer snapshot replaces the log that it covers."""
+        """Applies an update: entries replace those from `first_index` on, a newer snapshot replaces all entries."""
         self.term = update.term
         self.vote = update.vote
         snapshot = update.snapshot
@@ -79,7 +79,7 @@
 
 
 def replay(packed_records: list[bytes]) -> tuple[Identity | None, dict[int, PersistentState]]:
-    """The identity, None where there is no record, and the groups' states that a sequence of records leads to."""
+    """Replays records in order; returns the identity (None if there is no such record) and the groups' states."""
     identity: Identity | None = None
     groups: dict[int, _GroupState] = {}
     for packed in packed_records:
@@ -87,7 +87,7 @@
         if kind == _IDENTITY:
             next_identity = _unpack_identity(*fields)
             if identity is not None and identity.cluster_id not in (0, next_identity.cluster_id):
-                # A bootstrap was abandoned for that of another cluster: what its groups wrote is void
+                # The process left one bootstrap to join another cluster: records of the abandoned groups are discarded
                 groups = {}
             identity = next_identity
             continue
--- a/ochrespan/control_plane/replication/raft_wire.py
+++ b/ochrespan/control_plane/replication/raft_wire.py
@@ -1,4 +1,4 @@
-"""The msgpack form of Raft messages, log entries and snapshots."""
+"""The wire format of Raft messages, log entries and snapshots, as lists that msgpack encodes."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
 @message("raft")
 @dataclass(slots=True)
 class RaftBatch:
-    """An envelope on the wire; a frame is the group, the number of the message's type, and the message's fields."""
+    """The wire form of an envelope; each frame is a list of group, message type number and the message's fields."""
 
     cluster: int
     sender: int
@@ -80,18 +80,18 @@
 
 
 def pack_envelope(envelope: Envelope) -> RaftBatch:
-    """The wire form of an envelope."""
+    """Converts an envelope to its wire form."""
     frames = [[group, *_pack_message(value)] for group, value in envelope.frames]
     return RaftBatch(envelope.cluster_id, envelope.sender, *envelope.address, envelope.to, frames)
 
 
 def unpack_envelope(batch: RaftBatch) -> Envelope:
-    """The envelope of a wire form.
+    """Converts the wire form back to an envelope.
 
     Raises:
-        ValueError: A frame lacks its group or its number.
+        ValueError: A frame lacks its group or its message type number.
         TypeError: A frame is not a list, or its message or one of its entries lacks a field.
-        IndexError: The number belongs to no message type, or the entries are missing.
+        IndexError: No message type has that number, or the entries are missing.
     """
     frames = [(group, _unpack_message(number, fields)) for group, number, *fields in batch.frames]
     return Envelope(batch.cluster, batch.sender, (batch.host, batch.port), batch.to, frames)
@@ -108,7 +108,7 @@
 
 
 def _unpack_message(number: int, fields: list[Any]) -> Any:
-    """Fields that a later version added are ignored."""
+    """Decodes a message; ignores fields that a later version of the program added."""
     message_type = _MESSAGE_TYPES[number]
     fields = fields[: len(_FIELD_NAMES[message_type])]
     if number == _APPEND_ENTRIES:
@@ -119,7 +119,7 @@
         )
     elif number in _ADDRESS_INDICES:
         for index in _ADDRESS_INDICES[number]:
-            if index < len(fields):  # an earlier version may lack it
+            if index < len(fields):  # an earlier version of the program does not send it
                 fields[index] = _unpack_addresses(fields[index])
     return message_type(*fields)
 
@@ -129,24 +129,24 @@
 
 
 def pack_entries(entries: list[Entry]) -> list[list[Any]]:
-    """The wire form of log entries: term, kind and data of each."""
+    """Converts log entries to their wire form: a list of term, kind and data for each."""
     return [[entry.term, int(entry.kind), entry.data] for entry in entries]
 
 
 def unpack_entries(packed: list[list[Any]]) -> list[Entry]:
-    """The log entries of their wire form."""
+    """Converts the wire form back to log entries."""
     return [Entry(*fields) for fields in packed]
 
 
 def pack_snapshot(snapshot: Snapshot | None) -> list[Any] | None:
-    """The wire form of a snapshot: index, term, members and data."""
+    """Converts a snapshot to its wire form: index, term, membership configuration and data. None stays None."""
     if snapshot is None:
         return None
     return [snapshot.index, snapshot.term, snapshot.configuration.to_bytes(), snapshot.data]
 
 
 def unpack_snapshot(packed: list[Any] | None) -> Snapshot | None:
-    """The snapshot of its wire form."""
+    """Converts the wire form back to a snapshot; None stays None."""
     if packed is None:
         return None
     index, term, configuration, data = packed
--- a/ochrespan/control_plane/replication/recovery.py
+++ b/ochrespan/control_plane/replication/recovery.py
@@ -1,4 +1,4 @@
-"""Reads at the start what a process has stored: its identity, its groups' logs and their last snapshots."""
+"""Reads the stored state when a process starts: its identity, its groups' logs and their last snapshots."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredReplicas:
-    """An opened store and the state that it holds; `identity` is None where the disk was empty."""
+    """An opened store and the state read from it; `identity` is None if the store was empty."""
 
     store: SnapshotStore
     identity: Identity | None
@@ -28,7 +28,7 @@
 
 
 def recover(data_dir: str) -> RecoveredReplicas:
-    """Opens the store of a folder in a thread of the pool; retries for as long as the disk is not readable."""
+    """Opens the store in a folder, in a pool thread; retries every RETRY_S while the disk is not readable."""
     store = SnapshotStore(PosixDirectory(data_dir))
     stored = None
     while stored is None:
--- a/ochrespan/control_plane/replication/running_replicas.py
+++ b/ochrespan/control_plane/replication/running_replicas.py
@@ -32,15 +32,15 @@
 
 TICK_INTERVAL_S = 0.06
 MAINTENANCE_INTERVAL_S = 0.5
-SLOW_DISK_S = 1.5  # a write that takes longer makes this process transfer what it leads
+SLOW_DISK_S = 1.5  # during a write that takes longer, this process transfers its leadership
 STOP_TIMEOUT_S = 1.0
-REPLACEMENT_WAIT_S = 0.3  # after the transfer, for a standby to replace this process as a voter
+REPLACEMENT_WAIT_S = 0.3  # after the leadership transfer: time for a standby to replace this process as a voter
 BYTES_PER_MB = 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaCollaborators:
-    """What the replicas work with, and what exists before they do."""
+    """The objects that the replicas use, created before the replicas are recovered from the disk."""
 
     applier: Applier
     eligibility: LeaderEligibility
@@ -48,14 +48,14 @@
 
 
 class RunningReplicas:
-    """Drives the replicas by a clock, by messages and by the disk.
+    """Drives the replicas with clock ticks, messages and completed disk writes.
 
-    Two greenlets do it: one ticks, the other applies what is committed and sends what is due after every event. The
-    disk writer has one of its own. `stop()` ends them and closes the connections to the peers.
+    Runs two greenlets: one ticks the replicas, the other applies committed entries and sends pending messages after
+    each `wake()`. The disk writer has a greenlet of its own. `stop()` ends all three and closes the peer connections.
 
     Attributes:
-        multi_raft: The replicas, without input or output of their own.
-        disk: Writes their updates.
+        multi_raft: The replicas, which perform no input or output themselves.
+        disk: Persists the updates of the replicas.
     """
 
     def __init__(self, settings: HostSettings, collaborators: ReplicaCollaborators, found: RecoveredReplicas) -> None:
@@ -68,18 +68,18 @@
         disk_bytes = settings.disk_mb * BYTES_PER_MB
         self.disk = DiskWriter(found.store, disk_bytes, self._take_records, self._on_persisted, self._make_checkpoint)
         self._peer_connections = PeerConnections()
-        self._peers: dict[Connection, Address] = {}  # who sends on a connection, once it has sent
+        self._peers: dict[Connection, Address] = {}  # by incoming connection, once the peer has sent a message
         self._wake = Event()
         self._greenlets: list[gevent.Greenlet] = []
         self._is_leaving = False
 
     def start(self) -> None:
-        """Starts the writer and the loops."""
+        """Starts the disk writer and the two loops."""
         self.disk.start()
         self._greenlets = [gevent.spawn(_run_forever, self._run_ticks), gevent.spawn(_run_forever, self._run_steps)]
 
     def leave(self) -> None:
-        """Transfers what this process leads, and waits up to STOP_TIMEOUT_S for successors and for a standby."""
+        """Transfers leadership of all shards; waits up to STOP_TIMEOUT_S for new leaders and for a standby as voter."""
         self._is_leaving = True
         self.multi_raft.leave(time.monotonic())
         self.wake()
@@ -89,17 +89,17 @@
         gevent.sleep(min(REPLACEMENT_WAIT_S, max(0.0, deadline - time.monotonic())))
 
     def stop(self) -> None:
-        """Ends the loops and the writer, and closes the connections to the peers."""
+        """Ends the loops and the disk writer, and closes the connections to the peers."""
         gevent.killall(self._greenlets, block=False)
         self.disk.stop()
         self._peer_connections.close()
 
     def wake(self) -> None:
-        """Says that the replicas may have something to apply, to send or to write."""
+        """Notifies the step loop that there may be entries to apply, messages to send or records to write."""
         self._wake.set()
 
     def receive(self, connection: Connection, batch: RaftBatch) -> None:
-        """Takes in a peer's messages."""
+        """Passes a peer's messages to the replicas; logs and drops a malformed batch."""
         try:
             envelope = unpack_envelope(batch)
         except (ValueError, TypeError, IndexError) as error:
@@ -111,7 +111,7 @@
         self.wake()
 
     def connection_closed(self, connection: Connection) -> None:
-        """Notifies the replicas that a peer's connection has ended, so that they need not wait for a time-out."""
+        """Notifies the replicas that a peer's connection was closed, so that they need not wait for a time-out."""
         peer = self._peers.pop(connection, None)
         if peer is not None and not self._is_leaving:
             self.multi_raft.peer_disconnected(time.monotonic(), peer)
@@ -163,7 +163,7 @@
         self.wake()
 
     def _make_checkpoint(self) -> bytes:
-        """Compacts each log up to what is applied, and packs the identity and the groups' states."""
+        """Compacts each log up to its applied index, and encodes the identity and the groups' states."""
         for shard, replica in self.multi_raft.replicas.items():
             if replica.state.applied_index > replica.state.log.snapshot.index:
                 replica.compact(self._applier.machines[shard].snapshot())
@@ -172,7 +172,7 @@
 
 
 def _run_forever(loop: Callable[[], None]) -> None:
-    """Restarts a loop that fails: one step, or a callback in it, must not stop the replicas of this process."""
+    """Restarts a loop that fails: an exception in one step or callback must not stop the replicas of this process."""
     while True:
         try:
             loop()
--- a/ochrespan/control_plane/replication/state_machine.py
+++ b/ochrespan/control_plane/replication/state_machine.py
@@ -1,4 +1,4 @@
-"""What a user of the replica host provides: a state machine for each shard, and the host's settings."""
+"""The interface that the state machine of a shard implements, and the settings of a replica host."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class StateMachine(Protocol):
-    """A shard's state. `apply` has to be deterministic: every replica applies the same commands."""
+    """The replicated state of a shard. `apply` has to be deterministic: every replica applies the same commands."""
 
     def apply(self, index: int, command: bytes) -> Any:
-        """Carries out a committed command; the result goes to its proposer."""
+        """Applies the committed command at log index `index`; the result is returned to the proposer."""
 
     def snapshot(self) -> bytes:
-        """The complete state in its stored form."""
+        """Encodes the complete state."""
 
     def restore(self, data: bytes) -> None:
-        """Replaces the state by that of a snapshot."""
+        """Replaces the state by that of a snapshot, which `snapshot` has encoded."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,12 +27,12 @@
 
     Attributes:
         address: Where the other processes of the fleet reach this one.
-        seeds: Processes that are queried for the groups.
+        seeds: Addresses of processes that are queried for the existing groups.
         data_dir: Folder of the store.
         disk_mb: Size of the disk in MiB.
         bootstrap: Whether this process may be an initial member of a new cluster.
-        fault_tolerance: Machines that may fail at once without loss of data.
-        node: Name for the log.
+        fault_tolerance: How many machines may fail at the same time without loss of data.
+        node: Node name, used in log lines only.
     """
 
     address: Address
