--- a/ochrespan/control_plane/quota/allocation.py
+++ b/ochrespan/control_plane/quota/allocation.py
@@ -1,9 +1,9 @@
 """The arithmetic of token quotas over many routers. Pure: the time is an argument, in seconds of a monotonic clock.
 
 The owner of a tenant grants tokens from a token bucket, and a router spends a grant within the grant's lifetime. In any
-window of W seconds the routers together spend at most the sum of two parts: what the owner granted in a window longer
-by the lifetime and the send delay, and the reserved tokens, which routers spend while they reach no owner. `terms_for`
-chooses the bucket and the reserved tokens so that the sum stays within
+window of W seconds the routers together spend at most the sum of (1) the tokens that the owner granted within
+W + GRANT_LIFETIME_S + SEND_DELAY_S seconds, and (2) the reserved tokens, which routers spend while no owner responds.
+`terms_for` chooses the bucket and the reserved tokens so that the sum does not exceed
 `(rate * W + burst) * (1 + overshoot) + slack`.
 """
 
@@ -15,13 +15,13 @@
 from typing import Any
 
 GRANT_LIFETIME_S = 0.5
-SEND_DELAY_S = 0.3  # from taking the tokens of a request to its arrival at an instance
-RESERVED_FRACTION = 0.8  # of the headroom that the bound leaves above rate and burst
-RATE_FRACTION = 0.5  # of the overshoot, added to the bucket's rate
+SEND_DELAY_S = 0.3  # the maximum time from taking the tokens of a request to its arrival at an instance
+RESERVED_FRACTION = 0.8  # of the headroom between the bound and the tenant's rate and burst
+RATE_FRACTION = 0.5  # of the overshoot: the bucket's rate exceeds the tenant's by up to this much
 MIN_WAIT_S = 0.001
 PREFETCH_FRACTION = 0.25  # of a bucket's level: at most this much is granted ahead of requests
-# Of the reserved tokens this fraction is divided equally, since a router's share has to cover a complete request. The
-# rest is divided by the tokens that each router was granted recently.
+# This fraction of the reserved tokens is divided equally among the routers, so that each share covers a complete
+# request. The rest is divided in proportion to the tokens that each router was granted recently.
 EQUAL_FRACTION = 0.8
 _MIN_MAX_GRANTED = 1e-9  # avoids a division by zero for a tenant without a rate and a burst
 
@@ -31,9 +31,9 @@
     """How far the tokens spent in a window may exceed a tenant's rate and burst.
 
     Attributes:
-        window_s: The length of the window.
-        overshoot: As a fraction of rate and burst.
-        slack: In tokens.
+        window_s: The length of the window in seconds.
+        overshoot: The permitted excess as a fraction of `rate * window_s + burst`.
+        slack: A further permitted excess, in tokens.
     """
 
     window_s: float
@@ -46,10 +46,10 @@
 
 
 def quota_bounds(bounds: Mapping[str, Any]) -> QuotaBounds:
-    """The quota bounds in the `bounds` of the settings; the strictest default for what is missing or no number."""
+    """Reads the quota bounds from the `bounds` of the settings; missing or non-numeric values get strict defaults."""
 
     def number(name: str, default: float) -> float:
-        """The bound of that name where it is a number."""
+        """The bound of that name if it is a number, else the default."""
         value = bounds.get(name, default)
         return float(value) if type(value) in (int, float) else default
 
@@ -63,8 +63,8 @@
     Attributes:
         rate: Of the bucket, in tokens per second.
         depth: Of the bucket, in tokens.
-        reserved: Tokens in any window, over all routers.
-        window_s: The length of the window.
+        reserved: Reserved tokens that all routers together may spend in any window.
+        window_s: The length of the window in seconds.
     """
 
     rate: float
@@ -79,7 +79,7 @@
 
 
 def terms_for(rate: float, burst: float, bounds: QuotaBounds) -> QuotaTerms:
-    """Terms that keep the bound, and admit all of rate and burst where the headroom covers the delays.
+    """Chooses terms that keep the bound, and that admit the full rate and burst if the headroom covers the delays.
 
     Args:
         rate: Of the tenant, in tokens per second.
@@ -112,7 +112,7 @@
             self._refilled_at = now
 
     def configure(self, rate: float, depth: float, now: float) -> None:
-        """Sets the rate and the depth from now on."""
+        """Sets the rate and the depth from `now` on."""
         self.refill(now)
         self.rate = rate
         self.depth = depth
@@ -124,8 +124,8 @@
         Args:
             tokens: How many to take.
             now: The present time.
-            allow_debt: Whether a full bucket gives more than its depth, which leaves its level below zero: a request
-                larger than the depth could never be served otherwise.
+            allow_debt: Whether more than `depth` tokens may be taken from a full bucket, to a negative level:
+                otherwise a request larger than the depth could never be served.
         """
         self.refill(now)
         if self.level < (min(tokens, self.depth) if allow_debt else tokens):
@@ -141,7 +141,7 @@
         return taken
 
     def put_back(self, tokens: float) -> None:
-        """Returns tokens that were taken and certainly will not be spent."""
+        """Returns tokens that were taken and will certainly not be spent."""
         self.level = min(self.depth, self.level + tokens)
 
     def wait_for(self, tokens: float, now: float) -> float:
@@ -162,12 +162,12 @@
         self._sum = 0.0
 
     def add(self, amount: float, now: float) -> None:
-        """Adds an amount that counts from now on."""
+        """Adds an amount at the time `now`."""
         self._entries.append((now, amount))
         self._sum += amount
 
     def total(self, now: float) -> float:
-        """The present sum."""
+        """The sum at the time `now`."""
         while self._entries and now - self._entries[0][0] > self._span_s:
             self._sum -= self._entries.popleft()[1]
         if not self._entries:
@@ -178,12 +178,13 @@
 class ReservedShare:
     """A router's share of a tenant's reserved tokens.
 
-    It is spent where no owner responds, and where the owner is so new that it began with an empty bucket. The shares of
-    all routers add up to at most one: EQUAL_FRACTION is divided equally, the rest by the tokens granted recently.
+    It is spent while no owner responds, and while the owner is so new that its bucket, empty at first, has not filled.
+    The shares of all routers add up to at most 1: EQUAL_FRACTION is divided equally, the rest in proportion to the
+    tokens that each router was granted recently.
 
     Attributes:
         terms: The tenant's terms.
-        equal_share: One over the number of live routers.
+        equal_share: 1 divided by the number of live routers.
     """
 
     def __init__(self, terms: QuotaTerms) -> None:
@@ -197,7 +198,7 @@
         self._granted.add(tokens, now)
 
     def take(self, tokens: float, now: float) -> bool:
-        """Spends the tokens if this router's share has that many left."""
+        """Spends the tokens if this router's share still covers them; returns whether it does."""
         granted_share = min(1.0, self._granted.total(now) / max(self.terms.max_granted, _MIN_MAX_GRANTED))
         share = EQUAL_FRACTION * self.equal_share + (1 - EQUAL_FRACTION) * granted_share
         if self._spent.total(now) + tokens > share * self.terms.reserved:
@@ -226,7 +227,7 @@
         self.epoch = 0
 
     def add(self, tokens: float, requested_at: float, epoch: int) -> None:
-        """Adds a grant. Its lifetime counts from when it was requested, which is before it was given."""
+        """Adds a grant; its lifetime starts when it was requested, which is safe as the owner granted it later."""
         if epoch != self.epoch:
             self.epoch = epoch
             self._unused = 0.0
@@ -234,7 +235,7 @@
             self._grants.append(_UnspentGrant(tokens, requested_at + GRANT_LIFETIME_S, epoch))
 
     def put_back(self, tokens: float, epoch: int) -> None:
-        """Returns tokens that were taken out of a grant and certainly will not be spent."""
+        """Returns tokens that were taken from a grant of `epoch` and will certainly not be spent."""
         if epoch == self.epoch:
             self._unused += tokens
 
@@ -247,7 +248,7 @@
         return sum(grant.tokens for grant in self._grants)
 
     def take(self, tokens: float, now: float) -> bool:
-        """Spends the tokens if there are enough."""
+        """Spends the tokens if there are enough; returns whether there were."""
         if self.available(now) < tokens:
             return False
         while tokens > 0 and self._grants:
@@ -260,7 +261,7 @@
         return True
 
     def take_unused(self) -> float:
-        """The tokens that expired or were put back since the last call."""
+        """Returns the number of tokens that expired or were put back since the last call."""
         unused = self._unused
         self._unused = 0.0
         return unused
--- a/ochrespan/control_plane/quota/client.py
+++ b/ochrespan/control_plane/quota/client.py
@@ -1,12 +1,12 @@
-"""The router's end of the token quotas: takes tokens for requests out of grants of the tenants' owners.
+"""The router's side of token quotas: takes tokens for requests from grants of the tenants' owners.
 
 `take` is called when a request arrives. Where the unspent grants do not suffice, it requests a grant from the owner and
-waits for a short time. Where no owner responds, or where the owner is so new that it began with an empty bucket, the
-router spends its reserved share. For a tenant with many requests grants are prefetched, so that most of its requests
-do not wait.
+waits for a short time. While no owner responds, or while the owner is so new that its bucket, empty at first, has not
+filled, the router spends its reserved share. For a tenant with many requests, grants are prefetched, so that most of
+its requests do not wait.
 
-A request's tokens count when it reaches its instance. One that is sent later than SEND_DELAY_S after `take` therefore
-calls `renew` first.
+The quota bound counts a request when it reaches its instance. A request that is sent more than SEND_DELAY_S after
+`take` therefore has to call `renew` first.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 OWNER_BACKOFF_S = 0.1  # no owner of a tenant is called for this long after a call without a response
 NO_OWNER_RETRY_S = 0.5
 MIN_RETRY_S = 0.4  # other requests wait for the same tokens, so a client that retries at once is rejected again
-MAX_WAIT_S = 0.12  # for tokens that will have accrued at the owner by then
+MAX_WAIT_S = 0.12  # if the owner names a longer time until the tokens accrue, the request is rejected without a wait
 PREFETCH_S = 0.2  # seconds of a tenant's demand that are prefetched
 PREFETCH_MIN_REQUESTS_PER_S = 10.0
 DEMAND_WEIGHT = 0.5  # of the last interval, in the moving average of the demand
 DEMAND_INTERVAL_S = 1.0
-IDLE_TENANT_S = 60.0  # after which the state of a tenant is dropped
+IDLE_TENANT_S = 60.0  # without requests, after which the state of a tenant is dropped
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,10 +41,10 @@
 
     Attributes:
         allowed: Whether the request may be sent.
-        retry_after_s: If it may not: when its client should retry.
+        retry_after_s: If not allowed, the seconds after which the client should retry.
         tokens: The tokens taken; zero for a tenant without a limit.
-        epoch: Of the grant that they were taken from; None for the reserved share, and for tenants without a limit.
-        taken_at: When they were taken.
+        epoch: Epoch of the grant that the tokens were taken from; None for the reserved share and without a limit.
+        taken_at: When the tokens were taken, in seconds of the monotonic clock.
     """
 
     allowed: bool
@@ -91,7 +91,7 @@
     reserved: ReservedShare
     demand: _Demand
     used_at: float
-    configure_count: int  # of the `configure` call that its terms and equal share stem from
+    configure_count: int  # number of the `configure` call that set its terms and equal share
     granted: GrantedTokens = field(default_factory=GrantedTokens)
     is_prefetching: bool = False
     backoff_until: float = 0.0
@@ -128,13 +128,13 @@
         self._idle_dropped_at = clock()
 
     def configure(self, tenants: Mapping[str, Tenant], router_count: int) -> None:
-        """Sets the tenants and the number of live routers. The state of a tenant follows at its next use."""
+        """Sets the tenants and the number of live routers. The state of a tenant is updated at its next use."""
         self._tenants = tenants
         self._router_count = max(1, router_count)
         self._configure_count += 1
 
     def try_take(self, tenant: str, tokens: float, now: float) -> bool:
-        """Takes the tokens out of the unspent grants without waiting; true for a tenant without a limit."""
+        """Takes the tokens from unspent grants without waiting; returns whether it did, True without a limit."""
         state = self._state_of(tenant)
         if state is None:
             return True
@@ -144,14 +144,14 @@
         return is_taken
 
     def take(self, tenant: str, tokens: float) -> TokenReservation:
-        """Takes the tokens of a request that has arrived; may wait for the owner for a short time."""
+        """Takes the tokens of a request that has arrived; may wait a short time for the owner's response."""
         now = self._clock()
         if self.try_take(tenant, tokens, now):
             return self._reservation(tenant, tokens, now)
         return self._take_from_owner(tenant, tokens)
 
     def renew(self, tenant: str, reservation: TokenReservation) -> TokenReservation:
-        """Takes the tokens of a request that has not been sent anew; does nothing while they are still valid."""
+        """Takes the tokens of an unsent request again if its reservation is no longer valid."""
         state = self._state_of(tenant)
         if state is None or reservation.is_valid(self._clock()):
             return reservation
@@ -159,7 +159,7 @@
         return self._take_from_owner(tenant, reservation.tokens)
 
     def release(self, tenant: str, reservation: TokenReservation) -> None:
-        """Returns the tokens of a request that certainly is not sent: the owner gets them with the next grant request.
+        """Returns the tokens of a request that will certainly not be sent, with the next grant request to the owner.
 
         Tokens of the reserved share are not returned.
         """
@@ -168,7 +168,7 @@
             state.granted.put_back(reservation.tokens, reservation.epoch)
 
     def _state_of(self, name: str) -> _TenantState | None:
-        """The state of a tenant under its present terms; None where it has no limit."""
+        """The state of a tenant, updated to the current configuration; None if the tenant has no limit."""
         tenant = self._tenants.get(name)
         now = self._clock()
         if tenant is None or tenant.rate_per_s <= 0:
@@ -190,14 +190,14 @@
         return terms_for(tenant.rate_per_s, tenant.burst, self._bounds)
 
     def _drop_idle(self, now: float) -> None:
-        """Drops the tenants that were idle for so long that all grants have expired and no spending counts any more."""
+        """Drops the state of tenants idle for so long that their grants and their window of spending have expired."""
         idle_s = max(IDLE_TENANT_S, 2 * self._bounds.window_s)
         if now - self._idle_dropped_at > idle_s:
             self._idle_dropped_at = now
             self._states = {name: state for name, state in self._states.items() if now - state.used_at <= idle_s}
 
     def _take_from_owner(self, tenant: str, tokens: float) -> TokenReservation:
-        """Requests a grant, and once more after a wait where the tokens accrue shortly: a rejection costs more time."""
+        """Requests a grant; retries once if the tokens accrue within MAX_WAIT_S, as the client's retry takes longer."""
         reservation = self._take_once(tenant, tokens)
         if not reservation.allowed and reservation.retry_after_s <= MAX_WAIT_S:
             self._sleep(reservation.retry_after_s)
@@ -214,7 +214,7 @@
         now = self._clock()
         if state.granted.take(tokens, now):
             return self._reservation(tenant, tokens, now)
-        # The bucket of a newer owner began empty within this window: rejections would fall on a tenant within its rate.
+        # A newer owner's bucket began empty within this window, so that it may reject a tenant that keeps to its rate.
         has_owner_granted_for_a_window = grant is not None and grant.owner_age_s >= self._bounds.window_s
         if not has_owner_granted_for_a_window and state.reserved.take(tokens, now):
             return TokenReservation(True, 0.0, tokens, None, now)
@@ -225,7 +225,7 @@
         return UNLIMITED if state is None else TokenReservation(True, 0.0, tokens, state.granted.epoch, now)
 
     def _prefetch(self, tenant: str, state: _TenantState, now: float) -> None:
-        """Requests a grant in a greenlet of its own where less than half of the prefetched tokens is left."""
+        """Requests a grant in a new greenlet if less than half of the tokens to prefetch are available."""
         tokens = state.demand.prefetch_tokens()
         if tokens and not state.is_prefetching and state.granted.available(now) < tokens / 2:
             state.is_prefetching = True
@@ -238,7 +238,7 @@
             state.is_prefetching = False
 
     def _request_grant(self, tenant: str, state: _TenantState, needed: float, ahead: float) -> Grant | None:
-        """Adds what the owner grants; returns None where no owner responded."""
+        """Requests a grant and adds its tokens; returns None if no owner responded or in the back-off after that."""
         requested_at = self._clock()
         if requested_at < state.backoff_until:
             return None
@@ -258,7 +258,7 @@
 
     Args:
         tenant: The tenant of the request.
-        token_usage: The tokens of the prompt and of the response, where the client declared them.
+        token_usage: The numbers of prompt and response tokens that the client declared; None if it declared none.
     """
     if tenant.unit is not QuotaUnit.TOKENS:
         return 1.0
--- a/ochrespan/control_plane/quota/messages.py
+++ b/ochrespan/control_plane/quota/messages.py
@@ -21,7 +21,7 @@
         needed: Tokens for a request that waits for them.
         ahead: Tokens to prefetch for requests that are expected.
         left_over: Unused tokens of earlier grants of the same owner and epoch, which go back into its bucket.
-        epoch: Of the latest grant that the router got.
+        epoch: Epoch of the latest grant that the router received; 0 before the first.
     """
 
     tenant: str
@@ -38,10 +38,10 @@
     """Tokens to be spent within GRANT_LIFETIME_S.
 
     Attributes:
-        tokens: Zero where the quota is exhausted.
+        tokens: Number of tokens granted; 0 if the quota is exhausted.
         retry_after_s: Seconds until the needed tokens will have accrued.
         epoch: Identifies the owner's period of ownership.
-        owner_age_s: How long it has been the owner.
+        owner_age_s: Seconds since the granting process became the owner.
     """
 
     tokens: float
--- a/ochrespan/control_plane/quota/owner.py
+++ b/ochrespan/control_plane/quota/owner.py
@@ -1,7 +1,7 @@
 """The owner of a tenant's quota: the leader of the shard that the tenant's name belongs to.
 
-The token buckets are kept in memory alone. A new owner begins with empty ones, which counts whatever its predecessor
-granted as spent. A former owner stops granting before it can have a successor, since its leader lease expires first.
+The token buckets are in memory only. A new owner begins with empty buckets, as if all that its predecessor granted had
+been spent. A former owner stops granting before a successor can be elected, since its leader lease expires first.
 """
 
 from __future__ import annotations
@@ -32,9 +32,9 @@
 
     Args:
         groups: The Raft groups of this process.
-        find_tenant: A tenant of the present configuration by its name, or None.
+        find_tenant: Returns the tenant of that name in the current configuration, or None.
         bounds: The quota bounds of the fleet.
-        clock: The present time in seconds, monotonic.
+        clock: Returns the present time in seconds, monotonic.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         self._clock = clock
         self._owner_since: dict[int, float] = {}  # by shard
         self._epochs: dict[int, int] = {}  # by shard
-        # A random start keeps the epochs of different processes apart, and those of a process that was restarted.
+        # A random start makes collisions unlikely between epochs of different processes or of a restarted one.
         self._next_epochs = itertools.count(random.SystemRandom().getrandbits(48))
         self._buckets: dict[str, TokenBucket] = {}  # by tenant
 
@@ -59,7 +59,7 @@
         rpc_server.on_request(GrantRequest, self.grant)
 
     def leadership_changed(self, shard: int, is_leader: bool) -> None:
-        """To be called when this process begins or ceases to lead a shard."""
+        """To be called when this process gains or loses the leadership of a shard; drops the shard's buckets."""
         for tenant in [each for each in self._buckets if shard_of(each) == shard]:
             del self._buckets[tenant]
         if is_leader:
@@ -69,7 +69,7 @@
             self._owner_since.pop(shard, None)
 
     def grant(self, request: GrantRequest) -> Grant | NotOwnerResponse:
-        """Grants the needed tokens and some ahead, or none, or names the owner where it is another process."""
+        """Grants the needed tokens and some to prefetch, or none; names the owner if that is another process."""
         shard = shard_of(request.tenant)
         if not self._owns(shard):
             leader = self._groups.leader(shard)
@@ -97,7 +97,7 @@
         terms = terms_for(tenant.rate_per_s, tenant.burst, self._bounds)
         bucket = self._buckets.get(tenant.name)
         if bucket is None:
-            # Filled from the beginning of the ownership on, so that its first request does not find it empty later.
+            # Tokens accrue from the start of the ownership: the tenant's first request may find a full bucket.
             bucket = self._buckets[tenant.name] = TokenBucket(terms.rate, terms.depth, self._owner_since[shard])
         if (bucket.rate, bucket.depth) != (terms.rate, terms.depth):
             bucket.configure(terms.rate, terms.depth, now)
--- a/ochrespan/control_plane/quota/router_setup.py
+++ b/ochrespan/control_plane/quota/router_setup.py
@@ -17,10 +17,10 @@
 
 
 def owner_client_for(feed: FeedClient, peers: PeerClients) -> OwnerClient:
-    """A client of the owners that the feed names."""
+    """Returns a client that calls the shard leaders named by the feed."""
 
     def candidates(name: str) -> list[Address]:
-        """The leader that the feed named last, then the followed controller, which may know a newer one."""
+        """The shard's leader as last named by the feed, then the followed controller, which may know a newer leader."""
         known = (feed.leaders.get(shard_of(name)), feed.controller)
         return [address for address in known if address is not None]
 
@@ -28,10 +28,10 @@
 
 
 def quota_client_for(router: str, bounds: Mapping[str, Any], owners: OwnerClient) -> QuotaClient:
-    """The quota client of a router; `bounds` are the `bounds` of its settings."""
+    """Returns the quota client of a router; `bounds` is the section of that name in the router's settings."""
     return QuotaClient(router, quota_bounds(bounds), owners)
 
 
 def configure_quotas(quotas: QuotaClient, table: FleetTable) -> None:
-    """Passes on the tenants and the router count of a new table."""
+    """Passes the tenants and the router count of a new table to the quota client."""
     quotas.configure(table.configuration.tenants, table.router_count)
--- a/ochrespan/control_plane/registry/change_batch.py
+++ b/ochrespan/control_plane/registry/change_batch.py
@@ -1,4 +1,4 @@
-"""Changes of one instance shard that are merged, to be sent to the routers together. Pure."""
+"""Merges changes of one instance shard, so that they are sent to the routers as one. Pure."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class ChangeBatch:
-    """The latest record of each instance that changed, None where it was removed."""
+    """The latest record of each changed instance; None for a removed one."""
 
     offset: int = 0  # log index of the latest change
     _latest: dict[str, InstanceRecord | None] = field(default_factory=dict)
@@ -19,7 +19,7 @@
         return bool(self._latest)
 
     def add(self, offset: int, change: InstancesChange) -> None:
-        """Merges another change, at a later offset of the shard's log."""
+        """Merges another change; `offset` is its index in the shard's log, above that of all earlier ones."""
         self.offset = offset
         for instance_id in change.removed:
             self._latest[instance_id] = None
--- a/ochrespan/control_plane/registry/changes.py
+++ b/ochrespan/control_plane/registry/changes.py
@@ -1,4 +1,4 @@
-"""The change of an instance shard that one command made."""
+"""What one command, or a batch of commands, changed in an instance shard."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstancesChange:
-    """What a command changed: records added or replaced, and ids of instances removed."""
+    """A change of an instance shard: records that were added or replaced, and ids of removed instances."""
 
     upserted: tuple[InstanceRecord, ...] = ()
     removed: tuple[str, ...] = ()
--- a/ochrespan/control_plane/registry/commands.py
+++ b/ochrespan/control_plane/registry/commands.py
@@ -19,7 +19,7 @@
 @message("cp.remove")
 @dataclass(slots=True)
 class RemoveInstance:
-    """Removes an incarnation that has ended, for good."""
+    """Removes an incarnation that has ended; no later report registers it again."""
 
     id: str
 
@@ -27,9 +27,10 @@
 @message("cp.expire")
 @dataclass(slots=True)
 class ExpireInstances:
-    """Expires incarnations that sent no heartbeat.
+    """Expires incarnations whose heartbeats have timed out.
 
-    `sequences` holds the sequence number that each one's record had when it was found expired: a newer record wins.
+    `sequences` maps each id to the sequence number of its record at the leader's check. An incarnation whose record has
+    another sequence number by now has reported since and does not expire.
     """
 
     sequences: dict[str, int]
--- a/ochrespan/control_plane/registry/heartbeats.py
+++ b/ochrespan/control_plane/registry/heartbeats.py
@@ -1,4 +1,4 @@
-"""Detection of instances whose heartbeats fail to arrive, at the leader of their shard.
+"""Detects instances whose heartbeats time out, at the leader of their shard.
 
 Pure: the time is an argument, in seconds of the monotonic clock.
 """
@@ -9,19 +9,19 @@
 
 TIMEOUT_HEARTBEATS = 3.5
 TIMEOUT_SLACK_S = 1.0
-MAX_CHECK_GAP_S = 1.0  # a monitor that was itself paused for longer may have missed heartbeats and starts again
-MASS_EXPIRY_FRACTION = 0.5  # more than this fraction expired at once points to a fault of the leader or of its links
+MAX_CHECK_GAP_S = 1.0  # if checks are further apart, this process may have missed heartbeats: all time-outs restart
+MASS_EXPIRY_FRACTION = 0.5  # if more than this fraction expires at once, the leader or its network is likely at fault
 MASS_EXPIRY_MIN_INSTANCES = 3
-MASS_EXPIRY_TIMEOUTS = 2.0  # how many time-outs have to pass in that case
+MASS_EXPIRY_TIMEOUTS = 2.0  # instances then expire only after this many time-outs
 
 
 def heartbeat_timeout_s(heartbeat_s: float) -> float:
-    """Returns how many seconds an instance may go without a heartbeat, for an interval of heartbeats in seconds."""
+    """Returns the seconds without a heartbeat after which an instance expires, for a heartbeat interval in seconds."""
     return TIMEOUT_HEARTBEATS * heartbeat_s + TIMEOUT_SLACK_S
 
 
 class HeartbeatMonitor:
-    """The last heartbeat of each instance of one shard, recorded while this process leads the shard."""
+    """Records the last heartbeat of each instance of one shard while this process leads the shard."""
 
     def __init__(self, timeout_s: float) -> None:
         self._timeout_s = timeout_s
@@ -31,14 +31,14 @@
         self._sequences: dict[str, int] = {}
 
     def start(self, now: float) -> None:
-        """Starts on becoming leader: every instance gets the full time-out, as its heartbeats went elsewhere before."""
+        """Starts on becoming leader: every instance gets the full time-out, as the former leader got its heartbeats."""
         self._started_at = now
         self._checked_at = now
         self._last_heartbeat_at.clear()
         self._sequences.clear()
 
     def stop(self) -> None:
-        """Stops on losing leadership: nothing expires any more."""
+        """Stops on losing leadership: no instance expires until the next `start`."""
         self._started_at = None
 
     def record(self, instance_id: str, sequence: int, now: float) -> None:
@@ -48,15 +48,16 @@
             self._last_heartbeat_at[instance_id] = now
 
     def forget(self, instance_id: str) -> None:
-        """Drops what is known of an instance that is no longer registered."""
+        """Drops the heartbeats of an instance that is no longer registered."""
         self._last_heartbeat_at.pop(instance_id, None)
         self._sequences.pop(instance_id, None)
 
     def expired(self, registered: Iterable[str], now: float) -> list[str]:
         """Returns the registered instances without a heartbeat for the full time-out.
 
-        Has to be called more often than every `MAX_CHECK_GAP_S`. Where most instances seem expired at once, the fault
-        is more likely here than there, so they get `MASS_EXPIRY_TIMEOUTS` time-outs.
+        Has to be called at intervals below `MAX_CHECK_GAP_S`. If most instances seem expired at once, a fault of this
+        process or its network is more likely than one of every server: they expire after `MASS_EXPIRY_TIMEOUTS`
+        time-outs.
         """
         gap = now - self._checked_at
         self._checked_at = now
--- a/ochrespan/control_plane/registry/owner.py
+++ b/ochrespan/control_plane/registry/owner.py
@@ -1,7 +1,7 @@
-"""The owner of an instance shard: its leader, which acknowledges heartbeats and expires instances that send none.
+"""The owner of an instance shard: its leader, which acknowledges heartbeats and expires instances without them.
 
-A heartbeat that changes nothing is not replicated: it is recorded at the leader alone, and a new leader gives every
-instance the full time-out before it expires any.
+A heartbeat that does not change the record is not replicated but only recorded at the leader. A new leader therefore
+gives every instance the full time-out before it expires any.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 @message("cp.report")
 @dataclass(slots=True)
 class InstanceReport:
-    """A server's report of itself, which is also its heartbeat: the fields of its record."""
+    """A server's report, which is also its heartbeat; `record` holds the fields of its `InstanceRecord`."""
 
     shard: int
     record: dict[str, Any]
@@ -50,7 +50,8 @@
 class InstanceOwner:
     """Handles the reports of servers in the process that leads the shard of their service.
 
-    `report` and `remove` raise NotLeaderError where another process leads it: the caller then forwards the request.
+    `report` and `remove` raise NotLeaderError if this process does not lead the shard: the caller then forwards the
+    request to the leader.
     """
 
     def __init__(self, groups: ReplicaGroups, machines: Mapping[int, InstanceStateMachine], heartbeat_s: float) -> None:
@@ -59,7 +60,7 @@
         self._monitors = {shard: HeartbeatMonitor(heartbeat_timeout_s(heartbeat_s)) for shard in machines}
 
     def leadership_changed(self, shard: int, is_leader: bool) -> None:
-        """Starts or stops the monitor of a shard whose leadership this process gained or lost."""
+        """Starts or stops the heartbeat monitor of a shard whose leadership this process gained or lost."""
         if shard not in self._monitors:
             return
         if is_leader:
@@ -68,7 +69,7 @@
             self._monitors[shard].stop()
 
     def report(self, report: InstanceReport) -> Response:
-        """Acknowledges a report: a mere heartbeat at once, a change after its commitment."""
+        """Acknowledges a report: at once if it changes nothing, otherwise after the changed record is committed."""
         shard = report.shard
         record = record_from_fields(report.record)
         self._require_leadership(shard)
@@ -92,7 +93,7 @@
         """Expires instances until the greenlet is killed.
 
         Each shard's command runs in a greenlet of its own: a shard without a majority must not delay the checks of the
-        others, whose monitors would start again.
+        others, since a delay above MAX_CHECK_GAP_S restarts all time-outs.
         """
         while True:
             gevent.sleep(EXPIRY_INTERVAL_S)
@@ -106,23 +107,23 @@
         return expired if expired and self._groups.is_leader(shard) else []
 
     def _expire(self, shard: int, expired: list[str]) -> None:
-        """Proposes an expiry; the sequence numbers keep it from an instance that reports before the commitment."""
+        """Proposes an expiry, with sequence numbers: an instance that reports before the commitment does not expire."""
         records = self._machines[shard].records
         sequences = {each: records[each].sequence for each in expired if each in records}
         try:
             change = self._groups.propose(shard, encode(ExpireInstances(sequences)), CALL_TIMEOUT_S)
         except (OutcomeUnknownError, NotLeaderError) as error:
             log.info("instance expiry undecided shard=%d error=%r", shard, str(error))
-            return  # the next check finds them again
+            return  # the next check proposes it again
         for instance_id in change.removed:
             self._monitors[shard].forget(instance_id)
         log.info("instances expired shard=%d instances=%s", shard, ",".join(change.removed))
 
     def _commit(self, shard: int, command: RegisterInstance | RemoveInstance) -> Response:
-        """Proposes a command and acknowledges it once it is applied.
+        """Proposes a command and acknowledges the server's request once the command is applied.
 
-        A time-out or lost leadership leaves the outcome unknown. The server then retries, which is harmless:
-        a record with a known sequence number changes nothing.
+        After a time-out or loss of leadership the outcome is unknown, and the response is a 503. The server then
+        retries, which is safe: a record whose sequence number was applied before changes nothing.
         """
         try:
             self._groups.propose(shard, encode(command), CALL_TIMEOUT_S)
@@ -137,7 +138,8 @@
     def _acknowledge_uncommitted(self, shard: int) -> Response:
         """Acknowledges a request that changes nothing, provided that a majority still follows this leader.
 
-        A leader that was replaced without noticing would acknowledge heartbeats that the new leader never sees.
+        Without the check, a leader that was replaced without its knowledge would acknowledge heartbeats that the new
+        leader never receives.
         """
         if self._groups.lease_age_s(shard) > LEASE_DURATION_S:
             return unavailable_response("instance", "no majority")
--- a/ochrespan/control_plane/registry/prefix_placements.py
+++ b/ochrespan/control_plane/registry/prefix_placements.py
@@ -1,7 +1,7 @@
-"""Which instance caches which shared prompt prefixes: part of the state of an instance shard. Pure.
+"""The placements of shared prompt prefixes on the instances that cache them; state of an instance shard. Pure.
 
-Placements are replicated so that a restart of all controllers and routers does not send prefixes to servers that would
-have to prefill them again. A lost placement costs that prefill and nothing else.
+Placements are replicated so that after a restart of all controllers and routers, requests still reach the servers that
+have cached their prefixes. The only cost of a lost placement is one prefill.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 
 from ochrespan.transport.codec import message
 
-MAX_PREFIXES = 2048  # of one service; the one that was placed first is evicted
+MAX_PREFIXES = 2048  # of one service; beyond that, the oldest placement is evicted
 
 
 @message("cp.homes")
 @dataclass(slots=True)
 class AssignPrefixes:
-    """Places prefixes of a service's prompts; each entry is prefix, instance and number of tokens."""
+    """Places prefixes of a service's prompts; each entry is a prefix, an instance id and a number of tokens."""
 
     service: str
     entries: list[tuple[str, str, float]]
@@ -33,11 +33,11 @@
             self.assign(AssignPrefixes(service, [tuple(entry) for entry in entries]))
 
     def instance_of(self, service: str, prefix: str) -> str:
-        """Returns the instance that caches a prefix, empty if none is known to."""
+        """Returns the id of the instance that a prefix is placed on; empty if there is none."""
         return self._services.get(service, {}).get(prefix, ("", 0.0))[0]
 
     def tokens(self, instance: str) -> float:
-        """Returns the number of tokens of all prefixes that an instance caches."""
+        """Returns the sum of the tokens of all prefixes that are placed on an instance."""
         return self._tokens.get(instance, 0.0)
 
     def assign(self, command: AssignPrefixes) -> None:
--- a/ochrespan/control_plane/registry/records.py
+++ b/ochrespan/control_plane/registry/records.py
@@ -17,19 +17,19 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceRecord:
-    """One incarnation of a server, as it last reported a change of itself. The field names are on the wire.
+    """One incarnation of a server, as of its last report with a change. The field names are part of the wire format.
 
     Attributes:
-        id: Distinguishes incarnations: a server that restarts has another one.
+        id: Id of the incarnation: a server has a new one after each restart.
         backend: The service that the server belongs to.
-        address: IP:PORT.
+        address: The server's IP:PORT.
         state: A value of `InstanceState`.
-        sequence: Rises from change to change; a report with one that is not above the last changes nothing.
+        sequence: Increases with each change; a report changes nothing unless its sequence number is above the last one.
         zone: The zone that the server runs in, empty if unknown.
-        generation: The generation of the server, empty if unknown.
-        capacity: Requests at once, 0 if unknown.
-        cold_remaining_ms: How long the slow start goes on, in milliseconds from the report.
-        phase: A phase that the server names, empty if it names none.
+        generation: The generation that the server reports, empty if unknown.
+        capacity: Maximum number of concurrent requests, 0 if unknown.
+        cold_remaining_ms: Milliseconds of slow start that remain at the time of the report.
+        phase: The phase that the server reports, empty if none.
         models: The models that the server has loaded.
     """
 
@@ -46,7 +46,7 @@
     models: tuple[Mapping[str, Any], ...] = ()
 
     def equals_ignoring_time(self, other: InstanceRecord) -> bool:
-        """Returns whether the records differ in `sequence` and `cold_remaining_ms` at most: a mere heartbeat."""
+        """Returns whether only `sequence` and `cold_remaining_ms` may differ: then the report is just a heartbeat."""
         return (
             self.state == other.state
             and self.address == other.address
@@ -77,11 +77,11 @@
 
 
 def record_fields(record: InstanceRecord) -> dict[str, Any]:
-    """Returns the record as a map, for messages and responses."""
+    """Returns the record as a dictionary, for messages and responses."""
     return asdict(record)
 
 
 def record_from_fields(fields: Mapping[str, Any]) -> InstanceRecord:
-    """Returns the record that `record_fields` made; fields that only later versions of the program know are dropped."""
+    """The inverse of `record_fields`; drops fields that a later version of the program added."""
     known = {name: value for name, value in fields.items() if name in InstanceRecord.__dataclass_fields__}
     return InstanceRecord(**{**known, "models": tuple(known.get("models") or ())})
--- a/ochrespan/control_plane/registry/slow_start.py
+++ b/ochrespan/control_plane/registry/slow_start.py
@@ -1,4 +1,4 @@
-"""When the slow start of each instance ends, so that a snapshot of the feed that is sent later has the remaining time.
+"""Records when the slow start of each instance ends, so that later feed snapshots contain the remaining time.
 
 Pure: the time is an argument, in seconds of the monotonic clock.
 """
@@ -14,7 +14,7 @@
 
 
 class SlowStartTimes:
-    """The end of each instance's slow start, counted from when its record was applied here."""
+    """The end of each instance's slow start, counted from the time at which its record was applied here."""
 
     def __init__(self) -> None:
         self._slow_start_ends_at: dict[str, float] = {}
@@ -22,7 +22,7 @@
     def record(self, change: InstancesChange, now: float) -> None:
         """Updates the times from an applied change.
 
-        An instance has one slow start, at its start: the first record decides, later ones don't prolong it.
+        Only the first record of an instance sets the end: later records do not prolong the slow start.
         """
         for instance_id in change.removed:
             self._slow_start_ends_at.pop(instance_id, None)
--- a/ochrespan/control_plane/registry/state_machine.py
+++ b/ochrespan/control_plane/registry/state_machine.py
@@ -1,7 +1,7 @@
 """The state machine of an instance shard: which incarnations of servers are registered, draining or removed.
 
-An incarnation that drains does not become ready again, and one that was removed does not return. An expired one, whose
-heartbeats failed to arrive, may return by a report with a higher sequence number.
+A draining incarnation does not become ready again, and a removed one is not registered again. An incarnation that
+expired because its heartbeats timed out is registered again by a report with a higher sequence number.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 
 @dataclass(frozen=True, slots=True)
 class _Removal:
-    """How an incarnation left the registry; a list of the fields, in this sequence, in snapshots.
+    """How an incarnation left the registry. Snapshots contain the fields as a list in this order.
 
     Attributes:
         sequence: The sequence number of its last record, 0 if it had none.
-        is_final: Whether no report brings it back: it ended or was replaced, rather than expired.
-        was_draining: Whether it drained, so that it may only return draining.
+        is_final: Whether no report registers it again: true if it ended or was replaced, false if it expired.
+        was_draining: Whether it was draining; it can then be registered again as draining only.
     """
 
     sequence: int
@@ -37,20 +37,20 @@
 
 
 class _RemovalMemory:
-    """Removals by instance, at most `MAX_REMEMBERED_REMOVALS`; the one that was added first is evicted first."""
+    """The latest removal of each instance, at most `MAX_REMEMBERED_REMOVALS`; the oldest is evicted first."""
 
     def __init__(self, entries: Mapping[str, list[Any]] | None = None) -> None:
         self._removals = {instance_id: _Removal(*fields) for instance_id, fields in (entries or {}).items()}
 
     def add(self, instance_id: str, removal: _Removal) -> None:
-        """Remembers the latest removal of an instance."""
+        """Stores the removal of an instance in place of an earlier one."""
         self._removals.pop(instance_id, None)
         self._removals[instance_id] = removal
         if len(self._removals) > MAX_REMEMBERED_REMOVALS:
             del self._removals[next(iter(self._removals))]
 
     def get(self, instance_id: str) -> _Removal | None:
-        """Returns the removal of an instance, if it is remembered."""
+        """Returns the removal of an instance; None if there is none or it was evicted."""
         return self._removals.get(instance_id)
 
     def discard(self, instance_id: str) -> None:
@@ -58,7 +58,7 @@
         self._removals.pop(instance_id, None)
 
     def fields(self) -> dict[str, list[Any]]:
-        """Returns the form for snapshots."""
+        """Returns the removals as plain values, for snapshots."""
         return {
             instance_id: [removal.sequence, removal.is_final, removal.was_draining]
             for instance_id, removal in self._removals.items()
@@ -66,7 +66,12 @@
 
 
 class InstanceStateMachine:
-    """The instances of the services of one shard."""
+    """The instances and prefix placements of the services of one shard.
+
+    Attributes:
+        records: The registered instances by id.
+        placements: The replicated placements of prompt prefixes.
+    """
 
     def __init__(self) -> None:
         self.records: dict[str, InstanceRecord] = {}
@@ -91,7 +96,11 @@
         return NO_CHANGE
 
     def accepts(self, record: InstanceRecord) -> bool:
-        """Returns whether a report is newer than what is known, and no return from draining or from removal."""
+        """Returns whether a report would change the state.
+
+        It must be newer than the known record, must not turn a draining incarnation ready again, and must not
+        register an incarnation whose removal is final.
+        """
         known = self.records.get(record.id)
         if known is not None:
             returns_to_ready = known.state == InstanceState.DRAINING and record.state == InstanceState.READY
@@ -103,12 +112,12 @@
         return not removal.is_final and record.sequence > removal.sequence and not returns_to_ready
 
     def is_removed(self, instance_id: str) -> bool:
-        """Returns whether an incarnation was removed for good, so that no report brings it back."""
+        """Returns whether an incarnation's removal is final, so that no report registers it again."""
         removal = self._removals.get(instance_id)
         return removal is not None and removal.is_final
 
     def snapshot(self) -> bytes:
-        """Packs the complete state."""
+        """Encodes the complete state."""
         records = [record_fields(record) for record in self.records.values()]
         return compact.pack([records, self._removals.fields(), self.placements.fields()])
 
@@ -140,7 +149,7 @@
     def _remove(self, instance_id: str) -> InstancesChange:
         record = self.records.get(instance_id)
         if record is None:
-            # it has expired, or a report of it is still on its way here: such a report must not register it
+            # It expired, or its first report is still in flight: that report must not register it after this command
             earlier = self._removals.get(instance_id)
             self._removals.add(instance_id, _Removal(earlier.sequence if earlier else 0, is_final=True))
             return NO_CHANGE
@@ -148,7 +157,7 @@
         return InstancesChange(removed=(instance_id,))
 
     def _expire(self, sequences: Mapping[str, int]) -> InstancesChange:
-        """Expires instances, apart from those with a newer record: they reported after the leader's check."""
+        """Expires instances, except those whose sequence number has changed since the leader's check."""
         expired = [
             record
             for instance_id, sequence in sequences.items()
--- a/ochrespan/control_plane/registry/views.py
+++ b/ochrespan/control_plane/registry/views.py
@@ -1,4 +1,4 @@
-"""The routers' typed view of an instance."""
+"""The form of an instance in a router's table."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """One incarnation of a server; `slow_start_ends_at` is the end of its slow start by the monotonic clock here."""
+    """One incarnation of a server; `slow_start_ends_at` is in seconds of this process's monotonic clock."""
 
     id: str
     service: str
