--- a/ochrespan/control_plane/feed/client.py
+++ b/ochrespan/control_plane/feed/client.py
@@ -1,8 +1,8 @@
-"""The router's end of the change feed: follows one controller at a time and keeps a FleetTable current.
+"""The router's side of the change feed: follows one controller at a time and keeps a FleetTable current.
 
 The client leaves a controller that sends nothing, whose groups lost their quorum, that lags behind others or that
-belongs to another cluster. It never takes a lower offset of a shard unless the shard's log began anew. While no
-controller can be reached the last table stays.
+belongs to another cluster. It accepts a lower offset of a shard only if the shard has a new log. While no controller
+can be reached, the router keeps using the last table.
 """
 
 from __future__ import annotations
@@ -30,9 +30,9 @@
 log = logging.getLogger(__name__)
 
 
-FEED_TIMEOUT_S = 1.2  # longer than two intervals of freshness messages
-MAX_LAG_S = 0.4
-MIN_STAY_S = 5.0  # before a move to a controller that is merely nearer
+FEED_TIMEOUT_S = 1.2  # without a message; longer than two intervals of freshness messages
+MAX_LAG_S = 0.4  # a controller that has lagged behind others for longer is left
+MIN_STAY_S = 5.0  # with a controller before a move to one in the router's own zone
 
 
 class FeedClient:
@@ -45,7 +45,7 @@
         on_change: Called with each new table and what differs from the one before.
 
     Attributes:
-        controller: The followed controller while it is known to be current; None otherwise.
+        controller: The followed controller while its feed is known to be current; None otherwise.
         leaders: By shard, the leader that the feed named last.
     """
 
@@ -57,14 +57,14 @@
         self._choice = ControllerChoice(node, zone, seeds)
         self._draft = DraftTable()
         self._publisher = TablePublisher(self._draft, on_change)
-        self._cluster = 0  # that the table belongs to; only a restart of the router changes it
+        self._cluster = 0  # id of the table's cluster, 0 before the first; only a restart of the router changes it
         self._router_count = RouterCountFilter()
         self._member_count = 0  # routers that membership finds alive
         self._greenlet: gevent.Greenlet | None = None
 
     @property
     def table(self) -> FleetTable | None:
-        """The published table; None until a first complete state with a configuration has arrived."""
+        """The published table; None until a configuration and the state of every shard have arrived."""
         return self._publisher.table
 
     def start(self) -> None:
@@ -72,7 +72,7 @@
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """Stops; the table stays."""
+        """Stops following; the table remains available."""
         if self._greenlet is not None:
             self._greenlet.kill()
         self._publisher.stop()
@@ -102,7 +102,14 @@
             gevent.sleep(self._choice.retry_delay_s(monotonic(), random.random()))
 
     def _follow(self, address: Address) -> None:
-        """Subscribes to a controller and reads until it is left; returns in order to move to a nearer one."""
+        """Subscribes to a controller and reads its feed; returns when one in the router's own zone is available.
+
+        Raises:
+            LeaveControllerError: The controller should not be followed further.
+            OSError: No connection could be opened.
+            ConnectionClosedError: The connection was lost or timed out.
+            MessageError: A message was malformed.
+        """
         connection = None
         try:
             connection = dial(address, self._choice.connect_timeout_s(address))
@@ -127,14 +134,14 @@
                 self._take_freshness(received, address)
                 if monotonic() - since > MIN_STAY_S and self._choice.is_nearer_available(address, monotonic()):
                     return
-            if not connection.has_message:  # the changes of all messages that have arrived go out as one table
+            if not connection.has_message:  # changes of all messages received so far are published together
                 self._publisher.publish_changes()
 
     def _take_freshness(self, freshness: Freshness, address: Address) -> None:
-        """Decides whether the controller is current.
+        """Applies a freshness message, and decides by it whether the controller's feed is current.
 
         Raises:
-            LeaveControllerError: It is not, and another one may be.
+            LeaveControllerError: The feed is not current, and another controller's may be.
         """
         if are_different_clusters(self._cluster, freshness.cluster):
             raise OtherClusterError(freshness.cluster, self._cluster)
--- a/ochrespan/control_plane/feed/controller_choice.py
+++ b/ochrespan/control_plane/feed/controller_choice.py
@@ -18,20 +18,20 @@
 MIN_RETRY_DELAY_S = 0.01
 MAX_RETRY_DELAY_S = 0.6
 CONTROLLER_TTL_S = 600.0
-_MAX_DOUBLINGS = 10  # of a back-off or time-out: more would reach no other bound
+_MAX_DOUBLINGS = 10  # of a back-off or time-out; bounds the exponent, the maximum is reached earlier
 
 
 @dataclass(slots=True)
 class _Candidate:
     zone: str = ""
     is_seed: bool = False
-    named_at: float = 0.0  # when the feed or membership last named it
-    failures: int = 0  # in a row
+    named_at: float = 0.0  # when the feed or membership last listed it
+    failures: int = 0  # consecutive ones
     backoff_until: float = 0.0
 
 
 class ControllerChoice:
-    """The controllers that a router knows from its seeds, the feed and membership.
+    """Ranks the controllers that a router knows from its seeds, the feed and membership.
 
     Args:
         node: The router's node name.
@@ -46,14 +46,14 @@
         self.set_seeds(seeds)
 
     def set_seeds(self, seeds: Iterable[Address]) -> None:
-        """Sets the seeds; former ones expire like other controllers that are no longer named."""
+        """Sets the seeds; former seeds expire like other controllers that are no longer listed."""
         for candidate in self._candidates.values():
             candidate.is_seed = False
         for address in seeds:
             self._candidates.setdefault(address, _Candidate()).is_seed = True
 
     def update(self, zones: Mapping[Address, str], now: float) -> None:
-        """Adds the present controllers with their zones; drops those that were not named for CONTROLLER_TTL_S."""
+        """Adds the present controllers with their zones; drops those that were not listed for CONTROLLER_TTL_S."""
         for address, zone in zones.items():
             candidate = self._candidates.setdefault(address, _Candidate())
             candidate.zone = zone
@@ -63,7 +63,7 @@
                 del self._candidates[address]
 
     def best(self, now: float) -> Address:
-        """The controller to try next: the first out of back-off, then in the own zone, then by the hash."""
+        """The controller to try next: by remaining back-off, then the router's own zone first, then by the hash."""
         return min(self._candidates, key=lambda address: self._rank(address, now))
 
     def is_nearer_available(self, current: Address, now: float) -> bool:
@@ -85,20 +85,20 @@
         candidate.backoff_until = now + backoff_s * (0.5 + jitter / 2)
 
     def record_success(self, address: Address) -> None:
-        """Resets the count of failures of a controller that serves well."""
+        """Resets the failure count of a controller whose feed is current."""
         self._candidates[address].failures = 0
 
     def connect_timeout_s(self, address: Address) -> float:
-        """How long to wait for a connection.
+        """The seconds to wait for a connection.
 
-        Short at first, since a machine that is down does not respond while another controller may be up already. Longer
-        after failures, since the link may be slow.
+        Short at first: a machine that is down does not respond, and another controller may be up. Doubles with each
+        failure, since the link may be slow.
         """
         failures = min(self._candidates[address].failures, _MAX_DOUBLINGS)
         return min(MIN_CONNECT_TIMEOUT_S * 2.0**failures, MAX_CONNECT_TIMEOUT_S)
 
     def retry_delay_s(self, now: float, jitter: float) -> float:
-        """How long to wait before the next try; `jitter` from 0 to 1 spreads the routers' retries."""
+        """The seconds to wait before the next attempt; `jitter` from 0 to 1 spreads the routers' retries."""
         backoff_s = self._candidates[self.best(now)].backoff_until - now
         return max(MIN_RETRY_DELAY_S, min(backoff_s, MAX_RETRY_DELAY_S)) * (0.5 + jitter / 2)
 
@@ -108,5 +108,5 @@
         return backoff_s, candidate.zone != self._zone, self._hash(address)
 
     def _hash(self, address: Address) -> bytes:
-        """A hash of the router and the controller; a checksum would rank them nearly alike for all routers."""
+        """A hash of router and controller; with a checksum nearly all routers would rank the controllers alike."""
         return hashlib.blake2b(f"{self._node} {format_address(address)}".encode(), digest_size=8).digest()
--- a/ochrespan/control_plane/feed/draft_table.py
+++ b/ochrespan/control_plane/feed/draft_table.py
@@ -1,4 +1,4 @@
-"""The table that a router builds from the messages of the feed, also before it is complete enough to be published.
+"""The table that a router builds from feed messages, before it is complete and published.
 
 Pure: the time is an argument, in seconds of a monotonic clock.
 """
@@ -27,8 +27,8 @@
     with_router_count,
 )
 
-# A controller that does not lag and whose offsets are lower for longer than this has another log: a controller that has
-# just started may have lower offsets of the same log for a short time.
+# If a controller that does not lag has lower offsets than the router for longer than this, its shards have another log.
+# A controller that has just started may have lower offsets of the same log for a shorter time.
 LOG_RESET_CONFIRM_S = 4.0
 
 
@@ -37,9 +37,9 @@
 
     Attributes:
         table: The present state.
-        unpublished: What has changed since the table was published last.
-        offsets: By shard, the offset up to which its log is applied; shards without a state are missing.
-        complete_since: When the state of all shards was known first; None until then.
+        unpublished: The changes since the table was last published.
+        offsets: By shard, the offset up to which its log is applied; a shard is missing until its snapshot arrives.
+        complete_since: Time at which the table first was complete; None until then.
     """
 
     def __init__(self) -> None:
@@ -54,10 +54,10 @@
         return self.table.version > 0 and all(shard in self.offsets for shard in ALL_SHARDS)
 
     def apply_delta(self, delta: FeedDelta, now: float) -> None:
-        """Applies a change; one that is applied already does nothing.
+        """Applies a change, unless it is applied already.
 
         Raises:
-            FeedGapError: A change before it is missing.
+            FeedGapError: An earlier change of the shard, or its snapshot, is missing.
         """
         offset = self.offsets.get(delta.shard)
         if offset is None or delta.previous > offset:
@@ -72,7 +72,7 @@
         self._replace(table, change, now)
 
     def apply_snapshot(self, snapshot: FeedSnapshot, now: float) -> None:
-        """Replaces the state of a shard, unless the snapshot is older."""
+        """Replaces the state of a shard, unless the snapshot is older than the known state."""
         shard = snapshot.shard
         if snapshot.offset < self.offsets.get(shard, 0):
             return
@@ -90,7 +90,7 @@
         self._replace(*with_router_count(self.table, count, rank), now)
 
     def advance_offsets(self, freshness: Freshness, has_quorum: bool, controller: Address, now: float) -> None:
-        """Takes the offsets of a freshness message, up to which the controller has sent every change.
+        """Advances to the offsets of a freshness message, up to which the controller has sent every change.
 
         Args:
             freshness: The message.
@@ -99,8 +99,8 @@
             now: The present time.
 
         Raises:
-            LogResetError: A shard's log began anew. Its offset is dropped, so that the next subscription gets a
-                snapshot of the shard; the state itself stays until then.
+            LogResetError: A shard has a new log. Its offset is dropped, so that the next subscription gets a
+                snapshot of the shard; the old state remains in the table until then.
         """
         for shard, offset in freshness.offsets.items():
             known = self.offsets.get(shard)
--- a/ochrespan/control_plane/feed/errors.py
+++ b/ochrespan/control_plane/feed/errors.py
@@ -7,20 +7,20 @@
 
 
 class LeaveControllerError(ControlPlaneError):
-    """The feed of a controller cannot be followed further: another controller may serve better."""
+    """The router should stop following this controller: another one may have a current feed."""
 
 
 class FeedGapError(LeaveControllerError):
-    """A change does not follow the router's offset.
+    """Changes are missing between the router's offset and a received change.
 
     Attributes:
         shard: The shard of the change.
         previous: The offset that the change builds on.
-        offset: The router's offset; None where it has no state of the shard.
+        offset: The router's offset; None if it has no state of the shard.
     """
 
     def __init__(self, shard: int, previous: int, offset: int | None) -> None:
-        super().__init__(f"gap in shard {shard}: {previous} after {offset}")
+        super().__init__(f"changes missing in shard {shard}: message builds on {previous}, router is at {offset}")
         self.shard = shard
         self.previous = previous
         self.offset = offset
@@ -30,12 +30,12 @@
     """The controller belongs to another cluster than the router's table.
 
     Attributes:
-        cluster: Of the controller.
-        own_cluster: Of the table.
+        cluster: Cluster id of the controller.
+        own_cluster: Cluster id of the router's table.
     """
 
     def __init__(self, cluster: int, own_cluster: int) -> None:
-        super().__init__(f"it belongs to another fleet, {cluster} in place of {own_cluster}")
+        super().__init__(f"controller belongs to cluster {cluster}, the router's table to {own_cluster}")
         self.cluster = cluster
         self.own_cluster = own_cluster
 
@@ -44,7 +44,7 @@
     """A shard's group had no quorum for too long, as far as the controller knows.
 
     Attributes:
-        quorum_age_s: Seconds since the quorum was confirmed, of the shard where that was longest ago.
+        quorum_age_s: Seconds since the quorum was confirmed, for the shard where that was longest ago.
     """
 
     def __init__(self, quorum_age_s: float) -> None:
@@ -53,10 +53,10 @@
 
 
 class ControllerLagsError(LeaveControllerError):
-    """The controller has not applied what others have.
+    """The controller has not applied commands that other controllers have applied.
 
     Attributes:
-        lag_s: For how many seconds, of the shard that lags most.
+        lag_s: Seconds for which the controller has lagged, for the shard that lags most.
     """
 
     def __init__(self, lag_s: float) -> None:
@@ -65,7 +65,7 @@
 
 
 class LogResetError(LeaveControllerError):
-    """A shard's log began anew, with lower offsets than the router's.
+    """A shard has a new log, with lower offsets than the router's.
 
     Attributes:
         shard: The shard.
@@ -73,6 +73,6 @@
     """
 
     def __init__(self, shard: int, controller: Address) -> None:
-        super().__init__(f"shard {shard} has another log at {format_address(controller)}")
+        super().__init__(f"shard {shard} has a new log at {format_address(controller)}")
         self.shard = shard
         self.controller = controller
--- a/ochrespan/control_plane/feed/live_routers.py
+++ b/ochrespan/control_plane/feed/live_routers.py
@@ -10,13 +10,13 @@
 
 from .messages import Presence
 
-STARTUP_WAIT_S = 2.0  # a controller that has just started does not know most routers yet
-REPORT_TTL_S = 3.5  # longer than a router takes to move between controllers, so that it stays counted
+STARTUP_WAIT_S = 2.0  # for this long after its start a controller reports no count, as it does not know most routers
+REPORT_TTL_S = 3.5  # longer than a router takes to move between controllers, so that it is counted throughout
 
 
 @dataclass(frozen=True, slots=True)
 class RouterPosition:
-    """A router's rank among the live routers in the order of their names, and their count; 0 while not known."""
+    """A router's rank among the live routers in the order of their names, and their count; both 0 while unknown."""
 
     count: int
     rank: int
@@ -30,7 +30,7 @@
 
 
 class LiveRouters:
-    """The routers that membership finds alive, that subscribe to this controller's feed, or to another one's."""
+    """The routers that membership finds alive, or that subscribe to the feed of this or another controller."""
 
     def __init__(self, started_at: float) -> None:
         self._complete_from = started_at + STARTUP_WAIT_S
@@ -44,7 +44,7 @@
         self._members = frozenset(routers)
 
     def update_subscribers(self, routers: Iterable[str], now: float) -> None:
-        """Takes the present subscribers of this controller's feed, drops what has expired, and counts anew."""
+        """Records the present subscribers of this controller's feed, drops expired entries, and updates the count."""
         self._subscribed_at.update(dict.fromkeys(routers, now))
         self._subscribed_at = {
             router: subscribed_at
@@ -58,7 +58,7 @@
         self._sorted = sorted(self._members.union(self._subscribed_at, *reported))
 
     def record_report(self, presence: Presence, now: float) -> None:
-        """Takes the report of another controller."""
+        """Records the report of another controller."""
         report = _Report(frozenset(presence.routers), presence.zone, now)
         self._reports[(presence.ip, presence.port)] = report
 
@@ -75,7 +75,7 @@
         return [(address, report.zone) for address, report in self._reports.items()]
 
     def position_of(self, router: str, now: float) -> RouterPosition:
-        """The position of a router; one that is not counted yet counts itself."""
+        """The position of a router; the count includes it even if it was not known before."""
         if now < self._complete_from:
             return RouterPosition(0, 0)
         rank = bisect.bisect_left(self._sorted, router)
--- a/ochrespan/control_plane/feed/messages.py
+++ b/ochrespan/control_plane/feed/messages.py
@@ -28,7 +28,7 @@
         node: The router's node name.
         zone: The router's zone.
         offsets: By shard, the offset of the state that the router has; shards without one are missing.
-        cluster: The cluster that the state belongs to; 0 where there is none yet.
+        cluster: Id of the cluster that the state belongs to; 0 if there is none yet.
     """
 
     node: str
@@ -45,8 +45,8 @@
     Attributes:
         shard: The shard.
         offset: The offset of the state.
-        body: Of the configuration's shard, a packed change from the empty configuration; otherwise a packed change that
-            adds all instances.
+        body: For the configuration shard, a packed change from the empty configuration; for other shards, a packed
+            change that adds all instances.
     """
 
     shard: int
@@ -61,7 +61,7 @@
 
     Attributes:
         shard: The shard.
-        previous: The offset of the change before.
+        previous: The offset of the preceding change.
         offset: The offset after this change.
         body: The packed change.
     """
@@ -85,7 +85,7 @@
         router_count: The number of live routers; 0 while it is not known.
         router_rank: The receiver's rank among them in the order of their names.
         leaders: By shard, IP and port of its leader, where it is known.
-        cluster: The cluster that the controller belongs to; 0 for none, or for an earlier version of the program.
+        cluster: Id of the controller's cluster; 0 for none, or from an earlier version of the program.
     """
 
     quorum_ages: dict[int, float]
@@ -104,12 +104,12 @@
     """A controller's report to another one.
 
     Attributes:
-        ip: Of the reporting controller.
-        port: Of the reporting controller.
-        zone: Of the reporting controller.
+        ip: IP of the reporting controller.
+        port: Port of the reporting controller.
+        zone: Zone of the reporting controller.
         routers: The node names of the routers that subscribe to its feed.
         offsets: By shard, the offset up to which it has applied the log.
-        cluster: The cluster that it belongs to; 0 for none.
+        cluster: Id of the cluster that it belongs to; 0 for none.
     """
 
     ip: str
--- a/ochrespan/control_plane/feed/presence.py
+++ b/ochrespan/control_plane/feed/presence.py
@@ -1,4 +1,4 @@
-"""Reports between controllers: who is there, which routers subscribe to whom, and how far each has applied its logs."""
+"""Reports between controllers: zone, subscribed routers and applied offsets of the reporting controller."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PresenceState:
-    """What a controller reports of itself, and what the reports of others update."""
+    """The state that a controller reports to others, and that their reports update."""
 
     groups: ReplicaGroups
     live_routers: LiveRouters
@@ -38,11 +38,11 @@
     """Exchanges reports with every other controller twice a second.
 
     Args:
-        address: Of this controller.
-        zone: Of this controller.
-        state: What is reported and updated.
+        address: Address of this controller.
+        zone: Zone of this controller.
+        state: The state that is reported and updated.
         peers: Calls other controllers.
-        controllers: The present controllers; this one may be among them.
+        controllers: Returns the addresses of the present controllers; this one may be among them.
     """
 
     def __init__(
--- a/ochrespan/control_plane/feed/router_count.py
+++ b/ochrespan/control_plane/feed/router_count.py
@@ -10,14 +10,14 @@
 class RouterCountFilter:
     """Delays decreases of the router count.
 
-    A controller that has just started, or whose routers move to another one, reports too low a count for a while.
+    A controller that has just started, or whose routers move to another one, temporarily reports too low a count.
     """
 
     def __init__(self) -> None:
-        self._counts: deque[tuple[float, int]] = deque()  # time and count, decreasing; the latest last
+        self._counts: deque[tuple[float, int]] = deque()  # time and count, oldest first; the counts decrease
 
     def update(self, count: int, now: float) -> int:
-        """Takes a reported count; returns the maximum of the last DECREASE_DELAY_S."""
+        """Records a reported count; returns the maximum of the last DECREASE_DELAY_S seconds."""
         while self._counts and self._counts[-1][1] <= count:
             self._counts.pop()
         self._counts.append((now, count))
--- a/ochrespan/control_plane/feed/server.py
+++ b/ochrespan/control_plane/feed/server.py
@@ -1,4 +1,4 @@
-"""The controller's end of the change feed: sends each applied change, encoded once, to every subscribed router."""
+"""The controller's side of the change feed: sends each applied change, encoded once, to every subscribed router."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 BATCH_INTERVAL_S = 0.02  # changes of a shard's instances within this time are sent as one
-NO_QUORUM_INTERVAL_S = 0.04  # between freshness messages while routers wait for a quorum
+NO_QUORUM_INTERVAL_S = 0.04  # between freshness messages without a quorum, so that routers learn of a new one soon
 
 
 @dataclass(eq=False, slots=True)
@@ -55,9 +55,9 @@
     Args:
         groups: The Raft groups of this process.
         snapshots: The encoded states of the shards.
-        live_routers: Updated with the subscribers; gives each its position.
+        live_routers: Receives the subscribers; determines the position of each.
         lag_detector: How far this controller is behind others.
-        controllers: The present controllers with their zones.
+        controllers: Returns the present controllers with their zones.
     """
 
     def __init__(
@@ -87,9 +87,9 @@
             gevent.sleep(FRESHNESS_INTERVAL_S if has_quorum else NO_QUORUM_INTERVAL_S)
 
     def applied(self, shard: int, index: int, result: Any) -> None:
-        """Sends what an applied command changed, at once or with the next batch.
+        """Sends the change that an applied command made, at once or with the next batch.
 
-        Nothing is sent while the shard is restoring: the snapshot that is about to be sent contains the change.
+        Nothing is sent while the shard is restoring: the snapshot that is sent afterwards contains the change.
 
         Args:
             shard: The shard that the command belongs to.
@@ -107,11 +107,11 @@
     def restored(self, shard: int) -> None:
         """Sends the full state of a shard that was replaced by a snapshot, once its offset is known."""
         self._histories[shard].is_restoring = True
-        # In a greenlet of its own: while the replica host starts, it restores before it knows an applied index.
+        # In a new greenlet, as a starting replica host restores its machines before it knows an applied index.
         gevent.spawn(self._finish_restore, shard)
 
     def subscribe(self, connection: Connection, request: Subscribe) -> None:
-        """Sends a router what it missed, and all changes from now on; rejects one of another cluster."""
+        """Sends a router the changes that it missed, then all further ones; rejects a router of another cluster."""
         if are_different_clusters(request.cluster, self._groups.cluster()):
             log.warning(
                 "feed subscription rejected, other cluster node=%s cluster=%d own_cluster=%d",
@@ -136,7 +136,7 @@
         """Sends one round of freshness messages; drops subscribers whose connections are closed."""
         for connection in [each for each in self._subscribers if each.closed]:
             self._drop(connection)
-        # A freshness message contains offsets, up to which a router then counts every change as received.
+        # Routers take all changes up to the offsets in a freshness message as received, so batches are sent first.
         for shard in self._histories:
             self._send_batch(shard)
         self._update_live_routers()
@@ -146,7 +146,7 @@
         return freshness
 
     def _add_to_batch(self, shard: int, index: int, change: InstancesChange) -> None:
-        """Sends a change at once if none was sent within BATCH_INTERVAL_S; otherwise it waits for others."""
+        """Sends a change at once if no batch was sent within BATCH_INTERVAL_S; otherwise with the next batch."""
         history = self._histories[shard]
         is_first = not history.batch
         history.batch.add(index, change)
@@ -179,7 +179,7 @@
             self._send_to_all(self._snapshots.encoded(shard))
 
     def _missed_messages(self, shard: int, offset: int) -> list[bytes]:
-        """What a router that has the state at `offset` needs: the changes since, or a snapshot; 0 is no state."""
+        """The encoded messages for a router that has the state at `offset`, 0 for none: changes or a snapshot."""
         missed = self._histories[shard].since(offset) if offset else None
         return [self._snapshots.encoded(shard)] if missed is None else missed
 
--- a/ochrespan/control_plane/feed/shard_history.py
+++ b/ochrespan/control_plane/feed/shard_history.py
@@ -1,4 +1,4 @@
-"""The recent changes of a shard at a controller, from which subscribers catch up without a snapshot. Pure."""
+"""The recent changes of a shard at a controller, by which subscribers catch up without a snapshot. Pure."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     """The encoded `FeedDelta` messages of a shard.
 
     Attributes:
-        start: The offset from which the changes lead on without a gap.
+        start: A router at this offset or a later one can catch up by the changes alone.
         last: The offset of the latest change.
-        is_restoring: The state was replaced by a snapshot whose offset is not known yet.
+        is_restoring: Whether the state was replaced by a snapshot whose offset is not known yet.
         changes: The offset and the encoded message of each change, the oldest first.
         size: The sum of the lengths of the messages, in bytes.
         batch: Changes of instances that are not among `changes` yet.
-        batch_sent_at: When a batch was sent last.
+        batch_sent_at: When the last batch was sent, in seconds of the monotonic clock.
     """
 
     start: int = 0
@@ -53,7 +53,7 @@
         self.is_restoring = False
 
     def since(self, offset: int) -> list[bytes] | None:
-        """The messages after `offset`; None where the history does not reach back so far."""
+        """The messages after `offset`; None if the changes since then are no longer stored."""
         if offset < self.start:
             return None
         first = bisect.bisect_right(self.changes, offset, key=lambda change: change[0])
--- a/ochrespan/control_plane/feed/shard_snapshots.py
+++ b/ochrespan/control_plane/feed/shard_snapshots.py
@@ -17,7 +17,7 @@
 
 from .messages import FeedSnapshot, pack_configuration_change, pack_instances_change
 
-SNAPSHOT_CACHE_TTL_S = 1.0  # a snapshot holds remaining slow-start times, which are out of date after a while
+SNAPSHOT_CACHE_TTL_S = 1.0  # snapshots contain remaining slow-start times, which get out of date
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,11 +49,11 @@
         self._cache: dict[int, _CachedSnapshot] = {}  # by shard
 
     def record_change(self, change: InstancesChange) -> None:
-        """Takes over the slow-start times of a change that was applied."""
+        """Records the slow-start times of an applied change."""
         self._slow_start.record(change, monotonic())
 
     def encoded(self, shard: int) -> bytes:
-        """The encoded `FeedSnapshot` of a shard at the offset that is applied now."""
+        """The encoded `FeedSnapshot` of a shard at its applied index, cached for up to SNAPSHOT_CACHE_TTL_S."""
         offset = self._groups.applied_index(shard)
         now = monotonic()
         cached = self._cache.get(shard)
--- a/ochrespan/control_plane/feed/table.py
+++ b/ochrespan/control_plane/feed/table.py
@@ -1,6 +1,6 @@
-"""The router's copy of the control state: an immutable table, whose successors share what has not changed.
+"""The router's copy of the control state: immutable tables, which share the parts that have not changed.
 
-Each `with_...` function returns the next table and what differs; where nothing does, the same table and NO_CHANGE.
+Each `with_...` function returns the next table and the difference; if there is none, the same table and NO_CHANGE.
 Pure: the time is an argument, in seconds of a monotonic clock.
 """
 
@@ -21,13 +21,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetChange:
-    """What differs between two tables.
+    """The difference between two tables.
 
     Attributes:
         version: Whether the version of the configuration differs.
         routes: The names of routes that were added, changed or removed.
-        services: The same of services.
-        tenants: The same of tenants.
+        services: The names of services that were added, changed or removed.
+        tenants: The names of tenants that were added, changed or removed.
         limits: Whether the limits differ.
         instances: The names of services whose instances differ.
         routers: Whether the router count or rank differs.
@@ -42,7 +42,7 @@
     routers: bool = False
 
     def __or__(self, other: FleetChange) -> FleetChange:
-        """What differs after both changes."""
+        """The difference after both changes."""
         return FleetChange(
             version=self.version or other.version,
             routes=self.routes | other.routes,
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetTable:
-    """The state that a router serves by.
+    """The state by which a router handles requests.
 
     Attributes:
         configuration: The configuration.
@@ -84,7 +84,7 @@
 
 
 def with_configuration_change(table: FleetTable, change: ConfigurationChange) -> tuple[FleetTable, FleetChange]:
-    """The table after a change of the configuration; one to a version that is not newer does nothing."""
+    """The table after a change of the configuration; a change to a version that is not newer is ignored."""
     view = table.configuration
     if change.version <= view.version:
         return table, NO_CHANGE
@@ -121,7 +121,7 @@
 
 def with_instances_change(table: FleetTable, change: InstancesChange, now: float) -> tuple[FleetTable, FleetChange]:
     """The table after instances were registered, changed or removed."""
-    copies: dict[str, dict[str, Instance]] = {}  # by service, of those that the change may affect
+    copies: dict[str, dict[str, Instance]] = {}  # by service; only services that the change may affect
 
     def copy_of(service: str) -> dict[str, Instance]:
         """The service's instances, copied before their first change."""
@@ -152,7 +152,7 @@
     Args:
         table: The table before.
         snapshot: All instances of the shard.
-        services_of_shard: The services in the table whose instances belong to the shard: those that the snapshot does
+        services_of_shard: The services in the table that belong to the shard: their instances that the snapshot does
             not contain are removed.
         now: The present time.
     """
@@ -163,7 +163,7 @@
 
 
 def full_change(table: FleetTable) -> FleetChange:
-    """The change from no table at all: everything that the table contains."""
+    """The change from no table to this one: everything that the table contains."""
     view = table.configuration
     return FleetChange(
         version=True,
@@ -205,9 +205,9 @@
 
 
 def _with_known_slow_start(table: FleetTable, instance: Instance) -> Instance:
-    """The instance with the earliest known end of its slow start.
+    """Returns the instance with the earliest known end of its slow start.
 
-    A message may repeat the remaining slow start as it was when the instance registered, and so end it too late.
+    The remaining time in a message may date from the registration of the instance, which gives too late an end.
     """
     known = table.instances.get(instance.service, {}).get(instance.id)
     if known is not None and known.slow_start_ends_at < instance.slow_start_ends_at:
--- a/ochrespan/control_plane/feed/table_publisher.py
+++ b/ochrespan/control_plane/feed/table_publisher.py
@@ -1,4 +1,4 @@
-"""Publishes a router's table to its data plane: the changes of a burst together, at a bounded share of the time."""
+"""Publishes a router's table to its data plane: changes of a burst together, within a bounded fraction of the time."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 log = logging.getLogger(__name__)
 
 
-INCOMPLETE_TABLE_WAIT_S = 3.0  # a first table from controllers without a quorum is published after this long
+INCOMPLETE_TABLE_WAIT_S = 3.0  # until a first table from controllers without a quorum is published
 PUBLISH_INTERVAL_FACTOR = (
     20.0  # the time until the next table, as a multiple of the time that the data plane took for it
 )
@@ -24,16 +24,16 @@
 
 
 class TablePublisher:
-    """Calls `on_change` with each new table and what differs from the one before.
+    """Calls `on_change` with each new table and its difference from the previous one.
 
     Args:
         draft: The table that is built from the feed.
         on_change: The data plane's callback, or None.
 
     Attributes:
-        table: The table that was published last; None until a first complete one.
-        on_change: See above.
-        paused_until: No table is published before this time.
+        table: The last published table; None before the first.
+        on_change: The data plane's callback, or None.
+        paused_until: No table is published before this time, in seconds of the monotonic clock.
     """
 
     def __init__(self, draft: DraftTable, on_change: OnChange | None) -> None:
@@ -44,7 +44,7 @@
         self._delayed: gevent.Greenlet | None = None
 
     def stop(self) -> None:
-        """Drops a delayed publication; the table stays."""
+        """Cancels a delayed publication; the last published table remains."""
         if self._delayed is not None:
             self._delayed.kill()
 
@@ -63,7 +63,7 @@
             self._publish(full_change(self._draft.table))
 
     def publish_changes(self) -> None:
-        """Publishes the changes since the last table, now or when the pause after it ends."""
+        """Publishes the changes since the last table, now or at `paused_until`."""
         if self.table is None or self.table is self._draft.table:
             return
         delay_s = self.paused_until - monotonic()
@@ -73,7 +73,7 @@
             self._delayed = gevent.spawn_later(delay_s, self.publish_delayed)
 
     def publish_delayed(self) -> None:
-        """Publishes what has changed during a pause."""
+        """Publishes the changes that were delayed until `paused_until`."""
         self._delayed = None
         self.publish_changes()
 
@@ -85,8 +85,8 @@
         started_at = monotonic()
         try:
             self.on_change(self._draft.table, change)
-        except Exception:  # noqa: BLE001 - a fault of the data plane must not end the feed; logged, and published again
+        except Exception:  # noqa: BLE001 - a fault of the data plane must not end the feed; the change is published again
             log.exception("table update failed version=%d", self._draft.table.version)
-            self._draft.unpublished = change  # goes out again with the next change
+            self._draft.unpublished = change  # published again together with the next change
         now = monotonic()
         self.paused_until = now + min(MAX_PUBLISH_INTERVAL_S, PUBLISH_INTERVAL_FACTOR * (now - started_at))
--- a/ochrespan/control_plane/prefix_placement/__init__.py
+++ b/ochrespan/control_plane/prefix_placement/__init__.py
@@ -1,6 +1,6 @@
-"""Which instance caches which prompt prefix: decided by the leader of the service's shard on request of routers.
+"""Placement of prompt prefixes on instances, decided by the leader of the service's shard at the request of routers.
 
-State: placements that are not replicated yet at the leader, a cache of placements at the routers; both soft. The
+State: placements not yet replicated at the leader, cached placements at the routers; both in memory only. The
 replicated placements belong to `registry`. Imports: `registry`, `replication`, `ochrespan.transport` and
 `ochrespan.common`.
 """
--- a/ochrespan/control_plane/prefix_placement/client.py
+++ b/ochrespan/control_plane/prefix_placement/client.py
@@ -1,4 +1,4 @@
-"""The router's cache of prefix placements: the owner of a service is called once for each prefix."""
+"""The router's cache of prefix placements: it calls the service's owner only for prefixes that it has not cached."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 
 from .messages import PrefixPlacement, PrefixPlacementRequest
 
-RESPONSE_TIMEOUT_S = 0.15  # request bodies delay responses on a slow link; without one a request is placed by a hash
+# Request bodies delay responses on a slow link. Without a response the router chooses an instance by a hash.
+RESPONSE_TIMEOUT_S = 0.15
 OWNER_BACKOFF_S = 0.5  # no owner of a service is called for this long after a call without a response
 UNKNOWN_PLACEMENT = PrefixPlacement("")
-MAX_CACHED_PLACEMENTS = 8192  # prefixes; the least recently used are dropped
+MAX_CACHED_PLACEMENTS = 8192  # the least recently used are evicted
 
 
 class PrefixPlacementClient:
@@ -22,7 +23,7 @@
     Args:
         owners: Calls the owners of services.
         is_usable: Whether an instance (second argument) of a service (first) is in the router's table and usable.
-        clock: The present time in seconds, monotonic.
+        clock: Returns the present time in seconds, monotonic.
     """
 
     def __init__(
@@ -38,15 +39,15 @@
         self._backoff_until: dict[str, float] = {}  # by service
 
     def locate(self, service: str, prefix: str, tokens: float) -> PrefixPlacement:
-        """The placement of a prefix; may wait for up to the time-outs of the calls to the owner.
+        """Returns the placement of a prefix; may wait for calls to the owner, RESPONSE_TIMEOUT_S each.
 
         Args:
             service: The service that the prompt is for.
             prefix: Identifies the shared prefix.
-            tokens: The length of the prefix.
+            tokens: The length of the prefix in tokens.
 
         Returns:
-            The placement, with an empty instance where no owner responded or where the named instance is not usable.
+            The placement; its instance is empty if no owner responded or if the placed instance is not usable.
         """
         key = (service, prefix)
         cached = self._cache.get(key, UNKNOWN_PLACEMENT)
@@ -61,7 +62,7 @@
             return UNKNOWN_PLACEMENT
         if not placement.instance or not self._is_usable(service, placement.instance):
             return UNKNOWN_PLACEMENT
-        self._cache[key] = PrefixPlacement(placement.instance)  # without `is_new`, which is for this request alone
+        self._cache[key] = PrefixPlacement(placement.instance)  # without `is_new`, which holds for this request only
         while len(self._cache) > MAX_CACHED_PLACEMENTS:
             self._cache.popitem(last=False)
         return placement
--- a/ochrespan/control_plane/prefix_placement/messages.py
+++ b/ochrespan/control_plane/prefix_placement/messages.py
@@ -18,7 +18,7 @@
     Attributes:
         service: The service that the prompt is for.
         prefix: Identifies the shared prefix of prompts.
-        tokens: The length of the prefix.
+        tokens: The length of the prefix in tokens.
         unusable: An instance that the router cannot use; empty where there is none.
     """
 
@@ -34,8 +34,8 @@
     """The instance that a prefix is placed on.
 
     Attributes:
-        instance: Empty where the service has no instance that is ready.
-        is_new: Placed by this request: the instance has not cached the prefix yet.
+        instance: Id of the instance; empty if the service has no ready instance.
+        is_new: Whether this request caused the placement: the instance has not cached the prefix yet.
     """
 
     instance: str
--- a/ochrespan/control_plane/prefix_placement/owner.py
+++ b/ochrespan/control_plane/prefix_placement/owner.py
@@ -1,8 +1,8 @@
 """The owner of a service's prefix placements: the leader of the shard that the service's name belongs to.
 
-Consistent hashing would need no messages, but a few dozen long prefixes fall unevenly on a few instances. The owner
-balances the prefixes by their tokens, responds at once, and replicates the placements in batches afterwards. A
-placement that is lost before it is replicated costs one prefill of the prefix.
+Consistent hashing would need no messages, but would distribute a few dozen long prefixes unevenly over a few instances.
+The owner balances the prefixes by their tokens, responds at once, and replicates the placements in batches afterwards.
+The loss of a placement that was not yet replicated costs one prefill of the prefix.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 log = logging.getLogger(__name__)
 
 
-BATCH_INTERVAL_S = 0.1  # from the first placement of a batch to its replication
+BATCH_INTERVAL_S = 0.1  # from the first placement of a batch to the proposal of the batch
 REPLICATION_TIMEOUT_S = 3.0
 
 
@@ -37,7 +37,7 @@
     Args:
         groups: The Raft groups of this process.
         instances: The state machine of each shard of instances.
-        schedule: Calls a function with the arguments given after `BATCH_INTERVAL_S`.
+        schedule: Calls a function with the given arguments after `BATCH_INTERVAL_S`.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         self._groups = groups
         self._instances = instances
         self._schedule = schedule
-        self._unreplicated: dict[str, PrefixPlacements] = {}  # by service: may not be in the state machine yet
+        self._unreplicated: dict[str, PrefixPlacements] = {}  # by service: not yet known to be applied
         self._batches: dict[str, list[tuple[str, str, float]]] = {}  # by service: prefix, instance and tokens of each
 
     def register(self, rpc_server: RpcServer) -> None:
@@ -57,13 +57,16 @@
         rpc_server.on_request(PrefixPlacementRequest, self.assign)
 
     def leadership_changed(self, shard: int, is_leader: bool) -> None:  # noqa: ARG002 - all owners have the same hook
-        """To be called when this process begins or ceases to lead a shard: both drop what is not replicated."""
+        """To be called when this process gains or loses the leadership of a shard; drops unreplicated placements."""
         for service in [each for each in self._unreplicated if shard_of(each) == shard]:
             del self._unreplicated[service]
             self._batches.pop(service, None)
 
     def assign(self, request: PrefixPlacementRequest) -> PrefixPlacement | NotOwnerResponse:
-        """The placement of a prefix: the one that is known, or the ready instance with the fewest tokens placed."""
+        """Returns the known placement of a prefix, or places it on the ready instance with the fewest placed tokens.
+
+        Names the leader if this process does not lead the service's shard.
+        """
         service = request.service
         shard = shard_of(service)
         if not self._groups.is_leader(shard):
@@ -95,7 +98,7 @@
         self._batches[service].append(entry)
 
     def _replicate(self, service: str) -> None:
-        """Replicates the batch of a service; where that fails, its placements are known to this process alone."""
+        """Proposes the batch of a service; if that fails, only this process knows its placements."""
         entries = self._batches.pop(service, [])
         if not entries:
             return
@@ -104,6 +107,6 @@
         except (NotLeaderError, OutcomeUnknownError) as error:
             log.info("placements not replicated service=%s count=%d error=%r", service, len(entries), str(error))
             return
-        # Leadership may have changed during the proposal, which dropped the placements of the service.
+        # A change of leadership during the proposal drops the unreplicated placements of the service.
         if (unreplicated := self._unreplicated.get(service)) is not None:
             unreplicated.forget(service, [prefix for prefix, _, _ in entries])
