--- a/ochrespan/control_plane/api/errors.py
+++ b/ochrespan/control_plane/api/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the control interface. None of them leaves this package: each becomes a response with findings."""
+"""Errors of the control interface. `handlers` converts each of them to a response with findings."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class BodyTooLargeError(ControlApiError):
-    """A request body is larger than the control interface reads.
+    """A request body is larger than the control interface accepts.
 
     Attributes:
-        max_bytes: the limit that was exceeded.
+        max_bytes: The limit that was exceeded.
     """
 
     def __init__(self, max_bytes: int) -> None:
--- a/ochrespan/control_plane/api/forwarding.py
+++ b/ochrespan/control_plane/api/forwarding.py
@@ -1,8 +1,8 @@
 """Forwards each request of the control interface to the leader of its shard, in this process or at another controller.
 
-Every request may be repeated: the state machines recognise a configuration command by its digest and an instance report
-by its sequence number. So a request whose connection to the leader failed is sent again until its timeout. Only then is
-the response that its outcome is unknown (503).
+Every request is idempotent: the state machines recognise a repeated configuration command by its digest and a repeated
+instance report by its sequence number. So a request whose connection to the leader failed is retried until its time-out
+and only then gets a 503, which says that its outcome is unknown.
 """
 
 from __future__ import annotations
@@ -38,11 +38,11 @@
 
 
 RETRY_INTERVAL_S = 0.04
-NO_QUORUM_S = 1.5  # longer than a leader may be without a quorum, and than most elections take
+NO_QUORUM_S = 1.5  # longer than a leader remains one without a quorum, and than most elections take
 
 
 class ControlService:
-    """The requests of servers and of operators, each handled by the leader of its shard."""
+    """Passes requests of servers and operators to the leader of their shard and returns its response."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
             call_server.on_request(request_type, self._handle_forwarded_request)
 
     def submit(self, command: ConfigCommand | RestoreCommand) -> Response:
-        """Submits a configuration command; large ones have a longer timeout."""
+        """Submits a configuration command; large commands have a longer time-out."""
         return self._forward_to_leader(CONFIG_SHARD, command, command_timeout_s(command))
 
     def read_configuration(self) -> Response:
@@ -87,31 +87,31 @@
         return self._forward_to_leader(CONFIG_SHARD, ReadBackup(), CALL_TIMEOUT_S)
 
     def cluster_name(self) -> str:
-        """The cluster that this controller belongs to; empty before it has joined one."""
+        """The name of the cluster that this controller belongs to; empty if none, or if it may still leave it."""
         return cluster_name(self._groups.cluster())
 
     def decline_leadership(self, duration_s: float) -> Response:
-        """Transfers all leadership away from this controller, which leads no shard for `duration_s`; 0 ends that."""
+        """Transfers leadership of all shards, and declines it for `duration_s` seconds; 0 ends an earlier request."""
         self._groups.decline_leadership(duration_s)
         return json_response(OK, {"declines_leadership_for_s": duration_s})
 
     def proceed_without_missing_members(self) -> Response:
-        """Accepts commands here although initial members are missing: an operator says that they will not come."""
+        """Lets this controller accept commands without the missing initial members, as an operator has confirmed."""
         missing = [format_address(address) for address in self._groups.missing_initial_members()]
         self._groups.proceed_without_missing()
         log.warning("operator proceeds without initial members missing=%s", ",".join(missing) or "none")
         return json_response(OK, {"missing_initial_members": missing})
 
     def report_instance(self, record: InstanceRecord) -> Response:
-        """Registers an instance, or takes its heartbeat."""
+        """Registers or updates an instance, or records its heartbeat."""
         shard = shard_of(record.backend)
         return self._forward_to_leader(shard, InstanceReport(shard, record_fields(record)), CALL_TIMEOUT_S)
 
     def remove_instance(self, instance_id: str) -> Response:
         """Removes an instance that has ended.
 
-        The request names no service, so its shard is looked up in this controller's replicas. These may lag behind, and
-        an instance that is known to none of them is removed from every shard.
+        The request names no service, so the shard is looked up in this controller's replicas. As they may lag behind,
+        an instance that none of them contains is removed from every shard.
 
         Returns:
             The first response that is not a success, or else a success.
@@ -128,16 +128,16 @@
         return failures[0] if failures else json_response(OK, {})
 
     def _handle_forwarded_request(self, request: Any) -> Response | NotLeaderResponse:
-        """Handles a request here or not at all: forwarding it once more might go in circles during an election."""
+        """Handles a forwarded request only if this process leads: forwarding it again could loop during an election."""
         try:
             return self._handlers[type(request)](request)
         except NotLeaderError:
             return NotLeaderResponse()
 
     def _forward_to_leader(self, shard: int, request: Any, timeout_s: float) -> Response:
-        """The leader's response, retried until the timeout; a 503 where none came or this process has lost the quorum.
+        """Returns the leader's response; a 503 if there was none within the time-out or this process lost the quorum.
 
-        A request whose connection broke may have been handled, with only its response lost. Sending it again is safe.
+        A request whose connection broke may have been handled and only its response lost. A retry is safe.
         """
         deadline = monotonic() + timeout_s
         reason = "no leader"
@@ -157,21 +157,22 @@
         return unavailable_response(f"shard {shard}", reason)
 
     def _has_lost_quorum(self, shard: int) -> bool:
-        """Whether this process knew a quorum and lost it long ago: the caller should try another controller at once.
+        """Whether this process has been without a quorum for NO_QUORUM_S: the caller should try another controller.
 
-        After a start the age is infinite: the first election may end at any moment, so the request is retried.
+        After a start the age is infinite. Then the result is False: the first election may end at any moment, so the
+        request is retried.
         """
         age_s = self._groups.seconds_since_quorum(shard)
         return NO_QUORUM_S < age_s < inf and self._groups.leader(shard) is None
 
     def _try_leader(self, shard: int, request: Any, timeout_s: float) -> Response | None:
-        """The response of the leader as known now.
+        """Sends a request to the leader that this process knows of now, or handles it here if this process leads.
 
         Returns:
-            None where no leader is known, or where the supposed one has lost its leadership meanwhile.
+            The response; None if no leader is known or the supposed leader has lost its leadership.
 
         Raises:
-            RpcError: the leader could not be reached, or did not respond in time.
+            RpcError: The leader could not be reached, or did not respond in time.
         """
         try:
             if self._groups.is_leader(shard):
--- a/ochrespan/control_plane/api/handlers.py
+++ b/ochrespan/control_plane/api/handlers.py
@@ -1,6 +1,6 @@
 """The control interface over HTTP (WSGI): for operators, for servers, and for the command line.
 
-Requests are parsed and validated here; what they ask for is done by `forwarding.ControlService`.
+Requests are parsed and validated here and carried out by `forwarding.ControlService`.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
 
 
 MAX_BODY_BYTES = 8 * 1024 * 1024
-MIN_BACKGROUND_BYTES = 64 * 1024  # of a body; below that checking it takes a few milliseconds
+MIN_BACKGROUND_BYTES = 64 * 1024  # shorter bodies are checked in a few milliseconds, without a thread
 CLUSTER_HEADER = "X-Fleet-Cluster"  # of a configuration command: the cluster it is meant for, as in /api/status
 CLUSTER_VARIABLE = "HTTP_X_FLEET_CLUSTER"  # that header in a WSGI environment (PEP 3333)
 INSTANCES_PATH = "/api/instances/"
@@ -73,10 +73,10 @@
     """The WSGI application.
 
     Args:
-        service: handles the requests.
-        status: gives the document of `/api/status`.
-        is_ready: whether `/api/readyz` responds with 200.
-        registry: the metrics of `/api/metrics`.
+        service: Carries out the requests.
+        status: Returns the document of `/api/status`.
+        is_ready: Returns whether `/api/readyz` responds with 200.
+        registry: The metrics of `/api/metrics`.
     """
 
     def __init__(
@@ -146,7 +146,7 @@
         return self._submit(ConfigCommandKind.PATCH, CHECK_PATCH, environment)
 
     def _submit(self, kind: ConfigCommandKind, check: Check, environment: Environment) -> Response:
-        """Submits a configuration command, unless it names another cluster than this controller's."""
+        """Submits a configuration command, unless its header names another cluster than this controller's."""
         if refusal := self._refuse_other_cluster(environment):
             return refusal
         version = _read_version(environment)
@@ -154,9 +154,10 @@
         return self._service.submit(_in_background(body, lambda: _read_command(kind, version, body, check)))
 
     def _refuse_other_cluster(self, environment: Environment) -> Response | None:
-        """The response to a command that is meant for another cluster than this controller's; None for any other.
+        """Returns the error response to a command for another cluster than this controller's; None if it may proceed.
 
-        A controller that knows its cluster not yet, or may still leave it, has no verdict.
+        A controller that does not know its cluster yet, or may still leave it, can neither accept nor reject a command
+        for a named cluster: it responds with 503.
         """
         intended_cluster = environment.get(CLUSTER_VARIABLE, "")
         own_cluster = self._service.cluster_name()
@@ -172,7 +173,7 @@
         return self._service.read_backup()
 
     def _put_backup(self, environment: Environment) -> Response:
-        """Restores a backup into a cluster that has no configuration yet; any other one responds with 412."""
+        """Restores a backup into a cluster that has no configuration yet; otherwise the response is a 412."""
         if refusal := self._refuse_other_cluster(environment):
             return refusal
         body = _read_body(environment)
@@ -210,7 +211,7 @@
     """Starts an HTTP server for the application; the caller closes it.
 
     Raises:
-        OSError: the address cannot be bound.
+        OSError: The address cannot be bound.
     """
     server = WSGIServer(address, application, log=None, error_log=log)
     server.start()
@@ -218,11 +219,11 @@
 
 
 def _in_background(body: bytes, read: Callable[[], Command]) -> Command:
-    """Reads a command, in a thread of its own where the body is large, so that heartbeats need not wait for it."""
+    """Calls `read`, in a pool thread if the body is large, so that it does not delay Raft heartbeats."""
     if len(body) < MIN_BACKGROUND_BYTES:
         return read()
 
-    def read_safely() -> Command | ValidationError:  # gevent prints what is raised in a thread
+    def read_safely() -> Command | ValidationError:  # gevent prints exceptions that are raised in a thread
         try:
             return read()
         except ValidationError as error:
@@ -247,7 +248,7 @@
 
 
 def _read_version(environment: Environment) -> int:
-    """The version in `If-Match`: a number, also with the quotes and `W/` of an entity tag (RFC 9110, section 8.8.3)."""
+    """Returns the version in `If-Match`: a number, or an entity tag with quotes and `W/` (RFC 9110, section 8.8.3)."""
     header = environment.get("HTTP_IF_MATCH", "")
     digits = header.strip().removeprefix("W/").strip('"')
     if not digits.isascii() or not digits.isdigit():
@@ -256,7 +257,7 @@
 
 
 def _read_body(environment: Environment) -> bytes:
-    """The complete request body; raises BodyTooLargeError, or ValidationError where the client broke off."""
+    """Returns the complete request body; raises BodyTooLargeError, or ValidationError if it is truncated."""
     declared = environment.get("CONTENT_LENGTH") or ""
     if declared.isdigit() and int(declared) > MAX_BODY_BYTES:
         raise BodyTooLargeError(MAX_BODY_BYTES)
--- a/ochrespan/control_plane/config/change_history.py
+++ b/ochrespan/control_plane/config/change_history.py
@@ -1,4 +1,4 @@
-"""The latest changes of the configuration: which version, when, on top of which, and how many items it changed."""
+"""Records of the latest configuration changes: version, previous version, time and number of changed items."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeRecord:
-    """One accepted change. The field names reach snapshots and JSON.
+    """One accepted change. The field names are part of snapshots and of JSON responses.
 
     Attributes:
-        version: The version that the change made.
-        builds_on: The version before it.
-        kind: A value of `ConfigCommandKind`.
+        version: The version that the change created.
+        builds_on: The previous version.
+        kind: A value of `ConfigCommandKind`, or RESTORE_KIND.
         received_ms: Unix time in milliseconds at the controller that received it, 0 if unknown; for display alone.
         changed: By section, the number of items added or replaced and of items deleted.
     """
@@ -45,9 +45,9 @@
         self._records = deque((ChangeRecord(**each) for each in fields), maxlen=MAX_REMEMBERED_CHANGES)
 
     def add(self, record: ChangeRecord) -> None:
-        """Appends a record and drops the oldest one beyond the bound."""
+        """Appends a record; drops the oldest one beyond `MAX_REMEMBERED_CHANGES`."""
         self._records.append(record)
 
     def fields(self) -> list[dict[str, Any]]:
-        """Returns the records as maps, for snapshots and responses."""
+        """Returns the records as dictionaries, for snapshots and responses."""
         return [asdict(record) for record in self._records]
--- a/ochrespan/control_plane/config/commands.py
+++ b/ochrespan/control_plane/config/commands.py
@@ -1,4 +1,4 @@
-"""Commands that change the configuration, and how one is built from a checked document."""
+"""Commands that change the configuration, and functions that build them from validated documents."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from ochrespan.transport.codec import encode, message
 
 DIGEST_BYTES = 16
-RESTORE_KIND = "restore"  # in the history, beside the values of `ConfigCommandKind`
-MAX_EXACT_INTEGER = 2**53  # a float holds every integer below it exactly
+RESTORE_KIND = "restore"  # kind of a restored backup in the history, besides the values of `ConfigCommandKind`
+MAX_EXACT_INTEGER = 2**53  # a float represents every integer below it exactly
 
 
 class ConfigCommandKind(enum.StrEnum):
@@ -26,13 +26,13 @@
 @message("cp.order")
 @dataclass(slots=True)
 class ConfigCommand:
-    """A change of the configuration, valid on top of one version alone (optimistic concurrency).
+    """A change of the configuration that is valid for one current version only (optimistic concurrency).
 
     Attributes:
         kind: A value of `ConfigCommandKind`.
         builds_on: The version that the change builds on.
-        digest: Identifies the command, so that one that is sent again is recognised. It covers kind, `builds_on` and
-            document, but not `received_ms`: the same change may arrive a second time.
+        digest: Identifies the command, so that a retry is recognised. It covers kind, `builds_on` and document, but not
+            `received_ms`, which differs between a command and its retry.
         body: The document, packed by `compact`.
         received_ms: Unix time in milliseconds at the controller that received it; shown in the history.
     """
@@ -47,10 +47,10 @@
 @message("cp.restore")
 @dataclass(slots=True)
 class RestoreCommand:
-    """Gives an empty cluster the configuration of a backup, and the commands that were accepted before it.
+    """Restores a backup into an empty cluster: the configuration, and the digests of commands accepted before it.
 
     Attributes:
-        digest: Identifies the command, so that one that is sent again is recognised.
+        digest: Identifies the command, so that a retry is recognised.
         body: A `documents.BackupDocument`, packed by `compact`.
         received_ms: Unix time in milliseconds at the controller that received it; shown in the history.
     """
@@ -63,29 +63,29 @@
 def make_command(
     kind: ConfigCommandKind, builds_on: int, document: dict[str, Any], received_ms: int = 0
 ) -> ConfigCommand:
-    """Builds the command for a checked document.
+    """Builds the command for a validated document; `received_ms` is Unix time in milliseconds.
 
-    Equal documents give equal digests, in whatever sequence their fields are and however their numbers are written.
+    Equal documents have equal digests, regardless of the order of their fields and the notation of their numbers.
 
     Raises:
-        ValidationError: The document holds a string or number that cannot be packed.
+        ValidationError: The document contains a string or number that cannot be packed.
     """
     body, digest = _pack(f"{kind.value} {builds_on} ", document)
     return ConfigCommand(kind.value, builds_on, digest, body, received_ms)
 
 
 def make_restore_command(backup: dict[str, Any], received_ms: int = 0) -> RestoreCommand:
-    """Builds the command for a checked `documents.BackupDocument`.
+    """Builds the command for a validated `documents.BackupDocument`; `received_ms` is Unix time in milliseconds.
 
     Raises:
-        ValidationError: The document holds a string or number that cannot be packed.
+        ValidationError: The document contains a string or number that cannot be packed.
     """
     body, digest = _pack(f"{RESTORE_KIND} ", backup)
     return RestoreCommand(digest, body, received_ms)
 
 
 def _pack(prefix: str, document: dict[str, Any]) -> tuple[bytes, bytes]:
-    """Returns the packed document, and a digest of it behind `prefix`."""
+    """Returns the packed document, and the digest of `prefix` and the document."""
     try:
         body = compact.pack_sorted(document)
         identity = compact.pack_sorted(_normalise_numbers(document))
@@ -97,7 +97,7 @@
 
 
 def _normalise_numbers(value: Any) -> Any:
-    """Replaces 1.0 by 1 throughout the value: in JSON they are the same number."""
+    """Replaces floats like 1.0 by integers throughout the value: in JSON, 1.0 and 1 are the same number."""
     if isinstance(value, float) and value.is_integer() and abs(value) < MAX_EXACT_INTEGER:
         return int(value)
     if isinstance(value, dict):
--- a/ochrespan/control_plane/config/configuration.py
+++ b/ochrespan/control_plane/config/configuration.py
@@ -1,7 +1,7 @@
-"""The configuration at one version, changes from one version to the next, and their validation against it.
+"""The configuration at one version, changes from one version to the next, and the validation of changes.
 
-A `Configuration` is immutable by convention: a change makes a new one that shares the unchanged sections. Items are
-kept as the documents that the operator sent, so that reading the configuration back returns unknown fields too.
+A `Configuration` is immutable by convention: a change creates a new one that shares the unchanged sections. Items are
+stored as the documents that the operator sent, so that reading the configuration back returns unknown fields too.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SectionChange:
-    """What changed in one section.
+    """The change of one section.
 
     Attributes:
         upserted: Documents of the items that were added or replaced.
@@ -32,7 +32,7 @@
         return bool(self.upserted or self.deleted)
 
     def applied_to(self, items: Items) -> Items:
-        """Returns a copy of `items` with this change; replaced items keep their position."""
+        """Returns `items` with this change applied; replaced items keep their position. Does not modify `items`."""
         if not self:
             return items
         changed = dict(items)
@@ -48,10 +48,10 @@
     """The change from one version to the next.
 
     Attributes:
-        version: The version that the change makes.
-        routes: What changed in the routes.
-        services: What changed in the services.
-        tenants: What changed in the tenants.
+        version: The version that the change creates.
+        routes: The change of the routes.
+        services: The change of the services.
+        tenants: The change of the tenants.
         others: All top-level fields outside the sections if any of them changed, else None.
     """
 
@@ -72,7 +72,7 @@
         services: Service documents by name.
         tenants: Tenant documents by name.
         others: The top-level fields outside the sections: `limits`, and unknown ones.
-        route_names_by_location: Index by host and path prefix, each of which belongs to one route.
+        route_names_by_location: Index by host and path prefix; each such pair belongs to one route.
         tenant_names_by_key: Index by API key, each of which belongs to one tenant.
     """
 
@@ -93,7 +93,7 @@
         """Returns the configuration after the change.
 
         Raises:
-            ValidationError: It would be invalid; the findings name every reason.
+            ValidationError: The changed configuration would be invalid; the findings name every reason.
         """
         findings = Findings()
         if change.version <= self.version:
@@ -119,7 +119,7 @@
 
 
 def route_location(route: Mapping[str, Any]) -> tuple[str, str]:
-    """Returns the host and path prefix of a route: no two routes share both. Hosts are case-insensitive (RFC 9110)."""
+    """Returns host and path prefix of a route, a pair unique among routes. Hosts are case-insensitive (RFC 9110)."""
     return route["hostname"].lower(), route["path_prefix"]
 
 
@@ -166,7 +166,7 @@
 
 
 def _difference(current: Items, items: Iterable[dict[str, Any]]) -> SectionChange:
-    """Returns the change that makes `items` the content of a section."""
+    """Returns the change of a section from `current` to `items`."""
     target = {item["name"]: item for item in items}
     upserted = tuple(item for name, item in target.items() if current.get(name) != item)
     deleted = tuple(name for name in current if name not in target)
@@ -176,7 +176,7 @@
 def _check_references(routes: Items, services: Items, change: ConfigurationChange, findings: Findings) -> None:
     """Checks that every route refers to existing services.
 
-    Only upserted routes can break that, unless services are deleted: then every route is checked.
+    If services are deleted, every route is checked; otherwise only upserted routes can have a wrong reference.
     """
     affected_routes = routes.values() if change.services.deleted else change.routes.upserted
     for route in affected_routes:
--- a/ochrespan/control_plane/config/documents.py
+++ b/ochrespan/control_plane/config/documents.py
@@ -1,7 +1,8 @@
 """Request bodies of the control interface as typed dictionaries, with their validation and parsing from JSON.
 
-The checks here need the document alone; `configuration` checks what depends on the configuration in force. Times ending
-in `_ms` are milliseconds. Unknown fields pass, so that a document of a later version is kept unchanged.
+The checks here need only the document; `configuration` checks what depends on the current configuration. Fields ending
+in `_ms` are in milliseconds. Unknown fields are accepted and stored, as they may belong to a later version of the
+program.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 
 from .commands import DIGEST_BYTES
 
-MAX_NESTING = 64  # of a document: every replica has to compare and pack it, whatever its own stack holds
+MAX_NESTING = 64  # levels in a document: every replica compares and packs it recursively
 MAX_ID_CHARACTERS = 200
 _COUNT = integer()
 _MILLISECONDS = number()
@@ -63,7 +64,7 @@
 
 
 class TrafficSplit(TypedDict):
-    """A service that takes a share of a route's requests, in proportion to its weight."""
+    """A service that receives a fraction of a route's requests, in proportion to its weight."""
 
     backend: Annotated[str, _NAME]
     weight: Annotated[float, number()]
@@ -100,7 +101,7 @@
 
 
 class TenantDocument(TypedDict):
-    """A tenant, its keys and its quota."""
+    """A tenant, its API keys and its quota; `rate_per_s` and `burst` are in requests or tokens, by `unit`."""
 
     name: Annotated[str, _NAME]
     api_keys: Annotated[list[str], list_of(_api_key)]
@@ -112,7 +113,7 @@
 
 
 class LimitsDocument(TypedDict, total=False):
-    """What a client may send, and how long it may take or remain idle."""
+    """Limits on the size of client requests, the time to receive a header, and the idle time of a connection."""
 
     max_header_bytes: NotRequired[Annotated[int | None, optional(integer(1))]]
     max_body_bytes: NotRequired[Annotated[int | None, optional(integer(0))]]
@@ -129,7 +130,7 @@
     Args:
         value: The decoded JSON.
         where: The position of the value in the document, for findings.
-        findings: Receives what is wrong.
+        findings: Receives a finding for each fault.
     """
     before = findings.total
     _check_route_fields(value, where, findings)
@@ -145,7 +146,7 @@
 
 
 def _uniquely_named(item: Check) -> Check:
-    """Returns the check of a list of items that are valid each and have distinct names."""
+    """Returns a check for a list whose items each pass `item` and have distinct names."""
     check_items = list_of(item)
 
     def check(value: Any, where: str, findings: Findings) -> None:
@@ -233,17 +234,17 @@
 
 
 class AcceptedCommandDocument(TypedDict):
-    """A command that was accepted: its digest as hexadecimal digits, and the version that it made."""
+    """A command that was accepted: its digest as hexadecimal digits, and the version that it created."""
 
     digest: Annotated[str, _digest]
     version: Annotated[int, _COUNT]
 
 
 class BackupDocument(TypedDict):
-    """What `GET /api/config/backup` gives, and the body of `PUT /api/config/backup`.
+    """The response body of `GET /api/config/backup`, and the request body of `PUT /api/config/backup`.
 
-    `last_evicted_version` is the newest version whose command is not among `accepted_commands`, 0 if all are: commands
-    that build on an older one may have been accepted.
+    `last_evicted_version` is the newest version whose command is not among `accepted_commands`, 0 if all are: a command
+    that builds on an older version may or may not have been accepted.
     """
 
     configuration: Annotated[ConfigurationDocument, typed_dict(ConfigurationDocument)]
@@ -252,13 +253,13 @@
 
 
 class LeadershipDocument(TypedDict):
-    """The body of `PUT /api/leadership`: for how many seconds the controller declines leadership; 0 ends that."""
+    """The body of `PUT /api/leadership`: the seconds for which the controller declines leadership; 0 ends that."""
 
     decline_for_s: Annotated[float, number()]
 
 
 class BootstrapDocument(TypedDict):
-    """The body of `PUT /api/bootstrap`: an operator says that the missing initial members will not come."""
+    """The body of `PUT /api/bootstrap`: an operator confirms that the missing initial members will not start."""
 
     proceed_without_missing: Annotated[bool, flag]
 
@@ -277,7 +278,7 @@
 
 
 def _is_nested_too_deeply(document: Any) -> bool:
-    """Whether lists and maps are nested deeper than MAX_NESTING; without recursion, whose limit varies by caller."""
+    """Whether the nesting exceeds MAX_NESTING; iterative, as the room for recursion depends on the caller's stack."""
     containers = [document]
     for _ in range(MAX_NESTING):
         containers = [
@@ -302,7 +303,7 @@
         check: One of the `CHECK_` values of this module.
 
     Raises:
-        ValidationError: The body is no JSON, or the document fails the check; with all findings, up to a bound.
+        ValidationError: The body is not valid JSON, or the document fails the check; findings are bounded.
     """
     try:
         document: dict[str, Any] = json.loads(body, parse_constant=_reject_constant)
--- a/ochrespan/control_plane/config/owner.py
+++ b/ochrespan/control_plane/config/owner.py
@@ -32,7 +32,7 @@
 log = logging.getLogger(__name__)
 
 COMMAND_TIMEOUT_PER_BYTE_S = 1.0 / 1_000_000
-COMMAND_FINDING = "order"  # where a finding about a command lies; the text is part of the JSON interface
+COMMAND_FINDING = "order"  # the `where` of findings about a command; part of the JSON interface
 
 
 @message("cp.read")
@@ -50,18 +50,18 @@
 @message("cp.backup")
 @dataclass(slots=True)
 class ReadBackup:
-    """A request for the newest configuration with the commands that were accepted."""
+    """A request for the newest configuration and the digests of the accepted commands."""
 
 
 def command_timeout_s(command: ConfigCommand | RestoreCommand) -> float:
-    """Returns the seconds that a command may take; large ones get more time, as their callers wait longer."""
+    """Returns the time-out of a command in seconds; large commands get more time, as their callers wait longer."""
     return CALL_TIMEOUT_S + len(command.body) * COMMAND_TIMEOUT_PER_BYTE_S
 
 
 class ConfigurationOwner:
     """Handles commands and reads in the process that leads the configuration shard.
 
-    Each method raises NotLeaderError where another process leads it: the caller then forwards the request.
+    Each method raises NotLeaderError if this process does not lead the shard: the caller then forwards the request.
     """
 
     def __init__(self, groups: ReplicaGroups, machine: ConfigurationStateMachine) -> None:
@@ -71,7 +71,8 @@
     def submit(self, command: ConfigCommand | RestoreCommand) -> Response:
         """Proposes a command and responds with its result once it is committed and applied.
 
-        A time-out or lost leadership leaves the outcome unknown; the caller may retry the same command.
+        After a time-out or loss of leadership the outcome is unknown and the response is a 503; the caller may retry
+        the same command.
         """
         try:
             result = self._groups.propose(CONFIG_SHARD, encode(command), command_timeout_s(command))
--- a/ochrespan/control_plane/config/state_machine.py
+++ b/ochrespan/control_plane/config/state_machine.py
@@ -1,7 +1,7 @@
-"""The state machine of the configuration shard: evaluates the operator's commands from the applied state alone.
+"""The state machine of the configuration shard: evaluates operators' commands by the applied state only.
 
 A command is accepted if it builds on the current version. Operators retry a command whose response was lost, so the
-digests of accepted commands are remembered: a retry is acknowledged again and never rejected.
+state contains the digests of accepted commands: a retry is acknowledged again and never rejected.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 
 
 class CommandOutcome(enum.Enum):
-    """What became of a command. The values reach operators in JSON."""
+    """The outcome of a command. The values are part of JSON responses to operators."""
 
     ACCEPTED = "taken"
-    ALREADY_ACCEPTED = "taken before"  # a retry of a remembered command
+    ALREADY_ACCEPTED = "taken before"  # a retry of a command whose digest is stored
     VERSION_CONFLICT = "another version is current"
-    VERSION_NOT_REACHED = "builds on a version that does not exist yet"  # it may still be accepted: not rejected
-    TOO_OLD = "too old to tell whether it was taken"  # it may be a retry of a command that was evicted
+    VERSION_NOT_REACHED = "builds on a version that does not exist yet"  # not a rejection: a copy may be accepted later
+    TOO_OLD = "too old to tell whether it was taken"  # may be a retry of a command whose digest was evicted
     INVALID = "invalid"
 
 
@@ -38,11 +38,11 @@
     """The result of a command.
 
     Attributes:
-        outcome: What became of the command.
-        version: The version that the command made if it was accepted, now or before; the current one otherwise.
-        findings: Why the command is invalid; the first of its faults.
-        findings_total: How many faults it has.
-        change: What the command changed, if it was accepted now.
+        outcome: The outcome of the command.
+        version: The version that the command created if it was accepted, now or before; the current one otherwise.
+        findings: The first faults of an invalid command.
+        findings_total: The number of its faults.
+        change: The change that the command made; None unless it was accepted now.
     """
 
     outcome: CommandOutcome
@@ -53,13 +53,18 @@
 
 
 class ConfigurationStateMachine:
-    """Applies commands one after the other and remembers those that were accepted."""
+    """Applies commands and stores the digests of accepted ones.
+
+    Attributes:
+        current: The current configuration.
+        history: Records of the latest changes.
+    """
 
     def __init__(self) -> None:
         self.current = Configuration()
         self.history = ChangeHistory()
         self._accepted_versions: dict[bytes, int] = {}  # version by digest, oldest first
-        self._last_evicted_version = 0  # the newest one whose command is no longer remembered
+        self._last_evicted_version = 0  # the newest version whose command's digest was evicted
 
     def apply(self, index: int, command: bytes) -> CommandResult:  # noqa: ARG002 - the StateMachine protocol has it
         """Evaluates a committed command, with the same result at every replica."""
@@ -83,18 +88,18 @@
         }
 
     def tenant(self, name: str) -> Tenant | None:
-        """Returns a tenant of the current configuration."""
+        """Returns a tenant of the current configuration; None if there is none of that name."""
         document = self.current.tenants.get(name)
         return None if document is None else tenant_view(document)
 
     def snapshot(self) -> bytes:
-        """Packs the complete state."""
+        """Encodes the complete state."""
         accepted = list(self._accepted_versions.items())
         return compact.pack([self.current.document(), accepted, self.history.fields(), self._last_evicted_version])
 
     def restore(self, data: bytes) -> None:
         """Replaces the state by that of a snapshot, which may be of an earlier version of the program."""
-        document, accepted, *later_fields = compact.unpack(data)  # earlier versions lack history and evicted version
+        document, accepted, *later_fields = compact.unpack(data)  # earlier versions of the program lack the last two
         empty = Configuration()
         self.current = empty.changed_by(change_to(empty, document)) if document["generation"] else empty
         self._accepted_versions = dict(accepted)
@@ -121,7 +126,7 @@
         return CommandResult(CommandOutcome.ACCEPTED, change.version, change=change)
 
     def _evaluate_restore(self, command: RestoreCommand) -> CommandResult:
-        """Restores a backup into a cluster without a configuration; into any other it is a conflict."""
+        """Restores a backup if the cluster has no configuration; otherwise the outcome is a version conflict."""
         if (version := self._accepted_versions.get(command.digest)) is not None:
             return CommandResult(CommandOutcome.ALREADY_ACCEPTED, version)
         if self.current.version:
--- a/ochrespan/control_plane/config/views.py
+++ b/ochrespan/control_plane/config/views.py
@@ -1,6 +1,6 @@
-"""The routers' typed views of the documents of routes, services, tenants and client limits.
+"""Typed views of route, service, tenant and limits documents, as routers use them.
 
-Values that a document lacks are replaced by the defaults here. Times ending in `_ms` are milliseconds.
+Missing values are replaced by the defaults of this module. Fields ending in `_ms` are in milliseconds.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class RouteType(enum.StrEnum):
-    """Whether requests of a route may be retried; an unknown type counts as unsafe."""
+    """Whether requests of a route may be retried; an unknown type is treated as unsafe."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """A host and path prefix, and how requests to it are routed."""
+    """A host and path prefix, and how requests for them are routed; priority 0 is the highest."""
 
     name: str
     hostname: str
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A service, and the settings that hold for each of its instances."""
+    """A service, and the settings that apply to each of its instances."""
 
     name: str
     health_check: str | None
@@ -144,7 +144,7 @@
 
 
 def limits_view(document: Mapping[str, Any] | None) -> ClientLimits:
-    """Returns the view of a checked limits document; limits that are missing or null have their defaults."""
+    """Returns the view of a checked limits document; missing or null limits have their defaults."""
     given = document or {}
     return ClientLimits(**{name: given[name] for name in ClientLimits.__dataclass_fields__ if given.get(name)})
 
--- a/ochrespan/control_plane/control_state.py
+++ b/ochrespan/control_plane/control_state.py
@@ -1,4 +1,4 @@
-"""The replicated state of a controller: one state machine a shard."""
+"""The replicated state of a controller: one state machine per shard."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     """The state machines of all shards.
 
     Attributes:
-        configuration: The machine of shard 0.
-        instances: The machine of each further shard.
+        configuration: The state machine of the configuration shard.
+        instances: The state machine of each instance shard, by shard.
     """
 
     def __init__(self) -> None:
@@ -28,5 +28,5 @@
 
     @property
     def machines(self) -> dict[int, StateMachine]:
-        """The machine of each shard, for the replica host."""
+        """The state machine of each shard, for the replica host."""
         return {CONFIG_SHARD: self.configuration, **self.instances}
--- a/ochrespan/control_plane/controller.py
+++ b/ochrespan/control_plane/controller.py
@@ -1,4 +1,4 @@
-"""What a controller runs on top of its replicas: the control interface, the feed, the registry and the quotas."""
+"""The components of a controller above its replicas: control interface, feed, registry, quotas and placement."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 log = logging.getLogger(__name__)
 
-READY_QUORUM_AGE_S = 1.0  # a controller without contact to a majority for longer is not ready
+READY_QUORUM_AGE_S = 1.0  # a controller that has had no contact to a majority for longer is not ready
 MAX_STATUS_AGE_S = 1e9  # stands for infinity, which JSON lacks
 
 
@@ -45,11 +45,11 @@
     """Settings of a controller.
 
     Attributes:
-        node: Its name.
-        zone: Zone of its machine.
-        address: Where the other processes of the fleet reach it.
-        heartbeat_s: Interval of the instances' heartbeats.
-        quota_bounds: Bounds of the quotas' precision.
+        node: Node name of the controller.
+        zone: Zone of the controller's machine.
+        address: Address at which the other processes of the fleet reach the controller.
+        heartbeat_s: Interval of the instances' heartbeats, in seconds.
+        quota_bounds: How far the tokens spent may exceed a tenant's quota.
     """
 
     node: str
@@ -61,13 +61,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ControllerCollaborators:
-    """What a controller works with.
+    """The objects that a controller uses.
 
     Attributes:
         groups: The replicated shards.
-        state: The state machines that the groups' replica here applies commands to.
-        call_server: Takes the calls of routers and of other controllers.
-        seeds: Returns the controllers that the settings name now.
+        state: The state machines to which the replicas of this process apply commands.
+        call_server: Receives the calls of routers and of other controllers.
+        seeds: Returns the controllers that the current settings name.
     """
 
     groups: ReplicaGroups
@@ -77,12 +77,12 @@
 
 
 class ControllerNode:
-    """Connects the parts of a controller; the replica host calls `applied`, `restored` and `leadership_changed`.
+    """Connects the components of a controller; the replica host calls `applied`, `restored` and `leadership_changed`.
 
-    It owns the greenlets of the periodic work, which `stop()` ends.
+    Owns the greenlets of the periodic tasks; `stop()` ends them.
 
     Attributes:
-        service: Evaluates the calls of the control interface, here or at the leader of their shard.
+        service: Passes the requests of the control interface to the leader of their shard.
         api: The control interface over HTTP.
     """
 
@@ -124,7 +124,7 @@
             callee.register(collaborators.call_server)
 
     def start(self) -> None:
-        """Starts the periodic work."""
+        """Starts the periodic tasks: expiry of instances, freshness messages and presence reports."""
         for loop in (self._instance_owner.run, self._feed.run, self._presence.run):
             task = gevent.spawn(loop)
             task.name = loop.__qualname__
@@ -132,25 +132,25 @@
             self._tasks.append(task)
 
     def stop(self) -> None:
-        """Ends the periodic work."""
+        """Ends the periodic tasks."""
         gevent.killall(self._tasks, block=False)
 
     def applied(self, shard: int, index: int, command: bytes, result: Any) -> None:  # noqa: ARG002 - the host's callback
-        """A command was applied."""
+        """Passes the result of an applied command to the feed; called by the replica host."""
         self._feed.applied(shard, index, result)
 
     def restored(self, shard: int) -> None:
-        """A snapshot has replaced a shard's state."""
+        """Notifies the feed that a snapshot has replaced a shard's state; called by the replica host."""
         self._feed.restored(shard)
 
     def leadership_changed(self, shard: int, is_leader: bool) -> None:
-        """This process has begun or ceased to lead a shard."""
+        """Notifies the owners that this process has gained or lost the leadership of a shard."""
         self._instance_owner.leadership_changed(shard, is_leader)
         self._quota_owner.leadership_changed(shard, is_leader)
         self._placement_owner.leadership_changed(shard, is_leader)
 
     def members_changed(self, routers: Iterable[str], controllers: Iterable[Address]) -> None:
-        """Takes in the routers and controllers that are alive, as membership sees it."""
+        """Sets the routers and controllers that membership finds alive."""
         self._live_routers.set_members(routers)
         self._members = frozenset(controllers)
 
@@ -162,7 +162,7 @@
         )
 
     def status(self) -> dict[str, Any]:
-        """The status document of the control interface."""
+        """The document of `GET /api/status`."""
         return {
             "node": self._settings.node,
             "zone": self._settings.zone,
@@ -197,5 +197,5 @@
 
 
 def _log_failed_task(task: gevent.Greenlet) -> None:
-    """The task is not restarted; gevent prints the traceback."""
+    """Logs a failed periodic task, which is not restarted; gevent prints the traceback."""
     log.error("controller task failed task=%s error=%r", task.name, task.exception)
--- a/ochrespan/control_plane/controller_metrics.py
+++ b/ochrespan/control_plane/controller_metrics.py
@@ -15,7 +15,7 @@
 def register_controller_metrics(
     registry: MetricsRegistry, groups: ReplicaGroups, state: ControlState, live_routers: LiveRouters
 ) -> None:
-    """Registers gauges that read the controller's parts whenever they are collected."""
+    """Registers gauges that read the state of the controller whenever they are collected."""
     _register_state(registry, state, live_routers)
     _register_shards(registry, groups)
 
@@ -52,10 +52,10 @@
 
 
 def _of_all_shards(read: Callable[[int], float]) -> dict[tuple[str, ...], float]:
-    """A metric of every shard, by the shard's label."""
+    """The values of a metric for all shards, by label."""
     return {(str(shard),): read(shard) for shard in ALL_SHARDS}
 
 
 def _of_led_shards(read: Callable[[int], int | None]) -> dict[tuple[str, ...], float]:
-    """A metric of the shards that are led here, by the shard's label; `read` returns None of the others."""
+    """The values of a metric for the shards led here, by label; `read` returns None for other shards."""
     return {(str(shard),): value for shard in ALL_SHARDS if (value := read(shard)) is not None}
--- a/ochrespan/control_plane/owner_calls.py
+++ b/ochrespan/control_plane/owner_calls.py
@@ -1,7 +1,7 @@
 """Calls from a router to the owner of a tenant or service: the leader of the shard that its name belongs to.
 
-A router knows the leaders from the change feed, which may be out of date. A controller that is not the owner says so
-and names the owner where it knows one, so that a call reaches a new leader before the feed has named it.
+A router knows the leaders from the change feed, which may be out of date. A controller that is not the owner responds
+with a `NotOwnerResponse`, which names the owner if known, so that calls reach a new leader before the feed names it.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
     """Sends requests to the owners of names.
 
     Attributes:
-        candidates: The controllers to call for a name, in this order: the owner as far as it is known, and others that
-            may know a newer one.
+        candidates: Returns the controllers to call for a name, in order: the last known owner, then others that may
+            know a newer one.
         call: Sends a request to an address and returns the response, or raises `RpcError`.
     """
 
@@ -40,7 +40,7 @@
     def request(
         self, name: str, request: Any, response_type: type[Response], timeout_s: float, log_fields: str
     ) -> Response | None:
-        """Calls the candidates until one gives a response of the type, each at most once.
+        """Calls the candidates until one returns a response of `response_type`, each at most once.
 
         An owner that a `NotOwnerResponse` names is called next.
 
@@ -48,11 +48,11 @@
             name: The tenant or service whose owner is called.
             request: The message to send.
             response_type: The type of an owner's response.
-            timeout_s: For each call.
-            log_fields: Names the request in the log, as `key=value`.
+            timeout_s: Time-out of each call, in seconds.
+            log_fields: Identifies the request in log lines, as `key=value`.
 
         Returns:
-            The owner's response; None where no owner responded to `MAX_OWNER_CALLS` calls.
+            The owner's response; None if no owner responded to at most `MAX_OWNER_CALLS` calls.
         """
         pending = list(self.candidates(name))
         called = set[Address]()
@@ -79,7 +79,7 @@
 @message("quota.elsewhere")
 @dataclass(slots=True)
 class NotOwnerResponse:
-    """The called process does not own the name; the address of the owner, or an empty IP where it is not known."""
+    """The called process does not own the name; `ip` and `port` of the owner, an empty `ip` if it is not known."""
 
     ip: str = ""
     port: int = 0
--- a/ochrespan/control_plane/responses.py
+++ b/ochrespan/control_plane/responses.py
@@ -1,6 +1,6 @@
 """Responses of the control interface: an HTTP status and a JSON body.
 
-They are made by the owner of a shard and forwarded unchanged by the controller that received the request.
+The leader of a shard creates them, and the controller that received the request forwards them unchanged.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from ochrespan.transport import compact
 from ochrespan.transport.codec import message
 
-RETRY_AFTER_S = 0.2  # in the Retry-After header of a response 503
+RETRY_AFTER_S = 0.2  # in the Retry-After header of a 503 response
 
 OK = 200
 BAD_REQUEST = 400
@@ -42,7 +42,7 @@
 @message("cp.elsewhere")
 @dataclass(slots=True)
 class NotLeaderResponse:
-    """This process does not lead the shard, and the request had no effect: another controller may be tried."""
+    """This process does not lead the shard, and the request had no effect: the caller may try another controller."""
 
 
 def json_response(status: int, document: Any) -> Response:
@@ -51,7 +51,7 @@
 
 
 def findings_response(status: int, findings: Iterable[Finding], total: int = 0) -> Response:
-    """Returns a response whose body lists the findings, and tells their number where there were more."""
+    """Returns a response whose body lists the findings, and `total` if that is more than are listed."""
     document: dict[str, Any] = {"findings": [finding.fields() for finding in findings]}
     if total > len(document["findings"]):
         document["findings_total"] = total
@@ -62,7 +62,7 @@
     """Returns a 503: the outcome is unknown, and the caller may retry here or at another controller.
 
     Args:
-        where: What the request concerned.
-        found: Why there is no outcome.
+        where: The subject of the request.
+        found: The reason why the outcome is unknown.
     """
     return findings_response(UNAVAILABLE, [Finding(where, found, "a replica group that can decide")])
--- a/ochrespan/control_plane/shards.py
+++ b/ochrespan/control_plane/shards.py
@@ -1,4 +1,4 @@
-"""Which shard of the control state a name belongs to."""
+"""The shards of the control state, and the mapping of names to them."""
 
 from __future__ import annotations
 
@@ -10,5 +10,5 @@
 
 
 def shard_of(service: str) -> int:
-    """The shard, 1 to INSTANCE_SHARDS, that holds the instances of `service`."""
+    """Returns the shard, 1 to INSTANCE_SHARDS, of a service's instances; also of a tenant, by its name."""
     return zlib.crc32(service.encode()) % INSTANCE_SHARDS + 1
--- a/tests/control_plane/feed/test_feed.py
+++ b/tests/control_plane/feed/test_feed.py
@@ -246,7 +246,7 @@
 def test_a_router_leaves_a_controller_of_another_cluster(world):
     client = FeedClient("edge-1", "z", world.addresses())
     client._cluster = 1
-    with pytest.raises(OtherClusterError, match="controller belongs to cluster"):
+    with pytest.raises(OtherClusterError, match="controller belongs to cluster 2, the router's table to 1"):
         client._take_freshness(Freshness({}, {}, {}, [], 0, 0, cluster=2), world.addresses()[0])
 
 
