--- a/ochrespan/control_plane/api/handlers.py
+++ b/ochrespan/control_plane/api/handlers.py
@@ -147,13 +147,13 @@
 
     def _submit(self, kind: ConfigCommandKind, check: Check, environment: Environment) -> Response:
         """Submits a configuration command, unless its header names another cluster than this controller's."""
-        if refusal := self._refuse_other_cluster(environment):
-            return refusal
+        if rejection := self._reject_other_cluster(environment):
+            return rejection
         version = _read_version(environment)
         body = _read_body(environment)
         return self._service.submit(_in_background(body, lambda: _read_command(kind, version, body, check)))
 
-    def _refuse_other_cluster(self, environment: Environment) -> Response | None:
+    def _reject_other_cluster(self, environment: Environment) -> Response | None:
         """Returns the error response to a command for another cluster than this controller's; None if it may proceed.
 
         A controller that does not know its cluster yet, or may still leave it, can neither accept nor reject a command
@@ -174,8 +174,8 @@
 
     def _put_backup(self, environment: Environment) -> Response:
         """Restores a backup into a cluster that has no configuration yet; otherwise the response is a 412."""
-        if refusal := self._refuse_other_cluster(environment):
-            return refusal
+        if rejection := self._reject_other_cluster(environment):
+            return rejection
         body = _read_body(environment)
         return self._service.submit(_in_background(body, lambda: _read_restore_command(body)))
 
--- a/ochrespan/control_plane/controller.py
+++ b/ochrespan/control_plane/controller.py
@@ -120,8 +120,8 @@
         )
         self._quota_owner = QuotaOwner(groups, state.configuration.tenant, settings.quota_bounds)
         self._placement_owner = PrefixPlacementOwner(groups, state.instances)
-        for callee in (self.service, self._feed, self._presence, self._quota_owner, self._placement_owner):
-            callee.register(collaborators.call_server)
+        for component in (self.service, self._feed, self._presence, self._quota_owner, self._placement_owner):
+            component.register(collaborators.call_server)
 
     def start(self) -> None:
         """Starts the periodic tasks: expiry of instances, freshness messages and presence reports."""
--- a/ochrespan/control_plane/feed/shard_snapshots.py
+++ b/ochrespan/control_plane/feed/shard_snapshots.py
@@ -66,4 +66,6 @@
         if shard == CONFIG_SHARD:
             return pack_configuration_change(change_to(Configuration(), self._configuration.current.document()))
         records = self._instances[shard].records.values()
-        return pack_instances_change(InstancesChange(tuple(self._slow_start.aged(record, now) for record in records)))
+        return pack_instances_change(
+            InstancesChange(tuple(self._slow_start.with_remaining_time(record, now) for record in records))
+        )
--- a/ochrespan/control_plane/registry/slow_start.py
+++ b/ochrespan/control_plane/registry/slow_start.py
@@ -30,7 +30,7 @@
             if record.cold_remaining_ms > 0:
                 self._slow_start_ends_at.setdefault(record.id, now + record.cold_remaining_ms / MILLISECONDS)
 
-    def aged(self, record: InstanceRecord, now: float) -> InstanceRecord:
+    def with_remaining_time(self, record: InstanceRecord, now: float) -> InstanceRecord:
         """Returns the record with the remaining time of its slow start."""
         remaining_ms = max(0.0, self._slow_start_ends_at.get(record.id, now) - now) * MILLISECONDS
         return record if remaining_ms == record.cold_remaining_ms else replace(record, cold_remaining_ms=remaining_ms)
--- a/tests/control_plane/api/test_any_document.py
+++ b/tests/control_plane/api/test_any_document.py
@@ -14,7 +14,7 @@
 from ochrespan.control_plane.config.documents import MAX_NESTING
 from tests.support.control_plane_world import World, configuration, route, service, tenant
 
-CLEAR_STATUSES = {
+DEFINITE_STATUSES = {
     HTTPStatus.OK,
     HTTPStatus.BAD_REQUEST,
     HTTPStatus.UNAUTHORIZED,
@@ -96,8 +96,8 @@
     """A PUT or a PATCH with a few values replaced by others, and some fields added."""
     method, document = draw(st.sampled_from([("PUT", VALID), ("PATCH", PATCH)]))
     for _ in range(draw(st.integers(0, 3))):
-        place = draw(st.sampled_from(list(paths(document))))
-        document = replaced(document, place, draw(VALUES))
+        path = draw(st.sampled_from(list(paths(document))))
+        document = replaced(document, path, draw(VALUES))
     if isinstance(document, dict) and draw(st.booleans()):
         document = {**document, draw(st.text(max_size=8)): draw(VALUES)}
     return method, document
@@ -107,44 +107,44 @@
 @settings(
     max_examples=400, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.function_scoped_fixture]
 )
-def test_every_document_gets_a_clear_answer(world, drawn, if_match):
+def test_every_document_gets_a_definite_response(world, drawn, if_match):
     method, document = drawn
-    status, answer = call(world, method, json.dumps(document).encode(), if_match)
+    status, response = call(world, method, json.dumps(document).encode(), if_match)
     current = world.controllers[0].state.configuration.current.version
     builds_on_later_version = if_match.strip('W/"').isdecimal() and int(if_match.strip('W/"')) > current
-    assert status in CLEAR_STATUSES or (status == HTTPStatus.SERVICE_UNAVAILABLE and builds_on_later_version)
-    assert status == HTTPStatus.OK or answer["findings"]
+    assert status in DEFINITE_STATUSES or (status == HTTPStatus.SERVICE_UNAVAILABLE and builds_on_later_version)
+    assert status == HTTPStatus.OK or response["findings"]
 
 
 @given(st.binary(max_size=200), st.sampled_from(["PUT", "PATCH"]))
 @settings(
     max_examples=200, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.function_scoped_fixture]
 )
-def test_any_bytes_get_a_clear_answer(world, body, method):
-    assert call(world, method, body)[0] in CLEAR_STATUSES
+def test_any_bytes_get_a_definite_response(world, body, method):
+    assert call(world, method, body)[0] in DEFINITE_STATUSES
 
 
 @pytest.mark.parametrize("count", [MAX_FINDINGS - 1, MAX_FINDINGS, MAX_FINDINGS + 1, 5 * MAX_FINDINGS])
 @pytest.mark.parametrize("wrong", WRONG_FIELDS)
 def test_many_wrong_routes_get_the_first_findings_and_their_number(world, count, wrong):
     document = configuration(5, *(route(f"r{number}", **wrong) for number in range(count)))
-    status, answer = call(world, "PUT", json.dumps(document).encode())
+    status, response = call(world, "PUT", json.dumps(document).encode())
     assert status == HTTPStatus.BAD_REQUEST
     of_one_route = len(call(world, "PUT", json.dumps(configuration(5, route("r", **wrong))).encode())[1]["findings"])
     total = of_one_route * count
-    assert len(answer["findings"]) == min(total, MAX_FINDINGS)
-    assert answer.get("findings_total", MAX_FINDINGS) == max(total, MAX_FINDINGS)
+    assert len(response["findings"]) == min(total, MAX_FINDINGS)
+    assert response.get("findings_total", MAX_FINDINGS) == max(total, MAX_FINDINGS)
 
 
 def test_many_routes_to_an_unknown_service_get_the_first_findings_and_their_number():
     world = World(members=2)
     document = configuration(5, *(route(f"r{number}", service="nobody") for number in range(2 * MAX_FINDINGS)))
     try:
-        status, answer = call(world, "PUT", json.dumps(document).encode())
+        status, response = call(world, "PUT", json.dumps(document).encode())
     finally:
         world.close()
     assert status == HTTPStatus.BAD_REQUEST
-    assert (len(answer["findings"]), answer["findings_total"]) == (MAX_FINDINGS, 2 * MAX_FINDINGS)
+    assert (len(response["findings"]), response["findings_total"]) == (MAX_FINDINGS, 2 * MAX_FINDINGS)
 
 
 @pytest.mark.parametrize("section", ["routes", "services", "tenants"])
@@ -168,7 +168,7 @@
 
 
 @pytest.mark.parametrize("timeout_ms", [8000, 0])
-def test_a_large_body_does_not_hold_up_the_other_greenlets(timeout_ms):
+def test_a_large_body_does_not_block_the_other_greenlets(timeout_ms):
     """They get their turns while it is checked; benchmarks/config_checks.py measures how long they wait."""
     world = World(members=2)
     turns = 0
--- a/tests/control_plane/api/test_control_api.py
+++ b/tests/control_plane/api/test_control_api.py
@@ -57,7 +57,7 @@
     assert controller.put_config(early, 5)[0] == 200
 
 
-def test_a_controller_without_a_cluster_has_no_verdict_on_a_command_for_one(world):
+def test_a_controller_without_a_cluster_responds_503_to_a_command_for_a_named_cluster(world):
     """It may come to belong to that cluster or to another: to take the command could be wrong, to refuse it too."""
     call = world.controllers[1].call
     for path, body in [
--- a/tests/control_plane/config/test_commands_under_loss.py
+++ b/tests/control_plane/config/test_commands_under_loss.py
@@ -15,10 +15,10 @@
 
 
 def run_operators(seed: int, size: int = 3, tolerated: int = 1, gap_s: float = 0.8) -> tuple[World, ResponseLog]:
-    world, book = World(seed, size, tolerated), ResponseLog()
+    world, response_log = World(seed, size, tolerated), ResponseLog()
     world.machine_type = ConfigMachine
     world.run(3.0)
-    operators = [Operator(world, book, name) for name in "ab"]
+    operators = [Operator(world, response_log, name) for name in "ab"]
     faults = HarshFaultInjector(world)
     faults.begin(gap_s, world.now + SECONDS)
     world.run(SECONDS)
@@ -28,8 +28,8 @@
     newest = max(
         (node.machines[0].configuration for node in world.nodes.values()), key=lambda machine: machine.current.version
     )
-    book.at_the_end(newest)
-    return world, book
+    response_log.at_the_end(newest)
+    return world, response_log
 
 
 @pytest.mark.parametrize(
@@ -37,10 +37,10 @@
     [(size, tolerated, seed) for size, tolerated, count in [(3, 1, 12), (5, 2, 6)] for seed in range(count)],
 )
 def test_one_of_two_operators_wins_and_no_accepted_command_is_rejected(size, tolerated, seed):
-    _, book = run_operators(seed, size, tolerated)
-    assert len(book.confirmed) > 10
-    assert book.rejected
-    assert book.retries_confirmed
+    _, response_log = run_operators(seed, size, tolerated)
+    assert len(response_log.confirmed) > 10
+    assert response_log.rejected
+    assert response_log.retries_confirmed
 
 
 def assert_detected(rules: set[str]) -> None:
@@ -94,9 +94,9 @@
 def test_a_command_that_is_too_old_gets_no_outcome_instead_of_a_rejection(monkeypatch):
     monkeypatch.setattr(state_machine, "MAX_REMEMBERED_COMMANDS", 2)
     for seed in range(4):
-        world, book = World(seed), ResponseLog()
+        world, response_log = World(seed), ResponseLog()
         world.machine_type = ConfigMachine
         world.run(3.0)
-        operator = Operator(world, book, "a")
+        operator = Operator(world, response_log, "a")
         world.run(20.0)
         assert operator.responses > 5
--- a/tests/control_plane/config/test_configuration.py
+++ b/tests/control_plane/config/test_configuration.py
@@ -92,12 +92,12 @@
         b'{"generation":1,"routes":[],"services":[],"limits":{"max_body_bytes":Infinity}}',
     ],
 )
-def test_a_body_that_holds_no_valid_document_is_rejected(body):
+def test_a_body_without_a_valid_document_is_rejected(body):
     with pytest.raises(ValidationError):
         read_json(body, CHECK_CONFIGURATION)
 
 
-def test_a_generation_must_rise():
+def test_a_generation_must_increase():
     current = applied(configuration(5))
     assert findings_of(configuration(5), current) == ["generation"]
     assert findings_of(configuration(4), current) == ["generation"]
--- a/tests/control_plane/feed/test_feed.py
+++ b/tests/control_plane/feed/test_feed.py
@@ -185,7 +185,7 @@
     assert behind.state.configuration.current.version == 5
 
 
-def test_a_router_resets_a_shard_whose_log_began_anew_but_keeps_its_configuration(world, routers, monkeypatch):
+def test_a_router_resets_a_shard_that_has_a_new_log_but_keeps_its_configuration(world, routers, monkeypatch):
     monkeypatch.setattr("ochrespan.control_plane.feed.draft_table.LOG_RESET_CONFIRM_S", 0.0)
     leader = world.controllers[0]
     leader.put_config(configuration(5), 0)
@@ -315,11 +315,11 @@
     sent: list[tuple[int, int]] = []
     send_change = FeedServer._send_change
 
-    def note(server: FeedServer, shard: int, offset: int, body: bytes) -> None:
+    def record_change(server: FeedServer, shard: int, offset: int, body: bytes) -> None:
         sent.append((shard, offset))
         send_change(server, shard, offset, body)
 
-    monkeypatch.setattr(FeedServer, "_send_change", note)
+    monkeypatch.setattr(FeedServer, "_send_change", record_change)
     router = Router(world)
     routers.append(router)
     controller = world.controllers[0]
--- a/tests/control_plane/feed/test_feed_parts.py
+++ b/tests/control_plane/feed/test_feed_parts.py
@@ -16,17 +16,20 @@
     return record_from_document(instance_id, instance(1, **fields))
 
 
-def test_a_later_snapshot_tells_what_is_left_of_a_cold_time():
-    cold = SlowStartTimes()
+def test_a_later_snapshot_contains_the_remaining_slow_start():
+    slow_start = SlowStartTimes()
     warm, fresh = record("i1"), record("i2", cold_remaining_ms=4000)
-    cold.record(InstancesChange((warm, fresh)), 10.0)
-    assert cold.aged(fresh, 11.0).cold_remaining_ms == 3000
-    assert cold.aged(fresh, 20.0).cold_remaining_ms == 0 and cold.aged(warm, 11.0) is warm
-    cold.record(InstancesChange(removed=("i2",)), 11.0)
-    assert cold.aged(fresh, 11.0).cold_remaining_ms == 0
+    slow_start.record(InstancesChange((warm, fresh)), 10.0)
+    assert slow_start.with_remaining_time(fresh, 11.0).cold_remaining_ms == 3000
+    assert (
+        slow_start.with_remaining_time(fresh, 20.0).cold_remaining_ms == 0
+        and slow_start.with_remaining_time(warm, 11.0) is warm
+    )
+    slow_start.record(InstancesChange(removed=("i2",)), 11.0)
+    assert slow_start.with_remaining_time(fresh, 11.0).cold_remaining_ms == 0
 
 
-def test_a_controller_lags_from_when_it_hears_of_more_until_it_has_applied_that():
+def test_a_controller_lags_from_the_report_of_a_higher_offset_until_it_has_applied_it():
     lag = LagDetector()
     lag.record_offsets({0: 7, 1: 3}, {0: 7, 1: 3}, 1.0)
     assert lag.lags({0: 7, 1: 3}, 2.0) == {0: 0.0, 1: 0.0}
@@ -38,7 +41,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.sampled_from("abc"), st.sampled_from(["ready", "draining", None])), min_size=1))
-def test_gathered_changes_lead_to_the_same_table_as_one_after_the_other(steps):
+def test_a_batch_of_changes_gives_the_same_table_as_the_single_changes(steps):
     batch, one_by_one = ChangeBatch(), FleetTable()
     for offset, (name, state) in enumerate(steps, start=1):
         change = InstancesChange(removed=(name,))
@@ -53,7 +56,7 @@
     assert together.instances == one_by_one.instances and not batch
 
 
-def test_a_gathering_takes_the_place_of_an_instance_that_was_known():
+def test_a_batch_updates_and_removes_known_instances():
     known, _ = with_instances_change(FleetTable(), InstancesChange((record("a"), record("b"))), 0.0)
     batch = ChangeBatch()
     batch.add(5, InstancesChange((record("c"),), ("a",)))
--- a/tests/control_plane/feed/test_live_routers.py
+++ b/tests/control_plane/feed/test_live_routers.py
@@ -6,7 +6,7 @@
 from ochrespan.control_plane.feed.messages import Presence
 
 
-def test_live_routers_are_those_of_all_controllers_after_the_startup_settle_time():
+def test_live_routers_are_those_of_all_controllers_after_the_startup_wait():
     live_routers = LiveRouters(started_at=0.0)
     live_routers.update_subscribers({"b", "d"}, 1.0)
     assert live_routers.position_of("b", 1.0) == RouterPosition(0, 0)
--- a/tests/control_plane/feed/test_shard_history.py
+++ b/tests/control_plane/feed/test_shard_history.py
@@ -4,7 +4,7 @@
 from ochrespan.control_plane.feed.shard_history import ShardHistory
 
 
-def test_a_history_leads_on_from_every_offset_that_it_reaches_back_to(monkeypatch):
+def test_a_history_returns_the_changes_since_every_offset_that_it_covers(monkeypatch):
     monkeypatch.setattr(shard_history, "MAX_HISTORY_CHANGES", 3)
     history = ShardHistory()
     for offset in (2, 5, 6, 9):
--- a/tests/control_plane/prefix_placement/test_prefix_placement.py
+++ b/tests/control_plane/prefix_placement/test_prefix_placement.py
@@ -61,7 +61,7 @@
         }  # fmt: skip
         self.machine.apply(0, encode(RegisterInstance(record_fields(record_from_document(f"i{number}", document)))))
 
-    def ask(self, prefix: str, tokens: float = 1000.0, unusable: str = "") -> str:
+    def place(self, prefix: str, tokens: float = 1000.0, unusable: str = "") -> str:
         return self.owner.assign(PrefixPlacementRequest("llm", prefix, tokens, unusable)).instance
 
     def replicate(self) -> None:
@@ -71,65 +71,65 @@
 
 
 def test_prefixes_are_balanced_by_their_tokens():
-    made = Owner()
+    harness = Owner()
     tokens: dict[str, float] = {}
     for number in range(60):
         size = 500.0 + 700 * (number % 9)
-        home = made.ask(f"p{number}", size)
-        tokens[home] = tokens.get(home, 0.0) + size
+        instance_id = harness.place(f"p{number}", size)
+        tokens[instance_id] = tokens.get(instance_id, 0.0) + size
         if number % 7 == 0:
-            made.replicate()
+            harness.replicate()
     assert max(tokens.values()) - min(tokens.values()) <= 500 + 700 * 8
 
 
 @pytest.mark.parametrize("replicated", [False, True])
 def test_all_routers_get_the_same_placement(replicated):
-    made = Owner()
-    first = made.ask("p")
+    harness = Owner()
+    first = harness.place("p")
     if replicated:
-        made.replicate()
-    assert {made.ask("p") for _ in range(5)} == {first}
+        harness.replicate()
+    assert {harness.place("p") for _ in range(5)} == {first}
 
 
 def test_only_an_instance_that_is_gone_draining_or_unusable_loses_its_prefixes():
-    made = Owner()
-    placements = {f"p{number}": made.ask(f"p{number}") for number in range(9)}
-    made.replicate()
-    made.register(1, "draining", 2)
-    after = {prefix: made.ask(prefix) for prefix in placements}
-    assert all(after[prefix] == home for prefix, home in placements.items() if home != "i1")
+    harness = Owner()
+    placements = {f"p{number}": harness.place(f"p{number}") for number in range(9)}
+    harness.replicate()
+    harness.register(1, "draining", 2)
+    after = {prefix: harness.place(prefix) for prefix in placements}
+    assert all(after[prefix] == instance_id for prefix, instance_id in placements.items() if instance_id != "i1")
     assert "i1" not in after.values()
-    assert made.ask("p0", unusable=after["p0"]) != after["p0"]
-    assert Owner(servers=0).ask("p") == ""
+    assert harness.place("p0", unusable=after["p0"]) != after["p0"]
+    assert Owner(servers=0).place("p") == ""
 
 
 def test_replicated_placements_outlive_all_controllers():
-    made = Owner()
-    placements = {f"p{number}": made.ask(f"p{number}") for number in range(9)}
-    made.replicate()
+    harness = Owner()
+    placements = {f"p{number}": harness.place(f"p{number}") for number in range(9)}
+    harness.replicate()
     restored = InstanceStateMachine()
-    restored.restore(made.machine.snapshot())
+    restored.restore(harness.machine.snapshot())
     again = Owner(servers=0, machine=restored)
-    assert {prefix: again.ask(prefix) for prefix in placements} == placements
+    assert {prefix: again.place(prefix) for prefix in placements} == placements
 
 
-def test_a_snapshot_of_an_earlier_version_is_taken_over():
-    made = Owner()
-    records, departed, _ = compact.unpack(made.machine.snapshot())
+def test_a_snapshot_of_an_earlier_version_is_restored():
+    harness = Owner()
+    records, departed, _ = compact.unpack(harness.machine.snapshot())
     restored = InstanceStateMachine()
     restored.restore(compact.pack([records, departed]))
-    assert Owner(servers=0, machine=restored).ask("p") in made.machine.records
+    assert Owner(servers=0, machine=restored).place("p") in harness.machine.records
 
 
-def test_placements_that_are_not_committed_last_while_the_owner_leads():
-    made = Owner()
-    made.groups.commits = False
-    placements = {f"p{number}": made.ask(f"p{number}") for number in range(5)}
-    made.replicate()
-    assert {prefix: made.ask(prefix) for prefix in placements} == placements
-    made.owner.leadership_changed(SHARD, False)
-    made.groups.leads = False
-    assert made.owner.assign(PrefixPlacementRequest("llm", "p0", 1.0)) == NotOwnerResponse(*OTHER)
+def test_uncommitted_placements_remain_while_the_owner_leads():
+    harness = Owner()
+    harness.groups.commits = False
+    placements = {f"p{number}": harness.place(f"p{number}") for number in range(5)}
+    harness.replicate()
+    assert {prefix: harness.place(prefix) for prefix in placements} == placements
+    harness.owner.leadership_changed(SHARD, False)
+    harness.groups.leads = False
+    assert harness.owner.assign(PrefixPlacementRequest("llm", "p0", 1.0)) == NotOwnerResponse(*OTHER)
 
 
 def test_the_replicated_placements_are_bounded():
@@ -145,7 +145,7 @@
     """What a client asks, answered by script."""
 
     def __init__(self, *replies) -> None:
-        self.replies, self.asked, self.now, self.usable = list(replies), [], 100.0, {"i1", "i2"}
+        self.replies, self.requests, self.now, self.usable = list(replies), [], 100.0, {"i1", "i2"}
         self.client = PrefixPlacementClient(
             OwnerClient(lambda service: [OWNER], self.call),
             lambda service, instance: instance in self.usable,
@@ -153,7 +153,7 @@
         )
 
     def call(self, address, request, timeout):
-        self.asked.append((address, request.unusable))
+        self.requests.append((address, request.unusable))
         reply = self.replies.pop(0)
         if isinstance(reply, Exception):
             raise reply
@@ -161,36 +161,36 @@
 
 
 def test_a_router_requests_a_placement_once_and_again_when_its_instance_is_gone():
-    made = Calls(PrefixPlacement("i1"), PrefixPlacement("i2"))
-    assert [made.client.locate("llm", "p", 1000) for _ in range(3)] == [PrefixPlacement("i1")] * 3
-    made.usable.discard("i1")
-    assert made.client.locate("llm", "p", 1000) == PrefixPlacement("i2")
-    assert made.asked == [(OWNER, ""), (OWNER, "i1")]
+    harness = Calls(PrefixPlacement("i1"), PrefixPlacement("i2"))
+    assert [harness.client.locate("llm", "p", 1000) for _ in range(3)] == [PrefixPlacement("i1")] * 3
+    harness.usable.discard("i1")
+    assert harness.client.locate("llm", "p", 1000) == PrefixPlacement("i2")
+    assert harness.requests == [(OWNER, ""), (OWNER, "i1")]
 
 
 def test_a_router_follows_to_the_owner_and_backs_off_where_none_responds():
-    made = Calls(NotOwnerResponse(*OTHER), PrefixPlacement("i1"), RpcError("no"), PrefixPlacement("i2"))
-    assert made.client.locate("llm", "p", 1000) == PrefixPlacement("i1")
-    assert [address for address, _ in made.asked] == [OWNER, OTHER]
-    assert [made.client.locate("llm", "q", 1000) for _ in range(2)] == [PrefixPlacement("")] * 2
-    assert len(made.asked) == 3
-    made.now += OWNER_BACKOFF_S
-    assert made.client.locate("llm", "q", 1000) == PrefixPlacement("i2")
+    harness = Calls(NotOwnerResponse(*OTHER), PrefixPlacement("i1"), RpcError("no"), PrefixPlacement("i2"))
+    assert harness.client.locate("llm", "p", 1000) == PrefixPlacement("i1")
+    assert [address for address, _ in harness.requests] == [OWNER, OTHER]
+    assert [harness.client.locate("llm", "q", 1000) for _ in range(2)] == [PrefixPlacement("")] * 2
+    assert len(harness.requests) == 3
+    harness.now += OWNER_BACKOFF_S
+    assert harness.client.locate("llm", "q", 1000) == PrefixPlacement("i2")
 
 
 def test_an_instance_that_the_router_does_not_know_is_not_used():
-    made = Calls(PrefixPlacement("i9"))
-    assert made.client.locate("llm", "p", 1000) == PrefixPlacement("")
+    harness = Calls(PrefixPlacement("i9"))
+    assert harness.client.locate("llm", "p", 1000) == PrefixPlacement("")
 
 
 def test_a_placement_is_new_in_the_first_response_of_the_owner_only():
-    made = Owner()
-    answers = [made.owner.assign(PrefixPlacementRequest("llm", "p", 1000.0)) for _ in range(2)]
-    assert [answer.is_new for answer in answers] == [True, False]
-    moved = made.owner.assign(PrefixPlacementRequest("llm", "p", 1000.0, answers[0].instance))
-    assert moved.is_new and moved.instance != answers[0].instance
+    harness = Owner()
+    responses = [harness.owner.assign(PrefixPlacementRequest("llm", "p", 1000.0)) for _ in range(2)]
+    assert [response.is_new for response in responses] == [True, False]
+    moved = harness.owner.assign(PrefixPlacementRequest("llm", "p", 1000.0, responses[0].instance))
+    assert moved.is_new and moved.instance != responses[0].instance
 
 
 def test_a_placement_is_new_for_the_first_request_of_a_router_only():
-    made = Calls(PrefixPlacement("i1", is_new=True))
-    assert [made.client.locate("llm", "p", 1000).is_new for _ in range(2)] == [True, False]
+    harness = Calls(PrefixPlacement("i1", is_new=True))
+    assert [harness.client.locate("llm", "p", 1000).is_new for _ in range(2)] == [True, False]
--- a/tests/control_plane/quota/test_quota.py
+++ b/tests/control_plane/quota/test_quota.py
@@ -70,7 +70,7 @@
     def __call__(self):
         return self.now
 
-    def pause(self, seconds):
+    def sleep(self, seconds):
         self.now += seconds
 
 
@@ -100,7 +100,7 @@
         self.owners = [self.new_owner()]
         self.clients = [
             QuotaClient(
-                f"edge-{number}", BOUNDS, OwnerClient(lambda tenant: [OWNER], self.call_as(number)), clock, clock.pause
+                f"edge-{number}", BOUNDS, OwnerClient(lambda tenant: [OWNER], self.call_as(number)), clock, clock.sleep
             )
             for number in range(routers)
         ]
@@ -203,7 +203,7 @@
 
 def test_the_state_of_a_tenant_that_is_idle_or_lost_its_limit_is_dropped():
     clock = Clock()
-    client = QuotaClient("edge-1", BOUNDS, OwnerClient(lambda tenant: [], lambda *call: None), clock, clock.pause)
+    client = QuotaClient("edge-1", BOUNDS, OwnerClient(lambda tenant: [], lambda *call: None), clock, clock.sleep)
     tenants = {name: limited(name) for name in "abc"}
     client.configure(tenants, 2)
     assert not client._states
@@ -220,15 +220,15 @@
 
 def test_a_new_router_count_applies_from_the_next_request_on():
     clock = Clock()
-    client = QuotaClient("edge-1", BOUNDS, OwnerClient(lambda tenant: [], lambda *call: None), clock, clock.pause)
+    client = QuotaClient("edge-1", BOUNDS, OwnerClient(lambda tenant: [], lambda *call: None), clock, clock.sleep)
     client.configure({"t": limited()}, 1)
-    part = EQUAL_FRACTION * terms_for(limited().rate_per_s, limited().burst, BOUNDS).reserved
-    assert client.take("t", 0.6 * part).allowed
+    reserved_tokens = EQUAL_FRACTION * terms_for(limited().rate_per_s, limited().burst, BOUNDS).reserved
+    assert client.take("t", 0.6 * reserved_tokens).allowed
     client.configure({"t": limited()}, 4)
-    assert not client.take("t", 0.3 * part).allowed
+    assert not client.take("t", 0.3 * reserved_tokens).allowed
     client.configure({"t": limited()}, 1)
     clock.now += 1.0
-    assert client.take("t", 0.3 * part).allowed
+    assert client.take("t", 0.3 * reserved_tokens).allowed
 
 
 def test_a_router_that_reaches_no_owner_spends_its_reserved_share_alone():
@@ -240,8 +240,8 @@
         clock.now += 0.01
         if fleet.clients[0].take("t", 100.0).allowed:
             spends.append((clock.now, 100.0))
-    part = EQUAL_FRACTION / 4 * terms_for(tenant.rate_per_s, tenant.burst, BOUNDS).reserved
-    assert 0.9 * part < max_in_a_window(spends, BOUNDS.window_s) <= part
+    reserved_tokens = EQUAL_FRACTION / 4 * terms_for(tenant.rate_per_s, tenant.burst, BOUNDS).reserved
+    assert 0.9 * reserved_tokens < max_in_a_window(spends, BOUNDS.window_s) <= reserved_tokens
 
 
 def test_a_router_calls_the_owner_that_another_controller_names():
--- a/tests/control_plane/registry/test_instances.py
+++ b/tests/control_plane/registry/test_instances.py
@@ -45,7 +45,7 @@
     assert remove(machine, "i1") == NO_CHANGE
 
 
-def test_a_report_whose_sequence_number_goes_back_changes_nothing():
+def test_a_report_with_a_lower_sequence_number_changes_nothing():
     machine = InstanceStateMachine()
     register(machine, "i1", 5, capacity=8)
     assert register(machine, "i1", 5, capacity=9) == register(machine, "i1", 4, capacity=9) == NO_CHANGE
--- a/tests/control_plane/replication/test_disk_writer.py
+++ b/tests/control_plane/replication/test_disk_writer.py
@@ -58,7 +58,7 @@
     harness.writer.stop()
 
 
-def test_records_that_come_during_a_write_share_the_next_one(harness):
+def test_records_that_arrive_during_a_write_are_written_together(harness):
     harness.sync_allowed.clear()
     harness.add(b"a")
     until(lambda: harness.writer.pending_for > 0, "first write")
--- a/tests/control_plane/replication/test_host.py
+++ b/tests/control_plane/replication/test_host.py
@@ -23,7 +23,7 @@
     return machine.commands
 
 
-def test_a_host_that_has_not_read_its_disk_leads_nothing_and_knows_nobody(tmp_path):
+def test_a_host_that_has_not_read_its_disk_leads_no_shard_and_knows_no_members(tmp_path):
     host = ReplicaHost(host_settings(tmp_path, 1, free_port()), {0: Journal()})
     for call in (lambda: host.propose(0, b"one", 1.0), lambda: host.read_barrier(0, 1.0)):
         with pytest.raises(NotLeaderError) as caught:
@@ -93,7 +93,7 @@
     assert not leader.is_leader(2)
 
 
-def test_a_replacement_at_another_address_takes_the_place_of_a_lost_voter(core):
+def test_a_replacement_at_another_address_replaces_a_lost_voter(core):
     folder, port, hosts = core
     propose(hosts.values(), 0, b"one")
     kill(hosts.pop(3))
@@ -106,7 +106,7 @@
     until(lambda: commands(hosts[4], 0) == [b"one", b"two"], "both commands at the replacement")
 
 
-def test_a_command_or_a_callback_that_raises_stops_nothing(core):
+def test_a_command_or_a_callback_that_raises_does_not_stop_the_replicas(core):
     _, _, hosts = core
     propose(hosts.values(), 0, b"first")
     leader = leader_of(hosts.values(), 0)
