--- a/tests/control_plane/api/test_any_document.py
+++ b/tests/control_plane/api/test_any_document.py
@@ -1,4 +1,4 @@
-"""Whatever is sent to the configuration's interface gets a clear answer, and a large body does not hold others up."""
+"""Any request to the configuration interface gets a definite response; a large body does not block other greenlets."""
 
 import io
 import json
@@ -61,7 +61,7 @@
 
 
 def call(world: World, method: str, body: bytes, if_match: str = "0") -> tuple[int, dict]:
-    """Status and document of a call, without a connection: a failure of the handler is raised here."""
+    """Status and document of a call to the WSGI application; without a server, so that exceptions reach the test."""
     started = []
     environment = {
         "REQUEST_METHOD": method,
@@ -75,7 +75,7 @@
 
 
 def paths(value, prefix=()):
-    """The place of every value in a document."""
+    """The path of every value in a document, as a tuple of keys and indices."""
     yield prefix
     children = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     for key, child in children:
@@ -83,7 +83,7 @@
 
 
 def replaced(value, path, new):
-    """A copy of a document with another value in one place."""
+    """A copy of a document in which the value at `path` is replaced by `new`."""
     if not path:
         return new
     copy = dict(value) if isinstance(value, dict) else list(value)
@@ -169,7 +169,7 @@
 
 @pytest.mark.parametrize("timeout_ms", [8000, 0])
 def test_a_large_body_does_not_block_the_other_greenlets(timeout_ms):
-    """They get their turns while it is checked; benchmarks/config_checks.py measures how long they wait."""
+    """Other greenlets run while a thread checks the body; benchmarks/config_checks.py measures how long they wait."""
     world = World(members=2)
     turns = 0
 
--- a/tests/control_plane/api/test_control_api.py
+++ b/tests/control_plane/api/test_control_api.py
@@ -58,7 +58,7 @@
 
 
 def test_a_controller_without_a_cluster_responds_503_to_a_command_for_a_named_cluster(world):
-    """It may come to belong to that cluster or to another: to take the command could be wrong, to refuse it too."""
+    """It may join that cluster or another one, so it can neither accept nor reject the command for good."""
     call = world.controllers[1].call
     for path, body in [
         ("/api/config", configuration(5)),
@@ -178,7 +178,7 @@
     ],
 )
 def test_a_controller_that_has_lost_its_quorum_responds_at_once(world, method, path, body, headers):
-    """The caller tries another controller; nothing is rejected by a state that may be out of date."""
+    """The 503 lets the caller try another controller; a state that may be out of date rejects no command."""
     world.controllers[0].put_config(configuration(5), 0)
     for shard in ALL_SHARDS:
         world.log.leaders[shard] = None
@@ -190,7 +190,7 @@
 
 
 def test_a_controller_that_has_just_started_waits_for_the_election(world):
-    """It never knew a quorum: there may be one in a moment."""
+    """It has not known a quorum yet, and the first election may end within the time-out."""
     for shard in ALL_SHARDS:
         world.log.leaders[shard] = None
         world.controllers[1].groups.quorum_ages[shard] = float("inf")
@@ -207,14 +207,14 @@
 
 
 def test_the_removal_of_an_unknown_instance_outlasts_its_late_report(world):
-    """Its first report is still in flight, or its response was lost: routers must not use the instance any more."""
+    """The first report may still be in flight, or its response was lost: it must not register the removed instance."""
     assert world.controllers[0].call("DELETE", "/api/instances/i-1")[0] == 200
     assert world.controllers[1].put_instance("i-1", instance(1))[0] == 200
     assert not world.controllers[0].state.records()
 
 
 def test_the_removal_of_an_instance_is_ordered_after_its_uncommitted_report(world):
-    """The owner has not applied the report, which is committed in a moment: the acknowledged removal comes after it."""
+    """The owner has not applied the report yet: the log has the acknowledged removal after it."""
     owner = world.controllers[0]
     report = gevent.spawn(owner.put_instance, "i-1", instance(1))
     end = gevent.spawn(owner.call, "DELETE", "/api/instances/i-1")
--- a/tests/control_plane/config/test_commands.py
+++ b/tests/control_plane/config/test_commands.py
@@ -91,7 +91,7 @@
 
 
 def test_a_command_on_a_version_that_does_not_exist_yet_is_not_rejected_and_may_be_accepted_later():
-    """A rejection would have to be final, and a copy of the command may be delivered when that version exists."""
+    """A rejection is final, but a delayed copy of the command may arrive when that version exists and be accepted."""
     machine = ConfigurationStateMachine()
     early = replace(7, 5, route("a"))
     assert outcomes(machine, early, replace(5, 0), early, early) == [
@@ -313,7 +313,7 @@
 
 
 def test_operators_that_race_through_changes_of_leader_leave_a_linear_history(world):
-    """Two operators build on the version they read and retry until there is an outcome; then the history is checked."""
+    """Two operators build on the version they read and retry until they get an outcome; the history must be linear."""
     accepted: list[tuple[int, int, str]] = []
 
     def operate(operator: str, seed: int) -> None:
--- a/tests/control_plane/config/test_commands_under_loss.py
+++ b/tests/control_plane/config/test_commands_under_loss.py
@@ -1,4 +1,4 @@
-"""One command wins on each version while operators race and lose responses, and controllers crash, part and compact."""
+"""One command wins on each version while operators race, responses are lost, and controllers crash or disconnect."""
 
 import dataclasses
 
@@ -67,7 +67,7 @@
 
 
 def test_a_rejection_on_a_version_that_does_not_exist_yet_is_detected(monkeypatch):
-    """A late copy of the command is accepted once that version exists."""
+    """A delayed copy of a rejected command is accepted once that version exists; the checker must detect this."""
     original = ConfigurationStateMachine._evaluate
 
     def reject(self, command):
--- a/tests/control_plane/config/test_configuration.py
+++ b/tests/control_plane/config/test_configuration.py
@@ -1,4 +1,4 @@
-"""What makes a configuration invalid, and what a valid change makes of it."""
+"""Validation of configurations, and the results of valid changes."""
 
 import copy
 import json
--- a/tests/control_plane/feed/test_feed.py
+++ b/tests/control_plane/feed/test_feed.py
@@ -17,11 +17,11 @@
 from ochrespan.transport.tcp import ConnectionClosedError, dial
 from tests.support.control_plane_world import World, configuration, instance, route, tenant
 
-PATIENCE_S = 5.0
+WAIT_TIMEOUT_S = 5.0
 
 
 class Router:
-    """A feed client, the tables that it was given, and a way to wait for one of them."""
+    """A feed client that records the published tables, and lets the test wait for one of them."""
 
     def __init__(self, world: World, node: str = "edge-1", controllers: int = 1, first: int = 0) -> None:
         addresses = world.addresses()[first : first + controllers]
@@ -38,11 +38,11 @@
             condition, event = waiting
             if condition(table):
                 event.set()
-                self._waiting.remove(waiting)  # it may not hold, nor even apply, to later tables
+                self._waiting.remove(waiting)  # its condition may be false for later tables, or fail on them
 
     def wait_for_draft(self, version: int) -> None:
-        """Waits until the configuration is known, whether or not it is good enough to serve by."""
-        with gevent.Timeout(PATIENCE_S):
+        """Waits until the draft has this version of the configuration, whether or not a table was published."""
+        with gevent.Timeout(WAIT_TIMEOUT_S):
             while self.client._draft.table.version != version:
                 gevent.idle()
 
@@ -51,7 +51,7 @@
             return self.client.table
         event = Event()
         self._waiting.append((condition, event))
-        assert event.wait(PATIENCE_S), self.client.table
+        assert event.wait(WAIT_TIMEOUT_S), self.client.table
         return self.client.table
 
 
@@ -101,7 +101,7 @@
     remaining = [each for each in world.controllers if each is not followed]
     remaining[0].groups.lead()
     followed.groups.quorum_ages = dict.fromkeys(followed.groups.quorum_ages, 5.0)
-    del world.log.members[followed.groups.address]  # cut off: it applies nothing more
+    del world.log.members[followed.groups.address]  # disconnected: it applies no further commands
     assert remaining[0].put_config(configuration(9), 5)[0] == 200
     router.wait(lambda table: table.version == 9)
     assert router.client.controller != followed.groups.address
@@ -159,7 +159,7 @@
     router = Router(world, first=1)
     routers.append(router)
     router.wait(lambda table: table.version == 5)
-    del world.log.members[behind.groups.address]  # it misses what follows
+    del world.log.members[behind.groups.address]  # it does not get the following commands
     leader.put_config(configuration(6), 5)
     leader.put_config(configuration(8, route("late")), 6)
     behind.state.configuration.restore(leader.state.configuration.snapshot())
@@ -179,7 +179,7 @@
     routers.append(router)
     router.wait(lambda table: table.version == 5)
     router.client.seeds_changed(world.addresses())
-    del world.log.members[behind.groups.address]  # its disk hangs: it applies nothing more
+    del world.log.members[behind.groups.address]  # simulates a hanging disk: it applies no further commands
     leader.put_config(configuration(6), 5)
     router.wait(lambda table: table.version == 6)
     assert behind.state.configuration.current.version == 5
@@ -218,7 +218,7 @@
         beside.controllers[0].put_config(configuration(version, route("beside")), version - 1 if version > 5 else 0)
     world.close()
     router.client.seeds_changed(beside.addresses())
-    with gevent.Timeout(PATIENCE_S):
+    with gevent.Timeout(WAIT_TIMEOUT_S):
         while not router.client._choice._candidates[beside.addresses()[0]].failures:
             gevent.sleep(0.01)
     assert set(router.client.table.configuration.routes) == {"r1"}
@@ -236,10 +236,10 @@
         connection = dial(controller.groups.address, 1.0)
         connection.send(Subscribe("edge-1", "z", {}, cluster))
         if served:
-            assert connection.receive(timeout=PATIENCE_S)
+            assert connection.receive(timeout=WAIT_TIMEOUT_S)
         else:
             with pytest.raises(ConnectionClosedError):
-                connection.receive(timeout=PATIENCE_S)
+                connection.receive(timeout=WAIT_TIMEOUT_S)
         connection.close()
 
 
@@ -291,12 +291,12 @@
     owners = owner_client_for(router.client, PeerClients())
     quotas = quota_client_for("edge-1", {"quota_window_s": 8, "quota_overshoot": 0.1}, owners)
     configure_quotas(quotas, table)
-    with gevent.Timeout(PATIENCE_S):
+    with gevent.Timeout(WAIT_TIMEOUT_S):
         while (taken := quotas.take("t", 1.0)).epoch is None:
             gevent.idle()
     world.controllers[1].groups.lead()
     former = taken.epoch
-    with gevent.Timeout(PATIENCE_S):
+    with gevent.Timeout(WAIT_TIMEOUT_S):
         while quotas.take("t", 1.0).epoch in (None, former):
             gevent.idle()
     assert not quotas.take("t", 1e9).allowed and quotas.take("somebody without a limit", 1e9).allowed
@@ -308,7 +308,7 @@
     assert client._draft.table.router_count == 3
     assert client._choice.best(0.0) == ("10.0.0.9", 7500)
     client.members_changed(["edge-1"], {})
-    assert client._draft.table.router_count == 3  # a fall counts after a while
+    assert client._draft.table.router_count == 3  # a decrease applies after DECREASE_DELAY_S
 
 
 def test_many_changes_at_once_reach_a_router_in_few_messages(world, routers, monkeypatch):
--- a/tests/control_plane/feed/test_feed_parts.py
+++ b/tests/control_plane/feed/test_feed_parts.py
@@ -1,4 +1,4 @@
-"""What the feed uses of the registry and of replication: slow-start times, lag detection, change batches."""
+"""Slow-start times, lag detection and change batches, which the feed uses."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
--- a/tests/control_plane/feed/test_router_count.py
+++ b/tests/control_plane/feed/test_router_count.py
@@ -1,4 +1,4 @@
-"""The router count as a router uses it."""
+"""The filter of the router count: increases at once, decreases after a delay."""
 
 from ochrespan.control_plane.feed.router_count import DECREASE_DELAY_S, RouterCountFilter
 
--- a/tests/control_plane/feed/test_table.py
+++ b/tests/control_plane/feed/test_table.py
@@ -1,4 +1,4 @@
-"""The router's table: changes and snapshots lead from one immutable table to the next."""
+"""The router's table: each change or snapshot produces a new immutable table."""
 
 from ochrespan.control_plane.config.configuration import Configuration, change_to
 from ochrespan.control_plane.feed.table import (
--- a/tests/control_plane/prefix_placement/test_prefix_placement.py
+++ b/tests/control_plane/prefix_placement/test_prefix_placement.py
@@ -23,7 +23,7 @@
 
 
 class Groups:
-    """Commits at once, unless the test sets otherwise."""
+    """Replica groups that commit at once, or not at all if the test sets `commits` to False."""
 
     def __init__(self, machine: InstanceStateMachine) -> None:
         self.machine, self.leads, self.commits, self.index = machine, True, True, 0
@@ -42,7 +42,7 @@
 
 
 class Owner:
-    """An owner whose batches are replicated when the test says so."""
+    """An owner whose batches are replicated when the test calls `replicate`."""
 
     def __init__(self, servers: int = 3, machine: InstanceStateMachine | None = None) -> None:
         self.machine = machine or InstanceStateMachine()
@@ -142,7 +142,7 @@
 
 
 class Calls:
-    """What a client asks, answered by script."""
+    """A client whose calls get the given replies in order, and are recorded in `requests`."""
 
     def __init__(self, *replies) -> None:
         self.replies, self.requests, self.now, self.usable = list(replies), [], 100.0, {"i1", "i2"}
--- a/tests/control_plane/quota/test_quota.py
+++ b/tests/control_plane/quota/test_quota.py
@@ -1,4 +1,4 @@
-"""Quotas: the bound over all routers in any window, with owners that change and routers that reach none."""
+"""Quotas: the bound over all routers in any window, while owners change and some routers reach no owner."""
 
 import random
 
@@ -34,7 +34,7 @@
 
 
 def max_in_a_window(spends, window):
-    """The largest sum of spends in any window of the length."""
+    """The maximum number of tokens spent in any window of the given length."""
     spends = sorted(spends)
     most = total = first = 0
     for at, tokens in spends:
@@ -92,7 +92,7 @@
 
 
 class Fleet:
-    """Owners that follow one another, and routers of which some are cut off from them."""
+    """Successive owners, and routers of which some are disconnected from the owner."""
 
     def __init__(self, tenant, routers, clock):
         self.tenant, self.clock = tenant, clock
@@ -114,7 +114,7 @@
         return owner
 
     def replace_owner(self):
-        """The former owner has no quorum, and its lease expires before the next one is elected."""
+        """Makes a new owner; the former one has lost its quorum, and its lease expired before the election."""
         self.owners[-1]._groups.age = LEASE_DURATION_S
         self.owners.append(self.new_owner())
 
--- a/tests/control_plane/registry/test_instances.py
+++ b/tests/control_plane/registry/test_instances.py
@@ -155,7 +155,7 @@
 
 
 def tick(monitor, registered, until, since=100.0):
-    """Checks every half second, as the owner does; returns the first instances that expire, and when."""
+    """Checks every half second, as the owner does; returns the first instances that expire, and the time."""
     now = since
     while now + 0.5 <= until:
         now += 0.5
--- a/tests/control_plane/replication/test_disk_writer.py
+++ b/tests/control_plane/replication/test_disk_writer.py
@@ -1,4 +1,4 @@
-"""The disk writer: group commit, full and hanging disks, checkpoints that fail."""
+"""The disk writer: group commit, full and hanging disks, failing checkpoints."""
 
 import threading
 
--- a/tests/control_plane/replication/test_host.py
+++ b/tests/control_plane/replication/test_host.py
@@ -1,4 +1,4 @@
-"""Replica hosts over loopback: real sockets and disks, the replicas of three processes in one."""
+"""Three replica hosts in one process, with real files and loopback sockets."""
 
 import gevent
 import pytest
@@ -36,7 +36,7 @@
 
 def test_a_command_reaches_every_replica_and_its_result_the_proposer(core):
     _, _, hosts = core
-    assert propose(hosts.values(), 0, b"one") == 1  # a new group accepts commands once all initial members are in it
+    assert propose(hosts.values(), 0, b"one") == 1  # a new group accepts commands once all initial members are voters
     leader = leader_of(hosts.values(), 0)
     assert leader.propose(0, b"two", 5.0) == 2
     until(lambda: all(commands(host, 0) == [b"one", b"two"] for host in hosts.values()), "command everywhere")
--- a/tests/control_plane/replication/test_leader_eligibility.py
+++ b/tests/control_plane/replication/test_leader_eligibility.py
@@ -1,4 +1,4 @@
-"""When a controller may not lead: while its disk is slow, and while an operator declined leadership and others lead."""
+"""A controller may not lead with a slow disk, nor after an operator declined leadership, while others can lead."""
 
 from ochrespan.control_plane.replication.leader_eligibility import MAX_LEADERLESS_S, LeaderEligibility
 
--- a/tests/control_plane/replication/test_leadership_reporter.py
+++ b/tests/control_plane/replication/test_leadership_reporter.py
@@ -1,4 +1,4 @@
-"""Reports of leadership: each change once, to the callback and to the log."""
+"""Each change of leadership is reported once, to the callback and to the log."""
 
 from types import SimpleNamespace
 
--- a/tests/control_plane/test_controller_node.py
+++ b/tests/control_plane/test_controller_node.py
@@ -1,4 +1,4 @@
-"""The parts of a controller: its periodic work."""
+"""The periodic tasks of a controller."""
 
 from tests.support.control_plane_world import World
 from tests.support.replica_hosts import until
--- a/tests/support/control_plane_fakes.py
+++ b/tests/support/control_plane_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes of the replica groups: commands are committed at once in memory, and may be lost on demand."""
+"""Fakes of the replica groups: they commit commands in memory at once, or lose them if the test requests it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class SharedLog:
-    """The log of every shard, which all members share."""
+    """The logs of all shards, shared by all members."""
 
     def __init__(self) -> None:
         self.commands: dict[int, list[bytes]] = {shard: [] for shard in ALL_SHARDS}
@@ -24,7 +24,11 @@
 
 
 class InMemoryGroups:
-    """A member of every group; a command is committed as soon as it is proposed at the leader."""
+    """A member of every group; a command is committed as soon as it is proposed to the leader.
+
+    `lose_commands` and `lose_results_after_commit` count the next proposals that fail with OutcomeUnknownError, before
+    or after the command is committed.
+    """
 
     def __init__(self, machines: dict[int, StateMachine], log: SharedLog | None = None) -> None:
         self.machines = machines
@@ -61,7 +65,7 @@
         return self.call_server.address
 
     def lead(self, *shards: int) -> None:
-        """Makes this member the leader of the shards, or of all of them."""
+        """Makes this member the leader of the given shards, or of all shards."""
         for shard in shards or ALL_SHARDS:
             before = self.log.leaders[shard]
             self.log.leaders[shard] = self.address
@@ -91,7 +95,7 @@
         return result
 
     def catch_up(self, shard: int) -> Any:
-        """Applies the commands that this member has not applied yet, and returns the result of the last."""
+        """Applies the commands that this member has not applied yet, and returns the result of the last one."""
         result = None
         for command in self.log.commands[shard][self.applied[shard] :]:
             self.applied[shard] += 1
--- a/tests/support/control_plane_world.py
+++ b/tests/support/control_plane_world.py
@@ -1,4 +1,4 @@
-"""Documents, and a few controllers over a shared log, for the tests of the control plane."""
+"""Documents, and controllers that share an in-memory log, for the tests of the control plane."""
 
 from __future__ import annotations
 
@@ -97,7 +97,7 @@
         self.http: WSGIServer = serve_api(("127.0.0.1", 0), self.node.api)
 
     def call(self, method: str, path: str, document: Any = None, **headers: str) -> tuple[int, Any]:
-        """Status and decoded body of a call; `document` may be the bytes of a body."""
+        """Sends a request; returns the status and the decoded body. `document` may be a body as bytes."""
         body = document if isinstance(document, bytes) else b"" if document is None else json.dumps(document).encode()
         client = HTTPClient("127.0.0.1", self.http.server_port, connection_timeout=5, network_timeout=5)
         try:
