--- a/tests/control_plane/registry/test_instances.py
+++ b/tests/control_plane/registry/test_instances.py
@@ -45,7 +45,7 @@
     assert remove(machine, "i1") == NO_CHANGE
 
 
-def test_a_report_whose_sequence_number_goes_back_changes_nothing():
+def test_a_report_with_a_lower_sequence_number_changes_nothing():
     machine = InstanceStateMachine()
     register(machine, "i1", 5, capacity=8)
     assert register(machine, "i1", 5, capacity=9) == register(machine, "i1", 4, capacity=9) == NO_CHANGE
@@ -155,7 +155,7 @@
 
 
 def tick(monitor, registered, until, since=100.0):
-    """Checks every half second, as the owner does; returns the first instances that expire, and when."""
+    """Checks every half second, as the owner does; returns the first instances that expire, and the time."""
     now = since
     while now + 0.5 <= until:
         now += 0.5
