--- a/benchmarks/http2_load.py
+++ b/benchmarks/http2_load.py
@@ -129,7 +129,7 @@
 
         alone = await p99()
         slow = client.begin("GET", "/photos/large")
-        client.slow.add(slow)
+        client.withhold_credit.add(slow)
         beside_slow = await p99()
         client.reset(slow)
         large = client.begin("GET", "/photos/large")
--- a/ochrespan/http2/connection.py
+++ b/ochrespan/http2/connection.py
@@ -29,15 +29,15 @@
 from .events import BodyEnded, BodyReceived, ConnectionEnded, ConnectionEvent, RequestStarted, StreamAborted
 from .h2_adapter import ServerH2Connection, error_code_of
 from .limits import BufferBudget, Limits, PeerAction, PeerBudget
-from .scheduling import Priority, read_priority
+from .scheduling import Priority, parse_priority
 from .streams import StreamTable
 
-HIGHEST_STREAM = 2**31 - 1  # the largest id that there can be
-PRIORITY_UPDATE = 0x10  # the frame's type: RFC 9218, section 7.1
-PRIORITY_FIELD = 256  # bytes of a priority that are read
+MAX_STREAM_ID = 2**31 - 1  # the largest id that there can be
+PRIORITY_UPDATE_FRAME = 0x10  # the frame's type: RFC 9218, section 7.1
+MAX_PRIORITY_FIELD_BYTES = 256  # bytes of a priority that are read
 DRAIN_PING = b"ochrdrai"
-FIRST_FRAME = 24 + 4  # bytes to the type of the frame that follows the preface
-SETTINGS = 0x4  # the frame's type
+FIRST_FRAME_TYPE_END = 24 + 4  # bytes to the type of the frame that follows the preface
+SETTINGS_FRAME = 0x4  # the frame's type
 
 
 class Connection:
@@ -49,74 +49,74 @@
         self._budget = budget or PeerBudget()
         self._h2 = ServerH2Connection(limits)
         self._streams = StreamTable(self._h2, buffers)
-        self._last_stream = 0  # the highest that was taken
-        self._out = bytearray()  # control frames that h2 has no part in, and those before them
-        self._start = bytearray()  # the first bytes, until the type of the first frame is known
+        self._last_accepted_stream = 0  # the highest that was taken
+        self._control_out = bytearray()  # control frames that h2 has no part in, and those before them
+        self._first_bytes = bytearray()  # the first bytes, until the type of the first frame is known
         self._draining = self._drained = False
-        self.over: ConnectionEnded | None = None
+        self.end_event: ConnectionEnded | None = None
 
     # ---- in ----
 
     @property
-    def open(self) -> int:
+    def open_streams(self) -> int:
         """Streams that have been taken and not ended."""
         return len(self._streams)
 
     def receive(self, data: bytes, now: float) -> list[ConnectionEvent]:
         """What these bytes mean; nothing once the connection is over."""
-        if self.over:
+        if self.end_event:
             return []
-        told: list[ConnectionEvent] = []
+        emitted: list[ConnectionEvent] = []
         if not self._begins_with_settings(data):
-            self._end(ErrorCodes.PROTOCOL_ERROR, "the preface does not begin with settings", told)
-            return told
-        self._out += self._h2.data_to_send()
+            self._end(ErrorCodes.PROTOCOL_ERROR, "the preface does not begin with settings", emitted)
+            return emitted
+        self._control_out += self._h2.data_to_send()
         try:
             events = self._h2.receive_data(data)
-        except Exception as why:  # h2 lets some of what a peer makes up through as errors of its own
-            self._end(error_code_of(why), str(why) or type(why).__name__, told)
-            return told
+        except Exception as error:  # h2 lets some of what a peer makes up through as errors of its own
+            self._end(error_code_of(error), str(error) or type(error).__name__, emitted)
+            return emitted
         for event in events:
-            if self.over:
+            if self.end_event:
                 break
-            self._handle(event, now, told)
-        return told
+            self._handle(event, now, emitted)
+        return emitted
 
     def _begins_with_settings(self, data: bytes) -> bool:
         """Whether the first frame is one of settings, as far as it has come."""
-        if len(self._start) >= FIRST_FRAME:
+        if len(self._first_bytes) >= FIRST_FRAME_TYPE_END:
             return True
-        self._start += data[: FIRST_FRAME - len(self._start)]
-        return len(self._start) < FIRST_FRAME or self._start[-1] == SETTINGS
+        self._first_bytes += data[: FIRST_FRAME_TYPE_END - len(self._first_bytes)]
+        return len(self._first_bytes) < FIRST_FRAME_TYPE_END or self._first_bytes[-1] == SETTINGS_FRAME
 
-    def _handle(self, event: Event, now: float, told: list[ConnectionEvent]) -> None:
+    def _handle(self, event: Event, now: float, emitted: list[ConnectionEvent]) -> None:
         match event:
             case RequestReceived():
-                self._on_request(event, now, told)
+                self._on_request(event, now, emitted)
             case DataReceived():
-                self._on_data(event, now, told)
+                self._on_data(event, now, emitted)
             case StreamEnded() if (stream := self._streams.get(event.stream_id)) is not None:
-                stream.read_all = True
-                told.append(BodyEnded(event.stream_id))
+                stream.request_complete = True
+                emitted.append(BodyEnded(event.stream_id))
             case StreamReset():
-                self._on_reset(event, now, told)
+                self._on_reset(event, now, emitted)
             case ConnectionTerminated():
                 # its streams may still be answered; only the peer's end of the connection ends them
                 self._draining = True
             case WindowUpdated():
-                if self._allowed(PeerAction.WINDOW_UPDATE, now, told):
+                if self._within_budget(PeerAction.WINDOW_UPDATE, now, emitted):
                     self._reschedule(event.stream_id)
             case RemoteSettingsChanged():
-                if self._allowed(PeerAction.SETTINGS, now, told):
+                if self._within_budget(PeerAction.SETTINGS, now, emitted):
                     self._streams.schedule_all()
             case PingReceived():
-                self._allowed(PeerAction.PING, now, told)
+                self._within_budget(PeerAction.PING, now, emitted)
             case PingAckReceived() if self._draining and event.ping_data == DRAIN_PING:
                 self.finish_drain()
             case PriorityUpdated():
-                self._allowed(PeerAction.PRIORITY, now, told)
+                self._within_budget(PeerAction.PRIORITY, now, emitted)
             case UnknownFrameReceived():
-                self._on_unknown_frame(event, now, told)
+                self._on_unknown_frame(event, now, emitted)
             case TrailersReceived():
                 pass  # served without them: nothing here has a use for them
 
@@ -127,58 +127,64 @@
         else:
             self._streams.schedule_all()
 
-    def _allowed(self, action: PeerAction, now: float, told: list[ConnectionEvent]) -> bool:
+    def _within_budget(self, action: PeerAction, now: float, emitted: list[ConnectionEvent]) -> bool:
         """Counts what the peer did; beyond its budget the connection ends."""
         if self._budget.spend(action, now):
             return True
-        self._end(ErrorCodes.ENHANCE_YOUR_CALM, f"too many {action.value}", told)
+        self._end(ErrorCodes.ENHANCE_YOUR_CALM, f"too many {action.value}", emitted)
         return False
 
-    def _on_request(self, event: RequestReceived, now: float, told: list[ConnectionEvent]) -> None:
+    def _on_request(self, event: RequestReceived, now: float, emitted: list[ConnectionEvent]) -> None:
         stream, ended = event.stream_id, event.stream_ended is not None
-        if self._drained or len(self._streams) >= self.limits.streams:
-            if self._drained or self._allowed(PeerAction.REFUSED_STREAM, now, told):
+        if self._drained or len(self._streams) >= self.limits.max_streams:
+            if self._drained or self._within_budget(PeerAction.REFUSED_STREAM, now, emitted):
                 self._streams.send_reset(stream, ErrorCodes.REFUSED_STREAM)  # never processed: may be sent again
             return
         pseudo, fields = _split_fields(event)
         if ended and any(name == "content-length" and value != "0" for name, value in fields):
-            if self._allowed(PeerAction.FAULT, now, told):  # RFC 9113, section 8.1.1; h2 sees it in data frames only
+            if self._within_budget(
+                PeerAction.FAULT, now, emitted
+            ):  # RFC 9113, section 8.1.1; h2 sees it in data frames only
                 self._streams.send_reset(stream, ErrorCodes.PROTOCOL_ERROR)
             return
-        self._last_stream = max(self._last_stream, stream)
+        self._last_accepted_stream = max(self._last_accepted_stream, stream)
         priority = ", ".join(value for name, value in fields if name == "priority")
-        self._streams.open(stream, read_priority(priority, Priority()), read_all=ended)
-        told.append(RequestStarted(stream, pseudo.get(":method", ""), pseudo.get(":path", ""), fields, ended))
+        self._streams.open(stream, parse_priority(priority, Priority()), request_complete=ended)
+        emitted.append(RequestStarted(stream, pseudo.get(":method", ""), pseudo.get(":path", ""), fields, ended))
 
-    def _on_data(self, event: DataReceived, now: float, told: list[ConnectionEvent]) -> None:
+    def _on_data(self, event: DataReceived, now: float, emitted: list[ConnectionEvent]) -> None:
         credit = event.flow_controlled_length or 0
-        if not event.data and event.stream_ended is None and not self._allowed(PeerAction.EMPTY_DATA, now, told):
+        if (
+            not event.data
+            and event.stream_ended is None
+            and not self._within_budget(PeerAction.EMPTY_DATA, now, emitted)
+        ):
             return
-        if self._streams.hold(event.stream_id, credit):
-            told.append(BodyReceived(event.stream_id, bytes(event.data or b""), credit))
+        if self._streams.record_received(event.stream_id, credit):
+            emitted.append(BodyReceived(event.stream_id, bytes(event.data or b""), credit))
 
-    def _on_reset(self, event: StreamReset, now: float, told: list[ConnectionEvent]) -> None:
+    def _on_reset(self, event: StreamReset, now: float, emitted: list[ConnectionEvent]) -> None:
         if not event.remote_reset:
-            self._allowed(PeerAction.FAULT, now, told)
+            self._within_budget(PeerAction.FAULT, now, emitted)
         if event.stream_id in self._streams:
             self._streams.close(event.stream_id)
-            told.append(StreamAborted(event.stream_id, int(event.error_code or 0)))
-        if event.remote_reset and not self.over:
-            self._allowed(PeerAction.RESET, now, told)
+            emitted.append(StreamAborted(event.stream_id, int(event.error_code or 0)))
+        if event.remote_reset and not self.end_event:
+            self._within_budget(PeerAction.RESET, now, emitted)
 
-    def _on_unknown_frame(self, event: UnknownFrameReceived, now: float, told: list[ConnectionEvent]) -> None:
+    def _on_unknown_frame(self, event: UnknownFrameReceived, now: float, emitted: list[ConnectionEvent]) -> None:
         frame = event.frame
-        if getattr(frame, "type", None) != PRIORITY_UPDATE:
-            self._allowed(PeerAction.UNKNOWN_FRAME, now, told)
+        if getattr(frame, "type", None) != PRIORITY_UPDATE_FRAME:
+            self._within_budget(PeerAction.UNKNOWN_FRAME, now, emitted)
             return
         body = bytes(frame.body)
         if frame.stream_id != 0 or len(body) < 4:
             code = ErrorCodes.PROTOCOL_ERROR if frame.stream_id else ErrorCodes.FRAME_SIZE_ERROR
-            self._end(code, "a malformed PRIORITY_UPDATE", told)
-        elif self._allowed(PeerAction.PRIORITY, now, told):
-            stream = int.from_bytes(body[:4]) & HIGHEST_STREAM
-            field = body[4 : 4 + PRIORITY_FIELD].decode("ascii", "replace")
-            self._streams.change_priority(stream, read_priority(field, Priority()))
+            self._end(code, "a malformed PRIORITY_UPDATE", emitted)
+        elif self._within_budget(PeerAction.PRIORITY, now, emitted):
+            stream = int.from_bytes(body[:4]) & MAX_STREAM_ID
+            field = body[4 : 4 + MAX_PRIORITY_FIELD_BYTES].decode("ascii", "replace")
+            self._streams.change_priority(stream, parse_priority(field, Priority()))
 
     # ---- out ----
 
@@ -191,7 +197,7 @@
         """The core has read so much of a body: the windows open again, the connection's when there is room."""
         self._streams.consume(stream, credit)
 
-    def relieve(self) -> None:
+    def release_credit(self) -> None:
         """Others have read what they held: credit that was held back may go out."""
         self._streams.return_credit(0)
 
@@ -200,9 +206,9 @@
         if stream in self._streams:
             self._h2.send_headers(stream, [(":status", str(status))])
 
-    def send_head(self, stream: int, status: int, fields: list[tuple[str, str]], ended: bool) -> None:
+    def send_response_headers(self, stream: int, status: int, fields: list[tuple[str, str]], ended: bool) -> None:
         """An answer's head; `ended`: no body follows."""
-        if stream not in self._streams or self.over:
+        if stream not in self._streams or self.end_event:
             return
         self._h2.send_headers(stream, [(":status", str(status)), *fields], end_stream=ended)
         if ended:
@@ -210,7 +216,7 @@
 
     def send_data(self, stream: int, data: bytes, ended: bool = False) -> None:
         """Bytes of an answer: they go out as `frame_to_send` takes them."""
-        if not self.over:
+        if not self.end_event:
             self._streams.add_data(stream, data, ended)
 
     def pending(self, stream: int) -> int:
@@ -228,14 +234,14 @@
             self._streams.send_reset(stream, code)
 
     @property
-    def has_bodies(self) -> bool:
+    def has_body_frame(self) -> bool:
         """Whether a body's frame could go out now."""
         return self._streams.has_frame
 
     def control_to_send(self) -> bytes:
         """All that is due but bodies."""
-        out = bytes(self._out) + self._h2.data_to_send()
-        self._out.clear()
+        out = bytes(self._control_out) + self._h2.data_to_send()
+        self._control_out.clear()
         return out
 
     def frame_to_send(self) -> bytes:
@@ -244,43 +250,43 @@
 
     # ---- the end ----
 
-    def _end(self, code: int, why: str, told: list[ConnectionEvent]) -> None:
+    def _end(self, code: int, reason: str, emitted: list[ConnectionEvent]) -> None:
         """The connection's last word, in place of h2's own, which lacks our last stream and at times the right code."""
-        if self.over is not None:
+        if self.end_event is not None:
             return
-        self.over = ConnectionEnded(int(code), why)
+        self.end_event = ConnectionEnded(int(code), reason)
         self._h2.clear_outbound_data_buffer()
-        self._send_goaway(self._last_stream, code)
+        self._send_goaway(self._last_accepted_stream, code)
         self._streams.close_all()
-        told.append(self.over)
+        emitted.append(self.end_event)
 
     def lost(self) -> None:
         """The transport is gone: whatever was held is let go."""
         self._streams.close_all()
-        self.over = self.over or ConnectionEnded(0, "the connection was lost")
+        self.end_event = self.end_event or ConnectionEnded(0, "the connection was lost")
 
     def drain(self) -> None:
         """The first GOAWAY: no new streams, please. The last one follows when the peer has heard it."""
-        if not self._draining and not self.over:
+        if not self._draining and not self.end_event:
             self._draining = True
-            self._send_goaway(HIGHEST_STREAM)
+            self._send_goaway(MAX_STREAM_ID)
             self._h2.ping(DRAIN_PING)
 
     def finish_drain(self) -> None:
         """The last GOAWAY: streams above the last one that was taken are refused."""
-        if not self._drained and not self.over:
+        if not self._drained and not self.end_event:
             self._drained = True
-            self._send_goaway(self._last_stream)
+            self._send_goaway(self._last_accepted_stream)
 
     def _send_goaway(self, last: int, code: int = ErrorCodes.NO_ERROR) -> None:
         # h2 takes a GOAWAY for the end of the connection; more than one, with streams that go on, is the RFC's way
-        self._out += self._h2.data_to_send()
-        self._out += GoAwayFrame(stream_id=0, last_stream_id=last, error_code=int(code)).serialize()
+        self._control_out += self._h2.data_to_send()
+        self._control_out += GoAwayFrame(stream_id=0, last_stream_id=last, error_code=int(code)).serialize()
 
     @property
     def done(self) -> bool:
         """Nothing is left to do on it."""
-        return self.over is not None or (self._drained and not len(self._streams))
+        return self.end_event is not None or (self._drained and not len(self._streams))
 
 
 def _split_fields(event: RequestReceived) -> tuple[dict[str, str], tuple[tuple[str, str], ...]]:
--- a/ochrespan/http2/events.py
+++ b/ochrespan/http2/events.py
@@ -45,7 +45,7 @@
     """Nothing more comes or is heard on this connection."""
 
     code: int
-    why: str
+    reason: str
 
 
 ConnectionEvent = RequestStarted | BodyReceived | BodyEnded | StreamAborted | ConnectionEnded
--- a/ochrespan/http2/exchange.py
+++ b/ochrespan/http2/exchange.py
@@ -14,7 +14,7 @@
 from ..net.guard import REQUEST_TIME
 from .events import BodyReceived, RequestStarted
 
-CONNECTION_FIELDS = frozenset({"connection", "keep-alive", "proxy-connection", "transfer-encoding", "upgrade"})
+CONNECTION_SPECIFIC_FIELDS = frozenset({"connection", "keep-alive", "proxy-connection", "transfer-encoding", "upgrade"})
 
 
 class StreamWriter(Protocol):
@@ -26,7 +26,7 @@
     def send_interim(self, stream: int, status: int) -> None:
         """An interim answer (1xx)."""
 
-    def send_head(self, stream: int, status: int, fields: list[tuple[str, str]], ended: bool) -> None:
+    def send_response_headers(self, stream: int, status: int, fields: list[tuple[str, str]], ended: bool) -> None:
         """An answer's head; `ended`: no body follows."""
 
     def reset(self, stream: int, code: int) -> None:
@@ -39,11 +39,11 @@
 class Http2Exchange(Exchange):
     """One stream."""
 
-    def __init__(self, connection: StreamWriter, request: RequestStarted, most_body: int | None) -> None:
+    def __init__(self, connection: StreamWriter, request: RequestStarted, max_body_bytes: int | None) -> None:
         self.method, self.target = request.method, request.target
         self.headers = CIMultiDict(request.fields)
         self.has_body, self.has_length = not request.ended, True  # the stream's end tells it
-        self.stream, self._connection, self._most_body = request.stream, connection, most_body
+        self.stream, self._connection, self._max_body_bytes = request.stream, connection, max_body_bytes
         self._parts: list[BodyReceived] = []
         self._ended = request.ended
         self._arrived = asyncio.Event()
@@ -89,7 +89,7 @@
             async with asyncio.timeout(REQUEST_TIME.total_seconds()):
                 while some := await self.read_available():
                     size += len(some)
-                    if self._most_body is not None and size > self._most_body:
+                    if self._max_body_bytes is not None and size > self._max_body_bytes:
                         raise BadBody(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the request's body is too long")
                     parts.append(some)
         except TimeoutError:
@@ -108,7 +108,7 @@
             fields.append(("content-length", str(length)))
         ended = self.method == "HEAD" or status == HTTPStatus.NOT_MODIFIED
         self.finished = ended
-        self._connection.send_head(self.stream, status, fields, ended)
+        self._connection.send_response_headers(self.stream, status, fields, ended)
 
     async def write(self, data: bytes) -> None:
         """Sends a piece of the body; waits while too much of it is pending."""
@@ -130,15 +130,15 @@
         if self.started or self.finished:
             return
         self.started = self.finished = True
-        bare = self.method == "HEAD" or reply.status in (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)
+        without_body = self.method == "HEAD" or reply.status in (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)
         fields = _fields(reply.headers)
-        if not bare:
+        if not without_body:
             fields.append(("content-length", str(len(reply.body))))
-        ended = bare or not reply.body
-        self._connection.send_head(self.stream, reply.status, fields, ended)
+        ended = without_body or not reply.body
+        self._connection.send_response_headers(self.stream, reply.status, fields, ended)
         if not ended:
             await self._connection.write(self.stream, reply.body, ended=True)
 
 
 def _fields(headers: Mapping[str, str]) -> list[tuple[str, str]]:
-    return [(name.lower(), value) for name, value in headers.items() if name.lower() not in CONNECTION_FIELDS]
+    return [(name.lower(), value) for name, value in headers.items() if name.lower() not in CONNECTION_SPECIFIC_FIELDS]
--- a/ochrespan/http2/h2_adapter.py
+++ b/ochrespan/http2/h2_adapter.py
@@ -12,9 +12,9 @@
 
 from .limits import Limits
 
-INITIAL_CONNECTION_WINDOW = 65_535  # bytes: RFC 9113, section 6.9.2
-FIELD_TABLE_SIZE = 4096  # bytes of HPACK's table
-LARGEST_FRAME = 16_384  # bytes of a frame that a client may send
+INITIAL_CONNECTION_WINDOW_BYTES = 65_535  # bytes: RFC 9113, section 6.9.2
+HPACK_TABLE_BYTES = 4096  # bytes of HPACK's table
+MAX_FRAME_BYTES = 16_384  # bytes of a frame that a client may send
 
 
 class ServerH2Connection(H2Connection):
@@ -23,9 +23,9 @@
     def __init__(self, limits: Limits) -> None:
         super().__init__(H2Configuration(client_side=False, header_encoding="utf-8", validate_outbound_headers=False))
         self.local_settings = _initial_settings(limits)
-        self.decoder.max_header_list_size = limits.headers
+        self.decoder.max_header_list_size = limits.max_header_bytes
         self.initiate_connection()
-        if (more := limits.connection_window - INITIAL_CONNECTION_WINDOW) > 0:
+        if (more := limits.connection_window_bytes - INITIAL_CONNECTION_WINDOW_BYTES) > 0:
             self.increment_flow_control_window(more)
 
     @property
@@ -56,11 +56,11 @@
     return Settings(
         client=False,
         initial_values={
-            SettingCodes.MAX_CONCURRENT_STREAMS: limits.streams,
-            SettingCodes.MAX_HEADER_LIST_SIZE: limits.headers,
-            SettingCodes.INITIAL_WINDOW_SIZE: limits.stream_window,
+            SettingCodes.MAX_CONCURRENT_STREAMS: limits.max_streams,
+            SettingCodes.MAX_HEADER_LIST_SIZE: limits.max_header_bytes,
+            SettingCodes.INITIAL_WINDOW_SIZE: limits.stream_window_bytes,
             SettingCodes.ENABLE_PUSH: 0,
-            SettingCodes.HEADER_TABLE_SIZE: FIELD_TABLE_SIZE,
-            SettingCodes.MAX_FRAME_SIZE: LARGEST_FRAME,
+            SettingCodes.HEADER_TABLE_SIZE: HPACK_TABLE_BYTES,
+            SettingCodes.MAX_FRAME_SIZE: MAX_FRAME_BYTES,
         },
     )
--- a/ochrespan/http2/limits.py
+++ b/ochrespan/http2/limits.py
@@ -29,8 +29,8 @@
 class Allowance:
     """A token bucket: so many at once, refilled by so many a second."""
 
-    at_once: float
-    a_second: float
+    burst: float
+    rate_per_s: float
 
 
 ALLOWANCES = {
@@ -50,12 +50,12 @@
 class Limits:
     """Sizes and counts of one connection."""
 
-    streams: int = 100  # open at once; those beyond are refused
-    headers: int = 16 * 1024  # bytes of a request's fields, as RFC 9113, section 6.5.2 counts them
-    stream_window: int = 64 * 1024  # bytes of a body that may come before the core reads any
-    connection_window: int = 1024 * 1024
-    pending: int = 64 * 1024  # bytes of an answer that wait in a stream before its writer has to
-    control: int = 64 * 1024  # bytes of answers to control frames that the client has not read
+    max_streams: int = 100  # open at once; those beyond are refused
+    max_header_bytes: int = 16 * 1024  # bytes of a request's fields, as RFC 9113, section 6.5.2 counts them
+    stream_window_bytes: int = 64 * 1024  # bytes of a body that may come before the core reads any
+    connection_window_bytes: int = 1024 * 1024
+    max_pending_bytes: int = 64 * 1024  # bytes of an answer that wait in a stream before its writer has to
+    max_control_bytes: int = 64 * 1024  # bytes of answers to control frames that the client has not read
 
 
 @dataclass(slots=True)
@@ -63,29 +63,29 @@
     """What one peer has left of each allowance."""
 
     allowances: dict[PeerAction, Allowance] = field(default_factory=lambda: ALLOWANCES)
-    _left: dict[PeerAction, float] = field(default_factory=dict)
-    _at: dict[PeerAction, float] = field(default_factory=dict)
+    _remaining: dict[PeerAction, float] = field(default_factory=dict)
+    _updated_at: dict[PeerAction, float] = field(default_factory=dict)
 
     def spend(self, action: PeerAction, now: float) -> bool:
         """Counts one action; whether it is still within its allowance."""
         allowance = self.allowances[action]
-        left = self._left.get(action, allowance.at_once)
-        before = self._at.get(action, now)
+        remaining = self._remaining.get(action, allowance.burst)
+        before = self._updated_at.get(action, now)
         since = max(0.0, now - before)
-        left = min(allowance.at_once, left + allowance.a_second * since) - 1
-        self._left[action], self._at[action] = left, max(before, now)
-        return left >= 0
+        remaining = min(allowance.burst, remaining + allowance.rate_per_s * since) - 1
+        self._remaining[action], self._updated_at[action] = remaining, max(before, now)
+        return remaining >= 0
 
 
 @dataclass(slots=True)
 class BufferBudget:
     """Bytes that a front's connections hold for bodies; beyond `capacity` windows stay shut until some are read."""
 
-    capacity: int
-    held: int = 0
-    short: bool = False  # whether some connection has held credit back
+    capacity_bytes: int
+    used_bytes: int = 0
+    credit_withheld: bool = False  # whether some connection has held credit back
 
     @property
     def full(self) -> bool:
         """Whether no more credit may be given."""
-        return self.held > self.capacity
+        return self.used_bytes > self.capacity_bytes
--- a/ochrespan/http2/protocol.py
+++ b/ochrespan/http2/protocol.py
@@ -25,25 +25,25 @@
 log = logging.getLogger(__name__)
 
 DRAIN_NOTICE = timedelta(seconds=1)  # for a client to hear that we drain
-HIGH_WATER = 64 * 1024  # bytes in a transport above which bodies wait
-LOW_WATER = 16 * 1024  # bytes below which they go on
+HIGH_WATER_BYTES = 64 * 1024  # bytes in a transport above which bodies wait
+LOW_WATER_BYTES = 16 * 1024  # bytes below which they go on
 NOTHING_PENDING = -1  # bytes: less than any open stream holds, so that only its end is waited for
 
 
 class Http2Connection(asyncio.Protocol):
     """One client's connection."""
 
-    def __init__(self, server: Http2Server, on_state: Callable[[Any], None]) -> None:
+    def __init__(self, server: Http2Server, on_state_change: Callable[[Any], None]) -> None:
         """`on_state` hears of each new state, and of the end."""
-        self._server, self._on_state = server, on_state
+        self._server, self._on_state_change = server, on_state_change
         self._loop = asyncio.get_running_loop()
         self.state, self.since = State.SILENT, self._loop.time()
         self.transport: asyncio.Transport | None = None
         self._connection = Connection(server.limits, server.buffers, self._loop.time())
         self._exchanges: dict[int, Http2Exchange] = {}
         self._tasks: dict[int, asyncio.Task[None]] = {}
-        self._waiting: dict[int, tuple[asyncio.Event, int]] = {}  # writers, by stream, and for what
-        self._paused = False
+        self._blocked_writers: dict[int, tuple[asyncio.Event, int]] = {}  # writers, by stream, and for what
+        self._writing_paused = False
         self._flushing = False
         self._unread_control = 0  # bytes of control frames written since the transport last ran empty of them
 
@@ -61,21 +61,21 @@
                 self.transport.abort()
             return
         self._connection.finish_drain()
-        self._leave()
+        self._close_gracefully()
 
-    def _enter(self, state: State) -> None:
+    def _set_state(self, state: State) -> None:
         if self.state in (state, State.CLOSED):
             return
         if (self.state, state) != (State.SILENT, State.READING):
             self.since = self._loop.time()
         self.state = state
-        self._on_state(self)
+        self._on_state_change(self)
 
-    def _leave(self) -> None:
+    def _close_gracefully(self) -> None:
         """What is written goes out, then the connection ends."""
         self._flush()
         if self.state is not State.CLOSED:
-            self._enter(State.LEAVING)
+            self._set_state(State.LEAVING)
             if self.transport is not None:
                 self.transport.close()
 
@@ -84,9 +84,9 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
         assert self.transport is not None
-        self.transport.set_write_buffer_limits(HIGH_WATER, LOW_WATER)
+        self.transport.set_write_buffer_limits(HIGH_WATER_BYTES, LOW_WATER_BYTES)
         self._server.connections.add(self)
-        self._on_state(self)
+        self._on_state_change(self)
         self._flush()
         if self._server.draining:
             self.drain()
@@ -95,18 +95,18 @@
         self._connection.lost()
         for task in list(self._tasks.values()):
             task.cancel()
-        for event, _ in self._waiting.values():
+        for event, _ in self._blocked_writers.values():
             event.set()
         self._server.connections.discard(self)
-        self._server.relieve()
+        self._server.release_credit()
         self.state = State.CLOSED
-        self._on_state(self)
+        self._on_state_change(self)
 
     def pause_writing(self) -> None:
-        self._paused = True
+        self._writing_paused = True
 
     def resume_writing(self) -> None:
-        self._paused, self._unread_control = False, 0
+        self._writing_paused, self._unread_control = False, 0
         self._flush()
 
     def data_received(self, data: bytes) -> None:
@@ -123,34 +123,34 @@
                         self._exchanges[stream].end_body()
                 case StreamAborted(stream):
                     self._cancel(stream)
-                case ConnectionEnded(code, why):
-                    self._end(code, why)
+                case ConnectionEnded(code, reason):
+                    self._end(code, reason)
         if self.state is State.SILENT:
-            self._enter(State.READING)
+            self._set_state(State.READING)
         self._flush()
-        self._become_idle()
+        self._update_idle_state()
 
-    def _end(self, code: int, why: str) -> None:
+    def _end(self, code: int, reason: str) -> None:
         if code:
             log.info(
                 "connection ended",
-                extra={"code": ErrorCodes(code).name if code in list(ErrorCodes) else code, "why": why},
+                extra={"code": ErrorCodes(code).name if code in list(ErrorCodes) else code, "why": reason},
             )
         for task in list(self._tasks.values()):
             task.cancel()
-        self._leave()
+        self._close_gracefully()
 
     # ---- streams ----
 
     def _start_stream(self, request: RequestStarted) -> None:
-        exchange = Http2Exchange(self, request, self._server.most_body)
+        exchange = Http2Exchange(self, request, self._server.max_body_bytes)
         if "priority" not in exchange.headers:
             self._connection.default_priority(request.stream, self._server.priority(exchange))
         self._exchanges[request.stream] = exchange
         task = self._tasks[request.stream] = self._loop.create_task(self._run(exchange))
         # also of one that is cancelled before it runs
         task.add_done_callback(lambda _: self._stream_done(request.stream))
-        self._enter(State.BUSY)
+        self._set_state(State.BUSY)
 
     async def _run(self, exchange: Http2Exchange) -> None:
         stream = exchange.stream
@@ -159,7 +159,7 @@
                 reply = await self._server.handler(exchange)
                 if reply is not None:
                     await exchange.send(reply)
-                await self._answer_sent(stream)
+                await self._wait_until_sent(stream)
         except asyncio.CancelledError:
             self._connection.reset(stream, ErrorCodes.CANCEL)
         except Exception:
@@ -167,36 +167,36 @@
             self._connection.reset(stream, ErrorCodes.INTERNAL_ERROR)
 
     def _stream_done(self, stream: int) -> None:
-        for kept in (self._tasks, self._exchanges, self._waiting):
-            kept.pop(stream, None)
+        for table in (self._tasks, self._exchanges, self._blocked_writers):
+            table.pop(stream, None)
         self._flush()
-        self._server.relieve()
-        self._become_idle()
+        self._server.release_credit()
+        self._update_idle_state()
 
     def _cancel(self, stream: int) -> None:
         if (task := self._tasks.get(stream)) is not None:
             task.cancel()  # the core takes back the attempt that is out before anything else is sent for it
 
-    def _become_idle(self) -> None:
+    def _update_idle_state(self) -> None:
         """Between streams, or at the end."""
         if self._tasks or self.state in (State.LEAVING, State.CLOSED, State.READING, State.SILENT):
             return
         if self._connection.done or self._server.lifecycle.closing:
             self.expire()
         else:
-            self._enter(State.QUIET)
+            self._set_state(State.QUIET)
 
     # ---- the exchanges' side ----
 
     def consume(self, stream: int, credit: int) -> None:
         """So much of a request's body has been read."""
         self._connection.consume(stream, credit)
-        self._server.relieve()
+        self._server.release_credit()
         self._flush_soon()
 
-    def relieve(self) -> None:
+    def release_credit(self) -> None:
         """There is room for more bodies again: credit that was held back may go out."""
-        self._connection.relieve()
+        self._connection.release_credit()
         self._flush_soon()
 
     def send_interim(self, stream: int, status: int) -> None:
@@ -204,9 +204,9 @@
         self._connection.send_interim(stream, status)
         self._flush_soon()
 
-    def send_head(self, stream: int, status: int, fields: list[tuple[str, str]], ended: bool) -> None:
+    def send_response_headers(self, stream: int, status: int, fields: list[tuple[str, str]], ended: bool) -> None:
         """An answer's head; `ended`: no body follows."""
-        self._connection.send_head(stream, status, fields, ended)
+        self._connection.send_response_headers(stream, status, fields, ended)
         self._flush_soon()
 
     def reset(self, stream: int, code: int) -> None:
@@ -219,19 +219,19 @@
         self._connection.send_data(stream, data, ended)
         self._flush_soon()
         if not ended:
-            await self._drained_to(stream, self._server.limits.pending)
+            await self._wait_until_pending_at_most(stream, self._server.limits.max_pending_bytes)
 
-    async def _answer_sent(self, stream: int) -> None:
+    async def _wait_until_sent(self, stream: int) -> None:
         """Until the answer's last byte has left this connection's streams."""
-        await self._drained_to(stream, NOTHING_PENDING)
+        await self._wait_until_pending_at_most(stream, NOTHING_PENDING)
 
-    async def _drained_to(self, stream: int, most: int) -> None:
+    async def _wait_until_pending_at_most(self, stream: int, limit_bytes: int) -> None:
         """Until no more than so many bytes of its answer wait, or it is over; while it takes some, there is time."""
         self._flush()
-        while self._holds_more(stream, most):
+        while self._has_more_pending(stream, limit_bytes):
             before = self._connection.pending(stream)
             event = asyncio.Event()
-            self._waiting[stream] = event, most
+            self._blocked_writers[stream] = event, limit_bytes
             try:
                 async with asyncio.timeout(self._server.stall_timeout.total_seconds()):
                     await event.wait()
@@ -240,10 +240,10 @@
                     log.info("a client does not take its answer", extra={"stream": stream})
                     self._connection.reset(stream, ErrorCodes.CANCEL)
             finally:
-                self._waiting.pop(stream, None)
+                self._blocked_writers.pop(stream, None)
 
-    def _holds_more(self, stream: int, most: int) -> bool:
-        return self._connection.is_open(stream) and self._connection.pending(stream) > most
+    def _has_more_pending(self, stream: int, limit_bytes: int) -> bool:
+        return self._connection.is_open(stream) and self._connection.pending(stream) > limit_bytes
 
     def _flush_soon(self) -> None:
         if not self._flushing:
@@ -257,16 +257,18 @@
             return
         if control := self._connection.control_to_send():
             self.transport.write(control)
-            if self._paused:
+            if self._writing_paused:
                 self._unread_control += len(control)
-                if self._unread_control > self._server.limits.control:
+                if self._unread_control > self._server.limits.max_control_bytes:
                     log.info("connection ended", extra={"why": "it does not read what it makes us answer"})
                     self.transport.abort()
                     return
-        while not self._paused and self._connection.has_bodies and (frame := self._connection.frame_to_send()):
+        while (
+            not self._writing_paused and self._connection.has_body_frame and (frame := self._connection.frame_to_send())
+        ):
             self.transport.write(frame)
-        for stream, (event, most) in self._waiting.items():
-            if not self._holds_more(stream, most):
+        for stream, (event, limit_bytes) in self._blocked_writers.items():
+            if not self._has_more_pending(stream, limit_bytes):
                 event.set()
 
     # ---- the end ----
@@ -282,4 +284,4 @@
         if self.state is not State.CLOSED:
             self._connection.finish_drain()
             self._flush()
-            self._become_idle()
+            self._update_idle_state()
--- a/ochrespan/http2/scheduling.py
+++ b/ochrespan/http2/scheduling.py
@@ -14,9 +14,9 @@
 
 URGENCY_LEVELS = 8  # 0 is the most urgent
 DEFAULT_URGENCY = 3
-LOWER_LEVEL_EVERY = 8  # frames: one of so many goes to a less urgent level
-URGENT_AIM, ORDINARY_AIM = 0.2, 0.6  # s: aims up to which a class is urgent, or ordinary
-URGENT, PATIENT = 2, 5  # urgencies of classes below the one aim and above the other
+LOWER_LEVEL_INTERVAL = 8  # frames: one of so many goes to a less urgent level
+URGENT_LATENCY_TARGET_S, ORDINARY_LATENCY_TARGET_S = 0.2, 0.6  # s: aims up to which a class is urgent, or ordinary
+HIGH_URGENCY, LOW_URGENCY = 2, 5  # urgencies of classes below the one aim and above the other
 
 URGENCY = re.compile(r"(?:^|,)\s*u=(-?[0-9]+)\s*(?:;[^,]*)?(?=,|$)")
 INCREMENTAL = re.compile(r"(?:^|,)\s*i(?:=\?([01]))?\s*(?:;[^,]*)?(?=,|$)")
@@ -30,7 +30,7 @@
     incremental: bool = False
 
 
-def read_priority(value: str, default: Priority) -> Priority:
+def parse_priority(value: str, default: Priority) -> Priority:
     """The `priority` field (RFC 9218, section 4): what is out of range or cannot be read is left out."""
     urgency, incremental = default.urgency, default.incremental
     if (found := URGENCY.findall(value)) and 0 <= int(found[-1][:4]) < URGENCY_LEVELS:
@@ -40,11 +40,11 @@
     return Priority(urgency, incremental)
 
 
-def urgency_of(aim: float) -> int:
+def urgency_of(latency_target_s: float) -> int:
     """Where a client says nothing: what is wanted soon goes first. `aim`: seconds."""
-    if aim <= URGENT_AIM:
-        return URGENT
-    return DEFAULT_URGENCY if aim <= ORDINARY_AIM else PATIENT
+    if latency_target_s <= URGENT_LATENCY_TARGET_S:
+        return HIGH_URGENCY
+    return DEFAULT_URGENCY if latency_target_s <= ORDINARY_LATENCY_TARGET_S else LOW_URGENCY
 
 
 @dataclass(slots=True)
@@ -102,11 +102,11 @@
 
     def next(self) -> int | None:
         """The stream whose frame goes out now; it keeps its place until it is removed."""
-        live = [level for level in self._levels if level]
-        if not live:
+        active_levels = [level for level in self._levels if level]
+        if not active_levels:
             return None
         self._frames += 1
-        if len(live) > 1 and self._frames % LOWER_LEVEL_EVERY == 0:
+        if len(active_levels) > 1 and self._frames % LOWER_LEVEL_INTERVAL == 0:
             self._lower_frames += 1
-            return live[1 + self._lower_frames % (len(live) - 1)].next()
-        return live[0].next()
+            return active_levels[1 + self._lower_frames % (len(active_levels) - 1)].next()
+        return active_levels[0].next()
--- a/ochrespan/http2/section.py
+++ b/ochrespan/http2/section.py
@@ -30,28 +30,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Http2:
+class Http2Config:
     """What the operator's file says of HTTP/2, checked."""
 
     listen: dict[str, tuple[str, int]]  # by the front that is served there
     limits: Limits
-    buffered: int  # bytes of bodies that all connections together may hold
+    max_buffered_bytes: int  # bytes of bodies that all connections together may hold
     stall_timeout: timedelta  # for a client that takes nothing of its answer
 
 
-def read(tables: Mapping[str, Any], settings: api.Settings, faults: Faults, earlier: Mapping[str, Any]) -> Http2 | None:
+def read(
+    tables: Mapping[str, Any], settings: api.Settings, faults: Faults, earlier: Mapping[str, Any]
+) -> Http2Config | None:
     """The checked section; None where the table cannot be read. Faults are collected in `faults`."""
-    told = read_table(Http2Table, tables["http2"], "[http2]", faults)
-    if told is None:
+    table = read_table(Http2Table, tables["http2"], "[http2]", faults)
+    if table is None:
         return None
     listen = {
-        name: read_address(where, f"[http2] {name}", faults)
+        name: read_address(address, f"[http2] {name}", faults)
         for name in ("platform", "objects")
-        if (where := getattr(told, name)) is not None
+        if (address := getattr(table, name)) is not None
     }
     if not listen:
         faults.add("[http2]", "no address", "platform, objects, or both")
     if "objects" in listen and "objects" not in earlier:
-        faults.add("[http2] objects", told.objects, "an address only beside [objects]")
-    limits = Limits(told.streams, told.headers_bytes, told.stream_window_bytes, told.connection_window_bytes)
-    return Http2(listen, limits, told.buffered_bytes, timedelta(seconds=told.patience_s))
+        faults.add("[http2] objects", table.objects, "an address only beside [objects]")
+    limits = Limits(table.streams, table.headers_bytes, table.stream_window_bytes, table.connection_window_bytes)
+    return Http2Config(listen, limits, table.buffered_bytes, timedelta(seconds=table.patience_s))
--- a/ochrespan/http2/server.py
+++ b/ochrespan/http2/server.py
@@ -14,7 +14,7 @@
 from .protocol import Http2Connection
 from .scheduling import Priority, urgency_of
 
-SHUTDOWN_POLL = timedelta(seconds=0.01)  # between looks at whether the last connection is gone
+SHUTDOWN_POLL_INTERVAL = timedelta(seconds=0.01)  # between looks at whether the last connection is gone
 
 
 class Http2Server:
@@ -23,37 +23,39 @@
     def __init__(
         self,
         handler: Handler,
-        most_body: int | None,
+        max_body_bytes: int | None,
         lifecycle: Lifecycle,
         limits: Limits,
         buffers: BufferBudget,
         stall_timeout: timedelta,
-        aims: Mapping[str, float],
+        latency_targets_s: Mapping[str, float],
     ) -> None:
         """`most_body`: bytes of a request read whole. `aims`: seconds, by class, for the default urgency.
         `stall_timeout`: for a client that takes nothing of its answer."""
-        self.handler, self.most_body, self.lifecycle = handler, most_body, lifecycle
+        self.handler, self.max_body_bytes, self.lifecycle = handler, max_body_bytes, lifecycle
         self.limits, self.buffers, self.stall_timeout = limits, buffers, stall_timeout
-        self._priorities = {cls: Priority(urgency_of(aim)) for cls, aim in aims.items()}
+        self._priorities = {
+            cls: Priority(urgency_of(latency_target_s)) for cls, latency_target_s in latency_targets_s.items()
+        }
         self.connections: set[Http2Connection] = set()
         self.draining = False
 
-    def connection(self, on_state: Callable[[Any], None]) -> Http2Connection:
+    def connection(self, on_state_change: Callable[[Any], None]) -> Http2Connection:
         """A connection; `on_state` hears of each new state, and of the end."""
-        return Http2Connection(self, on_state)
+        return Http2Connection(self, on_state_change)
 
     def priority(self, exchange: Http2Exchange) -> Priority:
         """For a request whose client said nothing of it: by its class's aim."""
         return self._priorities.get(exchange.headers.get("x-qos", ""), Priority(incremental=True))
 
-    def relieve(self) -> None:
+    def release_credit(self) -> None:
         """Room for more bodies: connections whose credit was held back may open their windows."""
-        if self.buffers.short and not self.buffers.full:
-            self.buffers.short = False
+        if self.buffers.credit_withheld and not self.buffers.full:
+            self.buffers.credit_withheld = False
             for connection in self.connections:
-                connection.relieve()
+                connection.release_credit()
 
-    async def follow(self) -> None:
+    async def follow_lifecycle(self) -> None:
         """Tells all clients once the program drains."""
         await self.lifecycle.reached(Phase.DRAINING)
         self.draining = True
@@ -67,6 +69,6 @@
         """Ends all connections, and waits for that so long at the most."""
         for connection in list(self.connections):
             connection.expire()
-        until = asyncio.get_running_loop().time() + timeout.total_seconds()
-        while self.connections and asyncio.get_running_loop().time() < until:
-            await asyncio.sleep(SHUTDOWN_POLL.total_seconds())
+        deadline = asyncio.get_running_loop().time() + timeout.total_seconds()
+        while self.connections and asyncio.get_running_loop().time() < deadline:
+            await asyncio.sleep(SHUTDOWN_POLL_INTERVAL.total_seconds())
--- a/ochrespan/http2/start.py
+++ b/ochrespan/http2/start.py
@@ -5,19 +5,25 @@
 from ..net.bodies import MOST_BODY
 from ..subsystem import CoreComponents, Subsystem
 from .limits import BufferBudget
-from .section import Http2
+from .section import Http2Config
 from .server import Http2Server
 
 
-def start(section: Http2, core: CoreComponents) -> Subsystem:
+def start(section: Http2Config, core: CoreComponents) -> Subsystem:
     """The servers of the ports that the section names."""
-    buffers, running = BufferBudget(section.buffered), Subsystem()
-    aims = {cls.name: cls.latency_target for cls in core.config.settings.classes.values()}
+    buffers, subsystem = BufferBudget(section.max_buffered_bytes), Subsystem()
+    latency_targets_s = {cls.name: cls.latency_target for cls in core.config.settings.classes.values()}
     for name, address in section.listen.items():
-        most_body = MOST_BODY if name == "platform" else None
+        max_body_bytes = MOST_BODY if name == "platform" else None
         server = Http2Server(
-            core.handlers[name], most_body, core.lifecycle, section.limits, buffers, section.stall_timeout, aims
+            core.handlers[name],
+            max_body_bytes,
+            core.lifecycle,
+            section.limits,
+            buffers,
+            section.stall_timeout,
+            latency_targets_s,
         )
-        running.fronts.append((server, address))
-        running.jobs.append(server.follow())
-    return running
+        subsystem.fronts.append((server, address))
+        subsystem.jobs.append(server.follow_lifecycle())
+    return subsystem
--- a/ochrespan/http2/streams.py
+++ b/ochrespan/http2/streams.py
@@ -12,7 +12,7 @@
 from .limits import BufferBudget
 from .scheduling import FrameScheduler, Priority
 
-BODY_FRAME = 16 * 1024  # bytes of a body that go out in one turn
+MAX_BODY_FRAME_BYTES = 16 * 1024  # bytes of a body that go out in one turn
 
 
 @dataclass(slots=True)
@@ -21,8 +21,8 @@
 
     priority: Priority
     pending: bytearray = field(default_factory=bytearray)  # bytes of the answer that wait
-    ending: bool = False  # the answer's last byte is pending
-    read_all: bool = False  # the request's body is whole
+    response_complete: bool = False  # the answer's last byte is pending
+    request_complete: bool = False  # the request's body is whole
     credit: int = 0  # of the body, not given back yet
 
 
@@ -33,7 +33,7 @@
         self._h2, self._buffers = h2, buffers
         self._streams: dict[int, StreamState] = {}
         self._scheduler = FrameScheduler()
-        self._owed = 0  # credit of the connection that is held back
+        self._withheld_credit = 0  # credit of the connection that is held back
         self.closed = False  # the connection is over: no more credit goes out
 
     def __len__(self) -> int:
@@ -46,15 +46,15 @@
         """The stream's state; None: it is not open."""
         return self._streams.get(stream)
 
-    def open(self, stream: int, priority: Priority, read_all: bool) -> None:
+    def open(self, stream: int, priority: Priority, request_complete: bool) -> None:
         """A request was taken; `read_all`: it has no body."""
-        self._streams[stream] = StreamState(priority, read_all=read_all)
+        self._streams[stream] = StreamState(priority, request_complete=request_complete)
 
     def close(self, stream: int) -> None:
         """Forgets a stream; the credit of what nobody has read goes back."""
         state = self._streams.pop(stream)
         self._scheduler.remove(stream)
-        self._buffers.held -= state.credit
+        self._buffers.used_bytes -= state.credit
         self.return_credit(state.credit)
 
     def close_all(self) -> None:
@@ -65,14 +65,14 @@
 
     # ---- bodies of requests ----
 
-    def hold(self, stream: int, credit: int) -> bool:
+    def record_received(self, stream: int, credit: int) -> bool:
         """Bytes of a body came. False: the stream is not open, and the connection's window is the peer's again."""
         state = self._streams.get(stream)
         if state is None:
             self.return_credit(credit)
             return False
         state.credit += credit
-        self._buffers.held += credit
+        self._buffers.used_bytes += credit
         return True
 
     def consume(self, stream: int, credit: int) -> None:
@@ -81,19 +81,19 @@
         if state is None or not credit:
             return  # what it held was let go with it
         state.credit -= credit
-        self._buffers.held -= credit
-        if not state.read_all:
+        self._buffers.used_bytes -= credit
+        if not state.request_complete:
             self._open_window(credit, stream)
         self.return_credit(credit)
 
     def return_credit(self, credit: int) -> None:
         """Opens the connection's window, unless the front's buffers are full: then the credit is held back."""
-        self._owed += credit
-        if self._owed and self._buffers.full:
-            self._buffers.short = True
-        elif self._owed and not self.closed:
-            owed, self._owed = self._owed, 0
-            self._open_window(owed, 0)
+        self._withheld_credit += credit
+        if self._withheld_credit and self._buffers.full:
+            self._buffers.credit_withheld = True
+        elif self._withheld_credit and not self.closed:
+            withheld, self._withheld_credit = self._withheld_credit, 0
+            self._open_window(withheld, 0)
 
     def _open_window(self, credit: int, stream: int) -> None:
         with suppress(ProtocolError, ValueError, KeyError):  # it has ended meanwhile
@@ -110,7 +110,7 @@
         """Further bytes of an answer, or its end."""
         if (state := self._streams.get(stream)) is not None:
             state.pending += data
-            state.ending = state.ending or ended
+            state.response_complete = state.response_complete or ended
             self.schedule(stream)
 
     def change_priority(self, stream: int, priority: Priority) -> None:
@@ -125,7 +125,7 @@
         state = self._streams.get(stream)
         if state is None:
             return
-        if state.pending and self._window(stream) > 0 or (state.ending and not state.pending):
+        if state.pending and self._window(stream) > 0 or (state.response_complete and not state.pending):
             self._scheduler.add(stream, state.priority)
         else:
             self._scheduler.remove(stream)
@@ -150,8 +150,8 @@
         """Gives h2 one frame of the stream whose turn it is; False: none may go out now."""
         while (stream := self._scheduler.next()) is not None:
             state = self._streams[stream]
-            size = min(self._window(stream), len(state.pending), BODY_FRAME, self._h2.max_outbound_frame_size)
-            last = state.ending and size == len(state.pending)
+            size = min(self._window(stream), len(state.pending), MAX_BODY_FRAME_BYTES, self._h2.max_outbound_frame_size)
+            last = state.response_complete and size == len(state.pending)
             if size <= 0 and not last:
                 self._scheduler.remove(stream)
                 continue
@@ -168,7 +168,7 @@
         """The whole answer is out."""
         state = self._streams[stream]
         self.close(stream)
-        if not state.read_all:  # RFC 9113, section 8.1: the rest of the body is not wanted
+        if not state.request_complete:  # RFC 9113, section 8.1: the rest of the body is not wanted
             self.send_reset(stream, ErrorCodes.NO_ERROR)
 
     def send_reset(self, stream: int, code: int) -> None:
--- a/ochrespan/objects/call.py
+++ b/ochrespan/objects/call.py
@@ -16,13 +16,13 @@
 from ..requests import NotCovered
 from . import layout
 from .errors import ApiError, denied, invalid_argument, not_implemented
-from .section import Objects
+from .section import ObjectsConfig
 from .store import Scope
 
 MAX_XML_BYTES = 256 * 1024  # of a body that is a document
 MAX_METADATA_BYTES = 2048  # of the client's own headers on an object
 MAX_KEY_BYTES = 1024
-MAX_CONTENT_TYPE = 256  # characters that are kept
+MAX_CONTENT_TYPE_CHARS = 256  # characters that are kept
 MAX_EXPIRY_MS = 86_400_000  # a day
 MD5_BYTES = 16
 
@@ -30,7 +30,7 @@
 class Call:
     """One request: whose it is, its parameters and its body."""
 
-    def __init__(self, request: Exchange, objects: Objects, gate: ContractGate) -> None:
+    def __init__(self, request: Exchange, objects: ObjectsConfig, gate: ContractGate) -> None:
         """Raises `ApiError` where the request cannot be read or is no contract's."""
         path, _, query = request.target.partition("?")
         bucket, _, key = path.lstrip("/").partition("/")
@@ -69,46 +69,46 @@
     def part_number(self) -> int:
         """Which part of an upload is sent."""
         number = self.query.get("partNumber", "")
-        if not number.isdecimal() or not 1 <= int(number) <= layout.MOST_PARTS:
-            raise invalid_argument(f"Part number must be 1 to {layout.MOST_PARTS}.")
+        if not number.isdecimal() or not 1 <= int(number) <= layout.MAX_PARTS:
+            raise invalid_argument(f"Part number must be 1 to {layout.MAX_PARTS}.")
         return int(number)
 
-    def description(self) -> tuple[str, dict[str, str]]:
+    def object_metadata(self) -> tuple[str, dict[str, str]]:
         """The content type and the client's own words on the object."""
         headers = self.request.headers
         meta = {name.lower(): value for name, value in headers.items() if name.lower().startswith("x-amz-meta-")}
         if sum(len(name) + len(value) for name, value in meta.items()) > MAX_METADATA_BYTES:
             raise ApiError(400, "MetadataTooLarge", "Your metadata headers are too large.")
-        return headers.get("Content-Type", layout.DEFAULT_CONTENT_TYPE)[:MAX_CONTENT_TYPE], meta
+        return headers.get("Content-Type", layout.DEFAULT_CONTENT_TYPE)[:MAX_CONTENT_TYPE_CHARS], meta
 
     async def body(self) -> AsyncIterator[bytes]:
         """The body in chunk-sized payloads; a client that stops sending is let go."""
-        held = bytearray()
+        buffered = bytearray()
         while True:
             try:
                 async with asyncio.timeout(self._idle_timeout.total_seconds()):
-                    some = await self.request.read_available()
+                    data = await self.request.read_available()
             except TimeoutError:
                 raise ApiError(400, "RequestTimeout", "Your connection was idle for too long.") from None
-            if not some:
+            if not data:
                 break
-            held += some
-            while len(held) >= layout.PAYLOAD:
-                yield bytes(held[: layout.PAYLOAD])
-                del held[: layout.PAYLOAD]
-        if held:
-            yield bytes(held)
+            buffered += data
+            while len(buffered) >= layout.PAYLOAD_BYTES:
+                yield bytes(buffered[: layout.PAYLOAD_BYTES])
+                del buffered[: layout.PAYLOAD_BYTES]
+        if buffered:
+            yield bytes(buffered)
 
     async def document(self) -> bytes:
         """A body that is a small XML document, whole."""
-        parts, size = [], 0
+        chunks, size = [], 0
         async with aclosing(self.body()) as body:
-            async for some in body:
-                parts.append(some)
-                size += len(some)
+            async for data in body:
+                chunks.append(data)
+                size += len(data)
                 if size > MAX_XML_BYTES:
                     raise ApiError(400, "MalformedXML", "The body is too long.")
-        return b"".join(parts)
+        return b"".join(chunks)
 
 
 def expected_md5(headers: Mapping[str, str]) -> str | None:
--- a/ochrespan/objects/conditions.py
+++ b/ochrespan/objects/conditions.py
@@ -11,19 +11,19 @@
 RANGE = re.compile(r"bytes=\s*(\d*)\s*-\s*(\d*)\s*", re.IGNORECASE)
 
 
-class Unsatisfiable(ValueError):
+class RangeNotSatisfiable(ValueError):
     """No byte of the object lies in the range."""
 
 
-class Verdict(Enum):
+class ConditionResult(Enum):
     """What conditions make of a read, by its status."""
 
-    GO = 200
+    PROCEED = 200
     NOT_MODIFIED = 304
     FAILED = 412
 
 
-def read_range(header: str | None, size: int) -> tuple[int, int] | None:
+def parse_range(header: str | None, size: int) -> tuple[int, int] | None:
     """Begin and end (without) of the range; None to send the whole: no range, several, or not one we read."""
     found = RANGE.fullmatch(header.strip()) if header else None
     if found is None or not (found[1] or found[2]):
@@ -35,16 +35,16 @@
         if found[2] and int(found[2]) < int(found[1]):
             return None  # not a range at all
     if begin >= end:
-        raise Unsatisfiable
+        raise RangeNotSatisfiable
     return begin, end
 
 
-def http_date(at: datetime) -> str:
+def format_http_date(at: datetime) -> str:
     """A time as headers have it, in whole seconds."""
     return format_datetime(at.astimezone(UTC).replace(microsecond=0), usegmt=True)
 
 
-def read_date(header: str | None) -> datetime | None:
+def parse_http_date(header: str | None) -> datetime | None:
     """A date that cannot be read is ignored, as the RFC asks."""
     if not header:
         return None
@@ -55,33 +55,33 @@
     return at if at.tzinfo else at.replace(tzinfo=UTC)
 
 
-def names_etag(header: str, etag: str) -> bool:
+def etag_matches(header: str, etag: str) -> bool:
     """Whether a list of ETags has this one, or stands for any."""
     tags = [tag.strip().removeprefix("W/").strip('"') for tag in header.split(",")]
     return "*" in tags or etag in tags
 
 
-def evaluate(headers: Mapping[str, str], etag: str, modified: datetime) -> Verdict:
+def evaluate(headers: Mapping[str, str], etag: str, modified: datetime) -> ConditionResult:
     """What a read's conditions say of an object; an ETag's word goes before a date's."""
     modified = modified.replace(microsecond=0)
     if (header := headers.get("If-Match")) is not None:
-        if not names_etag(header, etag):
-            return Verdict.FAILED
-    elif (at := read_date(headers.get("If-Unmodified-Since"))) is not None and modified > at:
-        return Verdict.FAILED
+        if not etag_matches(header, etag):
+            return ConditionResult.FAILED
+    elif (at := parse_http_date(headers.get("If-Unmodified-Since"))) is not None and modified > at:
+        return ConditionResult.FAILED
     if (header := headers.get("If-None-Match")) is not None:
-        if names_etag(header, etag):
-            return Verdict.NOT_MODIFIED
-    elif (at := read_date(headers.get("If-Modified-Since"))) is not None and modified <= at:
-        return Verdict.NOT_MODIFIED
-    return Verdict.GO
+        if etag_matches(header, etag):
+            return ConditionResult.NOT_MODIFIED
+    elif (at := parse_http_date(headers.get("If-Modified-Since"))) is not None and modified <= at:
+        return ConditionResult.NOT_MODIFIED
+    return ConditionResult.PROCEED
 
 
-def range_holds(headers: Mapping[str, str], etag: str, modified: datetime) -> bool:
+def range_applies(headers: Mapping[str, str], etag: str, modified: datetime) -> bool:
     """Whether If-Range lets the range stand; otherwise the whole object is sent."""
     header = headers.get("If-Range")
     if header is None:
         return True
-    if (at := read_date(header)) is not None:
+    if (at := parse_http_date(header)) is not None:
         return modified.replace(microsecond=0) == at
     return header.strip().strip('"') == etag and not header.startswith("W/")
--- a/ochrespan/objects/errors.py
+++ b/ochrespan/objects/errors.py
@@ -9,8 +9,8 @@
 
 from ..exchange import Exchange, Reply
 from . import layout, xml
-from .store import Denied, Expired, StorageFailed, Unavailable
-from .uploads import BadPart, NoSuchUpload
+from .store import DeadlineExceeded, Denied, StorageFailed, Unavailable
+from .uploads import InvalidPartList, NoSuchUpload
 
 log = logging.getLogger(__name__)
 
@@ -46,9 +46,9 @@
     return ApiError(404, "NoSuchKey", "The specified key does not exist.")
 
 
-def denied(why: str) -> ApiError:
+def denied(reason: str) -> ApiError:
     """No contract covers the request."""
-    return ApiError(403, "AccessDenied", f"Access Denied ({why})")
+    return ApiError(403, "AccessDenied", f"Access Denied ({reason})")
 
 
 def not_implemented(message: str) -> ApiError:
@@ -70,15 +70,15 @@
             return _slow_down(error)
         case Denied():
             return denied(str(error))
-        case Expired():
+        case DeadlineExceeded():
             return ApiError(504, "RequestTimeout", "The request's own deadline has passed.")
         case NoSuchUpload():
             return ApiError(404, "NoSuchUpload", "The specified upload does not exist.")
-        case BadPart():
+        case InvalidPartList():
             return ApiError(400, error.code, str(error))
-        case xml.BadXml():
+        case xml.MalformedXml():
             return ApiError(400, "MalformedXML", str(error))
-        case StorageFailed() | layout.Corrupt():
+        case StorageFailed() | layout.CorruptChunk():
             return ApiError(500, "InternalError", "What is stored could not be reached whole.")
     log.error("request failed", exc_info=error)
     return ApiError(500, "InternalError", "We encountered an internal error.")
@@ -86,7 +86,7 @@
 
 def _slow_down(error: Unavailable) -> ApiError:
     # Retry-After in whole seconds, as S3's clients read it; the module's pauses are shorter
-    wait = -(-(error.pause or timedelta()) // timedelta(seconds=1)) or 1
+    wait = -(-(error.retry_after or timedelta()) // timedelta(seconds=1)) or 1
     message = "Please reduce your request rate."
     if error.rule:
         message = f"Your contract's budget is spent: {error.rule}."
--- a/ochrespan/objects/front.py
+++ b/ochrespan/objects/front.py
@@ -13,23 +13,23 @@
 from ..logs import bind
 from . import conditions, layout, xml
 from .call import Call, expected_md5
-from .conditions import Verdict
+from .conditions import ConditionResult
 from .errors import XML_TYPE, ApiError, api_error, denied, invalid_argument, no_key, not_implemented
 from .layout import Manifest, Part
-from .section import Objects
-from .store import ChunkStore, Expired, StorageFailed, Unavailable
+from .section import ObjectsConfig
+from .store import ChunkStore, DeadlineExceeded, StorageFailed, Unavailable
 from .uploads import Uploads
 
 log = logging.getLogger(__name__)
 
-UNSERVED = frozenset({"acl", "tagging"})  # parts of an object that S3 has and this API has not
+UNSUPPORTED_SUBRESOURCES = frozenset({"acl", "tagging"})  # parts of an object that S3 has and this API has not
 
 
 class ObjectFront:
     """Routes calls to the store and the uploads, and answers them."""
 
     def __init__(
-        self, objects: Objects, gate: ContractGate, store: ChunkStore, uploads: Uploads, lifecycle: Lifecycle
+        self, objects: ObjectsConfig, gate: ContractGate, store: ChunkStore, uploads: Uploads, lifecycle: Lifecycle
     ) -> None:
         self._objects, self._gate, self._store, self._uploads = objects, gate, store, uploads
         self._lifecycle = lifecycle
@@ -44,8 +44,8 @@
                 reply = await self._route(call)
             except asyncio.CancelledError:
                 raise
-            except Exception as why:
-                reply = api_error(why).reply(request)
+            except Exception as error:
+                reply = api_error(error).reply(request)
             if reply is not None:  # what is left of a body that we refused is not read
                 reply.close = self._lifecycle.closing or not request.body_ended
             return reply
@@ -58,24 +58,24 @@
             self._require_class(contract, cls)
 
     def _require_class(self, contract: Contract, cls: str) -> None:
-        if (why := self._gate.covers(contract, cls)) is not None:
-            raise denied(f"{why.rule}: {why.message}")
+        if (refusal := self._gate.covers(contract, cls)) is not None:
+            raise denied(f"{refusal.rule}: {refusal.message}")
 
     async def _route(self, call: Call) -> Reply | None:
         query = call.query
         match call.request.method:
             case "GET" if "uploadId" in query:
                 return await self._list_parts(call)
-            case "GET" | "HEAD" if not (UNSERVED | {"uploads"}) & set(query):
-                return await self._read(call)
+            case "GET" | "HEAD" if not (UNSUPPORTED_SUBRESOURCES | {"uploads"}) & set(query):
+                return await self._get_object(call)
             case "PUT" if "uploadId" in query:
                 return await self._put_part(call)
-            case "PUT" if not UNSERVED & set(query):
-                return await self._put(call)
+            case "PUT" if not UNSUPPORTED_SUBRESOURCES & set(query):
+                return await self._put_object(call)
             case "POST" if "uploads" in query:
-                return await self._create(call)
+                return await self._create_upload(call)
             case "POST" if "uploadId" in query:
-                return await self._complete(call)
+                return await self._complete_upload(call)
             case "DELETE" if "uploadId" in query:
                 await self._uploads.abort(call.scope, query["uploadId"])
                 return Reply(204)
@@ -86,17 +86,17 @@
 
     # ---- reads ----
 
-    async def _read(self, call: Call) -> Reply | None:
-        manifest = await self._store.manifest(call.scope)
+    async def _get_object(self, call: Call) -> Reply | None:
+        manifest = await self._store.read_manifest(call.scope)
         if manifest is None:
             raise no_key()
         headers = call.request.headers
         match conditions.evaluate(headers, manifest.etag, manifest.modified):
-            case Verdict.FAILED:
+            case ConditionResult.FAILED:
                 raise ApiError(412, "PreconditionFailed", "A precondition you specified did not hold.")
-            case Verdict.NOT_MODIFIED:
+            case ConditionResult.NOT_MODIFIED:
                 return Reply(304, headers=self._object_headers(manifest))
-        size, span = manifest.size, self._span(call, manifest)
+        size, span = manifest.size, self._requested_range(call, manifest)
         begin, end = span or (0, size)
         headers = self._object_headers(manifest) | {"Content-Type": manifest.content_type}
         if span:
@@ -109,14 +109,14 @@
         return None
 
     @staticmethod
-    def _span(call: Call, manifest: Manifest) -> tuple[int, int] | None:
+    def _requested_range(call: Call, manifest: Manifest) -> tuple[int, int] | None:
         """Begin and end (without) of the bytes that are wanted; None: all."""
         headers = call.request.headers
-        if not conditions.range_holds(headers, manifest.etag, manifest.modified):
+        if not conditions.range_applies(headers, manifest.etag, manifest.modified):
             return None
         try:
-            return conditions.read_range(headers.get("Range"), manifest.size)
-        except conditions.Unsatisfiable:
+            return conditions.parse_range(headers.get("Range"), manifest.size)
+        except conditions.RangeNotSatisfiable:
             raise ApiError(
                 416,
                 "InvalidRange",
@@ -128,14 +128,14 @@
     def _object_headers(manifest: Manifest) -> dict[str, str]:
         return manifest.meta | {
             "ETag": f'"{manifest.etag}"',
-            "Last-Modified": conditions.http_date(manifest.modified),
+            "Last-Modified": conditions.format_http_date(manifest.modified),
             "Accept-Ranges": "bytes",
         }
 
     async def _stream(self, call: Call, manifest: Manifest, begin: int, end: int, headers: dict[str, str]) -> None:
         status = 206 if "Content-Range" in headers else 200
         contract = call.scope.contract
-        cls = contract.export if end - begin >= self._objects.export_from else contract.read
+        cls = contract.export if end - begin >= self._objects.export_threshold_bytes else contract.read
         self._require_class(contract, cls)
         slices = list(manifest.slices(begin, end))
         async with aclosing(self._store.load(call.scope, cls, slices)) as load:
@@ -147,10 +147,10 @@
                     await call.request.write(first)
                 async for payload in load:
                     await call.request.write(payload)
-            except (Unavailable, StorageFailed, Expired, layout.Corrupt) as why:
-                log.warning("read broke off", extra={"key": call.scope.key, "why": repr(why)})
+            except (Unavailable, StorageFailed, DeadlineExceeded, layout.CorruptChunk) as error:
+                log.warning("read broke off", extra={"key": call.scope.key, "why": repr(error)})
                 call.request.abort()
-                raise ConnectionResetError("broken off") from why
+                raise ConnectionResetError("broken off") from error
             await call.request.finish()
 
     # ---- writes ----
@@ -162,17 +162,17 @@
         if {"If-Match", "If-None-Match"} & set(headers):
             # fronts share nothing: no two of them could agree on which write came first
             raise not_implemented("Conditional writes are not served.")
-        wanted = expected_md5(headers)
+        expected_digest = expected_md5(headers)
         if headers.get("Expect", "").lower() == "100-continue":
             await call.request.send_continue()
         async with aclosing(call.body()) as body:
             part = await self._store.store(call.scope, body, number)
-        if wanted is not None and wanted != part.md5:
+        if expected_digest is not None and expected_digest != part.md5:
             raise ApiError(400, "BadDigest", "The Content-MD5 you specified did not match what we received.")
         return part
 
-    async def _put(self, call: Call) -> Reply:
-        content_type, meta = call.description()
+    async def _put_object(self, call: Call) -> Reply:
+        content_type, meta = call.object_metadata()
         part = await self._store_body(call, 1)
         manifest = Manifest(part.md5, layout.now(), [part], content_type, meta)
         await self._store.commit(call.scope, manifest)
@@ -187,14 +187,14 @@
 
     # ---- uploads ----
 
-    async def _create(self, call: Call) -> Reply:
-        upload = await self._uploads.create(call.scope, *call.description())
+    async def _create_upload(self, call: Call) -> Reply:
+        upload = await self._uploads.create(call.scope, *call.object_metadata())
         return self._result(
             "InitiateMultipartUploadResult",
             [("Bucket", call.scope.bucket), ("Key", call.scope.key), ("UploadId", upload)],
         )
 
-    async def _complete(self, call: Call) -> Reply:
+    async def _complete_upload(self, call: Call) -> Reply:
         parts = xml.read_parts(await call.document())
         manifest = await self._uploads.complete(call.scope, call.query["uploadId"], parts)
         return self._result(
@@ -209,7 +209,7 @@
 
     async def _list_parts(self, call: Call) -> Reply:
         upload, query = call.query["uploadId"], call.query
-        limit, after = query.get("max-parts", str(layout.MOST_PARTS)), query.get("part-number-marker", "0")
+        limit, after = query.get("max-parts", str(layout.MAX_PARTS)), query.get("part-number-marker", "0")
         if not (limit.isdecimal() and after.isdecimal()):
             raise invalid_argument("max-parts and part-number-marker must be numbers.")
         await self._uploads.find(call.scope, upload)
--- a/ochrespan/objects/layout.py
+++ b/ochrespan/objects/layout.py
@@ -15,22 +15,22 @@
 from datetime import UTC, datetime
 from typing import Any
 
-MOST_BODY = 64 * 1024  # bytes of a chunk server's body
-SEAL = 16  # bytes of the digest before a chunk's payload
-PAYLOAD = MOST_BODY - SEAL  # bytes of an object in one chunk
-MOST_PARTS = 1000  # so that the part list fits into the manifest's one chunk
-MOST_RECORD = 8 * MOST_BODY  # bytes of a record's text once unpacked
+MAX_BODY_BYTES = 64 * 1024  # bytes of a chunk server's body
+SEAL_BYTES = 16  # bytes of the digest before a chunk's payload
+PAYLOAD_BYTES = MAX_BODY_BYTES - SEAL_BYTES  # bytes of an object in one chunk
+MAX_PARTS = 1000  # so that the part list fits into the manifest's one chunk
+MAX_RECORD_BYTES = 8 * MAX_BODY_BYTES  # bytes of a record's text once unpacked
 DEFAULT_CONTENT_TYPE = "binary/octet-stream"  # S3's own, where a client names none
 
-Names = tuple[str, ...]
+ChunkName = tuple[str, ...]
 
 
-class Corrupt(ValueError):
+class CorruptChunk(ValueError):
     """A body that is not what was stored under this name."""
 
 
-def _digest(names: Names, size: int) -> bytes:
-    return hashlib.blake2b(json.dumps(names).encode(), digest_size=size).digest()
+def _digest(chunk_name: ChunkName, size: int) -> bytes:
+    return hashlib.blake2b(json.dumps(chunk_name).encode(), digest_size=size).digest()
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,23 +47,23 @@
         return f"/api/{self.volume}/{self.key}"
 
 
-def locate(team: str, names: Names, shards: int) -> ChunkLocation:
+def locate(team: str, chunk_name: ChunkName, shards: int) -> ChunkLocation:
     """Where a chunk of this name lies: the same at every front."""
-    digest = _digest(names, 16)
+    digest = _digest(chunk_name, 16)
     shard = int.from_bytes(digest[8:]) % max(1, shards)
     return ChunkLocation(_digest(("team", team), 8).hex(), digest[:8].hex(), shard)
 
 
-def seal(names: Names, payload: bytes) -> bytes:
+def seal(chunk_name: ChunkName, payload: bytes) -> bytes:
     """The chunk's body: a keyed digest of the payload under its name, then the payload."""
-    return hashlib.blake2b(payload, digest_size=SEAL, key=_digest(names, 32)).digest() + payload
+    return hashlib.blake2b(payload, digest_size=SEAL_BYTES, key=_digest(chunk_name, 32)).digest() + payload
 
 
-def unseal(names: Names, body: bytes) -> bytes:
+def unseal(chunk_name: ChunkName, body: bytes) -> bytes:
     """The payload; raises `Corrupt` unless the body is whole and of this name."""
-    payload = body[SEAL:]
-    if not hmac.compare_digest(seal(names, payload)[:SEAL], body[:SEAL]):
-        raise Corrupt("the seal does not match")
+    payload = body[SEAL_BYTES:]
+    if not hmac.compare_digest(seal(chunk_name, payload)[:SEAL_BYTES], body[:SEAL_BYTES]):
+        raise CorruptChunk("the seal does not match")
     return payload
 
 
@@ -75,9 +75,9 @@
 def unpack(payload: bytes) -> Any:
     """The record again; raises `Corrupt` where it would grow beyond its bound."""
     unpacker = zlib.decompressobj()
-    text = unpacker.decompress(payload, MOST_RECORD)
+    text = unpacker.decompress(payload, MAX_RECORD_BYTES)
     if unpacker.unconsumed_tail:
-        raise Corrupt("the record is too long")
+        raise CorruptChunk("the record is too long")
     return json.loads(text)
 
 
@@ -106,9 +106,9 @@
     end: int
 
     @property
-    def length(self) -> int:
+    def payload_bytes(self) -> int:
         """Bytes of the whole chunk."""
-        return min(PAYLOAD, self.part.size - self.index * PAYLOAD)
+        return min(PAYLOAD_BYTES, self.part.size - self.index * PAYLOAD_BYTES)
 
 
 @dataclass(slots=True)
@@ -132,9 +132,9 @@
         at = 0
         for part in self.parts:
             low, high = max(begin - at, 0), min(end - at, part.size)
-            for index in range(low // PAYLOAD, -(-high // PAYLOAD) if high > low else 0):
-                start = index * PAYLOAD
-                yield ChunkSlice(part, index, max(low - start, 0), min(high - start, PAYLOAD))
+            for index in range(low // PAYLOAD_BYTES, -(-high // PAYLOAD_BYTES) if high > low else 0):
+                start = index * PAYLOAD_BYTES
+                yield ChunkSlice(part, index, max(low - start, 0), min(high - start, PAYLOAD_BYTES))
             at += part.size
 
     def encode(self) -> bytes:
@@ -175,21 +175,21 @@
     return datetime.now(UTC)
 
 
-def manifest_names(bucket: str, key: str) -> Names:
+def manifest_chunk_name(bucket: str, key: str) -> ChunkName:
     """The chunk of an object's manifest."""
     return ("manifest", bucket, key)
 
 
-def data_names(bucket: str, key: str, part: Part, index: int) -> Names:
+def data_chunk_name(bucket: str, key: str, part: Part, index: int) -> ChunkName:
     """A chunk of a part's data."""
     return ("data", bucket, key, part.generation, str(part.number), str(index))
 
 
-def upload_names(bucket: str, key: str, upload: str) -> Names:
+def upload_chunk_name(bucket: str, key: str, upload: str) -> ChunkName:
     """The chunk of an upload's own record."""
     return ("upload", bucket, key, upload)
 
 
-def index_names(bucket: str, key: str, upload: str, front: int) -> Names:
+def part_list_chunk_name(bucket: str, key: str, upload: str, front: int) -> ChunkName:
     """The chunk in which one front lists the parts of an upload that came through it."""
     return ("parts", bucket, key, upload, str(front))
--- a/ochrespan/objects/section.py
+++ b/ochrespan/objects/section.py
@@ -25,28 +25,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Objects:
+class ObjectsConfig:
     """What the operator's file says of the object API, checked."""
 
     listen: tuple[str, int]
-    export_from: int  # bytes from which a read runs as an export
-    least_part: int  # bytes of every part of an upload but the last
+    export_threshold_bytes: int  # bytes from which a read runs as an export
+    min_part_bytes: int  # bytes of every part of an upload but the last
     idle_timeout: timedelta  # for a client that stops sending
 
 
 def read(
     tables: Mapping[str, Any], settings: api.Settings, faults: Faults, earlier: Mapping[str, Any]
-) -> Objects | None:
+) -> ObjectsConfig | None:
     """The checked section; None where the table cannot be read. Faults are collected in `faults`."""
-    told = read_table(ObjectsTable, tables["objects"], "[objects]", faults)
+    table = read_table(ObjectsTable, tables["objects"], "[objects]", faults)
     contracts = earlier.get("contracts")
     if contracts is None or not contracts.registry.by_bucket:
         faults.add("[[team]] buckets", "nothing", "at least one team with a bucket, for [objects]")
-    if told is None:
+    if table is None:
         return None
-    return Objects(
-        read_address(told.listen, "[objects] listen", faults),
-        told.export_from_bytes,
-        told.least_part_bytes,
-        timedelta(seconds=told.patience_s),
+    return ObjectsConfig(
+        read_address(table.listen, "[objects] listen", faults),
+        table.export_from_bytes,
+        table.least_part_bytes,
+        timedelta(seconds=table.patience_s),
     )
--- a/ochrespan/objects/start.py
+++ b/ochrespan/objects/start.py
@@ -7,17 +7,17 @@
 from ..net.http1 import Http1Server
 from ..subsystem import CoreComponents, Subsystem
 from .front import ObjectFront
-from .section import Objects
+from .section import ObjectsConfig
 from .store import ChunkStore
 from .uploads import Uploads
 
 
-def start(section: Objects, core: CoreComponents) -> Subsystem:
+def start(section: ObjectsConfig, core: CoreComponents) -> Subsystem:
     """The object API's server and its address."""
     settings, links = core.config.settings, core.config.links
     deadlines = {cls.name: timedelta(seconds=cls.deadline) for cls in settings.classes.values()}
     store = ChunkStore(core.broker, core.client, links.shards, settings.max_units, deadlines)
-    uploads = Uploads(store, links.rank, settings.fronts, section.least_part)
+    uploads = Uploads(store, links.rank, settings.fronts, section.min_part_bytes)
     front = ObjectFront(section, core.gate, store, uploads, core.lifecycle)
     core.handlers["objects"] = front.handle
     return Subsystem(fronts=[(Http1Server(front.handle, None), section.listen)])
--- a/ochrespan/objects/store.py
+++ b/ochrespan/objects/store.py
@@ -17,9 +17,9 @@
 from ..net.chunks import Answer, ChunkClient, Message, serve
 from ..requests import Claim, Failed, NotCovered, OverBudget, Refused, Request
 from . import layout
-from .layout import ChunkSlice, Manifest, Names, Part
+from .layout import ChunkName, ChunkSlice, Manifest, Part
 
-CHUNKS_IN_FLIGHT = 4  # chunks of one object under way at a time: bounds memory and what one client occupies
+MAX_CHUNKS_IN_FLIGHT = 4  # chunks of one object under way at a time: bounds memory and what one client occupies
 GENERATION_BYTES = 6  # of the random name of a stored run
 TRACE_ID_BYTES = 8
 
@@ -27,9 +27,9 @@
 class Unavailable(Exception):
     """Refused: trying again is harmless."""
 
-    def __init__(self, pause: timedelta | None, rule: str = "") -> None:
+    def __init__(self, retry_after: timedelta | None, rule: str = "") -> None:
         super().__init__(f"over budget: {rule}" if rule else "refused")
-        self.pause, self.rule = pause, rule
+        self.retry_after, self.rule = retry_after, rule
 
 
 class Denied(Exception):
@@ -40,7 +40,7 @@
     """Failed, or what is stored is not whole."""
 
 
-class Expired(Exception):
+class DeadlineExceeded(Exception):
     """The client's own deadline has passed."""
 
 
@@ -52,15 +52,15 @@
     owner: str  # the team whose data it is
     bucket: str
     key: str
-    ends: datetime | None = None
+    deadline: datetime | None = None
 
     @property
-    def read(self) -> str:
+    def read_class(self) -> str:
         """The class of its reads."""
         return self.contract.read
 
     @property
-    def write(self) -> str:
+    def write_class(self) -> str:
         """The class of its writes."""
         return self.contract.write
 
@@ -69,82 +69,84 @@
     """Reads and writes chunks, records and whole objects through the core."""
 
     def __init__(
-        self, broker: Broker, client: ChunkClient, shards: int, most_units: float, deadlines: dict[str, timedelta]
+        self, broker: Broker, client: ChunkClient, shards: int, max_units: float, deadlines: dict[str, timedelta]
     ) -> None:
         self._broker, self._client = broker, client
-        self._shards, self._most_units, self._deadlines = shards, max(1.0, most_units), deadlines
-
-    def _request(self, scope: Scope, cls: str, place: layout.ChunkLocation, size: int) -> Request:
-        left = self._deadlines[cls]
-        if scope.ends is not None:
-            left = min(left, scope.ends - layout.now())
-            if left <= timedelta():
-                raise Expired
-        units = max(1.0, -(-size * self._most_units // layout.MOST_BODY))
+        self._shards, self._max_units, self._deadlines = shards, max(1.0, max_units), deadlines
+
+    def _request(self, scope: Scope, cls: str, location: layout.ChunkLocation, size: int) -> Request:
+        remaining_time = self._deadlines[cls]
+        if scope.deadline is not None:
+            remaining_time = min(remaining_time, scope.deadline - layout.now())
+            if remaining_time <= timedelta():
+                raise DeadlineExceeded
+        units = max(1.0, -(-size * self._max_units // layout.MAX_BODY_BYTES))
         claim = Claim(bucket=scope.bucket, contract=scope.contract)
-        return Request(place.volume, cls, scope.contract.plan, left, units, place.shard, place.key, claim=claim)
+        return Request(
+            location.volume, cls, scope.contract.plan, remaining_time, units, location.shard, location.key, claim=claim
+        )
 
     async def _serve(self, request: Request, message: Message) -> Answer:
         message.headers["X-Trace-Id"] = secrets.token_hex(TRACE_ID_BYTES)
         match await serve(self._broker, self._client, request, message):
-            case Refused(pause):
-                raise Unavailable(pause)
-            case OverBudget(rule, _, pause):
-                raise Unavailable(pause, rule)
-            case NotCovered(rule, _, words):
-                raise Denied(f"{rule}: {words}")
+            case Refused(retry_after):
+                raise Unavailable(retry_after)
+            case OverBudget(rule, _, retry_after):
+                raise Unavailable(retry_after, rule)
+            case NotCovered(rule, _, detail):
+                raise Denied(f"{rule}: {detail}")
             case Failed():
                 raise StorageFailed("no chunk server served it")
             case answer:
                 return answer
 
-    async def write(self, scope: Scope, cls: str, names: Names, payload: bytes) -> None:
+    async def write(self, scope: Scope, cls: str, chunk_name: ChunkName, payload: bytes) -> None:
         """Stores one chunk, sealed."""
-        if len(payload) > layout.PAYLOAD:
+        if len(payload) > layout.PAYLOAD_BYTES:
             raise StorageFailed("a record does not fit into a chunk")
-        location = layout.locate(scope.owner, names, self._shards)
+        location = layout.locate(scope.owner, chunk_name, self._shards)
         request = self._request(scope, cls, location, len(payload))
-        await self._serve(request, Message("PUT", location.target, layout.seal(names, payload)))
+        await self._serve(request, Message("PUT", location.target, layout.seal(chunk_name, payload)))
 
-    async def read(self, scope: Scope, cls: str, names: Names, size: int) -> bytes | None:
+    async def read(self, scope: Scope, cls: str, chunk_name: ChunkName, size: int) -> bytes | None:
         """The payload, or None where nothing is stored. Only a whole body whose seal opens ends the request."""
-        location = layout.locate(scope.owner, names, self._shards)
+        location = layout.locate(scope.owner, chunk_name, self._shards)
 
-        def whole(answer: Answer) -> bool:
+        def is_valid(answer: Answer) -> bool:
             if answer.status == 404:
                 return True
             try:
-                layout.unseal(names, answer.body)
-            except layout.Corrupt:
+                layout.unseal(chunk_name, answer.body)
+            except layout.CorruptChunk:
                 return False
             return True
 
-        message = Message("GET", location.target, served=frozenset({200, 404}), check=whole)
+        message = Message("GET", location.target, served=frozenset({200, 404}), check=is_valid)
         answer = await self._serve(self._request(scope, cls, location, size), message)
-        return None if answer.status == 404 else answer.body[layout.SEAL :]
+        return None if answer.status == 404 else answer.body[layout.SEAL_BYTES :]
 
-    async def read_record(self, scope: Scope, names: Names) -> Any:
+    async def read_record(self, scope: Scope, chunk_name: ChunkName) -> Any:
         """A stored record, or None."""
-        payload = await self.read(scope, scope.read, names, 1)
+        payload = await self.read(scope, scope.read_class, chunk_name, 1)
         return None if payload is None else layout.unpack(payload)
 
-    async def write_record(self, scope: Scope, names: Names, record: Any) -> None:
+    async def write_record(self, scope: Scope, chunk_name: ChunkName, record: Any) -> None:
         """Stores a record under its name."""
-        await self.write(scope, scope.write, names, layout.pack(record))
+        await self.write(scope, scope.write_class, chunk_name, layout.pack(record))
 
     # ---- whole objects ----
 
-    async def manifest(self, scope: Scope) -> Manifest | None:
+    async def read_manifest(self, scope: Scope) -> Manifest | None:
         """The object as it stands, or None where there is none."""
-        names = layout.manifest_names(scope.bucket, scope.key)
-        payload = await self.read(scope, scope.read, names, 1)
+        chunk_name = layout.manifest_chunk_name(scope.bucket, scope.key)
+        payload = await self.read(scope, scope.read_class, chunk_name, 1)
         found = Manifest.decode(payload) if payload is not None else None
         return None if found is None or found.deleted else found
 
     async def commit(self, scope: Scope, manifest: Manifest) -> None:
         """The last write of an object: until it is done, readers see what was there before."""
-        names = layout.manifest_names(scope.bucket, scope.key)
-        await self.write(scope, scope.write, names, manifest.encode())
+        chunk_name = layout.manifest_chunk_name(scope.bucket, scope.key)
+        await self.write(scope, scope.write_class, chunk_name, manifest.encode())
 
     async def store(self, scope: Scope, body: AsyncIterator[bytes], number: int = 1) -> Part:
         """Stores a run of bytes in chunks of a new generation; nothing refers to them yet."""
@@ -156,11 +158,11 @@
             async for payload in body:
                 digest.update(payload)
                 size += len(payload)
-                names = layout.data_names(scope.bucket, scope.key, blank, index)
-                await window.room()
-                window.add(self.write(scope, scope.write, names, payload))
+                chunk_name = layout.data_chunk_name(scope.bucket, scope.key, blank, index)
+                await window.wait_for_capacity()
+                window.add(self.write(scope, scope.write_class, chunk_name, payload))
                 index += 1
-            await window.empty()
+            await window.wait_all()
         finally:
             await window.cancel()
         modified = int(layout.now().timestamp() * 1000)
@@ -168,23 +170,23 @@
 
     async def load(self, scope: Scope, cls: str, slices: list[ChunkSlice]) -> AsyncIterator[bytes]:
         """The bytes of these slices, in order, each once, with a few chunks read ahead."""
-        window, coming = TaskWindow(), iter(slices)
+        window, remaining = TaskWindow(), iter(slices)
         try:
             while True:
-                while len(window) < CHUNKS_IN_FLIGHT and (wanted := next(coming, None)) is not None:
-                    window.add(self._load(scope, cls, wanted))
+                while len(window) < MAX_CHUNKS_IN_FLIGHT and (requested := next(remaining, None)) is not None:
+                    window.add(self._load(scope, cls, requested))
                 if not len(window):
                     return
-                yield await window.first()
+                yield await window.next_result()
         finally:
             await window.cancel()
 
-    async def _load(self, scope: Scope, cls: str, wanted: ChunkSlice) -> bytes:
-        names = layout.data_names(scope.bucket, scope.key, wanted.part, wanted.index)
-        payload = await self.read(scope, cls, names, wanted.length)
-        if payload is None or len(payload) != wanted.length:
-            raise StorageFailed(f"chunk {json.dumps(names)} is missing")
-        return payload[wanted.begin : wanted.end]
+    async def _load(self, scope: Scope, cls: str, requested: ChunkSlice) -> bytes:
+        chunk_name = layout.data_chunk_name(scope.bucket, scope.key, requested.part, requested.index)
+        payload = await self.read(scope, cls, chunk_name, requested.payload_bytes)
+        if payload is None or len(payload) != requested.payload_bytes:
+            raise StorageFailed(f"chunk {json.dumps(chunk_name)} is missing")
+        return payload[requested.begin : requested.end]
 
 
 class TaskWindow:
@@ -200,21 +202,21 @@
         """Starts one more task."""
         self._tasks.append(asyncio.create_task(work))
 
-    async def first(self) -> Any:
+    async def next_result(self) -> Any:
         """The result of the oldest task."""
         result = await self._tasks[0]
         self._tasks.popleft()
         return result
 
-    async def room(self) -> None:
+    async def wait_for_capacity(self) -> None:
         """Waits until one more task may start."""
-        while len(self._tasks) >= CHUNKS_IN_FLIGHT:
-            await self.first()
+        while len(self._tasks) >= MAX_CHUNKS_IN_FLIGHT:
+            await self.next_result()
 
-    async def empty(self) -> None:
+    async def wait_all(self) -> None:
         """Waits until all are done."""
         while self._tasks:
-            await self.first()
+            await self.next_result()
 
     async def cancel(self) -> None:
         """Ends all that are left."""
--- a/ochrespan/objects/uploads.py
+++ b/ochrespan/objects/uploads.py
@@ -15,7 +15,7 @@
 
 from . import layout
 from .layout import Manifest, Part
-from .store import ChunkStore, Expired, Scope, StorageFailed, Unavailable
+from .store import ChunkStore, DeadlineExceeded, Scope, StorageFailed, Unavailable
 
 MAX_LOCKS = 1000  # uploads whose lock is kept; beyond, the longest unused goes
 
@@ -24,11 +24,11 @@
     """The upload was never created, or has been completed or aborted."""
 
 
-class BadPart(Exception):
+class InvalidPartList(Exception):
     """A part that was named is not there, not the one meant, or too small."""
 
-    def __init__(self, code: str, words: str) -> None:
-        super().__init__(words)
+    def __init__(self, code: str, detail: str) -> None:
+        super().__init__(detail)
         self.code = code
 
 
@@ -44,9 +44,9 @@
 class Uploads:
     """Multipart uploads of one front."""
 
-    def __init__(self, store: ChunkStore, front: int, fronts: int, least_part: int) -> None:
+    def __init__(self, store: ChunkStore, front: int, fronts: int, min_part_bytes: int) -> None:
         self._store, self._front, self._fronts = store, front, max(1, fronts, front + 1)
-        self._least_part = least_part
+        self._min_part_bytes = min_part_bytes
         self._locks: OrderedDict[str, asyncio.Lock] = OrderedDict()
 
     def _lock(self, upload: str) -> asyncio.Lock:
@@ -60,32 +60,32 @@
     async def create(self, scope: Scope, content_type: str, meta: dict[str, str]) -> str:
         """Opens an upload and returns its id."""
         upload = secrets.token_hex(16)
-        await self._mark(scope, Upload(upload, content_type, meta), "open")
+        await self._write_state(scope, Upload(upload, content_type, meta), "open")
         return upload
 
-    async def _mark(self, scope: Scope, upload: Upload, state: str) -> None:
-        names = layout.upload_names(scope.bucket, scope.key, upload.id)
+    async def _write_state(self, scope: Scope, upload: Upload, state: str) -> None:
+        chunk_name = layout.upload_chunk_name(scope.bucket, scope.key, upload.id)
         record = {"state": state, "type": upload.content_type, "meta": upload.meta}
-        await self._store.write_record(scope, names, record)
+        await self._store.write_record(scope, chunk_name, record)
 
     async def find(self, scope: Scope, upload: str) -> Upload:
         """The open upload of this id, or `NoSuchUpload`."""
-        record = await self._store.read_record(scope, layout.upload_names(scope.bucket, scope.key, upload))
+        record = await self._store.read_record(scope, layout.upload_chunk_name(scope.bucket, scope.key, upload))
         if record is None or record["state"] != "open":
             raise NoSuchUpload(upload)
         return Upload(upload, record["type"], record["meta"])
 
     async def put_part(self, scope: Scope, upload: str, part: Part) -> None:
         """Makes a stored part known."""
-        names = layout.index_names(scope.bucket, scope.key, upload, self._front)
+        chunk_name = layout.part_list_chunk_name(scope.bucket, scope.key, upload, self._front)
         async with self._lock(upload):
             parts = await self._read_index(scope, upload, self._front)
             parts[part.number] = part
-            await self._store.write_record(scope, names, [part.row() for part in parts.values()])
+            await self._store.write_record(scope, chunk_name, [part.row() for part in parts.values()])
 
     async def _read_index(self, scope: Scope, upload: str, front: int) -> dict[int, Part]:
-        names = layout.index_names(scope.bucket, scope.key, upload, front)
-        record: list[Any] = await self._store.read_record(scope, names) or []
+        chunk_name = layout.part_list_chunk_name(scope.bucket, scope.key, upload, front)
+        record: list[Any] = await self._store.read_record(scope, chunk_name) or []
         return {part.number: part for part in (Part(*entry) for entry in record)}
 
     async def parts(self, scope: Scope, upload: str) -> dict[int, Part]:
@@ -98,33 +98,33 @@
                     found[number] = part
         return dict(sorted(found.items()))
 
-    async def complete(self, scope: Scope, upload: str, wanted: list[tuple[int, str]]) -> Manifest:
+    async def complete(self, scope: Scope, upload: str, requested: list[tuple[int, str]]) -> Manifest:
         """Makes the named parts the object, in this order; raises `BadPart` where they cannot be."""
         opened = await self.find(scope, upload)
-        chosen = self._choose(await self.parts(scope, upload), wanted)
-        manifest = Manifest(layout.etag_of_parts(chosen), layout.now(), chosen, opened.content_type, opened.meta)
+        selected = self._select_parts(await self.parts(scope, upload), requested)
+        manifest = Manifest(layout.etag_of_parts(selected), layout.now(), selected, opened.content_type, opened.meta)
         await self._store.commit(scope, manifest)
         # the object stands from here on: a mark that cannot be made must not turn that into a failure
-        with suppress(Unavailable, StorageFailed, Expired):
-            await self._mark(scope, opened, "complete")
+        with suppress(Unavailable, StorageFailed, DeadlineExceeded):
+            await self._write_state(scope, opened, "complete")
         return manifest
 
-    def _choose(self, have: dict[int, Part], wanted: list[tuple[int, str]]) -> list[Part]:
+    def _select_parts(self, uploaded: dict[int, Part], requested: list[tuple[int, str]]) -> list[Part]:
         """The parts that a client names by number and ETag, checked."""
-        numbers = [number for number, _ in wanted]
-        if not wanted or len(wanted) > layout.MOST_PARTS:
-            raise BadPart("MalformedXML", f"name 1 to {layout.MOST_PARTS} parts")
+        numbers = [number for number, _ in requested]
+        if not requested or len(requested) > layout.MAX_PARTS:
+            raise InvalidPartList("MalformedXML", f"name 1 to {layout.MAX_PARTS} parts")
         if numbers != sorted(set(numbers)):
-            raise BadPart("InvalidPartOrder", "the parts must be named in ascending order")
-        chosen = []
-        for number, etag in wanted:
-            if number not in have or have[number].md5 != etag.strip('"'):
-                raise BadPart("InvalidPart", f"part {number} was not uploaded with this ETag")
-            chosen.append(have[number])
-        if any(part.size < self._least_part for part in chosen[:-1]):
-            raise BadPart("EntityTooSmall", f"every part but the last needs {self._least_part} bytes")
-        return chosen
+            raise InvalidPartList("InvalidPartOrder", "the parts must be named in ascending order")
+        selected = []
+        for number, etag in requested:
+            if number not in uploaded or uploaded[number].md5 != etag.strip('"'):
+                raise InvalidPartList("InvalidPart", f"part {number} was not uploaded with this ETag")
+            selected.append(uploaded[number])
+        if any(part.size < self._min_part_bytes for part in selected[:-1]):
+            raise InvalidPartList("EntityTooSmall", f"every part but the last needs {self._min_part_bytes} bytes")
+        return selected
 
     async def abort(self, scope: Scope, upload: str) -> None:
         """Ends an upload without an object."""
-        await self._mark(scope, await self.find(scope, upload), "aborted")
+        await self._write_state(scope, await self.find(scope, upload), "aborted")
--- a/ochrespan/objects/xml.py
+++ b/ochrespan/objects/xml.py
@@ -12,7 +12,7 @@
 Child = tuple[str, "str | list[Child]"]
 
 
-class BadXml(ValueError):
+class MalformedXml(ValueError):
     """A document that cannot be read as what it should be."""
 
 
@@ -36,14 +36,14 @@
     """The parts that a client names to complete an upload: number and ETag."""
     try:
         root = SafeTree.fromstring(body, forbid_dtd=True)
-    except (ElementTree.ParseError, DefusedXmlException, ValueError) as why:
-        raise BadXml("the body is not well-formed") from why
+    except (ElementTree.ParseError, DefusedXmlException, ValueError) as error:
+        raise MalformedXml("the body is not well-formed") from error
     found = []
     for part in root.iter():
         if part.tag.rpartition("}")[2] != "Part":
             continue
         fields = {child.tag.rpartition("}")[2]: (child.text or "").strip() for child in part}
         if not fields.get("PartNumber", "").isdecimal() or not fields.get("ETag"):
-            raise BadXml("a part needs PartNumber and ETag")
+            raise MalformedXml("a part needs PartNumber and ETag")
         found.append((int(fields["PartNumber"]), fields["ETag"]))
     return found
--- a/tests/h2client.py
+++ b/tests/h2client.py
@@ -20,7 +20,7 @@
 
 
 @dataclass
-class Got:
+class Response:
     """What came back on one stream."""
 
     status: int = 0
@@ -47,12 +47,12 @@
 
     def __init__(self, port: int, window: int = 1 << 20) -> None:
         self.port, self.window = port, window
-        self.streams: dict[int, Got] = {}
-        self.slow: set[int] = set()  # streams whose bytes are taken and not given credit for
+        self.streams: dict[int, Response] = {}
+        self.withhold_credit: set[int] = set()  # streams whose bytes are taken and not given credit for
         self.goaways: list[tuple[int, int]] = []  # last stream, code
         self.closed = asyncio.Event()
-        self.read_on = asyncio.Event()
-        self.read_on.set()
+        self.reading_enabled = asyncio.Event()
+        self.reading_enabled.set()
         self._credit = asyncio.Event()
 
     async def __aenter__(self) -> Client:
@@ -77,12 +77,12 @@
     async def _read(self) -> None:
         try:
             while True:
-                await self.read_on.wait()
+                await self.reading_enabled.wait()
                 data = await self.reader.read(1 << 16)
                 if not data:
                     break
                 for event in self.h2.receive_data(data):
-                    self._hear(event)
+                    self._handle(event)
                 self.flush()
         except ConnectionError:
             pass
@@ -92,7 +92,7 @@
             self._credit.set()
             self.closed.set()
 
-    def _hear(self, event) -> None:
+    def _handle(self, event) -> None:
         got = self.streams.get(getattr(event, "stream_id", 0))
         if isinstance(event, ConnectionTerminated):
             self.goaways.append((event.last_stream_id, int(event.error_code)))
@@ -108,7 +108,7 @@
         elif isinstance(event, DataReceived):
             got.body += event.data
             got.last_at = asyncio.get_running_loop().time()
-            if event.stream_id not in self.slow and event.flow_controlled_length:
+            if event.stream_id not in self.withhold_credit and event.flow_controlled_length:
                 self.h2.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
         elif isinstance(event, StreamReset):
             got.reset, got.ends = int(event.error_code), got.ends + (not got.ended)
@@ -121,7 +121,7 @@
     def begin(self, method: str, path: str, headers: dict[str, str] | None = None, end: bool = True) -> int:
         """Sends the head of a request and returns its stream."""
         stream = self.h2.get_next_available_stream_id()
-        self.streams[stream] = Got()
+        self.streams[stream] = Response()
         fields = [(":method", method), (":scheme", "http"), (":authority", "front"), (":path", path)]
         self.h2.send_headers(stream, fields + [(k.lower(), v) for k, v in (headers or {}).items()], end_stream=end)
         self.flush()
@@ -129,18 +129,18 @@
 
     async def send(self, stream: int, data: bytes, end: bool = True) -> None:
         """Sends a body as the peer's windows allow."""
-        at = 0
-        while at < len(data) or (end and not data):
-            room = min(self.h2.local_flow_control_window(stream), self.h2.max_outbound_frame_size)
-            if room <= 0:
+        offset = 0
+        while offset < len(data) or (end and not data):
+            window_bytes = min(self.h2.local_flow_control_window(stream), self.h2.max_outbound_frame_size)
+            if window_bytes <= 0:
                 self._credit.clear()
                 await self._credit.wait()
                 if self.closed.is_set() or self.streams[stream].done.is_set():
                     return
                 continue
-            piece = data[at : at + room]
-            at += len(piece)
-            self.h2.send_data(stream, piece, end_stream=end and at >= len(data))
+            segment = data[offset : offset + window_bytes]
+            offset += len(segment)
+            self.h2.send_data(stream, segment, end_stream=end and offset >= len(data))
             self.flush()
             await self.writer.drain()
             if not data:
@@ -151,15 +151,15 @@
         self.h2.reset_stream(stream, code)
         self.flush()
 
-    async def answer(self, stream: int) -> Got:
+    async def wait_response(self, stream: int) -> Response:
         """Waits for a stream's end."""
         got = self.streams[stream]
         await got.done.wait()
         return got
 
-    async def call(self, method: str, path: str, body: bytes = b"", headers: dict[str, str] | None = None) -> Got:
+    async def call(self, method: str, path: str, body: bytes = b"", headers: dict[str, str] | None = None) -> Response:
         """A whole request and its answer."""
         stream = self.begin(method, path, headers, end=not body)
         if body:
             await self.send(stream, body)
-        return await self.answer(stream)
+        return await self.wait_response(stream)
--- a/tests/http2_cases.py
+++ b/tests/http2_cases.py
@@ -397,7 +397,7 @@
 
 def connect(limits: Limits | None = None) -> Connection:
     """A server connection with a small limit of streams."""
-    return Connection(limits or Limits(streams=4), BufferBudget(1 << 24), 0.0)
+    return Connection(limits or Limits(max_streams=4), BufferBudget(1 << 24), 0.0)
 
 
 def sent_frames(data: bytes) -> Iterator[tuple[int, int, bytes]]:
@@ -412,16 +412,18 @@
 def outcome(case: Case) -> str:
     """What the server made of it."""
     connection = connect()
-    told = connection.receive(case.preface + case.sent, 1.0)
-    if connection.over:
+    events = connection.receive(case.preface + case.sent, 1.0)
+    if connection.end_event:
         goaways = [p for kind, _, p in sent_frames(connection.control_to_send()) if kind == GOAWAY]
         # where the preface fails nothing was agreed on, and no GOAWAY is owed
-        code = int.from_bytes(goaways[-1][4:8]) if goaways else connection.over.code
+        code = int.from_bytes(goaways[-1][4:8]) if goaways else connection.end_event.code
         return f"connection {ErrorCodes(code).name}"
     for kind, stream, payload in sent_frames(connection.control_to_send()):
         if kind == RST and stream == case.stream:
             return f"stream {ErrorCodes(int.from_bytes(payload)).name}"
-    return "served" if any(isinstance(one, RequestStarted) and one.stream == case.stream for one in told) else "ignored"
+    return (
+        "served" if any(isinstance(one, RequestStarted) and one.stream == case.stream for one in events) else "ignored"
+    )
 
 
 PAGE = Path(__file__).parent.parent / "docs" / "conformance" / "http2.md"
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -73,7 +73,7 @@
             waiting = objects.begin("PUT", "/photos/y", {"Expect": "100-continue"}, end=False)
             await wait_until(lambda: objects.streams[waiting].interim == [100])
             await objects.send(waiting, b"later")
-            assert (await objects.answer(waiting)).status == 200
+            assert (await objects.wait_response(waiting)).status == 200
 
     run_scenario(story())
 
@@ -81,21 +81,21 @@
 def test_five_hundred_streams_each_end_once_and_no_request_has_two_attempts_out():
     async def story():
         async with H2World(3, "streams = 200") as world:
-            lot = random.Random(3)
+            rng = random.Random(3)
             for node in world.nodes:
                 node.default_response = "any"
                 node.scripted_responses.extend(
-                    lot.choices(("any", "reset", "full", "error", "half", "stall"), (12, 1, 1, 1, 1, 1), k=120)
+                    rng.choices(("any", "reset", "full", "error", "half", "stall"), (12, 1, 1, 1, 1, 1), k=120)
                 )
             ends: Counter[str] = Counter()
             at_once = asyncio.Semaphore(60)  # as many are out on a fast machine as on a slow one
             async with world.platform() as one, world.platform() as two, world.platform() as three:
 
-                async def ask(number: int) -> None:
+                async def send_limited(number: int) -> None:
                     async with at_once:
-                        await ask_now(number)
+                        await send_one(number)
 
-                async def ask_now(number: int) -> None:
+                async def send_one(number: int) -> None:
                     client = (one, two, three)[number % 3]
                     stream = client.begin(
                         "GET",
@@ -108,16 +108,16 @@
                             client.reset(stream)
                             ends["left"] += 1
                             return
-                    got = await client.answer(stream)
+                    got = await client.wait_response(stream)
                     assert got.ends == 1 and got.reset is None, got
                     if got.status == 200:
                         assert bytes(got.body) == b"body of " + PATH.encode()
                     ends[str(got.status)] += 1
 
-                tasks = [asyncio.create_task(ask(n)) for n in range(250)]
+                tasks = [asyncio.create_task(send_limited(n)) for n in range(250)]
                 await wait_until(lambda: ends.total() >= 100)
                 world.publish_state(world.nodes[2], "draining")
-                tasks += [asyncio.create_task(ask(n)) for n in range(250, 500)]
+                tasks += [asyncio.create_task(send_limited(n)) for n in range(250, 500)]
                 await asyncio.gather(*tasks)
                 assert ends.total() == 500 and set(ends) <= {"200", "502", "503", "left"} and ends["200"] > 150, ends
                 assert not any(client.goaways for client in (one, two, three))
@@ -152,14 +152,14 @@
             node.scripted_responses.extend(["stall"] * 3)
             node.default_response = "any"
             client.h2.remote_settings.max_concurrent_streams = 100  # a client that does not keep to it
-            held = [client.begin("GET", PATH, request_headers(f"t{n}", 0)) for n in range(3)]
+            open_streams = [client.begin("GET", PATH, request_headers(f"t{n}", 0)) for n in range(3)]
             await wait_until(lambda: len(node.received) == 3)
             got = await client.call("GET", PATH, b"", request_headers("t9", 0))
             assert got.reset == 7 and not client.goaways  # REFUSED_STREAM
-            client.reset(held[0])
+            client.reset(open_streams[0])
             await wait_until(lambda: not node.in_flight["t0"])
             node.released.set()
-            assert (await client.answer(held[1])).status == 200
+            assert (await client.wait_response(open_streams[1])).status == 200
             assert (await client.call("GET", PATH, b"", request_headers("t9", 0))).status == 200
 
     run_scenario(story())
@@ -172,16 +172,16 @@
             assert (await client.call("PUT", "/photos/large", body)).status == 200
             assert (await client.call("PUT", "/photos/small", b"small")).status == 200
             slow = client.begin("GET", "/photos/large")
-            client.slow.add(slow)
+            client.withhold_credit.add(slow)
             await wait_until(lambda: len(client.streams[slow].body) == 65_535)
             for _ in range(20):
                 assert bytes((await client.call("GET", "/photos/small")).body) == b"small"
             assert bytes((await client.call("GET", "/photos/large")).body) == body
             assert len(client.streams[slow].body) == 65_535
-            client.slow.clear()
+            client.withhold_credit.clear()
             client.h2.acknowledge_received_data(65_535, slow)
             client.flush()
-            assert bytes((await client.answer(slow)).body) == body
+            assert bytes((await client.wait_response(slow)).body) == body
 
     run_scenario(story())
 
@@ -204,14 +204,14 @@
         async with H2World(1) as world, world.platform() as client:
             node = world.nodes[0]
             node.default_response, node.delay = "any", 0.3
-            held = [client.begin("GET", PATH, request_headers(f"t{n}", 0)) for n in range(3)]
+            open_streams = [client.begin("GET", PATH, request_headers(f"t{n}", 0)) for n in range(3)]
             await wait_until(lambda: len(node.received) == 3)
             world.stop()
             await wait_until(lambda: len(client.goaways) == 2)
-            assert client.goaways == [(2**31 - 1, 0), (held[-1], 0)]
+            assert client.goaways == [(2**31 - 1, 0), (open_streams[-1], 0)]
             late = client.begin("GET", PATH, request_headers("late", 0))
-            assert [(await client.answer(s)).status for s in held] == [200] * 3
-            got = await client.answer(late)
+            assert [(await client.wait_response(s)).status for s in open_streams] == [200] * 3
+            got = await client.wait_response(late)
             assert got.reset == 7 or (got.status, got.reset) == (0, None)  # refused, or the connection had ended
             await asyncio.wait_for(client.closed.wait(), 5)
             assert await asyncio.wait_for(world.process.wait(), 20) == 0
@@ -272,12 +272,12 @@
     run_scenario(story())
 
 
-@pytest.mark.parametrize("silent", [b"", b"PRI * HT", b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\4\0\0\0\0\0"])
-def test_who_says_nothing_is_let_go_as_on_http1(silent):
+@pytest.mark.parametrize("received", [b"", b"PRI * HT", b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\4\0\0\0\0\0"])
+def test_who_says_nothing_is_let_go_as_on_http1(received):
     async def story():
         async with H2World(1) as world:
             reader, writer = await asyncio.open_connection("127.0.0.1", world.platform_port)
-            writer.write(silent)
+            writer.write(received)
             await asyncio.wait_for(reader.read(), 10)  # 2 s
             writer.close()
             async with world.platform() as client:
@@ -296,7 +296,7 @@
             node = world.nodes[0]
             node.default_response = "any"
             node.scripted_responses.append("stall")
-            held = client.begin("GET", PATH, request_headers("held", 0))
+            open_streams = client.begin("GET", PATH, request_headers("held", 0))
             await wait_until(lambda: node.received)
             for _ in range(3):
                 reader, writer = await asyncio.open_connection("127.0.0.1", world.platform_port)
@@ -307,7 +307,7 @@
                 writer.close()
                 assert (await client.call("GET", "/up")).status == 200
             node.released.set()
-            assert (await client.answer(held)).status == 200 and not client.goaways
+            assert (await client.wait_response(open_streams)).status == 200 and not client.goaways
             assert "Traceback" not in world.log
             await wait_until(lambda: "connection ended" in world.log)
 
--- a/tests/test_http2_connection.py
+++ b/tests/test_http2_connection.py
@@ -12,45 +12,45 @@
 from ochrespan.http2.connection import Connection
 from ochrespan.http2.events import BodyEnded, BodyReceived, ConnectionEnded, RequestStarted, StreamAborted
 from ochrespan.http2.limits import ALLOWANCES, BufferBudget, Limits, PeerAction, PeerBudget
-from ochrespan.http2.scheduling import LOWER_LEVEL_EVERY, FrameScheduler, Priority, read_priority
+from ochrespan.http2.scheduling import LOWER_LEVEL_INTERVAL, FrameScheduler, Priority, parse_priority
 
 from .h2client import _H2 as ClientH2
 from .http2_cases import GET, PREFACE, frame
 
-SMALL = Limits(streams=6, stream_window=1000, connection_window=65_535)
+SMALL = Limits(max_streams=6, stream_window_bytes=1000, connection_window_bytes=65_535)
 
 
 class Pair:
     """A client of h2's own and the connection, with the bytes carried by hand."""
 
-    def __init__(self, limits: Limits = SMALL, store: BufferBudget | None = None, window: int = 65_535) -> None:
-        self.now, self.store = 0.0, store or BufferBudget(1 << 20)
-        self.server = Connection(limits, self.store, self.now)
+    def __init__(self, limits: Limits = SMALL, buffers: BufferBudget | None = None, window: int = 65_535) -> None:
+        self.now, self.buffers = 0.0, buffers or BufferBudget(1 << 20)
+        self.server = Connection(limits, self.buffers, self.now)
         self.client = ClientH2(H2Configuration(client_side=True, header_encoding="utf-8"))
         self.client.local_settings = Settings(client=True, initial_values={SettingCodes.INITIAL_WINDOW_SIZE: window})
         self.client.initiate_connection()
-        self.told, self.heard = [], []
-        self.carry()
+        self.events, self.client_events = [], []
+        self.exchange_bytes()
         # a client that does not keep to the limit: refusing is ours
         self.client.remote_settings[SettingCodes.MAX_CONCURRENT_STREAMS] = 100
         self.client.remote_settings.acknowledge()
 
-    def carry(self) -> None:
+    def exchange_bytes(self) -> None:
         for _ in range(4):
-            self.told += self.server.receive(self.client.data_to_send(), self.now)
+            self.events += self.server.receive(self.client.data_to_send(), self.now)
             out = self.server.control_to_send()
-            while self.server.has_bodies and (body := self.server.frame_to_send()):
+            while self.server.has_body_frame and (body := self.server.frame_to_send()):
                 out += body
-            self.heard += self.client.receive_data(out)
+            self.client_events += self.client.receive_data(out)
 
-    def ask(self, body: bool = False, **fields: str) -> int:
+    def start_request(self, body: bool = False, **fields: str) -> int:
         stream = self.client.get_next_available_stream_id()
         self.client.send_headers(stream, [*GET, *((k, v) for k, v in fields.items())], end_stream=not body)
-        self.carry()
+        self.exchange_bytes()
         return stream
 
-    def came(self, stream: int) -> bytes:
-        return b"".join(e.data for e in self.heard if isinstance(e, DataReceived) and e.stream_id == stream)
+    def received(self, stream: int) -> bytes:
+        return b"".join(e.data for e in self.client_events if isinstance(e, DataReceived) and e.stream_id == stream)
 
 
 # ---- turns ----
@@ -75,7 +75,7 @@
     ],
 )
 def test_the_priority_field_is_read_as_rfc_9218_says(value, wanted):
-    assert read_priority(value, Priority()) == Priority(*wanted)
+    assert parse_priority(value, Priority()) == Priority(*wanted)
 
 
 def test_turns_are_by_urgency_then_in_order_or_around_and_nothing_starves():
@@ -83,9 +83,9 @@
     for stream, urgency, incremental in ((9, 3, False), (5, 3, False), (7, 3, True), (11, 3, True), (1, 6, False)):
         scheduler.add(stream, Priority(urgency, incremental))
     got = [scheduler.next() for _ in range(800)]
-    assert got.count(1) == 800 // LOWER_LEVEL_EVERY  # the one below
-    share = (800 - 800 // LOWER_LEVEL_EVERY) / 2
-    assert abs(got.count(5) - share) <= 1 and abs(got.count(7) - got.count(11)) <= 1 and got.count(9) == 0
+    assert got.count(1) == 800 // LOWER_LEVEL_INTERVAL  # the one below
+    expected_count = (800 - 800 // LOWER_LEVEL_INTERVAL) / 2
+    assert abs(got.count(5) - expected_count) <= 1 and abs(got.count(7) - got.count(11)) <= 1 and got.count(9) == 0
     scheduler.remove(5)
     assert 9 in [scheduler.next() for _ in range(3)]
     for stream in (7, 9, 11, 1):
@@ -95,19 +95,19 @@
 
 def test_an_urgent_answer_passes_a_long_one_and_a_closed_window_holds_up_only_its_own():
     pair = Pair(window=20_000)
-    long, urgent = pair.ask(priority="u=5"), pair.ask(priority="u=0")
+    long, urgent = pair.start_request(priority="u=5"), pair.start_request(priority="u=0")
     for stream in (long, urgent):
-        pair.server.send_head(stream, 200, [], False)
+        pair.server.send_response_headers(stream, 200, [], False)
     pair.server.send_data(long, b"l" * 60_000, True)
-    pair.carry()
-    assert len(pair.came(long)) == 20_000  # its window
+    pair.exchange_bytes()
+    assert len(pair.received_body(long)) == 20_000  # its window
     pair.server.send_data(urgent, b"u" * 10_000, True)
-    pair.carry()
-    assert pair.came(urgent) == b"u" * 10_000 and len(pair.came(long)) == 20_000
+    pair.exchange_bytes()
+    assert pair.received_body(urgent) == b"u" * 10_000 and len(pair.received_body(long)) == 20_000
     pair.client.increment_flow_control_window(40_000, long)
     pair.client.increment_flow_control_window(40_000)
-    pair.carry()
-    assert pair.came(long) == b"l" * 60_000 and pair.server.open == 0
+    pair.exchange_bytes()
+    assert pair.received_body(long) == b"l" * 60_000 and pair.server.open_streams == 0
 
 
 # ---- credit ----
@@ -115,64 +115,64 @@
 
 def test_windows_open_as_the_core_takes_bytes_and_not_before():
     pair = Pair()
-    stream = pair.ask(body=True)
+    stream = pair.start_request(body=True)
     pair.client.send_data(stream, b"x" * 1000)
-    pair.carry()
-    assert pair.client.local_flow_control_window(stream) == 0 and pair.store.held == 1000
-    body = next(one for one in pair.told if isinstance(one, BodyReceived))
+    pair.exchange_bytes()
+    assert pair.client.local_flow_control_window(stream) == 0 and pair.buffers.used_bytes == 1000
+    body = next(one for one in pair.events if isinstance(one, BodyReceived))
     pair.server.consume(stream, body.credit)
-    pair.carry()
-    assert pair.client.local_flow_control_window(stream) == 1000 and pair.store.held == 0
+    pair.exchange_bytes()
+    assert pair.client.local_flow_control_window(stream) == 1000 and pair.buffers.used_bytes == 0
 
 
 def test_over_the_cap_of_all_connections_credit_is_held_back_until_there_is_room():
-    store = BufferBudget(1500)
-    one, two = Pair(store=store), Pair(store=store)
+    buffers = BufferBudget(1500)
+    one, two = Pair(buffers=buffers), Pair(buffers=buffers)
     streams = []
     for pair in (one, two):
         for _ in range(2):
-            stream = pair.ask(body=True)
+            stream = pair.start_request(body=True)
             pair.client.send_data(stream, b"x" * 1000)
             streams.append((pair, stream))
-        pair.carry()
+        pair.exchange_bytes()
     before = one.client.outbound_flow_control_window
     one.server.consume(streams[0][1], 1000)
-    one.carry()
-    assert store.held == 3000 and one.client.outbound_flow_control_window == before  # still over the cap
+    one.exchange_bytes()
+    assert buffers.used_bytes == 3000 and one.client.outbound_flow_control_window == before  # still over the cap
     two.server.consume(streams[2][1], 1000)
     two.server.consume(streams[3][1], 1000)
-    one.server.relieve()
-    one.carry()
-    assert store.held == 1000 and one.client.outbound_flow_control_window == before + 1000
+    one.server.release_credit()
+    one.exchange_bytes()
+    assert buffers.used_bytes == 1000 and one.client.outbound_flow_control_window == before + 1000
 
 
 def test_padding_and_data_for_refused_streams_give_their_credit_back():
     pair = Pair()
-    taken = [pair.ask(body=True) for _ in range(6)]
+    taken = [pair.start_request(body=True) for _ in range(6)]
     stream = pair.client.get_next_available_stream_id()
     pair.client.send_headers(stream, GET)
     pair.client.send_data(stream, b"x" * 500)
     before = pair.client.outbound_flow_control_window
-    pair.carry()
-    assert any(isinstance(e, StreamReset) and e.stream_id == stream and e.error_code == 7 for e in pair.heard)
-    assert pair.client.outbound_flow_control_window == before + 500 and pair.store.held == 0
+    pair.exchange_bytes()
+    assert any(isinstance(e, StreamReset) and e.stream_id == stream and e.error_code == 7 for e in pair.client_events)
+    assert pair.client.outbound_flow_control_window == before + 500 and pair.buffers.used_bytes == 0
     pair.client.send_data(taken[0], b"x" * 100, pad_length=200)
-    pair.carry()
-    credit = [one.credit for one in pair.told if isinstance(one, BodyReceived)]
-    assert credit == [301] and pair.store.held == 301
+    pair.exchange_bytes()
+    credit = [one.credit for one in pair.events if isinstance(one, BodyReceived)]
+    assert credit == [301] and pair.buffers.used_bytes == 301
     pair.client.reset_stream(taken[0])
-    pair.carry()
-    assert pair.store.held == 0 and StreamAborted(taken[0], 0) in pair.told
+    pair.exchange_bytes()
+    assert pair.buffers.used_bytes == 0 and StreamAborted(taken[0], 0) in pair.events
 
 
 def test_an_answer_before_the_body_is_whole_tells_that_the_rest_is_not_wanted():
     pair = Pair()
-    stream = pair.ask(body=True)
-    pair.server.send_head(stream, 413, [], True)
-    pair.carry()
-    ends = [e for e in pair.heard if getattr(e, "stream_id", None) == stream]
+    stream = pair.start_request(body=True)
+    pair.server.send_response_headers(stream, 413, [], True)
+    pair.exchange_bytes()
+    ends = [e for e in pair.client_events if getattr(e, "stream_id", None) == stream]
     assert any(isinstance(e, ResponseReceived) for e in ends)
-    assert [e.error_code for e in ends if isinstance(e, StreamReset)] == [0] and pair.server.open == 0
+    assert [e.error_code for e in ends if isinstance(e, StreamReset)] == [0] and pair.server.open_streams == 0
 
 
 # ---- budgets ----
@@ -181,9 +181,9 @@
 @pytest.mark.parametrize("action", list(PeerAction))
 def test_each_budget_is_so_many_at_once_and_so_many_a_second(action):
     budget, allowance = PeerBudget(), ALLOWANCES[action]
-    assert all(budget.spend(action, 0.0) for _ in range(int(allowance.at_once)))
+    assert all(budget.spend(action, 0.0) for _ in range(int(allowance.burst)))
     assert not budget.spend(action, 0.0)
-    assert budget.spend(action, 2.1 / allowance.a_second)
+    assert budget.spend(action, 2.1 / allowance.rate_per_s)
     assert all(budget.spend(other, 0.0) for other in PeerAction if other is not action)
     assert not budget.spend(action, -5.0)  # a clock that steps back gives nothing
 
@@ -193,22 +193,22 @@
 
 def test_a_drain_is_told_twice_and_streams_between_are_still_taken():
     pair = Pair()
-    first = pair.ask()
+    first = pair.start_request()
     pair.server.drain()
     pair.server.drain()
     out = pair.server.control_to_send()
-    between = pair.ask()  # on its way before the client has heard
-    pair.heard += pair.client.receive_data(out)
-    pair.carry()  # the client answers the ping
-    said = [(e.last_stream_id, e.error_code) for e in pair.heard if isinstance(e, ConnectionTerminated)]
+    between = pair.start_request()  # on its way before the client has heard
+    pair.client_events += pair.client.receive_data(out)
+    pair.exchange_bytes()  # the client answers the ping
+    said = [(e.last_stream_id, e.error_code) for e in pair.client_events if isinstance(e, ConnectionTerminated)]
     assert said == [(2**31 - 1, 0), (between, 0)] and not pair.server.done
-    late = pair.ask()
+    late = pair.start_request()
     for stream in (first, between):
-        pair.server.send_head(stream, 200, [], True)
-    pair.carry()
-    assert {e.stream_id for e in pair.heard if isinstance(e, StreamEnded)} == {first, between}
-    assert [e.error_code for e in pair.heard if isinstance(e, StreamReset) and e.stream_id == late] == [7]
-    assert pair.server.done and pair.server.over is None
+        pair.server.send_response_headers(stream, 200, [], True)
+    pair.exchange_bytes()
+    assert {e.stream_id for e in pair.client_events if isinstance(e, StreamEnded)} == {first, between}
+    assert [e.error_code for e in pair.client_events if isinstance(e, StreamReset) and e.stream_id == late] == [7]
+    assert pair.server.done and pair.server.end_event is None
 
 
 # ---- frames by lot ----
@@ -222,12 +222,12 @@
     data = PREFACE + frame(4) + b"".join(frame(kind, body, flags, stream) for kind, body, flags, stream in frames)
     if not valid:
         data = data[cuts:] + data[:cuts]
-    store = BufferBudget(10_000)
-    connection = Connection(SMALL, store, 0.0)
+    buffers = BufferBudget(10_000)
+    connection = Connection(SMALL, buffers, 0.0)
     open_: set[int] = set()
     for at in range(0, len(data), cuts):
-        for told in connection.receive(data[at : at + cuts], at * 0.001):
-            match told:
+        for event in connection.receive(data[at : at + cuts], at * 0.001):
+            match event:
                 case RequestStarted(stream):
                     assert stream not in open_
                     open_.add(stream)
@@ -237,10 +237,10 @@
                     assert stream in open_
                 case ConnectionEnded():
                     open_.clear()
-        assert connection.open == len(open_) <= SMALL.streams and 0 <= store.held <= 65_535
+        assert connection.open_streams == len(open_) <= SMALL.max_streams and 0 <= buffers.used_bytes <= 65_535
         connection.control_to_send()
     connection.lost()
-    assert store.held == 0 and connection.open == 0
+    assert buffers.used_bytes == 0 and connection.open_streams == 0
 
 
 class Streams(RuleBasedStateMachine):
@@ -250,62 +250,62 @@
         super().__init__()
         self.pair = Pair()
         self.sent: dict[int, bytes] = {}  # what was answered
-        self.whole: set[int] = set()
-        self.held: list[tuple[int, int]] = []
+        self.completed: set[int] = set()
+        self.unread: list[tuple[int, int]] = []
         self.seen = 0
         self.uploading: set[int] = set()
 
-    def hear(self) -> None:
+    def process_events(self) -> None:
         self.pair.now += 0.05
-        self.pair.carry()
-        for told in self.pair.told[self.seen :]:
-            assert not isinstance(told, ConnectionEnded)
-            if isinstance(told, RequestStarted):
-                self.sent[told.stream] = b""
-            elif isinstance(told, BodyReceived):
-                self.held.append((told.stream, told.credit))
-            elif isinstance(told, StreamAborted):
-                self.sent.pop(told.stream)
-        self.seen = len(self.pair.told)
-
-    def open(self) -> list[int]:
-        return [s for s in self.sent if self.pair.server.is_open(s) and s not in self.whole]
+        self.pair.exchange_bytes()
+        for event in self.pair.events[self.seen :]:
+            assert not isinstance(event, ConnectionEnded)
+            if isinstance(event, RequestStarted):
+                self.sent[event.stream] = b""
+            elif isinstance(event, BodyReceived):
+                self.unread.append((event.stream, event.credit))
+            elif isinstance(event, StreamAborted):
+                self.sent.pop(event.stream)
+        self.seen = len(self.pair.events)
+
+    def open_now(self) -> list[int]:
+        return [s for s in self.sent if self.pair.server.is_open(s) and s not in self.completed]
 
     @rule(body=st.booleans())
-    def ask(self, body):
-        stream = self.pair.ask(body)
+    def start_request(self, body):
+        stream = self.pair.start_request(body)
         if body:
             self.uploading.add(stream)
-        self.hear()
+        self.process_events()
 
-    @precondition(lambda self: self.uploading & set(self.open()))
+    @precondition(lambda self: self.uploading & set(self.open_now()))
     @rule(data=st.data(), size=st.integers(0, 3000))
     def upload(self, data, size):
-        stream = data.draw(st.sampled_from(sorted(self.uploading & set(self.open()))))
+        stream = data.draw(st.sampled_from(sorted(self.uploading & set(self.open_now()))))
         size = min(size, self.pair.client.local_flow_control_window(stream))
         self.pair.client.send_data(stream, b"x" * size, end_stream=size % 2 == 1)
         if size % 2:
             self.uploading.discard(stream)
-        self.hear()
+        self.process_events()
 
-    @precondition(lambda self: self.held)
+    @precondition(lambda self: self.unread)
     @rule()
-    def take(self):
-        self.pair.server.consume(*self.held.pop(0))
-        self.hear()
+    def read_body(self):
+        self.pair.server.consume(*self.unread.pop(0))
+        self.process_events()
 
-    @precondition(lambda self: self.open())
+    @precondition(lambda self: self.open_now())
     @rule(data=st.data(), size=st.integers(0, 90_000), ended=st.booleans())
-    def answer(self, data, size, ended):
-        stream = data.draw(st.sampled_from(self.open()))
+    def send_response(self, data, size, ended):
+        stream = data.draw(st.sampled_from(self.open_now()))
         if not self.sent[stream]:
-            self.pair.server.send_head(stream, 200, [], False)
-        piece = bytes([stream % 256]) * (size + 1)
-        self.sent[stream] += piece
-        self.pair.server.send_data(stream, piece, ended)
+            self.pair.server.send_response_headers(stream, 200, [], False)
+        segment = bytes([stream % 256]) * (size + 1)
+        self.sent[stream] += segment
+        self.pair.server.send_data(stream, segment, ended)
         if ended:
-            self.whole.add(stream)
-        self.hear()
+            self.completed.add(stream)
+        self.process_events()
 
     @rule(size=st.integers(1, 60_000))
     def credit(self, size):
@@ -315,26 +315,26 @@
                 self.pair.client.increment_flow_control_window(size, stream)
             except (ProtocolError, ValueError, KeyError):
                 continue
-        self.hear()
+        self.process_events()
 
-    @precondition(lambda self: self.open())
+    @precondition(lambda self: self.open_now())
     @rule(data=st.data())
     def reset(self, data):
-        stream = data.draw(st.sampled_from(self.open()))
+        stream = data.draw(st.sampled_from(self.open_now()))
         self.pair.client.reset_stream(stream)
         self.uploading.discard(stream)
-        self.hear()
+        self.process_events()
 
     @invariant()
     def every_byte_comes_in_order_and_once(self):
         for stream, sent in self.sent.items():
-            came = self.pair.came(stream)
-            assert sent.startswith(came)
+            received = self.pair.received_body(stream)
+            assert sent.startswith(received)
             if self.pair.server.is_open(stream):
-                assert len(came) + self.pair.server.pending(stream) == len(sent)
-            elif stream in self.whole:
-                assert came == sent
-        assert self.pair.server.open <= SMALL.streams and self.pair.store.held >= 0
+                assert len(received) + self.pair.server.pending(stream) == len(sent)
+            elif stream in self.completed:
+                assert received == sent
+        assert self.pair.server.open_streams <= SMALL.max_streams and self.pair.buffers.used_bytes >= 0
 
 
 Streams.TestCase.settings = settings(
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -10,7 +10,7 @@
 import aiohttp
 import pytest
 
-from ochrespan.objects.layout import PAYLOAD
+from ochrespan.objects.layout import PAYLOAD_BYTES
 
 from .front_harness import FrontHarness, StubChunkServer, run_scenario, wait_until
 
@@ -35,7 +35,7 @@
 buckets = ["private"]
 token_sha256 = "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08"
 """
-WHERE = "/photos/line%201/part%C3%A9.jpg"
+KEY_PATH = "/photos/line%201/part%C3%A9.jpg"
 NS = "{http://s3.amazonaws.com/doc/2006-03-01/}"
 
 
@@ -57,64 +57,64 @@
     return [path for _, path in sorted(stored, reverse=True)]
 
 
-@pytest.mark.parametrize("size", [0, 1, PAYLOAD - 1, PAYLOAD, PAYLOAD + 1, 7 * PAYLOAD + 9])
+@pytest.mark.parametrize("size", [0, 1, PAYLOAD_BYTES - 1, PAYLOAD_BYTES, PAYLOAD_BYTES + 1, 7 * PAYLOAD_BYTES + 9])
 def test_what_is_put_comes_back_whole_and_is_gone_once_deleted(size):
     async def story():
         body = some_bytes(size)
         async with FrontHarness(3, OPERATOR) as world:
-            assert (await world.object_request("GET", WHERE))[0] == 404
+            assert (await world.object_request("GET", KEY_PATH))[0] == 404
             status, headers, _ = await world.object_request(
                 "PUT",
-                WHERE,
+                KEY_PATH,
                 body,
                 Content_Type="image/jpeg",
                 x_amz_meta_Line="7",
                 Content_MD5=base64.b64encode(hashlib.md5(body).digest()).decode(),
             )
             assert (status, headers["ETag"]) == (200, f'"{md5(body)}"')
-            status, headers, got = await world.object_request("GET", WHERE)
+            status, headers, got = await world.object_request("GET", KEY_PATH)
             assert status == 200 and got == body
             assert headers["Content-Type"] == "image/jpeg" and headers["x-amz-meta-line"] == "7"
-            status, headers, got = await world.object_request("HEAD", WHERE)
+            status, headers, got = await world.object_request("HEAD", KEY_PATH)
             assert (status, got, headers["Content-Length"]) == (200, b"", str(size))
-            assert all(len(kept) <= 65536 for node in world.nodes for kept in node.stored.values())
-            assert (await world.object_request("DELETE", WHERE))[0] == 204
-            status, _, got = await world.object_request("GET", WHERE)
+            assert all(len(chunk_body) <= 65536 for node in world.nodes for chunk_body in node.stored.values())
+            assert (await world.object_request("DELETE", KEY_PATH))[0] == 204
+            status, _, got = await world.object_request("GET", KEY_PATH)
             assert status == 404 and code(got) == "NoSuchKey"
             assert all(node.overlapping_attempts == 0 for node in world.nodes)
 
     run_scenario(story())
 
 
-SIZE = 3 * PAYLOAD + 100
+SIZE = 3 * PAYLOAD_BYTES + 100
 
 
 def test_ranges():
     cases = [
         ("bytes=0-0", 0, 1),
-        (f"bytes={PAYLOAD - 1}-{PAYLOAD}", PAYLOAD - 1, PAYLOAD + 1),
+        (f"bytes={PAYLOAD_BYTES - 1}-{PAYLOAD_BYTES}", PAYLOAD_BYTES - 1, PAYLOAD_BYTES + 1),
         ("bytes=5-", 5, SIZE),
         ("bytes=-7", SIZE - 7, SIZE),
         (f"bytes=-{SIZE * 2}", 0, SIZE),
         (f"bytes={SIZE - 1}-{SIZE * 9}", SIZE - 1, SIZE),
-        (f"bytes=10-{2 * PAYLOAD}", 10, 2 * PAYLOAD + 1),
+        (f"bytes=10-{2 * PAYLOAD_BYTES}", 10, 2 * PAYLOAD_BYTES + 1),
     ]
 
     async def story():
         body = some_bytes(SIZE)
         async with FrontHarness(3, OPERATOR) as world:
-            await world.object_request("PUT", WHERE, body)
-            for header, begin, end in cases:
-                status, headers, got = await world.object_request("GET", WHERE, Range=header)
-                assert status == 206 and got == body[begin:end], header
-                assert headers["Content-Range"] == f"bytes {begin}-{end - 1}/{SIZE}"
+            await world.object_request("PUT", KEY_PATH, body)
+            for header, start, end in cases:
+                status, headers, got = await world.object_request("GET", KEY_PATH, Range=header)
+                assert status == 206 and got == body[start:end], header
+                assert headers["Content-Range"] == f"bytes {start}-{end - 1}/{SIZE}"
             for header in (f"bytes={SIZE}-", "bytes=-0"):
-                status, headers, got = await world.object_request("GET", WHERE, Range=header)
+                status, headers, got = await world.object_request("GET", KEY_PATH, Range=header)
                 assert (status, code(got)) == (416, "InvalidRange")
                 assert headers["Content-Range"] == f"bytes */{SIZE}"
             for header in ("bytes=9-3", "lines=1-2", "bytes=0-1,5-6", "bytes=-"):  # the whole is served
-                assert (await world.object_request("GET", WHERE, Range=header))[::2] == (200, body)
-            status, headers, got = await world.object_request("HEAD", WHERE, Range="bytes=1-4")
+                assert (await world.object_request("GET", KEY_PATH, Range=header))[::2] == (200, body)
+            status, headers, got = await world.object_request("HEAD", KEY_PATH, Range="bytes=1-4")
             assert (status, headers["Content-Length"], got) == (206, "4", b"")
 
     run_scenario(story())
@@ -127,8 +127,8 @@
         body = some_bytes(50)
         tag = f'"{md5(body)}"'
         async with FrontHarness(2, OPERATOR) as world:
-            await world.object_request("PUT", WHERE, body)
-            for headers, wanted in [
+            await world.object_request("PUT", KEY_PATH, body)
+            for headers, expected in [
                 ({"If-Match": tag}, 200),
                 ({"If-Match": '"x"'}, 412),
                 ({"If-Match": f'"x", {tag}'}, 200),
@@ -144,8 +144,8 @@
                 ({"If-Range": tag, "Range": "bytes=1-2"}, 206),
                 ({"If-Range": '"x"', "Range": "bytes=1-2"}, 200),
             ]:
-                status, got_headers, got = await world.object_request("GET", WHERE, **headers)
-                assert status == wanted, headers
+                status, got_headers, got = await world.object_request("GET", KEY_PATH, **headers)
+                assert status == expected, headers
                 assert got == {200: body, 206: body[1:3], 304: b""}.get(status, got)
                 assert status == 412 or got_headers["ETag"] == tag
 
@@ -157,17 +157,17 @@
     return f'<CompleteMultipartUpload xmlns="{NS[1:-1]}">{inner}</CompleteMultipartUpload>'.encode()
 
 
-async def begin(world: FrontHarness, where: str = WHERE) -> str:
-    _, _, got = await world.object_request("POST", where + "?uploads", Content_Type="image/png")
+async def begin_upload(world: FrontHarness, path: str = KEY_PATH) -> str:
+    _, _, got = await world.object_request("POST", path + "?uploads", Content_Type="image/png")
     return ElementTree.fromstring(got).findtext(NS + "UploadId")
 
 
 def test_an_upload_through_two_fronts_that_share_nothing():
     async def story():
-        bodies = {1: some_bytes(150_000, 1), 2: some_bytes(PAYLOAD * 2, 2), 5: some_bytes(10, 5)}
+        bodies = {1: some_bytes(150_000, 1), 2: some_bytes(PAYLOAD_BYTES * 2, 2), 5: some_bytes(10, 5)}
         async with FrontHarness(3, OPERATOR) as one, FrontHarness(operator=OPERATOR, rank=1, shared=one) as two:
-            upload = await begin(one)
-            at = f"{WHERE}?uploadId={upload}"
+            upload = await begin_upload(one)
+            at = f"{KEY_PATH}?uploadId={upload}"
             older = b"an older part" * 9000
             for world, number, body in [(two, 5, bodies[5]), (one, 2, older), (one, 1, bodies[1]), (two, 2, bodies[2])]:
                 status, headers, _ = await world.object_request("PUT", f"{at}&partNumber={number}", body)
@@ -175,28 +175,28 @@
             _, _, got = await two.object_request("GET", at + "&max-parts=2")
             listed = ElementTree.fromstring(got)
             found = [(p.findtext(NS + "PartNumber"), p.findtext(NS + "Size")) for p in listed.iter(NS + "Part")]
-            assert found == [("1", "150000"), ("2", str(2 * PAYLOAD))]
+            assert found == [("1", "150000"), ("2", str(2 * PAYLOAD_BYTES))]
             assert listed.findtext(NS + "IsTruncated") == "true"
-            assert (await one.object_request("GET", WHERE))[0] == 404  # nothing to see before the manifest
-            wanted = [(n, md5(body)) for n, body in sorted(bodies.items())]
-            for parts, word in [
+            assert (await one.object_request("GET", KEY_PATH))[0] == 404  # nothing to see before the manifest
+            expected = [(n, md5(body)) for n, body in sorted(bodies.items())]
+            for parts, error_code in [
                 ([(1, md5(b"x"))], "InvalidPart"),
-                (wanted[::-1], "InvalidPartOrder"),
-                ([wanted[2], (9, md5(b"x"))], "InvalidPart"),
+                (expected[::-1], "InvalidPartOrder"),
+                ([expected[2], (9, md5(b"x"))], "InvalidPart"),
                 ([], "MalformedXML"),
             ]:
                 status, _, got = await one.object_request("POST", at, complete(parts))
-                assert (status, code(got)) == (400, word)
-            status, _, got = await two.object_request("POST", at, complete(wanted))
+                assert (status, code(got)) == (400, error_code)
+            status, _, got = await two.object_request("POST", at, complete(expected))
             digests = b"".join(hashlib.md5(body).digest() for _, body in sorted(bodies.items()))
             tag = f'"{md5(digests)}-3"'
             assert status == 200 and ElementTree.fromstring(got).findtext(NS + "ETag") == tag
             whole = b"".join(body for _, body in sorted(bodies.items()))
-            status, headers, got = await one.object_request("GET", WHERE)
+            status, headers, got = await one.object_request("GET", KEY_PATH)
             assert got == whole and headers["ETag"] == tag and headers["Content-Type"] == "image/png"
-            _, _, got = await two.object_request("GET", WHERE, Range="bytes=149000-281000")
+            _, _, got = await two.object_request("GET", KEY_PATH, Range="bytes=149000-281000")
             assert got == whole[149000:281001]
-            status, _, got = await one.object_request("POST", at, complete(wanted))
+            status, _, got = await one.object_request("POST", at, complete(expected))
             assert (status, code(got)) == (404, "NoSuchUpload")
 
     run_scenario(story())
@@ -205,7 +205,7 @@
 def test_an_aborted_upload_takes_no_more_and_a_small_part_is_refused():
     async def story():
         async with FrontHarness(2, OPERATOR) as world:
-            at = f"{WHERE}?uploadId={await begin(world)}"
+            at = f"{KEY_PATH}?uploadId={await begin_upload(world)}"
             tags = [(n, md5(b"tiny")) for n in (1, 2)]
             for number, _ in tags:
                 assert (await world.object_request("PUT", f"{at}&partNumber={number}", b"tiny"))[0] == 200
@@ -224,7 +224,7 @@
 
 
 @pytest.mark.parametrize(
-    ("method", "path", "headers", "status", "word"),
+    ("method", "path", "headers", "status", "error_code"),
     [
         ("GET", "/nobody/x", {}, 404, "NoSuchBucket"),
         ("GET", "/photos/", {}, 501, "NotImplemented"),
@@ -247,11 +247,11 @@
         ("PATCH", "/photos/x", {}, 501, "NotImplemented"),
     ],
 )
-def test_errors_come_in_s3s_form(method, path, headers, status, word):
+def test_errors_come_in_s3s_form(method, path, headers, status, error_code):
     async def story():
         async with FrontHarness(1, OPERATOR) as world:
             got, _, body = await world.object_request(method, path, b"<x" if method != "GET" else b"", **headers)
-            assert (got, code(body)) == (status, word)
+            assert (got, code(body)) == (status, error_code)
             assert (await world.object_request("PUT", "/photos/x", b"y"))[0] == 200  # and the front goes on
 
     run_scenario(story())
@@ -260,12 +260,12 @@
 @pytest.mark.parametrize("act", ["half", "reset", "full", "error", "corrupt", "close"])
 def test_a_chunk_that_fails_mid_read_is_read_again_with_no_byte_twice_or_missing(act):
     async def story():
-        body = some_bytes(6 * PAYLOAD + 5)
+        body = some_bytes(6 * PAYLOAD_BYTES + 5)
         async with FrontHarness(1, OPERATOR) as world:
             node = world.nodes[0]
-            await world.object_request("PUT", WHERE, body)
+            await world.object_request("PUT", KEY_PATH, body)
             node.scripted_responses.extend(["", "", "", act, "", act])  # the first is the manifest's
-            status, _, got = await world.object_request("GET", WHERE, Range="bytes=100-")
+            status, _, got = await world.object_request("GET", KEY_PATH, Range="bytes=100-")
             assert (
                 status == 206 and got == body[100:] and node.overlapping_attempts == 0 and not node.scripted_responses
             )
@@ -275,20 +275,20 @@
 
 def test_a_read_whose_node_stalls_breaks_visibly_and_is_taken_up_where_it_broke():
     async def story():
-        body = some_bytes(8 * PAYLOAD)
+        body = some_bytes(8 * PAYLOAD_BYTES)
         async with FrontHarness(1, OPERATOR) as world:
             node = world.nodes[0]
-            await world.object_request("PUT", WHERE, body)
+            await world.object_request("PUT", KEY_PATH, body)
             node.scripted_responses.extend([""] * 5 + ["stall"])
             got = bytearray()
-            url = f"http://127.0.0.1:{world.object_port}{WHERE}"
+            url = f"http://127.0.0.1:{world.object_port}{KEY_PATH}"
             async with world.session.get(url) as answer:
                 assert answer.status == 200 and answer.headers["Content-Length"] == str(len(body))
                 with pytest.raises(aiohttp.ClientError):
                     async for some in answer.content.iter_any():
                         got += some
             assert 0 < len(got) < len(body) and body.startswith(bytes(got))
-            status, _, rest = await world.object_request("GET", WHERE, Range=f"bytes={len(got)}-")
+            status, _, rest = await world.object_request("GET", KEY_PATH, Range=f"bytes={len(got)}-")
             assert status == 206 and bytes(got) + rest == body and node.overlapping_attempts == 0
             await wait_until(lambda: not any(node.in_flight.values()))
 
@@ -297,19 +297,19 @@
 
 def test_a_stalled_chunk_is_tried_again_once_the_node_is_known_to_lose_answers():
     async def story():
-        body = some_bytes(5 * PAYLOAD)
+        body = some_bytes(5 * PAYLOAD_BYTES)
         async with FrontHarness(1, OPERATOR) as world:
             node = world.nodes[0]
             node.delay = 0.1  # so that four times the usual wait is long
-            await world.object_request("PUT", WHERE, body)
+            await world.object_request("PUT", KEY_PATH, body)
             node.scripted_responses.extend(["", "stall"])
             with pytest.raises(aiohttp.ClientError):
-                status, _, _ = await world.object_request("GET", WHERE)
+                status, _, _ = await world.object_request("GET", KEY_PATH)
                 assert status == 503  # the first chunk was the one: nothing had gone out yet
                 raise aiohttp.ClientError
             node.scripted_responses.extend(["", "", "stall"])
             seen = len(node.received)
-            assert (await world.object_request("GET", WHERE))[::2] == (200, body)
+            assert (await world.object_request("GET", KEY_PATH))[::2] == (200, body)
             assert (
                 len(node.received) >= seen + 1 + 5 + 1
                 and not node.scripted_responses
@@ -323,10 +323,10 @@
 def test_an_upload_whose_node_drains_partway_ends_in_one_final_answer(replaced):
     async def story():
         # a chunk's shard is a lot drawn anew each time: so many that either half reaches both nodes
-        half = 32 * PAYLOAD
+        half = 32 * PAYLOAD_BYTES
         before, body = some_bytes(1000, 7), some_bytes(2 * half, 8)
         async with FrontHarness(2, OPERATOR) as world:
-            assert (await world.object_request("PUT", WHERE, before))[0] == 200
+            assert (await world.object_request("PUT", KEY_PATH, before))[0] == 200
             drained = world.nodes[1]
             # heads spread their first calls: one that has no watch yet knows of no drain
             await wait_until(lambda: world.calls and world.calls[-1][1] == str(world.revision))
@@ -343,7 +343,7 @@
                     world.publish_state(fresh, "up")
                 yield body[half:]
 
-            url = f"http://127.0.0.1:{world.object_port}{WHERE}"
+            url = f"http://127.0.0.1:{world.object_port}{KEY_PATH}"
             async with world.session.put(url, data=sending()) as answer:
                 status, got = answer.status, await answer.read()
             if replaced:
@@ -352,7 +352,7 @@
                 assert (status, code(got), answer.headers["Retry-After"]) == (503, "SlowDown", "1")
                 world.publish_state(drained, "up")
                 await wait_until(lambda: world.calls[-1][1] == str(world.revision))
-            assert (await world.object_request("GET", WHERE))[2] == (body if replaced else before)
+            assert (await world.object_request("GET", KEY_PATH))[2] == (body if replaced else before)
             assert all(node.overlapping_attempts == 0 for node in world.nodes)
 
     run_scenario(story())
@@ -361,32 +361,32 @@
 @pytest.mark.parametrize("method", ["PUT", "GET"])
 def test_a_client_that_leaves_partway_frees_its_chunks_and_changes_nothing(method):
     async def story():
-        body = some_bytes(6 * PAYLOAD)
+        body = some_bytes(6 * PAYLOAD_BYTES)
         async with FrontHarness(1, OPERATOR) as world:
             node = world.nodes[0]
-            await world.object_request("PUT", WHERE, body)
-            seen, kept = len(node.received), dict(node.stored)
+            await world.object_request("PUT", KEY_PATH, body)
+            seen, stored = len(node.received), dict(node.stored)
             node.scripted_responses.extend([""] + ["stall"] * 4 if method == "GET" else ["stall"] * 4)
-            leaving = asyncio.create_task(world.object_request(method, WHERE, body[1:] if method == "PUT" else b""))
+            leaving = asyncio.create_task(world.object_request(method, KEY_PATH, body[1:] if method == "PUT" else b""))
             await wait_until(lambda: len(node.received) > seen + 1 and any(node.in_flight.values()))
             leaving.cancel()
             await wait_until(lambda: not any(node.in_flight.values()))
             node.scripted_responses.clear()
-            assert (await world.object_request("GET", WHERE))[2] == body
-            assert {path: node.stored[path] for path in kept} == kept and node.overlapping_attempts == 0
+            assert (await world.object_request("GET", KEY_PATH))[2] == body
+            assert {path: node.stored[path] for path in stored} == stored and node.overlapping_attempts == 0
 
     run_scenario(story())
 
 
-@pytest.mark.parametrize(("rate", "wanted"), [(0.01, 503), (100000, 200)])
-def test_a_teams_budget_is_held_by_the_decisions(rate, wanted):
+@pytest.mark.parametrize(("rate", "expected"), [(0.01, 503), (100000, 200)])
+def test_a_teams_budget_is_held_by_the_decisions(rate, expected):
     async def story():
         budget = f"budget = {{units_per_s = {rate}}}\n"
         operator = OPERATOR.replace('buckets = ["photos"]', budget + 'buckets = ["photos"]')
         async with FrontHarness(1, operator) as world:
-            status, _, got = await world.object_request("PUT", WHERE, some_bytes(100))
-            assert status == wanted and (status == 200 or code(got) == "SlowDown")
-            assert bool(world.nodes[0].received) == (wanted == 200)
+            status, _, got = await world.object_request("PUT", KEY_PATH, some_bytes(100))
+            assert status == expected and (status == 200 or code(got) == "SlowDown")
+            assert bool(world.nodes[0].received) == (expected == 200)
 
     run_scenario(story())
 
@@ -395,8 +395,8 @@
     async def story():
         async with FrontHarness(2, OPERATOR) as world:
             body = some_bytes(48 << 20)
-            assert (await world.object_request("PUT", WHERE, body))[0] == 200
-            slow = await world.session.get(f"http://127.0.0.1:{world.object_port}{WHERE}")
+            assert (await world.object_request("PUT", KEY_PATH, body))[0] == 200
+            slow = await world.session.get(f"http://127.0.0.1:{world.object_port}{KEY_PATH}")
             await asyncio.sleep(0.5)  # a client that does not read must not make the front collect
             assert hashlib.md5(await slow.read()).digest() == hashlib.md5(body).digest()
             status = Path(f"/proc/{world.process.pid}/status").read_text()
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -72,15 +72,18 @@
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
-@given(sizes=st.lists(st.integers(0, 3 * layout.PAYLOAD), max_size=4), cut=st.tuples(st.floats(0, 1), st.floats(0, 1)))
+@given(
+    sizes=st.lists(st.integers(0, 3 * layout.PAYLOAD_BYTES), max_size=4),
+    cut=st.tuples(st.floats(0, 1), st.floats(0, 1)),
+)
 def test_slices_of_a_range_are_its_bytes_in_order(sizes, cut):
     parts = [Part(i + 1, size, "", "g") for i, size in enumerate(sizes)]
     manifest = Manifest("", layout.now(), parts)
     begin, end = sorted(round(c * manifest.size) for c in cut)
     at = begin
     for piece in manifest.slices(begin, end):
-        start = sum(p.size for p in parts[: piece.part.number - 1]) + piece.index * layout.PAYLOAD
-        assert start + piece.begin == at and piece.begin < piece.end <= piece.length <= layout.PAYLOAD
+        start = sum(p.size for p in parts[: piece.part.number - 1]) + piece.index * layout.PAYLOAD_BYTES
+        assert start + piece.begin == at and piece.begin < piece.end <= piece.payload_bytes <= layout.PAYLOAD_BYTES
         at = start + piece.end
     assert at == end
 
@@ -101,8 +104,8 @@
     else:
         wanted = numbers[first:] if last is None else numbers[first : last + 1]
     try:
-        got = conditions.read_range(header, size)
-    except conditions.Unsatisfiable:
+        got = conditions.parse_range(header, size)
+    except conditions.RangeNotSatisfiable:
         assert wanted == []
     else:
         assert (wanted is None) == (got is None) and (got is None or numbers[slice(*got)] == wanted)
@@ -111,11 +114,11 @@
 def test_manifest_with_the_maximum_of_parts_fits_into_a_chunk_and_can_be_decoded():
     parts = [
         Part(n, 5 << 20, layout._digest((str(n),), 16).hex(), layout._digest((str(n),), 6).hex(), 10**12 + n)
-        for n in range(1, layout.MOST_PARTS + 1)
+        for n in range(1, layout.MAX_PARTS + 1)
     ]
     manifest = Manifest("e", layout.now(), parts, meta={"x-amz-meta-a": "b" * 2000})
     packed = manifest.encode()
-    assert len(packed) <= layout.PAYLOAD and Manifest.decode(packed) == manifest
+    assert len(packed) <= layout.PAYLOAD_BYTES and Manifest.decode(packed) == manifest
 
 
 def test_sealed_chunk_opens_only_with_its_own_name_and_bytes():
@@ -127,7 +130,7 @@
         (("data", "a"), b""),
         (("data", "a"), b"x" + body[1:]),
     ]:
-        with pytest.raises(layout.Corrupt):
+        with pytest.raises(layout.CorruptChunk):
             layout.unseal(names, other)
 
 
