--- a/tests/test_http2_connection.py
+++ b/tests/test_http2_connection.py
@@ -49,7 +49,7 @@
         self.exchange_bytes()
         return stream
 
-    def received(self, stream: int) -> bytes:
+    def received_body(self, stream: int) -> bytes:
         return b"".join(e.data for e in self.client_events if isinstance(e, DataReceived) and e.stream_id == stream)
 
 
