--- a/ochrespan/objects/__init__.py
+++ b/ochrespan/objects/__init__.py
@@ -1,1 +1,1 @@
-"""The object API: S3-shaped requests as chunks, each of which is one request of the core."""
+"""S3-compatible object API. Objects are stored as chunks; each chunk access is a request scheduled by the front."""
--- a/ochrespan/objects/call.py
+++ b/ochrespan/objects/call.py
@@ -1,4 +1,4 @@
-"""One request of the object API, read and checked: bucket, key, contract, parameters, body."""
+"""Parses and validates a request of the object API: bucket, key, contract, parameters and body."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 from .section import ObjectsConfig
 from .store import Scope
 
-MAX_XML_BYTES = 256 * 1024  # of a body that is a document
-MAX_METADATA_BYTES = 2048  # of the client's own headers on an object
+MAX_XML_BYTES = 256 * 1024  # of an XML request body
+MAX_METADATA_BYTES = 2048  # of the names and values of x-amz-meta-* headers
 MAX_KEY_BYTES = 1024
-MAX_CONTENT_TYPE_CHARS = 256  # characters that are kept
-MAX_EXPIRY_MS = 86_400_000  # a day
+MAX_CONTENT_TYPE_CHARS = 256  # longer values are truncated
+MAX_EXPIRY_MS = 86_400_000  # one day
 MD5_BYTES = 16
 
 
 class Call:
-    """One request: whose it is, its parameters and its body."""
+    """A parsed request: its contract, parameters and body."""
 
     def __init__(self, request: Exchange, objects: ObjectsConfig, gate: ContractGate) -> None:
-        """Raises `ApiError` where the request cannot be read or is no contract's."""
+        """Raises `ApiError` if the request is invalid or no contract covers it."""
         path, _, query = request.target.partition("?")
         bucket, _, key = path.lstrip("/").partition("/")
         try:
@@ -58,7 +58,7 @@
         return contract
 
     def _deadline(self) -> datetime | None:
-        """The client's own deadline, where it sent one."""
+        """The deadline from the client's X-Expires-In-Ms header; None without the header."""
         header = self.request.headers.get("X-Expires-In-Ms")
         if header is None:
             return None
@@ -67,14 +67,14 @@
         return layout.now() + timedelta(milliseconds=int(header))
 
     def part_number(self) -> int:
-        """Which part of an upload is sent."""
+        """The part number of a multipart upload, from the query."""
         number = self.query.get("partNumber", "")
         if not number.isdecimal() or not 1 <= int(number) <= layout.MAX_PARTS:
             raise invalid_argument(f"Part number must be 1 to {layout.MAX_PARTS}.")
         return int(number)
 
     def object_metadata(self) -> tuple[str, dict[str, str]]:
-        """The content type and the client's own words on the object."""
+        """The content type and the x-amz-meta-* headers of the request."""
         headers = self.request.headers
         meta = {name.lower(): value for name, value in headers.items() if name.lower().startswith("x-amz-meta-")}
         if sum(len(name) + len(value) for name, value in meta.items()) > MAX_METADATA_BYTES:
@@ -82,7 +82,7 @@
         return headers.get("Content-Type", layout.DEFAULT_CONTENT_TYPE)[:MAX_CONTENT_TYPE_CHARS], meta
 
     async def body(self) -> AsyncIterator[bytes]:
-        """The body in chunk-sized payloads; a client that stops sending is let go."""
+        """Yields the body in chunk-sized payloads; raises `ApiError` if the client stays idle too long."""
         buffered = bytearray()
         while True:
             try:
@@ -100,7 +100,7 @@
             yield bytes(buffered)
 
     async def document(self) -> bytes:
-        """A body that is a small XML document, whole."""
+        """Reads a small XML document from the body, up to MAX_XML_BYTES."""
         chunks, size = [], 0
         async with aclosing(self.body()) as body:
             async for data in body:
@@ -112,7 +112,7 @@
 
 
 def expected_md5(headers: Mapping[str, str]) -> str | None:
-    """The digest in hex that the client sent with its body; None: it sent none."""
+    """The Content-MD5 header as hex digits; None without the header."""
     if (header := headers.get("Content-MD5")) is None:
         return None
     try:
--- a/ochrespan/objects/conditions.py
+++ b/ochrespan/objects/conditions.py
@@ -1,4 +1,4 @@
-"""Byte ranges and conditional requests, as RFC 9110 has them."""
+"""Byte ranges and conditional requests according to RFC 9110."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class RangeNotSatisfiable(ValueError):
-    """No byte of the object lies in the range."""
+    """The range contains no byte of the object."""
 
 
 class ConditionResult(Enum):
-    """What conditions make of a read, by its status."""
+    """Result of evaluating the conditions of a read; the value is the HTTP status."""
 
     PROCEED = 200
     NOT_MODIFIED = 304
@@ -24,7 +24,8 @@
 
 
 def parse_range(header: str | None, size: int) -> tuple[int, int] | None:
-    """Begin and end (without) of the range; None to send the whole: no range, several, or not one we read."""
+    """Begin and exclusive end of the range. None: send the complete object, since there is no range, there are several,
+    or the syntax or unit is not supported."""
     found = RANGE.fullmatch(header.strip()) if header else None
     if found is None or not (found[1] or found[2]):
         return None
@@ -33,19 +34,19 @@
     else:
         begin, end = int(found[1]), min(size, int(found[2]) + 1) if found[2] else size
         if found[2] and int(found[2]) < int(found[1]):
-            return None  # not a range at all
+            return None  # an invalid range is ignored
     if begin >= end:
         raise RangeNotSatisfiable
     return begin, end
 
 
 def format_http_date(at: datetime) -> str:
-    """A time as headers have it, in whole seconds."""
+    """Formats a time as an HTTP date, truncated to seconds."""
     return format_datetime(at.astimezone(UTC).replace(microsecond=0), usegmt=True)
 
 
 def parse_http_date(header: str | None) -> datetime | None:
-    """A date that cannot be read is ignored, as the RFC asks."""
+    """Parses an HTTP date; None if it is invalid, since RFC 9110 requires invalid dates to be ignored."""
     if not header:
         return None
     try:
@@ -56,13 +57,13 @@
 
 
 def etag_matches(header: str, etag: str) -> bool:
-    """Whether a list of ETags has this one, or stands for any."""
+    """Whether a list of ETags contains this one or `*`."""
     tags = [tag.strip().removeprefix("W/").strip('"') for tag in header.split(",")]
     return "*" in tags or etag in tags
 
 
 def evaluate(headers: Mapping[str, str], etag: str, modified: datetime) -> ConditionResult:
-    """What a read's conditions say of an object; an ETag's word goes before a date's."""
+    """Evaluates the conditions of a read; ETag conditions take precedence over date conditions."""
     modified = modified.replace(microsecond=0)
     if (header := headers.get("If-Match")) is not None:
         if not etag_matches(header, etag):
@@ -78,7 +79,7 @@
 
 
 def range_applies(headers: Mapping[str, str], etag: str, modified: datetime) -> bool:
-    """Whether If-Range lets the range stand; otherwise the whole object is sent."""
+    """Whether If-Range permits the range; if not, the complete object is sent."""
     header = headers.get("If-Range")
     if header is None:
         return True
--- a/ochrespan/objects/errors.py
+++ b/ochrespan/objects/errors.py
@@ -1,4 +1,4 @@
-"""The object API's errors: S3's codes and form, and what each way in which a request can end becomes."""
+"""Error responses of the object API in S3's format, and the mapping from exceptions to S3 error codes."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class ApiError(Exception):
-    """An answer in S3's form of errors."""
+    """An error response with an S3 error code."""
 
     def __init__(self, status: int, code: str, message: str, headers: Mapping[str, str] | None = None) -> None:
         super().__init__(message)
         self.status, self.code, self.headers = status, code, dict(headers or {})
 
     def reply(self, request: Exchange) -> Reply:
-        """The final answer to a request; one to HEAD has no body."""
+        """The response with the error document; without a body for HEAD."""
         body = xml.render(
             "Error",
             [
@@ -42,27 +42,27 @@
 
 
 def no_key() -> ApiError:
-    """There is no such object."""
+    """The object does not exist."""
     return ApiError(404, "NoSuchKey", "The specified key does not exist.")
 
 
 def denied(reason: str) -> ApiError:
-    """No contract covers the request."""
+    """No contract covers the request. `reason` is part of the message."""
     return ApiError(403, "AccessDenied", f"Access Denied ({reason})")
 
 
 def not_implemented(message: str) -> ApiError:
-    """A part of S3's API that is not served."""
+    """An operation of S3's API that is not supported."""
     return ApiError(501, "NotImplemented", message)
 
 
 def invalid_argument(message: str) -> ApiError:
-    """A parameter or header that cannot be read."""
+    """A parameter or header with an invalid value."""
     return ApiError(400, "InvalidArgument", message)
 
 
 def api_error(error: Exception) -> ApiError:
-    """Each way in which the core or the store ends a request, as its answer."""
+    """Maps an exception of the store, the uploads or the XML parser to an error response."""
     match error:
         case ApiError():
             return error
@@ -85,7 +85,7 @@
 
 
 def _slow_down(error: Unavailable) -> ApiError:
-    # Retry-After in whole seconds, as S3's clients read it; the module's pauses are shorter
+    # S3 clients expect Retry-After in whole seconds; the retry delays of the front are shorter, so round up
     wait = -(-(error.retry_after or timedelta()) // timedelta(seconds=1)) or 1
     message = "Please reduce your request rate."
     if error.rule:
--- a/ochrespan/objects/front.py
+++ b/ochrespan/objects/front.py
@@ -1,4 +1,4 @@
-"""The object API over HTTP: routes calls, maps results to answers, streams bodies."""
+"""HTTP handler of the object API: routes requests, maps results to responses and streams bodies."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 log = logging.getLogger(__name__)
 
-UNSUPPORTED_SUBRESOURCES = frozenset({"acl", "tagging"})  # parts of an object that S3 has and this API has not
+UNSUPPORTED_SUBRESOURCES = frozenset({"acl", "tagging"})  # query parameters of S3 operations that are not supported
 
 
 class ObjectFront:
-    """Routes calls to the store and the uploads, and answers them."""
+    """Routes requests to the store and the uploads, and builds the responses."""
 
     def __init__(
         self, objects: ObjectsConfig, gate: ContractGate, store: ChunkStore, uploads: Uploads, lifecycle: Lifecycle
@@ -35,7 +35,8 @@
         self._lifecycle = lifecycle
 
     async def handle(self, request: Exchange) -> Reply | None:
-        """One final answer, or a connection that visibly breaks once the headers are out."""
+        """Returns the response, or None if it was streamed. A read that fails once its headers are sent aborts the
+        connection, so that the client detects the truncation."""
         bind()
         with self._lifecycle.track_request():
             try:
@@ -46,12 +47,13 @@
                 raise
             except Exception as error:
                 reply = api_error(error).reply(request)
-            if reply is not None:  # what is left of a body that we refused is not read
+            if reply is not None:  # the rest of a rejected request body is not read
                 reply.close = self._lifecycle.closing or not request.body_ended
             return reply
 
     def _check_covered(self, call: Call) -> None:
-        """Before anything is asked of a chunk server. What has been taken may end though the contract changes."""
+        """Checks the contract before the first chunk request. A request that was accepted may complete even if the
+        contract changes meanwhile."""
         contract = call.scope.contract
         reads = call.request.method in ("GET", "HEAD")
         for cls in {contract.read} if reads else {contract.read, contract.write}:
@@ -110,7 +112,7 @@
 
     @staticmethod
     def _requested_range(call: Call, manifest: Manifest) -> tuple[int, int] | None:
-        """Begin and end (without) of the bytes that are wanted; None: all."""
+        """Begin and exclusive end of the requested bytes; None: the complete object."""
         headers = call.request.headers
         if not conditions.range_applies(headers, manifest.etag, manifest.modified):
             return None
@@ -139,7 +141,7 @@
         self._require_class(contract, cls)
         slices = list(manifest.slices(begin, end))
         async with aclosing(self._store.load(call.scope, cls, slices)) as load:
-            # the headers wait for the first chunk, so that a refusal can still be told as one
+            # headers are sent once the first chunk has arrived, so that a refusal before it still gets an error status
             first = await anext(load, b"")
             await call.request.start(status, headers, end - begin, self._lifecycle.closing)
             try:
@@ -148,9 +150,11 @@
                 async for payload in load:
                     await call.request.write(payload)
             except (Unavailable, StorageFailed, DeadlineExceeded, layout.CorruptChunk) as error:
-                log.warning("read broke off", extra={"key": call.scope.key, "why": repr(error)})
+                log.warning(
+                    "object read aborted after the response headers", extra={"key": call.scope.key, "why": repr(error)}
+                )
                 call.request.abort()
-                raise ConnectionResetError("broken off") from error
+                raise ConnectionResetError("object read failed after the response headers were sent") from error
             await call.request.finish()
 
     # ---- writes ----
@@ -160,7 +164,7 @@
         if headers.get("x-amz-content-sha256", "").startswith("STREAMING-") or "x-amz-copy-source" in headers:
             raise not_implemented("Signed chunks and copies are not served.")
         if {"If-Match", "If-None-Match"} & set(headers):
-            # fronts share nothing: no two of them could agree on which write came first
+            # front processes share no state, so they cannot agree on the order of two writes
             raise not_implemented("Conditional writes are not served.")
         expected_digest = expected_md5(headers)
         if headers.get("Expect", "").lower() == "100-continue":
--- a/ochrespan/objects/layout.py
+++ b/ochrespan/objects/layout.py
@@ -1,7 +1,8 @@
-"""How an object lies on the chunk servers. All of it follows from names, so any front finds what another wrote.
+"""Storage layout of objects on the chunk servers.
 
-An object is a manifest, written last, and its data in sealed chunks. The seal is a digest over the chunk's name
-and bytes: a chunk that is cut short, altered or another's does not open.
+Locations are derived from names alone, so every front process finds what another has written. An object consists of
+data chunks and a manifest, which is written last. Each chunk begins with a seal, a digest over its name and payload,
+which detects truncated, altered and misplaced chunks.
 """
 
 from __future__ import annotations
@@ -15,18 +16,18 @@
 from datetime import UTC, datetime
 from typing import Any
 
-MAX_BODY_BYTES = 64 * 1024  # bytes of a chunk server's body
-SEAL_BYTES = 16  # bytes of the digest before a chunk's payload
-PAYLOAD_BYTES = MAX_BODY_BYTES - SEAL_BYTES  # bytes of an object in one chunk
-MAX_PARTS = 1000  # so that the part list fits into the manifest's one chunk
-MAX_RECORD_BYTES = 8 * MAX_BODY_BYTES  # bytes of a record's text once unpacked
-DEFAULT_CONTENT_TYPE = "binary/octet-stream"  # S3's own, where a client names none
+MAX_BODY_BYTES = 64 * 1024  # largest body that a chunk server stores
+SEAL_BYTES = 16  # digest in front of a chunk's payload
+PAYLOAD_BYTES = MAX_BODY_BYTES - SEAL_BYTES  # object data per chunk
+MAX_PARTS = 1000  # so that the part list fits into the single chunk of the manifest
+MAX_RECORD_BYTES = 8 * MAX_BODY_BYTES  # size of a record's JSON text after decompression
+DEFAULT_CONTENT_TYPE = "binary/octet-stream"  # S3's default without a Content-Type header
 
 ChunkName = tuple[str, ...]
 
 
 class CorruptChunk(ValueError):
-    """A body that is not what was stored under this name."""
+    """A chunk body that is not what was stored under this name."""
 
 
 def _digest(chunk_name: ChunkName, size: int) -> bytes:
@@ -35,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChunkLocation:
-    """The volume, key and shard under which a chunk is stored."""
+    """Volume, key and shard under which a chunk is stored."""
 
     volume: str
     key: str
@@ -43,62 +44,62 @@
 
     @property
     def target(self) -> str:
-        """The request target at its chunk server."""
+        """Path of the request to the chunk server."""
         return f"/api/{self.volume}/{self.key}"
 
 
 def locate(team: str, chunk_name: ChunkName, shards: int) -> ChunkLocation:
-    """Where a chunk of this name lies: the same at every front."""
+    """Location of the chunk with this name; identical in every front process."""
     digest = _digest(chunk_name, 16)
     shard = int.from_bytes(digest[8:]) % max(1, shards)
     return ChunkLocation(_digest(("team", team), 8).hex(), digest[:8].hex(), shard)
 
 
 def seal(chunk_name: ChunkName, payload: bytes) -> bytes:
-    """The chunk's body: a keyed digest of the payload under its name, then the payload."""
+    """Returns the chunk body: a digest of the payload keyed by the chunk's name, followed by the payload."""
     return hashlib.blake2b(payload, digest_size=SEAL_BYTES, key=_digest(chunk_name, 32)).digest() + payload
 
 
 def unseal(chunk_name: ChunkName, body: bytes) -> bytes:
-    """The payload; raises `Corrupt` unless the body is whole and of this name."""
+    """Returns the payload; raises `CorruptChunk` if the seal does not match the payload and the name."""
     payload = body[SEAL_BYTES:]
     if not hmac.compare_digest(seal(chunk_name, payload)[:SEAL_BYTES], body[:SEAL_BYTES]):
-        raise CorruptChunk("the seal does not match")
+        raise CorruptChunk("chunk seal does not match its name and payload")
     return payload
 
 
 def pack(record: Any) -> bytes:
-    """A record as a chunk's payload."""
+    """Encodes a record as a chunk payload: compressed JSON."""
     return zlib.compress(json.dumps(record, separators=(",", ":")).encode())
 
 
 def unpack(payload: bytes) -> Any:
-    """The record again; raises `Corrupt` where it would grow beyond its bound."""
+    """Decodes a record; raises `CorruptChunk` if it exceeds MAX_RECORD_BYTES after decompression."""
     unpacker = zlib.decompressobj()
     text = unpacker.decompress(payload, MAX_RECORD_BYTES)
     if unpacker.unconsumed_tail:
-        raise CorruptChunk("the record is too long")
+        raise CorruptChunk(f"record exceeds {MAX_RECORD_BYTES} bytes after decompression")
     return json.loads(text)
 
 
 @dataclass(frozen=True, slots=True)
 class Part:
-    """A run of bytes that was stored in one go."""
+    """A stored part of an object: one PUT, or one part of a multipart upload. Stored by position, see `row`."""
 
     number: int
     size: int
     md5: str
-    generation: str  # of the chunks that hold it
+    generation: str  # random id in the names of its chunks; each write uses a new one
     modified_ms: int = 0
 
     def row(self) -> list[Any]:
-        """The part as it stands in a record; `Part(*row)` is the part again."""
+        """The stored form of the part: a list in field order; `Part(*row)` restores it."""
         return list(asdict(self).values())
 
 
 @dataclass(frozen=True, slots=True)
 class ChunkSlice:
-    """The bytes that one chunk gives to a read."""
+    """The byte range of one chunk that a read returns; `begin` and `end` are offsets in the payload."""
 
     part: Part
     index: int
@@ -107,13 +108,13 @@
 
     @property
     def payload_bytes(self) -> int:
-        """Bytes of the whole chunk."""
+        """Payload size of the complete chunk."""
         return min(PAYLOAD_BYTES, self.part.size - self.index * PAYLOAD_BYTES)
 
 
 @dataclass(slots=True)
 class Manifest:
-    """The record that makes stored parts an object: its parts in order, and what a read tells of it."""
+    """The record that describes an object: its parts in order and its metadata."""
 
     etag: str
     modified: datetime
@@ -124,11 +125,11 @@
 
     @property
     def size(self) -> int:
-        """Bytes of the whole object."""
+        """Size of the object in bytes."""
         return sum(part.size for part in self.parts)
 
     def slices(self, begin: int, end: int) -> Iterator[ChunkSlice]:
-        """The chunks that hold the bytes from begin up to, without, end; in order."""
+        """Yields the chunk slices that contain the bytes from `begin` to `end` (exclusive), in order."""
         at = 0
         for part in self.parts:
             low, high = max(begin - at, 0), min(end - at, part.size)
@@ -138,7 +139,7 @@
             at += part.size
 
     def encode(self) -> bytes:
-        """The payload of the manifest's chunk."""
+        """Encodes the manifest as a chunk payload."""
         record = {
             "v": 1,
             "etag": self.etag,
@@ -152,7 +153,7 @@
 
     @classmethod
     def decode(cls, payload: bytes) -> Manifest:
-        """The manifest of such a payload."""
+        """Decodes a manifest from a chunk payload."""
         got = unpack(payload)
         return cls(
             got["etag"],
@@ -165,31 +166,31 @@
 
 
 def etag_of_parts(parts: list[Part]) -> str:
-    """S3's form: the digest of the parts' digests, and their count."""
+    """The ETag of a multipart object as S3 defines it: MD5 of the parts' MD5 digests, and the number of parts."""
     digests = b"".join(bytes.fromhex(part.md5) for part in parts)
     return f"{hashlib.md5(digests, usedforsecurity=False).hexdigest()}-{len(parts)}"
 
 
 def now() -> datetime:
-    """The time of day in UTC."""
+    """The current time in UTC."""
     return datetime.now(UTC)
 
 
 def manifest_chunk_name(bucket: str, key: str) -> ChunkName:
-    """The chunk of an object's manifest."""
+    """Name of the chunk with an object's manifest."""
     return ("manifest", bucket, key)
 
 
 def data_chunk_name(bucket: str, key: str, part: Part, index: int) -> ChunkName:
-    """A chunk of a part's data."""
+    """Name of a data chunk; `index` counts from 0 in the part."""
     return ("data", bucket, key, part.generation, str(part.number), str(index))
 
 
 def upload_chunk_name(bucket: str, key: str, upload: str) -> ChunkName:
-    """The chunk of an upload's own record."""
+    """Name of the chunk with an upload's state."""
     return ("upload", bucket, key, upload)
 
 
 def part_list_chunk_name(bucket: str, key: str, upload: str, front: int) -> ChunkName:
-    """The chunk in which one front lists the parts of an upload that came through it."""
+    """Name of the chunk in which one front process lists the parts of an upload that it received."""
     return ("parts", bucket, key, upload, str(front))
--- a/ochrespan/objects/section.py
+++ b/ochrespan/objects/section.py
@@ -1,4 +1,4 @@
-"""The object API's table of the operator's file: [objects]. Teams and their buckets are the contracts'."""
+"""The table [objects] of the operator configuration file. Teams and buckets are defined by the contracts."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ObjectsTable(Table):
-    """The table as it is written."""
+    """Schema of the table."""
 
     listen: str
     export_from_bytes: Bytes = 1024 * 1024
@@ -26,18 +26,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ObjectsConfig:
-    """What the operator's file says of the object API, checked."""
+    """Validated configuration of the object API."""
 
     listen: tuple[str, int]
-    export_threshold_bytes: int  # bytes from which a read runs as an export
-    min_part_bytes: int  # bytes of every part of an upload but the last
-    idle_timeout: timedelta  # for a client that stops sending
+    export_threshold_bytes: int  # reads of at least this size use the export class
+    min_part_bytes: int  # minimum for every part of an upload except the last
+    idle_timeout: timedelta  # limit without body data from the client
 
 
 def read(
     tables: Mapping[str, Any], settings: api.Settings, faults: Faults, earlier: Mapping[str, Any]
 ) -> ObjectsConfig | None:
-    """The checked section; None where the table cannot be read. Faults are collected in `faults`."""
+    """Parses and validates the table; None if its schema is violated. Adds findings to `faults`."""
     table = read_table(ObjectsTable, tables["objects"], "[objects]", faults)
     contracts = earlier.get("contracts")
     if contracts is None or not contracts.registry.by_bucket:
--- a/ochrespan/objects/start.py
+++ b/ochrespan/objects/start.py
@@ -1,4 +1,4 @@
-"""Starts the object API's front."""
+"""Creates the server of the object API."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def start(section: ObjectsConfig, core: CoreComponents) -> Subsystem:
-    """The object API's server and its address."""
+    """Builds the object API and returns its server with the address to listen on."""
     settings, links = core.config.settings, core.config.links
     deadlines = {cls.name: timedelta(seconds=cls.deadline) for cls in settings.classes.values()}
     store = ChunkStore(core.broker, core.client, links.shards, settings.max_units, deadlines)
--- a/ochrespan/objects/store.py
+++ b/ochrespan/objects/store.py
@@ -1,4 +1,4 @@
-"""Chunks in and out: each one is a request of the core, under its team's plan and class."""
+"""Reads and writes chunks. Each access is a request to the broker under the plan and class of the team."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from . import layout
 from .layout import ChunkName, ChunkSlice, Manifest, Part
 
-MAX_CHUNKS_IN_FLIGHT = 4  # chunks of one object under way at a time: bounds memory and what one client occupies
-GENERATION_BYTES = 6  # of the random name of a stored run
+MAX_CHUNKS_IN_FLIGHT = 4  # per object transfer: limits memory use and the capacity that one client occupies
+GENERATION_BYTES = 6  # of the random generation id of a part
 TRACE_ID_BYTES = 8
 
 
 class Unavailable(Exception):
-    """Refused: trying again is harmless."""
+    """The request was refused before it was executed; it is safe to retry."""
 
     def __init__(self, retry_after: timedelta | None, rule: str = "") -> None:
         super().__init__(f"over budget: {rule}" if rule else "refused")
@@ -33,40 +33,40 @@
 
 
 class Denied(Exception):
-    """No contract covers it."""
+    """No contract covers the request."""
 
 
 class StorageFailed(Exception):
-    """Failed, or what is stored is not whole."""
+    """The request failed, or stored data is missing or incomplete."""
 
 
 class DeadlineExceeded(Exception):
-    """The client's own deadline has passed."""
+    """The deadline set by the client has passed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Scope:
-    """On whose behalf, and until when."""
+    """The contract, object and deadline of a request."""
 
     contract: Contract
-    owner: str  # the team whose data it is
+    owner: str  # team that owns the bucket
     bucket: str
     key: str
     deadline: datetime | None = None
 
     @property
     def read_class(self) -> str:
-        """The class of its reads."""
+        """Request class of reads."""
         return self.contract.read
 
     @property
     def write_class(self) -> str:
-        """The class of its writes."""
+        """Request class of writes."""
         return self.contract.write
 
 
 class ChunkStore:
-    """Reads and writes chunks, records and whole objects through the core."""
+    """Reads and writes chunks, records and objects through the broker."""
 
     def __init__(
         self, broker: Broker, client: ChunkClient, shards: int, max_units: float, deadlines: dict[str, timedelta]
@@ -96,20 +96,21 @@
             case NotCovered(rule, _, detail):
                 raise Denied(f"{rule}: {detail}")
             case Failed():
-                raise StorageFailed("no chunk server served it")
+                raise StorageFailed("no chunk server completed the request")
             case answer:
                 return answer
 
     async def write(self, scope: Scope, cls: str, chunk_name: ChunkName, payload: bytes) -> None:
-        """Stores one chunk, sealed."""
+        """Seals and stores one chunk."""
         if len(payload) > layout.PAYLOAD_BYTES:
-            raise StorageFailed("a record does not fit into a chunk")
+            raise StorageFailed(f"payload of {len(payload)} bytes does not fit into a chunk")
         location = layout.locate(scope.owner, chunk_name, self._shards)
         request = self._request(scope, cls, location, len(payload))
         await self._serve(request, Message("PUT", location.target, layout.seal(chunk_name, payload)))
 
     async def read(self, scope: Scope, cls: str, chunk_name: ChunkName, size: int) -> bytes | None:
-        """The payload, or None where nothing is stored. Only a whole body whose seal opens ends the request."""
+        """Returns the payload, or None if nothing is stored. A response with an invalid seal counts as failed and is
+        retried."""
         location = layout.locate(scope.owner, chunk_name, self._shards)
 
         def is_valid(answer: Answer) -> bool:
@@ -126,30 +127,31 @@
         return None if answer.status == 404 else answer.body[layout.SEAL_BYTES :]
 
     async def read_record(self, scope: Scope, chunk_name: ChunkName) -> Any:
-        """A stored record, or None."""
+        """Returns a stored record, or None."""
         payload = await self.read(scope, scope.read_class, chunk_name, 1)
         return None if payload is None else layout.unpack(payload)
 
     async def write_record(self, scope: Scope, chunk_name: ChunkName, record: Any) -> None:
-        """Stores a record under its name."""
+        """Stores a record."""
         await self.write(scope, scope.write_class, chunk_name, layout.pack(record))
 
-    # ---- whole objects ----
+    # ---- objects ----
 
     async def read_manifest(self, scope: Scope) -> Manifest | None:
-        """The object as it stands, or None where there is none."""
+        """Returns the manifest of the object, or None if it does not exist or was deleted."""
         chunk_name = layout.manifest_chunk_name(scope.bucket, scope.key)
         payload = await self.read(scope, scope.read_class, chunk_name, 1)
         found = Manifest.decode(payload) if payload is not None else None
         return None if found is None or found.deleted else found
 
     async def commit(self, scope: Scope, manifest: Manifest) -> None:
-        """The last write of an object: until it is done, readers see what was there before."""
+        """Writes the manifest, the last write of an object: until it completes, readers see the previous version."""
         chunk_name = layout.manifest_chunk_name(scope.bucket, scope.key)
         await self.write(scope, scope.write_class, chunk_name, manifest.encode())
 
     async def store(self, scope: Scope, body: AsyncIterator[bytes], number: int = 1) -> Part:
-        """Stores a run of bytes in chunks of a new generation; nothing refers to them yet."""
+        """Stores a part in chunks of a new generation. They stay invisible until a manifest or part list refers to
+        them."""
         generation, digest, size = secrets.token_hex(GENERATION_BYTES), hashlib.md5(usedforsecurity=False), 0
         blank = Part(number, 0, "", generation)
         window = TaskWindow()
@@ -169,7 +171,7 @@
         return Part(number, size, digest.hexdigest(), generation, modified)
 
     async def load(self, scope: Scope, cls: str, slices: list[ChunkSlice]) -> AsyncIterator[bytes]:
-        """The bytes of these slices, in order, each once, with a few chunks read ahead."""
+        """Yields the bytes of the slices in order; reads up to MAX_CHUNKS_IN_FLIGHT chunks concurrently."""
         window, remaining = TaskWindow(), iter(slices)
         try:
             while True:
@@ -190,7 +192,7 @@
 
 
 class TaskWindow:
-    """A few tasks in order; the first failure ends them all, and none is left behind."""
+    """An ordered window of concurrent tasks. Waiting raises the failure of the oldest task; `cancel` ends the rest."""
 
     def __init__(self) -> None:
         self._tasks: deque[asyncio.Task[Any]] = deque()
@@ -199,27 +201,27 @@
         return len(self._tasks)
 
     def add(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Starts one more task."""
+        """Starts a task."""
         self._tasks.append(asyncio.create_task(work))
 
     async def next_result(self) -> Any:
-        """The result of the oldest task."""
+        """Waits for the oldest task, removes it and returns its result."""
         result = await self._tasks[0]
         self._tasks.popleft()
         return result
 
     async def wait_for_capacity(self) -> None:
-        """Waits until one more task may start."""
+        """Waits until fewer than MAX_CHUNKS_IN_FLIGHT tasks are running."""
         while len(self._tasks) >= MAX_CHUNKS_IN_FLIGHT:
             await self.next_result()
 
     async def wait_all(self) -> None:
-        """Waits until all are done."""
+        """Waits until all tasks have completed."""
         while self._tasks:
             await self.next_result()
 
     async def cancel(self) -> None:
-        """Ends all that are left."""
+        """Cancels all remaining tasks and waits for them to end."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/ochrespan/objects/uploads.py
+++ b/ochrespan/objects/uploads.py
@@ -1,7 +1,7 @@
-"""Multipart uploads. Their state lies on the chunk servers too, so each call may reach another front.
+"""Multipart uploads. Their state is stored on the chunk servers, so each request may reach another front process.
 
-Every front keeps the list of the parts that came through it in a record of its own, which no other writes; the
-parts of an upload are all those lists together, the newest of each number.
+Every front process writes the parts that it received to a record of its own, so no two processes write the same
+record. The parts of an upload are the union of these lists, with the newest part for each number.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from .layout import Manifest, Part
 from .store import ChunkStore, DeadlineExceeded, Scope, StorageFailed, Unavailable
 
-MAX_LOCKS = 1000  # uploads whose lock is kept; beyond, the longest unused goes
+MAX_LOCKS = 1000  # cached upload locks; the least recently used one is evicted first
 
 
 class NoSuchUpload(Exception):
@@ -25,7 +25,7 @@
 
 
 class InvalidPartList(Exception):
-    """A part that was named is not there, not the one meant, or too small."""
+    """The parts named in a completion request are missing, mismatched, out of order or too small."""
 
     def __init__(self, code: str, detail: str) -> None:
         super().__init__(detail)
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class Upload:
-    """One open upload and what the object is to be."""
+    """An open upload and the metadata of the future object."""
 
     id: str
     content_type: str
@@ -42,7 +42,7 @@
 
 
 class Uploads:
-    """Multipart uploads of one front."""
+    """Multipart uploads as handled by one front process."""
 
     def __init__(self, store: ChunkStore, front: int, fronts: int, min_part_bytes: int) -> None:
         self._store, self._front, self._fronts = store, front, max(1, fronts, front + 1)
@@ -50,7 +50,7 @@
         self._locks: OrderedDict[str, asyncio.Lock] = OrderedDict()
 
     def _lock(self, upload: str) -> asyncio.Lock:
-        """One writer at a time for this front's list of an upload's parts."""
+        """The lock that serializes writes to this process's part list of an upload."""
         lock = self._locks.setdefault(upload, asyncio.Lock())
         self._locks.move_to_end(upload)
         while len(self._locks) > MAX_LOCKS and not next(iter(self._locks.values())).locked():
@@ -58,7 +58,7 @@
         return lock
 
     async def create(self, scope: Scope, content_type: str, meta: dict[str, str]) -> str:
-        """Opens an upload and returns its id."""
+        """Creates an upload and returns its id."""
         upload = secrets.token_hex(16)
         await self._write_state(scope, Upload(upload, content_type, meta), "open")
         return upload
@@ -69,14 +69,14 @@
         await self._store.write_record(scope, chunk_name, record)
 
     async def find(self, scope: Scope, upload: str) -> Upload:
-        """The open upload of this id, or `NoSuchUpload`."""
+        """Returns the open upload with this id, or raises `NoSuchUpload`."""
         record = await self._store.read_record(scope, layout.upload_chunk_name(scope.bucket, scope.key, upload))
         if record is None or record["state"] != "open":
             raise NoSuchUpload(upload)
         return Upload(upload, record["type"], record["meta"])
 
     async def put_part(self, scope: Scope, upload: str, part: Part) -> None:
-        """Makes a stored part known."""
+        """Adds a stored part to the part list of this process."""
         chunk_name = layout.part_list_chunk_name(scope.bucket, scope.key, upload, self._front)
         async with self._lock(upload):
             parts = await self._read_index(scope, upload, self._front)
@@ -89,7 +89,7 @@
         return {part.number: part for part in (Part(*entry) for entry in record)}
 
     async def parts(self, scope: Scope, upload: str) -> dict[int, Part]:
-        """All parts by number, whichever front they came through."""
+        """All parts by number, from the lists of all front processes."""
         reads = (self._read_index(scope, upload, front) for front in range(self._fronts))
         found: dict[int, Part] = {}
         for index in await asyncio.gather(*reads):
@@ -99,18 +99,19 @@
         return dict(sorted(found.items()))
 
     async def complete(self, scope: Scope, upload: str, requested: list[tuple[int, str]]) -> Manifest:
-        """Makes the named parts the object, in this order; raises `BadPart` where they cannot be."""
+        """Creates the object from the requested parts (number and ETag); raises `InvalidPartList` if they are not
+        valid."""
         opened = await self.find(scope, upload)
         selected = self._select_parts(await self.parts(scope, upload), requested)
         manifest = Manifest(layout.etag_of_parts(selected), layout.now(), selected, opened.content_type, opened.meta)
         await self._store.commit(scope, manifest)
-        # the object stands from here on: a mark that cannot be made must not turn that into a failure
+        # the object exists from here on: a failure to update the upload's state must not fail the request
         with suppress(Unavailable, StorageFailed, DeadlineExceeded):
             await self._write_state(scope, opened, "complete")
         return manifest
 
     def _select_parts(self, uploaded: dict[int, Part], requested: list[tuple[int, str]]) -> list[Part]:
-        """The parts that a client names by number and ETag, checked."""
+        """Returns the uploaded parts that match the requested numbers and ETags, validated."""
         numbers = [number for number, _ in requested]
         if not requested or len(requested) > layout.MAX_PARTS:
             raise InvalidPartList("MalformedXML", f"name 1 to {layout.MAX_PARTS} parts")
@@ -126,5 +127,5 @@
         return selected
 
     async def abort(self, scope: Scope, upload: str) -> None:
-        """Ends an upload without an object."""
+        """Aborts an upload; no object is created."""
         await self._write_state(scope, await self.find(scope, upload), "aborted")
--- a/ochrespan/objects/xml.py
+++ b/ochrespan/objects/xml.py
@@ -1,4 +1,4 @@
-"""The XML of S3's errors and results."""
+"""Renders and parses the XML documents of the S3 API."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class MalformedXml(ValueError):
-    """A document that cannot be read as what it should be."""
+    """A request document that is not well-formed or lacks required elements."""
 
 
 def render(root: str, children: list[Child], namespace: str = NAMESPACE) -> bytes:
-    """A document: each child a name with its text, or with children of its own."""
+    """Renders a document. Each child is a name with either text or a list of children."""
 
     def fill(element: ElementTree.Element, entries: list[Child]) -> None:
         for name, value in entries:
@@ -33,7 +33,7 @@
 
 
 def read_parts(body: bytes) -> list[tuple[int, str]]:
-    """The parts that a client names to complete an upload: number and ETag."""
+    """Parses the part list of a CompleteMultipartUpload request into pairs of number and ETag."""
     try:
         root = SafeTree.fromstring(body, forbid_dtd=True)
     except (ElementTree.ParseError, DefusedXmlException, ValueError) as error:
