--- a/ochrespan/http2/__init__.py
+++ b/ochrespan/http2/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/2 in clear text, by prior knowledge (RFC 9113). Off without the operator's file."""
+"""HTTP/2 over cleartext TCP with prior knowledge (RFC 9113). Disabled unless the operator configuration has [http2]."""
--- a/ochrespan/http2/connection.py
+++ b/ochrespan/http2/connection.py
@@ -1,9 +1,9 @@
-"""One HTTP/2 connection without I/O: bytes and commands in, bytes and events out, round h2.
+"""The server side of one HTTP/2 connection without I/O, built on h2.
 
-`receive` takes what the peer sent and returns what it means for the fronts; the commands answer, give credit and end.
-What goes out: control frames at once (`control_to_send`), bodies frame by frame (`frame_to_send`) as priorities and
-windows allow. Times are seconds on the caller's clock. Every request that is told started ends once: its answer is
-whole, or `StreamAborted` tells that the client wants none, or `ConnectionEnded` that all are gone.
+`receive` takes the bytes from the peer and returns events; other methods send responses, return flow-control credit
+and reset streams. Output has two parts: control frames, to be sent at once (`control_to_send`), and body frames, one
+at a time as priorities and windows allow (`frame_to_send`). Times are seconds on the caller's clock. Every
+`RequestStarted` ends exactly once: by a complete response, by `reset`, by `StreamAborted` or by `ConnectionEnded`.
 """
 
 from __future__ import annotations
@@ -32,38 +32,38 @@
 from .scheduling import Priority, parse_priority
 from .streams import StreamTable
 
-MAX_STREAM_ID = 2**31 - 1  # the largest id that there can be
-PRIORITY_UPDATE_FRAME = 0x10  # the frame's type: RFC 9218, section 7.1
-MAX_PRIORITY_FIELD_BYTES = 256  # bytes of a priority that are read
+MAX_STREAM_ID = 2**31 - 1  # RFC 9113, section 5.1.1
+PRIORITY_UPDATE_FRAME = 0x10  # frame type: RFC 9218, section 7.1
+MAX_PRIORITY_FIELD_BYTES = 256  # longer priority field values are truncated
 DRAIN_PING = b"ochrdrai"
-FIRST_FRAME_TYPE_END = 24 + 4  # bytes to the type of the frame that follows the preface
-SETTINGS_FRAME = 0x4  # the frame's type
+FIRST_FRAME_TYPE_END = 24 + 4  # bytes up to and including the type of the frame after the preface
+SETTINGS_FRAME = 0x4  # frame type
 
 
 class Connection:
-    """The server's end of one connection."""
+    """The state of one server connection."""
 
     def __init__(self, limits: Limits, buffers: BufferBudget, now: float, budget: PeerBudget | None = None) -> None:
-        """`buffers`: what all connections share. `budget`: what this peer may do."""
+        """`buffers` is shared by all connections; `budget` limits the actions of this peer."""
         self.limits = limits
         self._budget = budget or PeerBudget()
         self._h2 = ServerH2Connection(limits)
         self._streams = StreamTable(self._h2, buffers)
-        self._last_accepted_stream = 0  # the highest that was taken
-        self._control_out = bytearray()  # control frames that h2 has no part in, and those before them
-        self._first_bytes = bytearray()  # the first bytes, until the type of the first frame is known
+        self._last_accepted_stream = 0  # highest accepted stream id
+        self._control_out = bytearray()  # GOAWAY frames, which bypass h2, and the output of h2 before them
+        self._first_bytes = bytearray()  # received bytes until the type of the first frame is known
         self._draining = self._drained = False
         self.end_event: ConnectionEnded | None = None
 
-    # ---- in ----
+    # ---- input ----
 
     @property
     def open_streams(self) -> int:
-        """Streams that have been taken and not ended."""
+        """Number of accepted streams that have not ended."""
         return len(self._streams)
 
     def receive(self, data: bytes, now: float) -> list[ConnectionEvent]:
-        """What these bytes mean; nothing once the connection is over."""
+        """Processes received bytes and returns the events; none after the connection has ended."""
         if self.end_event:
             return []
         emitted: list[ConnectionEvent] = []
@@ -73,7 +73,7 @@
         self._control_out += self._h2.data_to_send()
         try:
             events = self._h2.receive_data(data)
-        except Exception as error:  # h2 lets some of what a peer makes up through as errors of its own
+        except Exception as error:  # malformed input also raises exceptions other than ProtocolError in h2
             self._end(error_code_of(error), str(error) or type(error).__name__, emitted)
             return emitted
         for event in events:
@@ -83,7 +83,7 @@
         return emitted
 
     def _begins_with_settings(self, data: bytes) -> bool:
-        """Whether the first frame is one of settings, as far as it has come."""
+        """Whether the first frame is SETTINGS; True as long as its type has not arrived."""
         if len(self._first_bytes) >= FIRST_FRAME_TYPE_END:
             return True
         self._first_bytes += data[: FIRST_FRAME_TYPE_END - len(self._first_bytes)]
@@ -101,7 +101,7 @@
             case StreamReset():
                 self._on_reset(event, now, emitted)
             case ConnectionTerminated():
-                # its streams may still be answered; only the peer's end of the connection ends them
+                # open streams are still answered; they end only when the peer closes the connection
                 self._draining = True
             case WindowUpdated():
                 if self._within_budget(PeerAction.WINDOW_UPDATE, now, emitted):
@@ -118,17 +118,17 @@
             case UnknownFrameReceived():
                 self._on_unknown_frame(event, now, emitted)
             case TrailersReceived():
-                pass  # served without them: nothing here has a use for them
+                pass  # trailers are ignored
 
     def _reschedule(self, stream: int) -> None:
-        """A window has grown: one stream's, or with stream 0 the connection's."""
+        """Reschedules after a window update of a stream, or of the connection (stream 0)."""
         if stream:
             self._streams.schedule(stream)
         else:
             self._streams.schedule_all()
 
     def _within_budget(self, action: PeerAction, now: float, emitted: list[ConnectionEvent]) -> bool:
-        """Counts what the peer did; beyond its budget the connection ends."""
+        """Counts an action of the peer; ends the connection if its budget is exceeded."""
         if self._budget.spend(action, now):
             return True
         self._end(ErrorCodes.ENHANCE_YOUR_CALM, f"too many {action.value}", emitted)
@@ -138,13 +138,13 @@
         stream, ended = event.stream_id, event.stream_ended is not None
         if self._drained or len(self._streams) >= self.limits.max_streams:
             if self._drained or self._within_budget(PeerAction.REFUSED_STREAM, now, emitted):
-                self._streams.send_reset(stream, ErrorCodes.REFUSED_STREAM)  # never processed: may be sent again
+                self._streams.send_reset(stream, ErrorCodes.REFUSED_STREAM)  # not processed: the client may retry
             return
         pseudo, fields = _split_fields(event)
         if ended and any(name == "content-length" and value != "0" for name, value in fields):
             if self._within_budget(
                 PeerAction.FAULT, now, emitted
-            ):  # RFC 9113, section 8.1.1; h2 sees it in data frames only
+            ):  # RFC 9113, section 8.1.1; h2 checks it on DATA frames only
                 self._streams.send_reset(stream, ErrorCodes.PROTOCOL_ERROR)
             return
         self._last_accepted_stream = max(self._last_accepted_stream, stream)
@@ -186,28 +186,29 @@
             field = body[4 : 4 + MAX_PRIORITY_FIELD_BYTES].decode("ascii", "replace")
             self._streams.change_priority(stream, parse_priority(field, Priority()))
 
-    # ---- out ----
+    # ---- output ----
 
     def default_priority(self, stream: int, priority: Priority) -> None:
-        """For a request whose client said nothing of it."""
+        """Sets the priority of a request without a priority header field."""
         if (state := self._streams.get(stream)) is not None:
             state.priority = priority
 
     def consume(self, stream: int, credit: int) -> None:
-        """The core has read so much of a body: the windows open again, the connection's when there is room."""
+        """Returns credit for body bytes that were read: to the stream's window at once, to the connection's if the
+        shared buffers are not full."""
         self._streams.consume(stream, credit)
 
     def release_credit(self) -> None:
-        """Others have read what they held: credit that was held back may go out."""
+        """Returns withheld credit of the connection window, if the shared buffers have capacity."""
         self._streams.return_credit(0)
 
     def send_interim(self, stream: int, status: int) -> None:
-        """An interim answer (1xx)."""
+        """Sends an interim response (1xx)."""
         if stream in self._streams:
             self._h2.send_headers(stream, [(":status", str(status))])
 
     def send_response_headers(self, stream: int, status: int, fields: list[tuple[str, str]], ended: bool) -> None:
-        """An answer's head; `ended`: no body follows."""
+        """Sends the header section of a response; `ended`: no body follows."""
         if stream not in self._streams or self.end_event:
             return
         self._h2.send_headers(stream, [(":status", str(status)), *fields], end_stream=ended)
@@ -215,43 +216,44 @@
             self._streams.finish(stream)
 
     def send_data(self, stream: int, data: bytes, ended: bool = False) -> None:
-        """Bytes of an answer: they go out as `frame_to_send` takes them."""
+        """Queues bytes of a response body for `frame_to_send`."""
         if not self.end_event:
             self._streams.add_data(stream, data, ended)
 
     def pending(self, stream: int) -> int:
-        """Bytes of an answer that have not gone out."""
+        """Queued bytes of a response body that have not been sent."""
         return self._streams.pending(stream)
 
     def is_open(self, stream: int) -> bool:
-        """Whether the stream has been taken and not ended."""
+        """Whether the stream was accepted and has not ended."""
         return stream in self._streams
 
     def reset(self, stream: int, code: int = ErrorCodes.INTERNAL_ERROR) -> None:
-        """Ends an open stream without the rest of its answer."""
+        """Resets an open stream; the rest of its response is discarded."""
         if stream in self._streams:
             self._streams.close(stream)
             self._streams.send_reset(stream, code)
 
     @property
     def has_body_frame(self) -> bool:
-        """Whether a body's frame could go out now."""
+        """Whether a body frame can be sent now."""
         return self._streams.has_frame
 
     def control_to_send(self) -> bytes:
-        """All that is due but bodies."""
+        """Returns all pending output except response bodies."""
         out = bytes(self._control_out) + self._h2.data_to_send()
         self._control_out.clear()
         return out
 
     def frame_to_send(self) -> bytes:
-        """One frame of a body, of the stream whose turn it is; empty: none may go out now."""
+        """Returns one body frame of the next scheduled stream; empty if none can be sent now."""
         return self._h2.data_to_send() if self._streams.send_frame() else b""
 
-    # ---- the end ----
+    # ---- termination ----
 
     def _end(self, code: int, reason: str, emitted: list[ConnectionEvent]) -> None:
-        """The connection's last word, in place of h2's own, which lacks our last stream and at times the right code."""
+        """Ends the connection with a GOAWAY of our own: that of h2 lacks our last accepted stream and in some cases the
+        right error code."""
         if self.end_event is not None:
             return
         self.end_event = ConnectionEnded(int(code), reason)
@@ -261,36 +263,36 @@
         emitted.append(self.end_event)
 
     def lost(self) -> None:
-        """The transport is gone: whatever was held is let go."""
+        """The transport was closed: closes all streams and releases their buffers."""
         self._streams.close_all()
-        self.end_event = self.end_event or ConnectionEnded(0, "the connection was lost")
+        self.end_event = self.end_event or ConnectionEnded(0, "transport closed")
 
     def drain(self) -> None:
-        """The first GOAWAY: no new streams, please. The last one follows when the peer has heard it."""
+        """Sends a GOAWAY that announces the drain, and a PING. The peer's acknowledgement triggers `finish_drain`."""
         if not self._draining and not self.end_event:
             self._draining = True
             self._send_goaway(MAX_STREAM_ID)
             self._h2.ping(DRAIN_PING)
 
     def finish_drain(self) -> None:
-        """The last GOAWAY: streams above the last one that was taken are refused."""
+        """Sends the final GOAWAY with the last accepted stream; new streams are refused from now on."""
         if not self._drained and not self.end_event:
             self._drained = True
             self._send_goaway(self._last_accepted_stream)
 
     def _send_goaway(self, last: int, code: int = ErrorCodes.NO_ERROR) -> None:
-        # h2 takes a GOAWAY for the end of the connection; more than one, with streams that go on, is the RFC's way
+        # bypasses h2, which ends the connection on GOAWAY; RFC 9113, section 6.8, allows several while streams continue
         self._control_out += self._h2.data_to_send()
         self._control_out += GoAwayFrame(stream_id=0, last_stream_id=last, error_code=int(code)).serialize()
 
     @property
     def done(self) -> bool:
-        """Nothing is left to do on it."""
+        """Whether the connection has ended, or is drained with no open streams."""
         return self.end_event is not None or (self._drained and not len(self._streams))
 
 
 def _split_fields(event: RequestReceived) -> tuple[dict[str, str], tuple[tuple[str, str], ...]]:
-    """The pseudo-fields, and the others, with the authority as a host field where there is none."""
+    """Splits pseudo-header fields from the others; adds a host field from :authority if there is none."""
     pseudo: dict[str, str] = {}
     fields: list[tuple[str, str]] = []
     for name, value in event.headers:
--- a/ochrespan/http2/events.py
+++ b/ochrespan/http2/events.py
@@ -1,4 +1,4 @@
-"""What a connection tells of what its peer sent: requests, bodies and ends, free of any I/O."""
+"""Events that a connection reports for the frames of its peer."""
 
 from __future__ import annotations
 
@@ -7,34 +7,34 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestStarted:
-    """A request's head."""
+    """The header section of a request has been received."""
 
     stream: int
     method: str
     target: str
-    fields: tuple[tuple[str, str], ...]  # names in lower case, without the pseudo-fields
+    fields: tuple[tuple[str, str], ...]  # lower-case names, without pseudo-header fields
     ended: bool  # no body follows
 
 
 @dataclass(frozen=True, slots=True)
 class BodyReceived:
-    """Some bytes of a request's body."""
+    """Bytes of a request body have been received."""
 
     stream: int
     data: bytes
-    credit: int  # to be given back by `consume`: with padding, more than there are bytes
+    credit: int  # flow-control credit in bytes to return by `consume`; includes padding
 
 
 @dataclass(frozen=True, slots=True)
 class BodyEnded:
-    """A request's body is whole."""
+    """A request body is complete."""
 
     stream: int
 
 
 @dataclass(frozen=True, slots=True)
 class StreamAborted:
-    """The client wants no answer any more."""
+    """The stream was reset; no response can be sent."""
 
     stream: int
     code: int
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionEnded:
-    """Nothing more comes or is heard on this connection."""
+    """The connection has ended; it neither sends nor receives any more."""
 
     code: int
     reason: str
--- a/ochrespan/http2/exchange.py
+++ b/ochrespan/http2/exchange.py
@@ -1,4 +1,4 @@
-"""A stream of HTTP/2 as the fronts' exchange: one request and its answer."""
+"""Adapts an HTTP/2 stream to the `Exchange` interface: one request and its response."""
 
 from __future__ import annotations
 
@@ -18,90 +18,90 @@
 
 
 class StreamWriter(Protocol):
-    """The connection, as one stream of it needs it."""
+    """The part of the connection's interface that a stream uses."""
 
     def consume(self, stream: int, credit: int) -> None:
-        """So much of the request's body has been read."""
+        """Returns flow-control credit for body bytes that were read."""
 
     def send_interim(self, stream: int, status: int) -> None:
-        """An interim answer (1xx)."""
+        """Sends an interim response (1xx)."""
 
     def send_response_headers(self, stream: int, status: int, fields: list[tuple[str, str]], ended: bool) -> None:
-        """An answer's head; `ended`: no body follows."""
+        """Sends the header section of a response; `ended`: no body follows."""
 
     def reset(self, stream: int, code: int) -> None:
-        """Ends the stream without the rest of its answer."""
+        """Resets the stream; the rest of its response is discarded."""
 
     async def write(self, stream: int, data: bytes, ended: bool) -> None:
-        """Waits while the stream holds as much as it may."""
+        """Queues response bytes; waits while more than the limit are pending on the stream."""
 
 
 class Http2Exchange(Exchange):
-    """One stream."""
+    """The exchange of one stream."""
 
     def __init__(self, connection: StreamWriter, request: RequestStarted, max_body_bytes: int | None) -> None:
         self.method, self.target = request.method, request.target
         self.headers = CIMultiDict(request.fields)
-        self.has_body, self.has_length = not request.ended, True  # the stream's end tells it
+        self.has_body, self.has_length = not request.ended, True  # the body is delimited by the end of the stream
         self.stream, self._connection, self._max_body_bytes = request.stream, connection, max_body_bytes
-        self._parts: list[BodyReceived] = []
+        self._unread: list[BodyReceived] = []
         self._ended = request.ended
         self._arrived = asyncio.Event()
         self.started = self.finished = False
 
-    # ---- the connection's side ----
+    # ---- called by the connection ----
 
-    def add_body(self, part: BodyReceived) -> None:
-        """Further bytes of the request's body."""
-        self._parts.append(part)
+    def add_body(self, received: BodyReceived) -> None:
+        """Adds received bytes of the request body."""
+        self._unread.append(received)
         self._arrived.set()
 
     def end_body(self) -> None:
-        """The request's body is whole."""
+        """Marks the request body as complete."""
         self._ended = True
         self._arrived.set()
 
-    # ---- the front's side ----
+    # ---- called by the request handler ----
 
     @property
     def body_ended(self) -> bool:
-        """Whether nothing of the body is left to read."""
-        return self._ended and not self._parts
+        """Whether the complete body has been read."""
+        return self._ended and not self._unread
 
     async def read_available(self) -> bytes:
-        """The next bytes of the body; empty at its end."""
+        """Waits for the next bytes of the body; empty at its end."""
         while True:
-            if self._parts:
-                part = self._parts.pop(0)
-                self._connection.consume(self.stream, part.credit)
-                if not part.data:
+            if self._unread:
+                received = self._unread.pop(0)
+                self._connection.consume(self.stream, received.credit)
+                if not received.data:
                     continue
-                return part.data
+                return received.data
             if self._ended:
                 return b""
             self._arrived.clear()
             await self._arrived.wait()
 
     async def read(self) -> bytes:
-        """The whole body, in the time and up to the size that a request has on any wire."""
-        parts, size = [], 0
+        """Reads the complete body, within the same time and size limits as over HTTP/1.1."""
+        chunks, size = [], 0
         try:
             async with asyncio.timeout(REQUEST_TIME.total_seconds()):
-                while some := await self.read_available():
-                    size += len(some)
+                while data := await self.read_available():
+                    size += len(data)
                     if self._max_body_bytes is not None and size > self._max_body_bytes:
                         raise BadBody(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the request's body is too long")
-                    parts.append(some)
+                    chunks.append(data)
         except TimeoutError:
             raise BadBody(HTTPStatus.REQUEST_TIMEOUT, "the request's body did not come in time") from None
-        return b"".join(parts)
+        return b"".join(chunks)
 
     async def send_continue(self) -> None:
-        """Tells a client that waits for it to send its body."""
+        """Sends 100 Continue."""
         self._connection.send_interim(self.stream, HTTPStatus.CONTINUE)
 
     async def start(self, status: int, headers: Mapping[str, str], length: int | None, close: bool = False) -> None:
-        """Sends the head of an answer whose body follows in pieces."""
+        """Sends the header section of a streamed response."""
         self.started = True
         fields = _fields(headers)
         if length is not None:
@@ -111,22 +111,22 @@
         self._connection.send_response_headers(self.stream, status, fields, ended)
 
     async def write(self, data: bytes) -> None:
-        """Sends a piece of the body; waits while too much of it is pending."""
+        """Sends bytes of the response body; waits while too many are pending."""
         await self._connection.write(self.stream, data, ended=False)
 
     async def finish(self) -> None:
-        """Ends the answer."""
+        """Ends the response."""
         if not self.finished:
             self.finished = True
             await self._connection.write(self.stream, b"", ended=True)
 
     def abort(self) -> None:
-        """Ends an answer short of its length, so that the client sees it."""
+        """Resets the stream, so that the client detects the truncated response."""
         self.finished = True
         self._connection.reset(self.stream, ErrorCodes.INTERNAL_ERROR)
 
     async def send(self, reply: Reply) -> None:
-        """A whole answer, unless one has request."""
+        """Sends a complete response, unless one was already started."""
         if self.started or self.finished:
             return
         self.started = self.finished = True
--- a/ochrespan/http2/h2_adapter.py
+++ b/ochrespan/http2/h2_adapter.py
@@ -1,4 +1,4 @@
-"""What h2 does otherwise than this server needs: its limit of streams, its reading of GOAWAY, and some error codes."""
+"""Adapts h2 where its behaviour differs from this server's: stream limit, GOAWAY from clients, some error codes."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 from .limits import Limits
 
-INITIAL_CONNECTION_WINDOW_BYTES = 65_535  # bytes: RFC 9113, section 6.9.2
-HPACK_TABLE_BYTES = 4096  # bytes of HPACK's table
-MAX_FRAME_BYTES = 16_384  # bytes of a frame that a client may send
+INITIAL_CONNECTION_WINDOW_BYTES = 65_535  # RFC 9113, section 6.9.2
+HPACK_TABLE_BYTES = 4096  # dynamic table for decoding request fields
+MAX_FRAME_BYTES = 16_384  # largest frame payload that a client may send
 
 
 class ServerH2Connection(H2Connection):
-    """h2's connection on the server's side, set up by our limits."""
+    """A server-side h2 connection configured from `Limits`."""
 
     def __init__(self, limits: Limits) -> None:
         super().__init__(H2Configuration(client_side=False, header_encoding="utf-8", validate_outbound_headers=False))
@@ -30,12 +30,13 @@
 
     @property
     def open_inbound_streams(self) -> int:
-        """None as far as h2 is concerned, which would end the connection at the limit: ours refuses the stream."""
-        super().open_inbound_streams  # noqa: B018  lets go of the ended ones
+        """Always 0: above its limit h2 would end the connection, while `Connection` refuses just the stream."""
+        super().open_inbound_streams  # noqa: B018  removes closed streams
         return 0
 
     def _receive_goaway_frame(self, frame: GoAwayFrame):  # type: ignore[no-untyped-def]
-        """A client that goes away still waits for its answers (RFC 9113, section 6.8): h2 would send none."""
+        """Restores the state after a GOAWAY: the client still expects responses (RFC 9113, section 6.8), but h2 would
+        send none."""
         state = self.state_machine.state
         result = super()._receive_goaway_frame(frame)
         self.state_machine.state = state
@@ -43,7 +44,7 @@
 
 
 def error_code_of(error: Exception) -> int:
-    """The RFC's code for what h2 refused: it tells some faults of compression and size as others."""
+    """Maps an exception of h2 to the RFC's error code; h2 uses other codes for some compression and size errors."""
     cause = error.__cause__ or error.__context__
     if isinstance(cause, HPACKError) and "ENHANCE_YOUR_CALM" not in repr(getattr(error, "error_code", "")):
         return ErrorCodes.COMPRESSION_ERROR
--- a/ochrespan/http2/limits.py
+++ b/ochrespan/http2/limits.py
@@ -1,8 +1,8 @@
-"""What a peer may do on one connection, and what ends it when it does more. No I/O; times in seconds.
+"""Limits of one connection and rate limits for the actions of its peer. Times are in seconds.
 
-Each kind of action that costs us work and a peer little has a budget of its own: a number at once, and a number a
-second. What h2 finds against the RFC ends the connection with the RFC's code; what is within the RFC and beyond a
-budget ends it with ENHANCE_YOUR_CALM (RFC 9113, section 10.5).
+Every kind of action that is cheap for a peer but costly for the server has its own token bucket. Violations of the RFC
+that h2 detects end the connection with the code that the RFC requires; valid actions beyond the rate limit end it with
+ENHANCE_YOUR_CALM (RFC 9113, section 10.5).
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class PeerAction(Enum):
-    """Things that a peer may do only so often."""
+    """Actions of a peer that are rate limited; the value names them in the end reason of the connection."""
 
     RESET = "streams reset by the client"  # rapid reset, CVE-2023-44487
     REFUSED_STREAM = "streams opened beyond the limit"
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Allowance:
-    """A token bucket: so many at once, refilled by so many a second."""
+    """Token bucket parameters, in actions."""
 
     burst: float
     rate_per_s: float
@@ -48,26 +48,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Sizes and counts of one connection."""
+    """Size and count limits of one connection."""
 
-    max_streams: int = 100  # open at once; those beyond are refused
-    max_header_bytes: int = 16 * 1024  # bytes of a request's fields, as RFC 9113, section 6.5.2 counts them
-    stream_window_bytes: int = 64 * 1024  # bytes of a body that may come before the core reads any
+    max_streams: int = 100  # concurrently open; further streams are refused
+    max_header_bytes: int = 16 * 1024  # field section size of a request as defined in RFC 9113, section 6.5.2
+    stream_window_bytes: int = 64 * 1024  # request body bytes accepted before the handler reads any
     connection_window_bytes: int = 1024 * 1024
-    max_pending_bytes: int = 64 * 1024  # bytes of an answer that wait in a stream before its writer has to
-    max_control_bytes: int = 64 * 1024  # bytes of answers to control frames that the client has not read
+    max_pending_bytes: int = 64 * 1024  # queued response bytes per stream above which its writer waits
+    max_control_bytes: int = 64 * 1024  # unread responses to control frames above which the connection is closed
 
 
 @dataclass(slots=True)
 class PeerBudget:
-    """What one peer has left of each allowance."""
+    """Token buckets of one peer, by action."""
 
     allowances: dict[PeerAction, Allowance] = field(default_factory=lambda: ALLOWANCES)
     _remaining: dict[PeerAction, float] = field(default_factory=dict)
     _updated_at: dict[PeerAction, float] = field(default_factory=dict)
 
     def spend(self, action: PeerAction, now: float) -> bool:
-        """Counts one action; whether it is still within its allowance."""
+        """Counts one action and returns whether it is within the allowance. `now` in seconds; a clock that steps back
+        refills nothing."""
         allowance = self.allowances[action]
         remaining = self._remaining.get(action, allowance.burst)
         before = self._updated_at.get(action, now)
@@ -79,13 +80,14 @@
 
 @dataclass(slots=True)
 class BufferBudget:
-    """Bytes that a front's connections hold for bodies; beyond `capacity` windows stay shut until some are read."""
+    """Buffer space for unread request bodies, shared by all connections. Above `capacity_bytes` no credit for the
+    connection windows is returned until handlers have read some."""
 
     capacity_bytes: int
     used_bytes: int = 0
-    credit_withheld: bool = False  # whether some connection has held credit back
+    credit_withheld: bool = False  # whether a connection withholds credit
 
     @property
     def full(self) -> bool:
-        """Whether no more credit may be given."""
+        """Whether connections must withhold credit."""
         return self.used_bytes > self.capacity_bytes
--- a/ochrespan/http2/protocol.py
+++ b/ochrespan/http2/protocol.py
@@ -1,7 +1,8 @@
-"""One HTTP/2 connection on a socket: bytes between its transport and a `Connection`, and a task for each stream.
+"""The asyncio protocol of an HTTP/2 connection: connects a transport to a `Connection` and runs a task per stream.
 
-A connection is taken, kept and let go by the listener's rules for HTTP/1.1: it is SILENT until its preface and first
-request have come, BUSY while streams are open, QUIET between, LEAVING once it is to end.
+The listener applies the same timeouts and limits as to HTTP/1.1 connections, by state: SILENT until data arrives,
+READING until the headers of the first request are complete, BUSY while streams are open, QUIET while none is, LEAVING
+while closing.
 """
 
 from __future__ import annotations
@@ -24,17 +25,17 @@
 
 log = logging.getLogger(__name__)
 
-DRAIN_NOTICE = timedelta(seconds=1)  # for a client to hear that we drain
-HIGH_WATER_BYTES = 64 * 1024  # bytes in a transport above which bodies wait
-LOW_WATER_BYTES = 16 * 1024  # bytes below which they go on
-NOTHING_PENDING = -1  # bytes: less than any open stream holds, so that only its end is waited for
+DRAIN_NOTICE = timedelta(seconds=1)  # time for a client to receive the first GOAWAY
+HIGH_WATER_BYTES = 64 * 1024  # buffered in the transport, above which body frames wait
+LOW_WATER_BYTES = 16 * 1024  # buffered in the transport, below which they resume
+NOTHING_PENDING = -1  # below any pending byte count, so that only the end of the stream satisfies the wait
 
 
 class Http2Connection(asyncio.Protocol):
-    """One client's connection."""
+    """The connection of one client."""
 
     def __init__(self, server: Http2Server, on_state_change: Callable[[Any], None]) -> None:
-        """`on_state` hears of each new state, and of the end."""
+        """`on_state_change` is called on every state change, including CLOSED."""
         self._server, self._on_state_change = server, on_state_change
         self._loop = asyncio.get_running_loop()
         self.state, self.since = State.SILENT, self._loop.time()
@@ -42,20 +43,22 @@
         self._connection = Connection(server.limits, server.buffers, self._loop.time())
         self._exchanges: dict[int, Http2Exchange] = {}
         self._tasks: dict[int, asyncio.Task[None]] = {}
-        self._blocked_writers: dict[int, tuple[asyncio.Event, int]] = {}  # writers, by stream, and for what
+        self._blocked_writers: dict[
+            int, tuple[asyncio.Event, int]
+        ] = {}  # by stream: event and the pending bytes to fall to
         self._writing_paused = False
         self._flushing = False
-        self._unread_control = 0  # bytes of control frames written since the transport last ran empty of them
+        self._unread_control = 0  # control frame bytes written while the transport has paused writing
 
-    # ---- the listener's side ----
+    # ---- called by the listener ----
 
     @property
     def closing(self) -> bool:
-        """Whether the transport is closing or gone."""
+        """Whether the transport is closing or closed."""
         return self.transport is None or self.transport.is_closing()
 
     def expire(self) -> None:
-        """Its time is up, or its descriptor is needed."""
+        """Closes the connection on a timeout or when its descriptor is needed; aborts it if it is already closing."""
         if self.state is State.LEAVING or self.transport is None:
             if self.transport is not None:
                 self.transport.abort()
@@ -72,14 +75,14 @@
         self._on_state_change(self)
 
     def _close_gracefully(self) -> None:
-        """What is written goes out, then the connection ends."""
+        """Flushes pending output and closes the connection."""
         self._flush()
         if self.state is not State.CLOSED:
             self._set_state(State.LEAVING)
             if self.transport is not None:
                 self.transport.close()
 
-    # ---- the transport's side ----
+    # ---- called by the transport ----
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
@@ -148,7 +151,7 @@
             self._connection.default_priority(request.stream, self._server.priority(exchange))
         self._exchanges[request.stream] = exchange
         task = self._tasks[request.stream] = self._loop.create_task(self._run(exchange))
-        # also of one that is cancelled before it runs
+        # also called if the task is cancelled before it starts
         task.add_done_callback(lambda _: self._stream_done(request.stream))
         self._set_state(State.BUSY)
 
@@ -175,10 +178,10 @@
 
     def _cancel(self, stream: int) -> None:
         if (task := self._tasks.get(stream)) is not None:
-            task.cancel()  # the core takes back the attempt that is out before anything else is sent for it
+            task.cancel()  # the handler withdraws its attempt in flight before anything else is sent for the request
 
     def _update_idle_state(self) -> None:
-        """Between streams, or at the end."""
+        """Without open streams: closes the connection if it is drained or the process closes, else marks it QUIET."""
         if self._tasks or self.state in (State.LEAVING, State.CLOSED, State.READING, State.SILENT):
             return
         if self._connection.done or self._server.lifecycle.closing:
@@ -186,47 +189,48 @@
         else:
             self._set_state(State.QUIET)
 
-    # ---- the exchanges' side ----
+    # ---- called by the exchanges ----
 
     def consume(self, stream: int, credit: int) -> None:
-        """So much of a request's body has been read."""
+        """Returns flow-control credit for body bytes that were read."""
         self._connection.consume(stream, credit)
         self._server.release_credit()
         self._flush_soon()
 
     def release_credit(self) -> None:
-        """There is room for more bodies again: credit that was held back may go out."""
+        """Returns withheld credit, after the shared buffers have regained capacity."""
         self._connection.release_credit()
         self._flush_soon()
 
     def send_interim(self, stream: int, status: int) -> None:
-        """An interim answer (1xx)."""
+        """Sends an interim response (1xx)."""
         self._connection.send_interim(stream, status)
         self._flush_soon()
 
     def send_response_headers(self, stream: int, status: int, fields: list[tuple[str, str]], ended: bool) -> None:
-        """An answer's head; `ended`: no body follows."""
+        """Sends the header section of a response; `ended`: no body follows."""
         self._connection.send_response_headers(stream, status, fields, ended)
         self._flush_soon()
 
     def reset(self, stream: int, code: int) -> None:
-        """Ends a stream without the rest of its answer."""
+        """Resets a stream; the rest of its response is discarded."""
         self._connection.reset(stream, code)
         self._flush_soon()
 
     async def write(self, stream: int, data: bytes, ended: bool) -> None:
-        """Waits while the stream holds as much as it may; a client that takes nothing for too long is let go."""
+        """Queues response bytes; unless `ended`, waits while more than the limit are pending on the stream."""
         self._connection.send_data(stream, data, ended)
         self._flush_soon()
         if not ended:
             await self._wait_until_pending_at_most(stream, self._server.limits.max_pending_bytes)
 
     async def _wait_until_sent(self, stream: int) -> None:
-        """Until the answer's last byte has left this connection's streams."""
+        """Waits until the stream has ended: its response was written completely, or it was reset."""
         await self._wait_until_pending_at_most(stream, NOTHING_PENDING)
 
     async def _wait_until_pending_at_most(self, stream: int, limit_bytes: int) -> None:
-        """Until no more than so many bytes of its answer wait, or it is over; while it takes some, there is time."""
+        """Waits until at most `limit_bytes` of the response are pending or the stream has ended. Resets the stream if
+        no byte is sent within the stall timeout."""
         self._flush()
         while self._has_more_pending(stream, limit_bytes):
             before = self._connection.pending(stream)
@@ -237,7 +241,7 @@
                     await event.wait()
             except TimeoutError:
                 if self._connection.pending(stream) >= before:
-                    log.info("a client does not take its answer", extra={"stream": stream})
+                    log.info("client does not read its response; stream reset", extra={"stream": stream})
                     self._connection.reset(stream, ErrorCodes.CANCEL)
             finally:
                 self._blocked_writers.pop(stream, None)
@@ -251,7 +255,7 @@
             self._loop.call_soon(self._flush)
 
     def _flush(self) -> None:
-        """Control frames at once, bodies while the transport takes them."""
+        """Writes all control frames, and body frames while the transport accepts them."""
         self._flushing = False
         if self.transport is None or self.transport.is_closing():
             return
@@ -271,16 +275,16 @@
             if not self._has_more_pending(stream, limit_bytes):
                 event.set()
 
-    # ---- the end ----
+    # ---- draining ----
 
     def drain(self) -> None:
-        """Tells the client that no more streams are wanted, and a round trip later which was the last."""
+        """Announces the drain to the client; the final GOAWAY follows once it is acknowledged or after DRAIN_NOTICE."""
         self._connection.drain()
         self._flush()
         self._loop.call_later(DRAIN_NOTICE.total_seconds(), self.finish_drain)
 
     def finish_drain(self) -> None:
-        """Tells the client which stream was the last; ends the connection once none is open."""
+        """Sends the final GOAWAY; closes the connection once no stream is open."""
         if self.state is not State.CLOSED:
             self._connection.finish_drain()
             self._flush()
--- a/ochrespan/http2/scheduling.py
+++ b/ochrespan/http2/scheduling.py
@@ -1,9 +1,9 @@
-"""Whose bytes go out next: urgency and increments as RFC 9218 has them, and nothing starves. No I/O.
+"""Schedules response frames among streams by RFC 9218 priorities, without starvation.
 
-Streams are given out frame by frame. Lower urgencies go first; within one, streams that are not incremental go one
-after the other in the order of their ids, and the incremental ones take turns with them and each other. One frame of
-`LOWER_LEVEL_EVERY` goes to a less urgent level, the next one each time, so that a long urgent answer holds up no other
-for good.
+The scheduler selects one stream per frame. Levels with a lower urgency value go first. Within a level, non-incremental
+streams are sent one after another by stream id, alternating with the incremental streams, which are served round-robin.
+Every `LOWER_LEVEL_INTERVAL`-th frame goes to a less urgent level, in rotation, so that a long urgent response does not
+starve the others.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 URGENCY_LEVELS = 8  # 0 is the most urgent
 DEFAULT_URGENCY = 3
-LOWER_LEVEL_INTERVAL = 8  # frames: one of so many goes to a less urgent level
-URGENT_LATENCY_TARGET_S, ORDINARY_LATENCY_TARGET_S = 0.2, 0.6  # s: aims up to which a class is urgent, or ordinary
-HIGH_URGENCY, LOW_URGENCY = 2, 5  # urgencies of classes below the one aim and above the other
+LOWER_LEVEL_INTERVAL = 8  # frames
+URGENT_LATENCY_TARGET_S, ORDINARY_LATENCY_TARGET_S = 0.2, 0.6  # upper bounds
+HIGH_URGENCY, LOW_URGENCY = 2, 5  # urgencies for latency targets up to the first bound, and above the second
 
 URGENCY = re.compile(r"(?:^|,)\s*u=(-?[0-9]+)\s*(?:;[^,]*)?(?=,|$)")
 INCREMENTAL = re.compile(r"(?:^|,)\s*i(?:=\?([01]))?\s*(?:;[^,]*)?(?=,|$)")
@@ -24,14 +24,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Priority:
-    """How one stream is served beside others."""
+    """Priority parameters of a stream (RFC 9218, section 4); a lower urgency value is served first."""
 
     urgency: int = DEFAULT_URGENCY
     incremental: bool = False
 
 
 def parse_priority(value: str, default: Priority) -> Priority:
-    """The `priority` field (RFC 9218, section 4): what is out of range or cannot be read is left out."""
+    """Parses a `priority` field value (RFC 9218, section 4); invalid or out-of-range parameters take the default."""
     urgency, incremental = default.urgency, default.incremental
     if (found := URGENCY.findall(value)) and 0 <= int(found[-1][:4]) < URGENCY_LEVELS:
         urgency = int(found[-1])
@@ -41,7 +41,7 @@
 
 
 def urgency_of(latency_target_s: float) -> int:
-    """Where a client says nothing: what is wanted soon goes first. `aim`: seconds."""
+    """Default urgency of a request without a priority field, by the latency target of its class."""
     if latency_target_s <= URGENT_LATENCY_TARGET_S:
         return HIGH_URGENCY
     return DEFAULT_URGENCY if latency_target_s <= ORDINARY_LATENCY_TARGET_S else LOW_URGENCY
@@ -49,17 +49,17 @@
 
 @dataclass(slots=True)
 class _Level:
-    """The streams of one urgency that have something to send."""
+    """The streams of one urgency that have data to send."""
 
-    sequential: list[int] = field(default_factory=list)  # not incremental, by id
-    incremental: deque[int] = field(default_factory=deque)  # served in rotation
-    sequential_next: bool = True  # whether a sequential stream goes before the next incremental one
+    sequential: list[int] = field(default_factory=list)  # non-incremental streams, by id
+    incremental: deque[int] = field(default_factory=deque)  # served round-robin
+    sequential_next: bool = True  # whether a sequential stream precedes the next incremental one
 
     def __bool__(self) -> bool:
         return bool(self.sequential or self.incremental)
 
     def next(self) -> int:
-        """The stream whose frame goes out next."""
+        """Selects the stream of the next frame."""
         if not self.incremental or (self.sequential and self.sequential_next):
             self.sequential_next = False
             return self.sequential[0]
@@ -70,19 +70,19 @@
 
 
 class FrameScheduler:
-    """Streams that have bytes to send and may send them."""
+    """The streams that have data to send and an open window."""
 
     def __init__(self) -> None:
         self._levels = [_Level() for _ in range(URGENCY_LEVELS)]
         self._priorities: dict[int, Priority] = {}
-        self._frames = 0  # given out so far
-        self._lower_frames = 0  # of them to less urgent levels
+        self._frames = 0  # selected so far
+        self._lower_frames = 0  # of these, given to less urgent levels
 
     def __len__(self) -> int:
         return len(self._priorities)
 
     def add(self, stream: int, priority: Priority) -> None:
-        """The stream has something to send; one that is there already with this priority keeps its turn."""
+        """Adds a stream with data to send; if it is scheduled with the same priority, it keeps its position."""
         if self._priorities.get(stream) == priority:
             return
         self.remove(stream)
@@ -95,13 +95,13 @@
             level.sequential.sort()
 
     def remove(self, stream: int) -> None:
-        """The stream has nothing to send, or no window for it."""
+        """Removes a stream that has no data or no open window."""
         if (priority := self._priorities.pop(stream, None)) is not None:
             level = self._levels[priority.urgency]
             (level.incremental if priority.incremental else level.sequential).remove(stream)
 
     def next(self) -> int | None:
-        """The stream whose frame goes out now; it keeps its place until it is removed."""
+        """Selects the stream of the next frame; it stays scheduled until it is removed."""
         active_levels = [level for level in self._levels if level]
         if not active_levels:
             return None
--- a/ochrespan/http2/section.py
+++ b/ochrespan/http2/section.py
@@ -1,4 +1,4 @@
-"""The table [http2] of the operator's file."""
+"""The table [http2] of the operator configuration file."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class Http2Table(Table):
-    """The table as it is written."""
+    """Schema of the table."""
 
-    platform: str | None = None  # where the platform's requests are taken
-    objects: str | None = None  # where the object API is
+    platform: str | None = None  # address for the requests of the platform
+    objects: str | None = None  # address of the object API
     streams: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = 100
     headers_bytes: Annotated[int, msgspec.Meta(ge=1024, le=1 << 20)] = 16 * 1024
     stream_window_bytes: Bytes = 64 * 1024
@@ -31,18 +31,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Http2Config:
-    """What the operator's file says of HTTP/2, checked."""
+    """Validated configuration of HTTP/2."""
 
-    listen: dict[str, tuple[str, int]]  # by the front that is served there
+    listen: dict[str, tuple[str, int]]  # by handler: platform, objects
     limits: Limits
-    max_buffered_bytes: int  # bytes of bodies that all connections together may hold
-    stall_timeout: timedelta  # for a client that takes nothing of its answer
+    max_buffered_bytes: int  # unread request bodies of all connections
+    stall_timeout: timedelta  # limit without progress in sending a response
 
 
 def read(
     tables: Mapping[str, Any], settings: api.Settings, faults: Faults, earlier: Mapping[str, Any]
 ) -> Http2Config | None:
-    """The checked section; None where the table cannot be read. Faults are collected in `faults`."""
+    """Parses and validates the table; None if its schema is violated. Adds findings to `faults`."""
     table = read_table(Http2Table, tables["http2"], "[http2]", faults)
     if table is None:
         return None
--- a/ochrespan/http2/server.py
+++ b/ochrespan/http2/server.py
@@ -1,4 +1,4 @@
-"""The HTTP/2 server of one port: its connections, what they share, and its drain."""
+"""The HTTP/2 server of one port: its connections, their shared buffers, and draining."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from .protocol import Http2Connection
 from .scheduling import Priority, urgency_of
 
-SHUTDOWN_POLL_INTERVAL = timedelta(seconds=0.01)  # between looks at whether the last connection is gone
+SHUTDOWN_POLL_INTERVAL = timedelta(seconds=0.01)  # for connections that are still open
 
 
 class Http2Server:
-    """Makes the connections of one port, and tells them of a drain."""
+    """Creates the connections of one port and drains them at shutdown."""
 
     def __init__(
         self,
@@ -30,8 +30,8 @@
         stall_timeout: timedelta,
         latency_targets_s: Mapping[str, float],
     ) -> None:
-        """`most_body`: bytes of a request read whole. `aims`: seconds, by class, for the default urgency.
-        `stall_timeout`: for a client that takes nothing of its answer."""
+        """`max_body_bytes` limits a request body that is read completely; None: no limit. `latency_targets_s`, by
+        class, set the default urgency. A stream without send progress is reset after `stall_timeout`."""
         self.handler, self.max_body_bytes, self.lifecycle = handler, max_body_bytes, lifecycle
         self.limits, self.buffers, self.stall_timeout = limits, buffers, stall_timeout
         self._priorities = {
@@ -41,22 +41,22 @@
         self.draining = False
 
     def connection(self, on_state_change: Callable[[Any], None]) -> Http2Connection:
-        """A connection; `on_state` hears of each new state, and of the end."""
+        """Creates a connection; `on_state_change` is called on every state change, including CLOSED."""
         return Http2Connection(self, on_state_change)
 
     def priority(self, exchange: Http2Exchange) -> Priority:
-        """For a request whose client said nothing of it: by its class's aim."""
+        """Priority of a request without a priority field, by the latency target of its class."""
         return self._priorities.get(exchange.headers.get("x-qos", ""), Priority(incremental=True))
 
     def release_credit(self) -> None:
-        """Room for more bodies: connections whose credit was held back may open their windows."""
+        """Lets connections return withheld credit once the shared buffers have capacity."""
         if self.buffers.credit_withheld and not self.buffers.full:
             self.buffers.credit_withheld = False
             for connection in self.connections:
                 connection.release_credit()
 
     async def follow_lifecycle(self) -> None:
-        """Tells all clients once the program drains."""
+        """Drains all connections when the process drains, and sends the final GOAWAY when it closes."""
         await self.lifecycle.reached(Phase.DRAINING)
         self.draining = True
         for connection in list(self.connections):
@@ -66,7 +66,7 @@
             connection.finish_drain()
 
     async def shutdown(self, timeout: timedelta) -> None:
-        """Ends all connections, and waits for that so long at the most."""
+        """Closes all connections and waits up to `timeout` for them to end."""
         for connection in list(self.connections):
             connection.expire()
         deadline = asyncio.get_running_loop().time() + timeout.total_seconds()
--- a/ochrespan/http2/start.py
+++ b/ochrespan/http2/start.py
@@ -1,4 +1,4 @@
-"""Starts the ports for HTTP/2, each before a front that runs on HTTP/1.1 too."""
+"""Creates the HTTP/2 servers; each serves a handler that is also served over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def start(section: Http2Config, core: CoreComponents) -> Subsystem:
-    """The servers of the ports that the section names."""
+    """Builds the servers of the configured addresses, with a shared buffer budget."""
     buffers, subsystem = BufferBudget(section.max_buffered_bytes), Subsystem()
     latency_targets_s = {cls.name: cls.latency_target for cls in core.config.settings.classes.values()}
     for name, address in section.listen.items():
--- a/ochrespan/http2/streams.py
+++ b/ochrespan/http2/streams.py
@@ -1,4 +1,4 @@
-"""The open streams of one connection: their credit, the bytes of answers that wait, and whose frame goes out next."""
+"""The open streams of one connection: flow-control credit, queued response bytes and frame scheduling."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from .limits import BufferBudget
 from .scheduling import FrameScheduler, Priority
 
-MAX_BODY_FRAME_BYTES = 16 * 1024  # bytes of a body that go out in one turn
+MAX_BODY_FRAME_BYTES = 16 * 1024  # body bytes per frame
 
 
 @dataclass(slots=True)
@@ -20,21 +20,21 @@
     """One open stream."""
 
     priority: Priority
-    pending: bytearray = field(default_factory=bytearray)  # bytes of the answer that wait
-    response_complete: bool = False  # the answer's last byte is pending
-    request_complete: bool = False  # the request's body is whole
-    credit: int = 0  # of the body, not given back yet
+    pending: bytearray = field(default_factory=bytearray)  # queued response bytes
+    response_complete: bool = False  # the end of the response is queued
+    request_complete: bool = False  # the request body has been received completely
+    credit: int = 0  # request body bytes received, whose credit has not been returned
 
 
 class StreamTable:
-    """Streams that have been taken and not ended, and the flow control of both directions."""
+    """The accepted streams that have not ended, and the flow control of both directions."""
 
     def __init__(self, h2: ServerH2Connection, buffers: BufferBudget) -> None:
         self._h2, self._buffers = h2, buffers
         self._streams: dict[int, StreamState] = {}
         self._scheduler = FrameScheduler()
-        self._withheld_credit = 0  # credit of the connection that is held back
-        self.closed = False  # the connection is over: no more credit goes out
+        self._withheld_credit = 0  # bytes of connection window not returned while buffers are full
+        self.closed = False  # the connection has ended: no more credit is returned
 
     def __len__(self) -> int:
         return len(self._streams)
@@ -43,30 +43,31 @@
         return stream in self._streams
 
     def get(self, stream: int) -> StreamState | None:
-        """The stream's state; None: it is not open."""
+        """The state of the stream; None if it is not open."""
         return self._streams.get(stream)
 
     def open(self, stream: int, priority: Priority, request_complete: bool) -> None:
-        """A request was taken; `read_all`: it has no body."""
+        """Adds the stream of an accepted request; `request_complete`: it has no body."""
         self._streams[stream] = StreamState(priority, request_complete=request_complete)
 
     def close(self, stream: int) -> None:
-        """Forgets a stream; the credit of what nobody has read goes back."""
+        """Removes a stream and returns the credit of its unread body to the connection."""
         state = self._streams.pop(stream)
         self._scheduler.remove(stream)
         self._buffers.used_bytes -= state.credit
         self.return_credit(state.credit)
 
     def close_all(self) -> None:
-        """Forgets every stream."""
+        """Removes all streams; no more credit is returned to the peer."""
         self.closed = True
         for stream in list(self._streams):
             self.close(stream)
 
-    # ---- bodies of requests ----
+    # ---- request bodies ----
 
     def record_received(self, stream: int, credit: int) -> bool:
-        """Bytes of a body came. False: the stream is not open, and the connection's window is the peer's again."""
+        """Accounts for received body bytes. Returns False if the stream is not open; its credit is then returned to the
+        connection at once."""
         state = self._streams.get(stream)
         if state is None:
             self.return_credit(credit)
@@ -76,10 +77,11 @@
         return True
 
     def consume(self, stream: int, credit: int) -> None:
-        """So much of a body was read: the stream's window opens again, the connection's when there is room."""
+        """Returns credit for body bytes that were read: to the stream's window at once, to the connection's unless the
+        buffers are full."""
         state = self._streams.get(stream)
         if state is None or not credit:
-            return  # what it held was let go with it
+            return  # closing the stream released its credit
         state.credit -= credit
         self._buffers.used_bytes -= credit
         if not state.request_complete:
@@ -87,7 +89,7 @@
         self.return_credit(credit)
 
     def return_credit(self, credit: int) -> None:
-        """Opens the connection's window, unless the front's buffers are full: then the credit is held back."""
+        """Returns credit to the connection window, or withholds it while the shared buffers are full."""
         self._withheld_credit += credit
         if self._withheld_credit and self._buffers.full:
             self._buffers.credit_withheld = True
@@ -96,32 +98,32 @@
             self._open_window(withheld, 0)
 
     def _open_window(self, credit: int, stream: int) -> None:
-        with suppress(ProtocolError, ValueError, KeyError):  # it has ended meanwhile
+        with suppress(ProtocolError, ValueError, KeyError):  # the stream has ended meanwhile
             self._h2.increment_flow_control_window(credit, stream or None)
 
-    # ---- bodies of answers ----
+    # ---- response bodies ----
 
     def pending(self, stream: int) -> int:
-        """Bytes of its answer that have not gone out."""
+        """Queued bytes of the response body that have not been sent."""
         state = self._streams.get(stream)
         return len(state.pending) if state is not None else 0
 
     def add_data(self, stream: int, data: bytes, ended: bool) -> None:
-        """Further bytes of an answer, or its end."""
+        """Queues bytes of a response, or its end."""
         if (state := self._streams.get(stream)) is not None:
             state.pending += data
             state.response_complete = state.response_complete or ended
             self.schedule(stream)
 
     def change_priority(self, stream: int, priority: Priority) -> None:
-        """The client has changed its mind in the middle of an answer."""
+        """Applies a priority update from the client and reschedules the stream."""
         if (state := self._streams.get(stream)) is not None:
             state.priority = priority
             self._scheduler.remove(stream)
             self.schedule(stream)
 
     def schedule(self, stream: int) -> None:
-        """Whether a stream is in the turn: it has bytes, or an end, and a window for them."""
+        """Schedules the stream if it has bytes to send and an open window, or only its end to send; else removes it."""
         state = self._streams.get(stream)
         if state is None:
             return
@@ -131,7 +133,7 @@
             self._scheduler.remove(stream)
 
     def schedule_all(self) -> None:
-        """The connection's window or the initial one has changed, and with it every stream's."""
+        """Reschedules all streams after a change of the connection window or the initial window size."""
         for stream in tuple(self._streams):
             self.schedule(stream)
 
@@ -143,11 +145,11 @@
 
     @property
     def has_frame(self) -> bool:
-        """Whether a body's frame could go out now."""
+        """Whether a body frame can be sent now."""
         return bool(len(self._scheduler))
 
     def send_frame(self) -> bool:
-        """Gives h2 one frame of the stream whose turn it is; False: none may go out now."""
+        """Passes one frame of the next scheduled stream to h2; False if none can be sent now."""
         while (stream := self._scheduler.next()) is not None:
             state = self._streams[stream]
             size = min(self._window(stream), len(state.pending), MAX_BODY_FRAME_BYTES, self._h2.max_outbound_frame_size)
@@ -165,13 +167,13 @@
         return False
 
     def finish(self, stream: int) -> None:
-        """The whole answer is out."""
+        """Closes a stream whose response has been sent completely."""
         state = self._streams[stream]
         self.close(stream)
-        if not state.request_complete:  # RFC 9113, section 8.1: the rest of the body is not wanted
+        if not state.request_complete:  # RFC 9113, section 8.1: asks the client to stop sending the request body
             self.send_reset(stream, ErrorCodes.NO_ERROR)
 
     def send_reset(self, stream: int, code: int) -> None:
-        """Tells the peer that a stream ends with this code."""
+        """Sends RST_STREAM with this code."""
         with suppress(ProtocolError):
             self._h2.reset_stream(stream, code)
--- a/ochrespan/objects/layout.py
+++ b/ochrespan/objects/layout.py
@@ -78,7 +78,7 @@
     unpacker = zlib.decompressobj()
     text = unpacker.decompress(payload, MAX_RECORD_BYTES)
     if unpacker.unconsumed_tail:
-        raise CorruptChunk(f"record exceeds {MAX_RECORD_BYTES} bytes after decompression")
+        raise CorruptChunk("record exceeds its size limit after decompression")
     return json.loads(text)
 
 
--- a/ochrespan/objects/store.py
+++ b/ochrespan/objects/store.py
@@ -97,13 +97,13 @@
                 raise Denied(f"{rule}: {detail}")
             case Failed():
                 raise StorageFailed("no chunk server completed the request")
-            case answer:
-                return answer
+            case response:
+                return response
 
     async def write(self, scope: Scope, cls: str, chunk_name: ChunkName, payload: bytes) -> None:
         """Seals and stores one chunk."""
         if len(payload) > layout.PAYLOAD_BYTES:
-            raise StorageFailed(f"payload of {len(payload)} bytes does not fit into a chunk")
+            raise StorageFailed("payload exceeds the size of a chunk")
         location = layout.locate(scope.owner, chunk_name, self._shards)
         request = self._request(scope, cls, location, len(payload))
         await self._serve(request, Message("PUT", location.target, layout.seal(chunk_name, payload)))
@@ -113,18 +113,18 @@
         retried."""
         location = layout.locate(scope.owner, chunk_name, self._shards)
 
-        def is_valid(answer: Answer) -> bool:
-            if answer.status == 404:
+        def is_valid(response: Answer) -> bool:
+            if response.status == 404:
                 return True
             try:
-                layout.unseal(chunk_name, answer.body)
+                layout.unseal(chunk_name, response.body)
             except layout.CorruptChunk:
                 return False
             return True
 
         message = Message("GET", location.target, served=frozenset({200, 404}), check=is_valid)
-        answer = await self._serve(self._request(scope, cls, location, size), message)
-        return None if answer.status == 404 else answer.body[layout.SEAL_BYTES :]
+        response = await self._serve(self._request(scope, cls, location, size), message)
+        return None if response.status == 404 else response.body[layout.SEAL_BYTES :]
 
     async def read_record(self, scope: Scope, chunk_name: ChunkName) -> Any:
         """Returns a stored record, or None."""
@@ -153,14 +153,14 @@
         """Stores a part in chunks of a new generation. They stay invisible until a manifest or part list refers to
         them."""
         generation, digest, size = secrets.token_hex(GENERATION_BYTES), hashlib.md5(usedforsecurity=False), 0
-        blank = Part(number, 0, "", generation)
+        unsized_part = Part(number, 0, "", generation)
         window = TaskWindow()
         try:
             index = 0
             async for payload in body:
                 digest.update(payload)
                 size += len(payload)
-                chunk_name = layout.data_chunk_name(scope.bucket, scope.key, blank, index)
+                chunk_name = layout.data_chunk_name(scope.bucket, scope.key, unsized_part, index)
                 await window.wait_for_capacity()
                 window.add(self.write(scope, scope.write_class, chunk_name, payload))
                 index += 1
--- a/tests/h2client.py
+++ b/tests/h2client.py
@@ -1,4 +1,4 @@
-"""A stand-in client for HTTP/2: many streams on a connection, read as fast or slowly as a test wants."""
+"""HTTP/2 test client: concurrent streams on one connection, with controllable reading and credit."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass
 class Response:
-    """What came back on one stream."""
+    """The response received on one stream."""
 
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
@@ -29,26 +29,26 @@
     reset: int | None = None
     ended: bool = False
     interim: list[int] = field(default_factory=list)
-    ends: int = 0  # how often it ended: never more than once
+    ends: int = 0  # number of stream ends; more than one is a fault
     done: asyncio.Event = field(default_factory=asyncio.Event)
     last_at: float = 0.0
 
 
 class _H2(H2Connection):
     def _receive_goaway_frame(self, frame):
-        state = self.state_machine.state  # a GOAWAY is not the end for the streams that were taken
+        state = self.state_machine.state  # accepted streams continue after a GOAWAY
         result = super()._receive_goaway_frame(frame)
         self.state_machine.state = state
         return result
 
 
 class Client:
-    """One connection."""
+    """One client connection."""
 
     def __init__(self, port: int, window: int = 1 << 20) -> None:
         self.port, self.window = port, window
         self.streams: dict[int, Response] = {}
-        self.withhold_credit: set[int] = set()  # streams whose bytes are taken and not given credit for
+        self.withhold_credit: set[int] = set()  # streams whose received bytes are not acknowledged
         self.goaways: list[tuple[int, int]] = []  # last stream, code
         self.closed = asyncio.Event()
         self.reading_enabled = asyncio.Event()
@@ -70,7 +70,7 @@
         self.writer.transport.abort()
 
     def flush(self) -> None:
-        """Writes what h2 has to send."""
+        """Writes the pending output of h2."""
         if data := self.h2.data_to_send():
             self.writer.write(data)
 
@@ -119,7 +119,7 @@
             got.done.set()
 
     def begin(self, method: str, path: str, headers: dict[str, str] | None = None, end: bool = True) -> int:
-        """Sends the head of a request and returns its stream."""
+        """Sends the header section of a request and returns its stream id."""
         stream = self.h2.get_next_available_stream_id()
         self.streams[stream] = Response()
         fields = [(":method", method), (":scheme", "http"), (":authority", "front"), (":path", path)]
@@ -128,7 +128,7 @@
         return stream
 
     async def send(self, stream: int, data: bytes, end: bool = True) -> None:
-        """Sends a body as the peer's windows allow."""
+        """Sends a body as the flow-control windows allow."""
         offset = 0
         while offset < len(data) or (end and not data):
             window_bytes = min(self.h2.local_flow_control_window(stream), self.h2.max_outbound_frame_size)
@@ -147,18 +147,18 @@
                 return
 
     def reset(self, stream: int, code: int = 8) -> None:
-        """Gives a stream up."""
+        """Resets a stream; the default code is CANCEL."""
         self.h2.reset_stream(stream, code)
         self.flush()
 
     async def wait_response(self, stream: int) -> Response:
-        """Waits for a stream's end."""
+        """Waits until the stream has ended and returns its response."""
         got = self.streams[stream]
         await got.done.wait()
         return got
 
     async def call(self, method: str, path: str, body: bytes = b"", headers: dict[str, str] | None = None) -> Response:
-        """A whole request and its answer."""
+        """Sends a complete request and returns its response."""
         stream = self.begin(method, path, headers, end=not body)
         if body:
             await self.send(stream, body)
--- a/tests/http2_cases.py
+++ b/tests/http2_cases.py
@@ -1,4 +1,4 @@
-"""Cases of RFC 9113, section by section, as raw frames: what a server must make of each.
+"""Conformance cases of RFC 9113 by section: raw frames and the permitted outcomes.
 
 Run as `python -m tests.http2_cases` it writes docs/conformance/http2.md. An outcome is `served`, `ignored`,
 `connection CODE` or `stream CODE`; where two stand, the RFC lets a server choose (section 5.4.2: a stream error may be
@@ -26,7 +26,7 @@
 
 
 def frame(kind: int, payload: bytes = b"", flags: int = 0, stream: int = 0, length: int | None = None) -> bytes:
-    """One frame; `length` where it is to lie."""
+    """One frame; `length` overrides the length field, for a frame with a wrong length."""
     size = len(payload) if length is None else length
     return size.to_bytes(3) + bytes([kind, flags]) + stream.to_bytes(4) + payload
 
@@ -53,14 +53,14 @@
 
 @dataclass(frozen=True)
 class Case:
-    """What is sent, and what a server must make of it."""
+    """What is sent, and the permitted outcomes."""
 
     section: str
     what: str
     sent: bytes
     outcomes: tuple[str, ...]
     preface: bytes = PREFACE + frame(SETTINGS)
-    stream: int = 1  # whose fate is asked for
+    stream: int = 1  # the stream whose outcome is checked
 
 
 PROTOCOL = ("connection PROTOCOL_ERROR",)
@@ -73,7 +73,7 @@
 
 
 def without(name: str) -> list[tuple[str, str]]:
-    """The plain request's fields but one."""
+    """The fields of GET except one."""
     return [field for field in GET if field[0] != name]
 
 
@@ -357,7 +357,7 @@
     yield Case("8.3", "a response's pseudo-field", request(fields=[(":status", "200"), *GET]), MALFORMED)
     yield Case("8.3", "a pseudo-field after a field", request(fields=[("a", "b"), *GET]), MALFORMED)
     yield Case("8.5", "CONNECT", request(fields=[(":method", "CONNECT"), (":authority", "a:1")]), SERVED)
-    # 10.5 what costs us much and a peer little
+    # 10.5 denial of service: cheap for the peer, costly for the server
     resets = b"".join(request(n) + frame(RST, u32(8), 0, n) for n in range(1, 501, 2))
     yield Case("10.5", "250 streams opened and reset", resets, CALM)
     yield Case("10.5", "200 streams beyond the limit", many + b"".join(request(n) for n in range(9, 450, 2)), CALM)
@@ -396,7 +396,7 @@
 
 
 def connect(limits: Limits | None = None) -> Connection:
-    """A server connection with a small limit of streams."""
+    """A server connection with a stream limit of 4."""
     return Connection(limits or Limits(max_streams=4), BufferBudget(1 << 24), 0.0)
 
 
@@ -410,12 +410,12 @@
 
 
 def outcome(case: Case) -> str:
-    """What the server made of it."""
+    """The outcome of a case: how the server handled it."""
     connection = connect()
     events = connection.receive(case.preface + case.sent, 1.0)
     if connection.end_event:
         goaways = [p for kind, _, p in sent_frames(connection.control_to_send()) if kind == GOAWAY]
-        # where the preface fails nothing was agreed on, and no GOAWAY is owed
+        # after an invalid preface the server need not send a GOAWAY
         code = int.from_bytes(goaways[-1][4:8]) if goaways else connection.end_event.code
         return f"connection {ErrorCodes(code).name}"
     for kind, stream, payload in sent_frames(connection.control_to_send()):
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -1,4 +1,4 @@
-"""HTTP/2 on the real program, between stand-in clients and chunk servers."""
+"""End-to-end tests of HTTP/2 on the real program, with test clients and stub chunk servers."""
 
 import asyncio
 import hashlib
@@ -48,7 +48,7 @@
         return Client(self.objects_port, **more)
 
 
-def test_both_fronts_answer_on_streams_as_on_connections():
+def test_both_handlers_are_served_over_http2():
     async def story():
         async with H2World(1) as world, world.platform() as client, world.object_client() as objects:
             world.nodes[0].default_response = ""
@@ -78,7 +78,7 @@
     run_scenario(story())
 
 
-def test_five_hundred_streams_each_end_once_and_no_request_has_two_attempts_out():
+def test_five_hundred_streams_each_end_once_and_no_request_has_two_attempts_in_flight():
     async def story():
         async with H2World(3, "streams = 200") as world:
             rng = random.Random(3)
@@ -88,7 +88,7 @@
                     rng.choices(("any", "reset", "full", "error", "half", "stall"), (12, 1, 1, 1, 1, 1), k=120)
                 )
             ends: Counter[str] = Counter()
-            at_once = asyncio.Semaphore(60)  # as many are out on a fast machine as on a slow one
+            at_once = asyncio.Semaphore(60)  # the same concurrency on fast and slow machines
             async with world.platform() as one, world.platform() as two, world.platform() as three:
 
                 async def send_limited(number: int) -> None:
@@ -129,7 +129,7 @@
     run_scenario(story())
 
 
-def test_a_reset_stream_takes_back_its_attempt_and_nothing_follows():
+def test_a_stream_reset_cancels_its_attempt_without_a_retry():
     async def story():
         async with H2World(1) as world, world.platform() as client:
             node = world.nodes[0]
@@ -145,13 +145,13 @@
     run_scenario(story())
 
 
-def test_streams_beyond_the_limit_are_refused_and_the_others_go_on():
+def test_streams_beyond_the_limit_are_refused_and_the_others_continue():
     async def story():
         async with H2World(1, "streams = 3") as world, world.platform() as client:
             node = world.nodes[0]
             node.scripted_responses.extend(["stall"] * 3)
             node.default_response = "any"
-            client.h2.remote_settings.max_concurrent_streams = 100  # a client that does not keep to it
+            client.h2.remote_settings.max_concurrent_streams = 100  # a client that ignores the limit
             open_streams = [client.begin("GET", PATH, request_headers(f"t{n}", 0)) for n in range(3)]
             await wait_until(lambda: len(node.received) == 3)
             got = await client.call("GET", PATH, b"", request_headers("t9", 0))
@@ -186,20 +186,20 @@
     run_scenario(story())
 
 
-def test_a_client_that_never_opens_its_window_is_let_go():
+def test_a_stream_whose_window_is_never_opened_is_reset_after_the_stall_timeout():
     async def story():
         async with H2World(1, "patience_s = 0.3") as world, world.object_client(window=0) as client:
             async with world.object_client() as other:
                 assert (await other.call("PUT", "/photos/x", some_bytes(100_000))).status == 200
             got = await client.call("GET", "/photos/x")
             assert got.status == 200 and got.reset == 8 and not got.body  # CANCEL
-            assert (await client.call("HEAD", "/photos/x")).status == 200  # the connection goes on
+            assert (await client.call("HEAD", "/photos/x")).status == 200  # the connection stays open
             assert not client.goaways
 
     run_scenario(story())
 
 
-def test_at_a_drain_the_client_is_told_twice_and_each_stream_taken_has_its_answer():
+def test_a_drain_sends_two_goaways_and_completes_accepted_streams():
     async def story():
         async with H2World(1) as world, world.platform() as client:
             node = world.nodes[0]
@@ -212,7 +212,10 @@
             late = client.begin("GET", PATH, request_headers("late", 0))
             assert [(await client.wait_response(s)).status for s in open_streams] == [200] * 3
             got = await client.wait_response(late)
-            assert got.reset == 7 or (got.status, got.reset) == (0, None)  # refused, or the connection had ended
+            assert got.reset == 7 or (got.status, got.reset) == (
+                0,
+                None,
+            )  # refused, or the connection had ended
             await asyncio.wait_for(client.closed.wait(), 5)
             assert await asyncio.wait_for(world.process.wait(), 20) == 0
             assert len(node.received) == 3 and "Traceback" not in world.log
@@ -220,7 +223,7 @@
     run_scenario(story())
 
 
-def test_hundreds_of_parts_at_once_on_one_connection():
+def test_a_hundred_concurrent_parts_on_one_connection():
     async def story():
         async with H2World(2, "streams = 200") as world, world.object_client() as client:
             got = await client.call("POST", "/photos/whole?uploads")
@@ -232,7 +235,7 @@
                     for n, part in enumerate(parts)
                 )
             )
-            again = [n for n, got in enumerate(sent) if got.status == 503]  # refused: harmless to try again
+            again = [n for n, got in enumerate(sent) if got.status == 503]  # refused before execution: safe to retry
             for n in again:
                 while (
                     got := await client.call("PUT", f"/photos/whole?partNumber={n + 1}&uploadId={upload}", parts[n])
@@ -259,7 +262,7 @@
     ("contract", "status", "field"),
     [("withdrawn = true", 403, None), ("budget = { units_per_s = 0.01 }", 429, "retry-after")],
 )
-def test_contract_refusals_read_as_on_http1(contract, status, field):
+def test_contract_refusals_equal_those_of_http1(contract, status, field):
     async def story():
         world = H2World(1, contracts=contract)
         world.operator = world.operator.replace("[objects]", "[contracts]\nfronts = 1\n[objects]", 1)
@@ -273,7 +276,7 @@
 
 
 @pytest.mark.parametrize("received", [b"", b"PRI * HT", b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\4\0\0\0\0\0"])
-def test_who_says_nothing_is_let_go_as_on_http1(received):
+def test_a_connection_without_a_complete_request_is_closed_after_the_http1_timeout(received):
     async def story():
         async with H2World(1) as world:
             reader, writer = await asyncio.open_connection("127.0.0.1", world.platform_port)
@@ -290,7 +293,7 @@
 
 
 @pytest.mark.parametrize("case", HOSTILE, ids=[case.what for case in HOSTILE])
-def test_a_hostile_peer_is_let_go_and_harms_no_other_connection(case):
+def test_a_hostile_peer_is_disconnected_without_affecting_other_connections(case):
     async def story():
         async with H2World(1, "streams = 4\nheaders_bytes = 16384") as world, world.platform() as client:
             node = world.nodes[0]
@@ -301,7 +304,7 @@
             for _ in range(3):
                 reader, writer = await asyncio.open_connection("127.0.0.1", world.platform_port)
                 writer.write(case.preface + case.sent)
-                got = await asyncio.wait_for(reader.read(), 10)  # to its end: the front closes it
+                got = await asyncio.wait_for(reader.read(), 10)  # until the front closes the connection
                 codes = [payload[4:8] for kind, _, payload in sent_frames(got) if kind == GOAWAY]
                 assert codes and int.from_bytes(codes[-1]) in (1, 9, 11)  # PROTOCOL, COMPRESSION, ENHANCE_YOUR_CALM
                 writer.close()
@@ -314,7 +317,7 @@
     run_scenario(story())
 
 
-def test_a_peer_that_reads_nothing_of_what_it_makes_us_answer_is_let_go():
+def test_a_peer_that_does_not_read_its_ping_responses_is_disconnected():
     async def story():
         async with H2World(1) as world:
             reader, writer = await asyncio.open_connection("127.0.0.1", world.platform_port, limit=1024)
@@ -322,7 +325,7 @@
             writer.write(PREFACE + frame(4))
             with pytest.raises((ConnectionError, TimeoutError)):
                 async with asyncio.timeout(10):
-                    for _ in range(100_000):  # window updates are answered by nothing, pings by as much
+                    for _ in range(100_000):  # unlike window updates, each ping causes a response of the same size
                         writer.write(frame(6, b"12345678"))
                         await writer.drain()
                         await asyncio.sleep(0.001)
--- a/tests/test_http2_conformance.py
+++ b/tests/test_http2_conformance.py
@@ -1,4 +1,4 @@
-"""RFC 9113 section by section, by raw frames against the connection object; no socket."""
+"""RFC 9113 conformance cases: raw frames against the connection object, without a socket."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize("case", CASES, ids=[f"{c.section}: {c.what}"[:70] for c in CASES])
-def test_each_case_has_the_rfcs_outcome(case: Case):
+def test_the_outcome_conforms_to_the_rfc(case: Case):
     assert outcome(case) in case.outcomes
 
 
--- a/tests/test_http2_connection.py
+++ b/tests/test_http2_connection.py
@@ -1,4 +1,4 @@
-"""The connection object by itself: turns, credit, budgets, drain, and frames made up by lot. No socket."""
+"""Tests of the connection object without a socket: scheduling, flow control, rate limits, draining, random frames."""
 
 import pytest
 from h2.config import H2Configuration
@@ -21,7 +21,7 @@
 
 
 class Pair:
-    """A client of h2's own and the connection, with the bytes carried by hand."""
+    """An h2 client and a server connection; `exchange_bytes` passes the bytes between them."""
 
     def __init__(self, limits: Limits = SMALL, buffers: BufferBudget | None = None, window: int = 65_535) -> None:
         self.now, self.buffers = 0.0, buffers or BufferBudget(1 << 20)
@@ -31,7 +31,7 @@
         self.client.initiate_connection()
         self.events, self.client_events = [], []
         self.exchange_bytes()
-        # a client that does not keep to the limit: refusing is ours
+        # a client that ignores the stream limit, so that the server has to refuse
         self.client.remote_settings[SettingCodes.MAX_CONCURRENT_STREAMS] = 100
         self.client.remote_settings.acknowledge()
 
@@ -53,7 +53,7 @@
         return b"".join(e.data for e in self.client_events if isinstance(e, DataReceived) and e.stream_id == stream)
 
 
-# ---- turns ----
+# ---- scheduling ----
 
 
 @pytest.mark.parametrize(
@@ -74,16 +74,16 @@
         ("u=99999999999999999999", (3, False)),
     ],
 )
-def test_the_priority_field_is_read_as_rfc_9218_says(value, wanted):
+def test_the_priority_field_is_parsed_according_to_rfc_9218(value, wanted):
     assert parse_priority(value, Priority()) == Priority(*wanted)
 
 
-def test_turns_are_by_urgency_then_in_order_or_around_and_nothing_starves():
+def test_frames_are_scheduled_by_urgency_and_stream_without_starvation():
     scheduler = FrameScheduler()
     for stream, urgency, incremental in ((9, 3, False), (5, 3, False), (7, 3, True), (11, 3, True), (1, 6, False)):
         scheduler.add(stream, Priority(urgency, incremental))
     got = [scheduler.next() for _ in range(800)]
-    assert got.count(1) == 800 // LOWER_LEVEL_INTERVAL  # the one below
+    assert got.count(1) == 800 // LOWER_LEVEL_INTERVAL  # the stream of the less urgent level
     expected_count = (800 - 800 // LOWER_LEVEL_INTERVAL) / 2
     assert abs(got.count(5) - expected_count) <= 1 and abs(got.count(7) - got.count(11)) <= 1 and got.count(9) == 0
     scheduler.remove(5)
@@ -93,14 +93,14 @@
     assert scheduler.next() is None and len(scheduler) == 0
 
 
-def test_an_urgent_answer_passes_a_long_one_and_a_closed_window_holds_up_only_its_own():
+def test_an_urgent_response_overtakes_a_long_one_whose_window_is_closed():
     pair = Pair(window=20_000)
     long, urgent = pair.start_request(priority="u=5"), pair.start_request(priority="u=0")
     for stream in (long, urgent):
         pair.server.send_response_headers(stream, 200, [], False)
     pair.server.send_data(long, b"l" * 60_000, True)
     pair.exchange_bytes()
-    assert len(pair.received_body(long)) == 20_000  # its window
+    assert len(pair.received_body(long)) == 20_000  # its window size
     pair.server.send_data(urgent, b"u" * 10_000, True)
     pair.exchange_bytes()
     assert pair.received_body(urgent) == b"u" * 10_000 and len(pair.received_body(long)) == 20_000
@@ -110,10 +110,10 @@
     assert pair.received_body(long) == b"l" * 60_000 and pair.server.open_streams == 0
 
 
-# ---- credit ----
+# ---- flow control ----
 
 
-def test_windows_open_as_the_core_takes_bytes_and_not_before():
+def test_credit_is_returned_when_the_body_is_read_and_not_before():
     pair = Pair()
     stream = pair.start_request(body=True)
     pair.client.send_data(stream, b"x" * 1000)
@@ -125,7 +125,7 @@
     assert pair.client.local_flow_control_window(stream) == 1000 and pair.buffers.used_bytes == 0
 
 
-def test_over_the_cap_of_all_connections_credit_is_held_back_until_there_is_room():
+def test_credit_is_withheld_while_the_shared_buffers_are_full():
     buffers = BufferBudget(1500)
     one, two = Pair(buffers=buffers), Pair(buffers=buffers)
     streams = []
@@ -138,7 +138,7 @@
     before = one.client.outbound_flow_control_window
     one.server.consume(streams[0][1], 1000)
     one.exchange_bytes()
-    assert buffers.used_bytes == 3000 and one.client.outbound_flow_control_window == before  # still over the cap
+    assert buffers.used_bytes == 3000 and one.client.outbound_flow_control_window == before  # still above the capacity
     two.server.consume(streams[2][1], 1000)
     two.server.consume(streams[3][1], 1000)
     one.server.release_credit()
@@ -146,7 +146,7 @@
     assert buffers.used_bytes == 1000 and one.client.outbound_flow_control_window == before + 1000
 
 
-def test_padding_and_data_for_refused_streams_give_their_credit_back():
+def test_credit_of_padding_and_of_data_for_refused_streams_is_returned():
     pair = Pair()
     taken = [pair.start_request(body=True) for _ in range(6)]
     stream = pair.client.get_next_available_stream_id()
@@ -165,7 +165,7 @@
     assert pair.buffers.used_bytes == 0 and StreamAborted(taken[0], 0) in pair.events
 
 
-def test_an_answer_before_the_body_is_whole_tells_that_the_rest_is_not_wanted():
+def test_a_response_before_the_end_of_the_body_resets_the_stream_with_no_error():
     pair = Pair()
     stream = pair.start_request(body=True)
     pair.server.send_response_headers(stream, 413, [], True)
@@ -175,31 +175,31 @@
     assert [e.error_code for e in ends if isinstance(e, StreamReset)] == [0] and pair.server.open_streams == 0
 
 
-# ---- budgets ----
+# ---- rate limits ----
 
 
 @pytest.mark.parametrize("action", list(PeerAction))
-def test_each_budget_is_so_many_at_once_and_so_many_a_second(action):
+def test_each_action_has_its_own_burst_and_rate(action):
     budget, allowance = PeerBudget(), ALLOWANCES[action]
     assert all(budget.spend(action, 0.0) for _ in range(int(allowance.burst)))
     assert not budget.spend(action, 0.0)
     assert budget.spend(action, 2.1 / allowance.rate_per_s)
     assert all(budget.spend(other, 0.0) for other in PeerAction if other is not action)
-    assert not budget.spend(action, -5.0)  # a clock that steps back gives nothing
+    assert not budget.spend(action, -5.0)  # a clock that steps back refills nothing
 
 
-# ---- the drain ----
+# ---- draining ----
 
 
-def test_a_drain_is_told_twice_and_streams_between_are_still_taken():
+def test_a_drain_sends_two_goaways_and_accepts_streams_between_them():
     pair = Pair()
     first = pair.start_request()
     pair.server.drain()
     pair.server.drain()
     out = pair.server.control_to_send()
-    between = pair.start_request()  # on its way before the client has heard
+    between = pair.start_request()  # sent before the client receives the GOAWAY
     pair.client_events += pair.client.receive_data(out)
-    pair.exchange_bytes()  # the client answers the ping
+    pair.exchange_bytes()  # the client acknowledges the ping
     said = [(e.last_stream_id, e.error_code) for e in pair.client_events if isinstance(e, ConnectionTerminated)]
     assert said == [(2**31 - 1, 0), (between, 0)] and not pair.server.done
     late = pair.start_request()
@@ -211,14 +211,14 @@
     assert pair.server.done and pair.server.end_event is None
 
 
-# ---- frames by lot ----
+# ---- random frames ----
 
 FRAMES = st.tuples(st.integers(0, 12), st.binary(max_size=40), st.integers(0, 255), st.integers(0, 9))
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(frames=st.lists(FRAMES, max_size=30), cuts=st.integers(1, 50), valid=st.booleans())
-def test_whatever_frames_come_nothing_but_an_end_comes_of_it(frames, cuts, valid):
+def test_random_frames_keep_events_and_buffers_consistent(frames, cuts, valid):
     data = PREFACE + frame(4) + b"".join(frame(kind, body, flags, stream) for kind, body, flags, stream in frames)
     if not valid:
         data = data[cuts:] + data[:cuts]
@@ -244,12 +244,12 @@
 
 
 class Streams(RuleBasedStateMachine):
-    """A client that keeps to the RFC, a core that answers in any order, and both windows at work."""
+    """State machine: a client that conforms to the RFC, responses in any order, and flow control in both directions."""
 
     def __init__(self) -> None:
         super().__init__()
         self.pair = Pair()
-        self.sent: dict[int, bytes] = {}  # what was answered
+        self.sent: dict[int, bytes] = {}  # response bytes by stream
         self.completed: set[int] = set()
         self.unread: list[tuple[int, int]] = []
         self.seen = 0
@@ -326,7 +326,7 @@
         self.process_events()
 
     @invariant()
-    def every_byte_comes_in_order_and_once(self):
+    def response_bytes_arrive_in_order_and_once(self):
         for stream, sent in self.sent.items():
             received = self.pair.received_body(stream)
             assert sent.startswith(received)
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -1,4 +1,4 @@
-"""The object API on the real program: every byte that comes back is checked."""
+"""End-to-end tests of the object API against the real program; response bodies are compared byte by byte."""
 
 import asyncio
 import base64
@@ -52,13 +52,13 @@
 
 
 def chunks_of(world: FrontHarness) -> list[str]:
-    """The paths of what is stored whole, the largest first."""
+    """The paths of all stored chunks, the largest first."""
     stored = [(len(body), path) for node in world.nodes for path, body in node.stored.items()]
     return [path for _, path in sorted(stored, reverse=True)]
 
 
 @pytest.mark.parametrize("size", [0, 1, PAYLOAD_BYTES - 1, PAYLOAD_BYTES, PAYLOAD_BYTES + 1, 7 * PAYLOAD_BYTES + 9])
-def test_what_is_put_comes_back_whole_and_is_gone_once_deleted(size):
+def test_an_object_is_returned_unchanged_after_put_and_not_found_after_delete(size):
     async def story():
         body = some_bytes(size)
         async with FrontHarness(3, OPERATOR) as world:
@@ -89,7 +89,7 @@
 SIZE = 3 * PAYLOAD_BYTES + 100
 
 
-def test_ranges():
+def test_range_requests():
     cases = [
         ("bytes=0-0", 0, 1),
         (f"bytes={PAYLOAD_BYTES - 1}-{PAYLOAD_BYTES}", PAYLOAD_BYTES - 1, PAYLOAD_BYTES + 1),
@@ -112,7 +112,7 @@
                 status, headers, got = await world.object_request("GET", KEY_PATH, Range=header)
                 assert (status, code(got)) == (416, "InvalidRange")
                 assert headers["Content-Range"] == f"bytes */{SIZE}"
-            for header in ("bytes=9-3", "lines=1-2", "bytes=0-1,5-6", "bytes=-"):  # the whole is served
+            for header in ("bytes=9-3", "lines=1-2", "bytes=0-1,5-6", "bytes=-"):  # the complete object is served
                 assert (await world.object_request("GET", KEY_PATH, Range=header))[::2] == (200, body)
             status, headers, got = await world.object_request("HEAD", KEY_PATH, Range="bytes=1-4")
             assert (status, headers["Content-Length"], got) == (206, "4", b"")
@@ -120,7 +120,7 @@
     run_scenario(story())
 
 
-def test_conditions():
+def test_conditional_requests():
     old, new = "Mon, 01 Jan 2001 00:00:00 GMT", "Fri, 01 Jan 2100 00:00:00 GMT"
 
     async def story():
@@ -162,7 +162,7 @@
     return ElementTree.fromstring(got).findtext(NS + "UploadId")
 
 
-def test_an_upload_through_two_fronts_that_share_nothing():
+def test_a_multipart_upload_through_two_front_processes_without_shared_state():
     async def story():
         bodies = {1: some_bytes(150_000, 1), 2: some_bytes(PAYLOAD_BYTES * 2, 2), 5: some_bytes(10, 5)}
         async with FrontHarness(3, OPERATOR) as one, FrontHarness(operator=OPERATOR, rank=1, shared=one) as two:
@@ -177,7 +177,7 @@
             found = [(p.findtext(NS + "PartNumber"), p.findtext(NS + "Size")) for p in listed.iter(NS + "Part")]
             assert found == [("1", "150000"), ("2", str(2 * PAYLOAD_BYTES))]
             assert listed.findtext(NS + "IsTruncated") == "true"
-            assert (await one.object_request("GET", KEY_PATH))[0] == 404  # nothing to see before the manifest
+            assert (await one.object_request("GET", KEY_PATH))[0] == 404  # not visible before the manifest is written
             expected = [(n, md5(body)) for n, body in sorted(bodies.items())]
             for parts, error_code in [
                 ([(1, md5(b"x"))], "InvalidPart"),
@@ -202,7 +202,7 @@
     run_scenario(story())
 
 
-def test_an_aborted_upload_takes_no_more_and_a_small_part_is_refused():
+def test_a_part_below_the_minimum_and_requests_after_an_abort_are_refused():
     async def story():
         async with FrontHarness(2, OPERATOR) as world:
             at = f"{KEY_PATH}?uploadId={await begin_upload(world)}"
@@ -247,24 +247,24 @@
         ("PATCH", "/photos/x", {}, 501, "NotImplemented"),
     ],
 )
-def test_errors_come_in_s3s_form(method, path, headers, status, error_code):
+def test_errors_have_the_s3_code_and_format(method, path, headers, status, error_code):
     async def story():
         async with FrontHarness(1, OPERATOR) as world:
             got, _, body = await world.object_request(method, path, b"<x" if method != "GET" else b"", **headers)
             assert (got, code(body)) == (status, error_code)
-            assert (await world.object_request("PUT", "/photos/x", b"y"))[0] == 200  # and the front goes on
+            assert (await world.object_request("PUT", "/photos/x", b"y"))[0] == 200  # the front still serves requests
 
     run_scenario(story())
 
 
 @pytest.mark.parametrize("act", ["half", "reset", "full", "error", "corrupt", "close"])
-def test_a_chunk_that_fails_mid_read_is_read_again_with_no_byte_twice_or_missing(act):
+def test_a_failed_chunk_read_is_retried_without_duplicate_or_missing_bytes(act):
     async def story():
         body = some_bytes(6 * PAYLOAD_BYTES + 5)
         async with FrontHarness(1, OPERATOR) as world:
             node = world.nodes[0]
             await world.object_request("PUT", KEY_PATH, body)
-            node.scripted_responses.extend(["", "", "", act, "", act])  # the first is the manifest's
+            node.scripted_responses.extend(["", "", "", act, "", act])  # the first request reads the manifest
             status, _, got = await world.object_request("GET", KEY_PATH, Range="bytes=100-")
             assert (
                 status == 206 and got == body[100:] and node.overlapping_attempts == 0 and not node.scripted_responses
@@ -273,7 +273,7 @@
     run_scenario(story())
 
 
-def test_a_read_whose_node_stalls_breaks_visibly_and_is_taken_up_where_it_broke():
+def test_a_read_from_a_stalled_node_aborts_the_connection_and_resumes_by_range():
     async def story():
         body = some_bytes(8 * PAYLOAD_BYTES)
         async with FrontHarness(1, OPERATOR) as world:
@@ -295,17 +295,17 @@
     run_scenario(story())
 
 
-def test_a_stalled_chunk_is_tried_again_once_the_node_is_known_to_lose_answers():
+def test_a_stalled_chunk_read_is_retried_once_the_node_is_known_to_lose_responses():
     async def story():
         body = some_bytes(5 * PAYLOAD_BYTES)
         async with FrontHarness(1, OPERATOR) as world:
             node = world.nodes[0]
-            node.delay = 0.1  # so that four times the usual wait is long
+            node.delay = 0.1  # so that four times the usual response time is long
             await world.object_request("PUT", KEY_PATH, body)
             node.scripted_responses.extend(["", "stall"])
             with pytest.raises(aiohttp.ClientError):
                 status, _, _ = await world.object_request("GET", KEY_PATH)
-                assert status == 503  # the first chunk was the one: nothing had gone out yet
+                assert status == 503  # the first chunk stalled, so no response headers had been sent
                 raise aiohttp.ClientError
             node.scripted_responses.extend(["", "", "stall"])
             seen = len(node.received)
@@ -320,15 +320,15 @@
 
 
 @pytest.mark.parametrize("replaced", [True, False])
-def test_an_upload_whose_node_drains_partway_ends_in_one_final_answer(replaced):
+def test_an_upload_gets_one_final_response_if_its_node_drains_midway(replaced):
     async def story():
-        # a chunk's shard is a lot drawn anew each time: so many that either half reaches both nodes
+        # the shard of each chunk is random: with 32 chunks, either half of the upload reaches both nodes
         half = 32 * PAYLOAD_BYTES
         before, body = some_bytes(1000, 7), some_bytes(2 * half, 8)
         async with FrontHarness(2, OPERATOR) as world:
             assert (await world.object_request("PUT", KEY_PATH, before))[0] == 200
             drained = world.nodes[1]
-            # heads spread their first calls: one that has no watch yet knows of no drain
+            # fronts spread their first discovery calls: without a watch, the front would not learn of the drain
             await wait_until(lambda: world.calls and world.calls[-1][1] == str(world.revision))
 
             async def sending():
@@ -359,7 +359,7 @@
 
 
 @pytest.mark.parametrize("method", ["PUT", "GET"])
-def test_a_client_that_leaves_partway_frees_its_chunks_and_changes_nothing(method):
+def test_a_client_that_disconnects_midway_releases_its_chunks_and_changes_no_data(method):
     async def story():
         body = some_bytes(6 * PAYLOAD_BYTES)
         async with FrontHarness(1, OPERATOR) as world:
@@ -379,7 +379,7 @@
 
 
 @pytest.mark.parametrize(("rate", "expected"), [(0.01, 503), (100000, 200)])
-def test_a_teams_budget_is_held_by_the_decisions(rate, expected):
+def test_a_teams_budget_is_enforced(rate, expected):
     async def story():
         budget = f"budget = {{units_per_s = {rate}}}\n"
         operator = OPERATOR.replace('buckets = ["photos"]', budget + 'buckets = ["photos"]')
@@ -391,13 +391,13 @@
     run_scenario(story())
 
 
-def test_many_bytes_stream_through_bounded_memory():
+def test_a_large_object_is_streamed_with_bounded_memory():
     async def story():
         async with FrontHarness(2, OPERATOR) as world:
             body = some_bytes(48 << 20)
             assert (await world.object_request("PUT", KEY_PATH, body))[0] == 200
             slow = await world.session.get(f"http://127.0.0.1:{world.object_port}{KEY_PATH}")
-            await asyncio.sleep(0.5)  # a client that does not read must not make the front collect
+            await asyncio.sleep(0.5)  # the front must not buffer for a client that does not read
             assert hashlib.md5(await slow.read()).digest() == hashlib.md5(body).digest()
             status = Path(f"/proc/{world.process.pid}/status").read_text()
             assert int(status.split("VmHWM:")[1].split()[0]) < 120_000  # kB
