--- a/ochrespan/http2/connection.py
+++ b/ochrespan/http2/connection.py
@@ -220,9 +220,9 @@
         if not self.end_event:
             self._streams.add_data(stream, data, ended)
 
-    def pending(self, stream: int) -> int:
+    def pending_bytes(self, stream: int) -> int:
         """Queued bytes of a response body that have not been sent."""
-        return self._streams.pending(stream)
+        return self._streams.pending_bytes(stream)
 
     def is_open(self, stream: int) -> bool:
         """Whether the stream was accepted and has not ended."""
--- a/ochrespan/http2/protocol.py
+++ b/ochrespan/http2/protocol.py
@@ -25,7 +25,7 @@
 
 log = logging.getLogger(__name__)
 
-DRAIN_NOTICE = timedelta(seconds=1)  # time for a client to receive the first GOAWAY
+DRAIN_GOAWAY_DELAY = timedelta(seconds=1)  # longest wait for the PING acknowledgement before the final GOAWAY
 HIGH_WATER_BYTES = 64 * 1024  # buffered in the transport, above which body frames wait
 LOW_WATER_BYTES = 16 * 1024  # buffered in the transport, below which they resume
 NOTHING_PENDING = -1  # below any pending byte count, so that only the end of the stream satisfies the wait
@@ -43,12 +43,11 @@
         self._connection = Connection(server.limits, server.buffers, self._loop.time())
         self._exchanges: dict[int, Http2Exchange] = {}
         self._tasks: dict[int, asyncio.Task[None]] = {}
-        self._blocked_writers: dict[
-            int, tuple[asyncio.Event, int]
-        ] = {}  # by stream: event and the pending bytes to fall to
+        # by stream: event to set, and the pending bytes at or below which it is set
+        self._blocked_writers: dict[int, tuple[asyncio.Event, int]] = {}
         self._writing_paused = False
         self._flushing = False
-        self._unread_control = 0  # control frame bytes written while the transport has paused writing
+        self._unread_control_bytes = 0  # control frame bytes written while the transport has paused writing
 
     # ---- called by the listener ----
 
@@ -109,7 +108,7 @@
         self._writing_paused = True
 
     def resume_writing(self) -> None:
-        self._writing_paused, self._unread_control = False, 0
+        self._writing_paused, self._unread_control_bytes = False, 0
         self._flush()
 
     def data_received(self, data: bytes) -> None:
@@ -233,21 +232,21 @@
         no byte is sent within the stall timeout."""
         self._flush()
         while self._has_more_pending(stream, limit_bytes):
-            before = self._connection.pending(stream)
+            before = self._connection.pending_bytes(stream)
             event = asyncio.Event()
             self._blocked_writers[stream] = event, limit_bytes
             try:
                 async with asyncio.timeout(self._server.stall_timeout.total_seconds()):
                     await event.wait()
             except TimeoutError:
-                if self._connection.pending(stream) >= before:
+                if self._connection.pending_bytes(stream) >= before:
                     log.info("client does not read its response; stream reset", extra={"stream": stream})
                     self._connection.reset(stream, ErrorCodes.CANCEL)
             finally:
                 self._blocked_writers.pop(stream, None)
 
     def _has_more_pending(self, stream: int, limit_bytes: int) -> bool:
-        return self._connection.is_open(stream) and self._connection.pending(stream) > limit_bytes
+        return self._connection.is_open(stream) and self._connection.pending_bytes(stream) > limit_bytes
 
     def _flush_soon(self) -> None:
         if not self._flushing:
@@ -262,8 +261,8 @@
         if control := self._connection.control_to_send():
             self.transport.write(control)
             if self._writing_paused:
-                self._unread_control += len(control)
-                if self._unread_control > self._server.limits.max_control_bytes:
+                self._unread_control_bytes += len(control)
+                if self._unread_control_bytes > self._server.limits.max_control_bytes:
                     log.info("connection ended", extra={"why": "it does not read what it makes us answer"})
                     self.transport.abort()
                     return
@@ -278,10 +277,10 @@
     # ---- draining ----
 
     def drain(self) -> None:
-        """Announces the drain to the client; the final GOAWAY follows once it is acknowledged or after DRAIN_NOTICE."""
+        """Announces the drain; the final GOAWAY follows once the client acknowledges it or after DRAIN_GOAWAY_DELAY."""
         self._connection.drain()
         self._flush()
-        self._loop.call_later(DRAIN_NOTICE.total_seconds(), self.finish_drain)
+        self._loop.call_later(DRAIN_GOAWAY_DELAY.total_seconds(), self.finish_drain)
 
     def finish_drain(self) -> None:
         """Sends the final GOAWAY; closes the connection once no stream is open."""
--- a/ochrespan/http2/scheduling.py
+++ b/ochrespan/http2/scheduling.py
@@ -75,8 +75,8 @@
     def __init__(self) -> None:
         self._levels = [_Level() for _ in range(URGENCY_LEVELS)]
         self._priorities: dict[int, Priority] = {}
-        self._frames = 0  # selected so far
-        self._lower_frames = 0  # of these, given to less urgent levels
+        self._frame_count = 0  # selected so far
+        self._lower_frame_count = 0  # of these, given to less urgent levels
 
     def __len__(self) -> int:
         return len(self._priorities)
@@ -105,8 +105,8 @@
         active_levels = [level for level in self._levels if level]
         if not active_levels:
             return None
-        self._frames += 1
-        if len(active_levels) > 1 and self._frames % LOWER_LEVEL_INTERVAL == 0:
-            self._lower_frames += 1
-            return active_levels[1 + self._lower_frames % (len(active_levels) - 1)].next()
+        self._frame_count += 1
+        if len(active_levels) > 1 and self._frame_count % LOWER_LEVEL_INTERVAL == 0:
+            self._lower_frame_count += 1
+            return active_levels[1 + self._lower_frame_count % (len(active_levels) - 1)].next()
         return active_levels[0].next()
--- a/ochrespan/http2/streams.py
+++ b/ochrespan/http2/streams.py
@@ -23,7 +23,7 @@
     pending: bytearray = field(default_factory=bytearray)  # queued response bytes
     response_complete: bool = False  # the end of the response is queued
     request_complete: bool = False  # the request body has been received completely
-    credit: int = 0  # request body bytes received, whose credit has not been returned
+    unreturned_credit: int = 0  # request body bytes received, whose credit has not been returned
 
 
 class StreamTable:
@@ -54,8 +54,8 @@
         """Removes a stream and returns the credit of its unread body to the connection."""
         state = self._streams.pop(stream)
         self._scheduler.remove(stream)
-        self._buffers.used_bytes -= state.credit
-        self.return_credit(state.credit)
+        self._buffers.used_bytes -= state.unreturned_credit
+        self.return_credit(state.unreturned_credit)
 
     def close_all(self) -> None:
         """Removes all streams; no more credit is returned to the peer."""
@@ -72,7 +72,7 @@
         if state is None:
             self.return_credit(credit)
             return False
-        state.credit += credit
+        state.unreturned_credit += credit
         self._buffers.used_bytes += credit
         return True
 
@@ -82,7 +82,7 @@
         state = self._streams.get(stream)
         if state is None or not credit:
             return  # closing the stream released its credit
-        state.credit -= credit
+        state.unreturned_credit -= credit
         self._buffers.used_bytes -= credit
         if not state.request_complete:
             self._open_window(credit, stream)
@@ -103,7 +103,7 @@
 
     # ---- response bodies ----
 
-    def pending(self, stream: int) -> int:
+    def pending_bytes(self, stream: int) -> int:
         """Queued bytes of the response body that have not been sent."""
         state = self._streams.get(stream)
         return len(state.pending) if state is not None else 0
--- a/ochrespan/objects/layout.py
+++ b/ochrespan/objects/layout.py
@@ -130,13 +130,13 @@
 
     def slices(self, begin: int, end: int) -> Iterator[ChunkSlice]:
         """Yields the chunk slices that contain the bytes from `begin` to `end` (exclusive), in order."""
-        at = 0
+        offset = 0
         for part in self.parts:
-            low, high = max(begin - at, 0), min(end - at, part.size)
+            low, high = max(begin - offset, 0), min(end - offset, part.size)
             for index in range(low // PAYLOAD_BYTES, -(-high // PAYLOAD_BYTES) if high > low else 0):
                 start = index * PAYLOAD_BYTES
                 yield ChunkSlice(part, index, max(low - start, 0), min(high - start, PAYLOAD_BYTES))
-            at += part.size
+            offset += part.size
 
     def encode(self) -> bytes:
         """Encodes the manifest as a chunk payload."""
@@ -154,14 +154,14 @@
     @classmethod
     def decode(cls, payload: bytes) -> Manifest:
         """Decodes a manifest from a chunk payload."""
-        got = unpack(payload)
+        record = unpack(payload)
         return cls(
-            got["etag"],
-            datetime.fromisoformat(got["modified"]),
-            [Part(*row) for row in got["parts"]],
-            got["type"],
-            got["meta"],
-            got["deleted"],
+            record["etag"],
+            datetime.fromisoformat(record["modified"]),
+            [Part(*row) for row in record["parts"]],
+            record["type"],
+            record["meta"],
+            record["deleted"],
         )
 
 
@@ -191,6 +191,6 @@
     return ("upload", bucket, key, upload)
 
 
-def part_list_chunk_name(bucket: str, key: str, upload: str, front: int) -> ChunkName:
+def part_list_chunk_name(bucket: str, key: str, upload: str, front_rank: int) -> ChunkName:
     """Name of the chunk in which one front process lists the parts of an upload that it received."""
-    return ("parts", bucket, key, upload, str(front))
+    return ("parts", bucket, key, upload, str(front_rank))
--- a/ochrespan/objects/uploads.py
+++ b/ochrespan/objects/uploads.py
@@ -44,53 +44,53 @@
 class Uploads:
     """Multipart uploads as handled by one front process."""
 
-    def __init__(self, store: ChunkStore, front: int, fronts: int, min_part_bytes: int) -> None:
-        self._store, self._front, self._fronts = store, front, max(1, fronts, front + 1)
+    def __init__(self, store: ChunkStore, front_rank: int, front_count: int, min_part_bytes: int) -> None:
+        self._store, self._front_rank, self._front_count = store, front_rank, max(1, front_count, front_rank + 1)
         self._min_part_bytes = min_part_bytes
         self._locks: OrderedDict[str, asyncio.Lock] = OrderedDict()
 
-    def _lock(self, upload: str) -> asyncio.Lock:
+    def _lock(self, upload_id: str) -> asyncio.Lock:
         """The lock that serializes writes to this process's part list of an upload."""
-        lock = self._locks.setdefault(upload, asyncio.Lock())
-        self._locks.move_to_end(upload)
+        lock = self._locks.setdefault(upload_id, asyncio.Lock())
+        self._locks.move_to_end(upload_id)
         while len(self._locks) > MAX_LOCKS and not next(iter(self._locks.values())).locked():
             self._locks.popitem(last=False)
         return lock
 
     async def create(self, scope: Scope, content_type: str, meta: dict[str, str]) -> str:
         """Creates an upload and returns its id."""
-        upload = secrets.token_hex(16)
-        await self._write_state(scope, Upload(upload, content_type, meta), "open")
-        return upload
+        upload_id = secrets.token_hex(16)
+        await self._write_state(scope, Upload(upload_id, content_type, meta), "open")
+        return upload_id
 
     async def _write_state(self, scope: Scope, upload: Upload, state: str) -> None:
         chunk_name = layout.upload_chunk_name(scope.bucket, scope.key, upload.id)
         record = {"state": state, "type": upload.content_type, "meta": upload.meta}
         await self._store.write_record(scope, chunk_name, record)
 
-    async def find(self, scope: Scope, upload: str) -> Upload:
+    async def find(self, scope: Scope, upload_id: str) -> Upload:
         """Returns the open upload with this id, or raises `NoSuchUpload`."""
-        record = await self._store.read_record(scope, layout.upload_chunk_name(scope.bucket, scope.key, upload))
+        record = await self._store.read_record(scope, layout.upload_chunk_name(scope.bucket, scope.key, upload_id))
         if record is None or record["state"] != "open":
-            raise NoSuchUpload(upload)
-        return Upload(upload, record["type"], record["meta"])
+            raise NoSuchUpload(upload_id)
+        return Upload(upload_id, record["type"], record["meta"])
 
-    async def put_part(self, scope: Scope, upload: str, part: Part) -> None:
+    async def put_part(self, scope: Scope, upload_id: str, part: Part) -> None:
         """Adds a stored part to the part list of this process."""
-        chunk_name = layout.part_list_chunk_name(scope.bucket, scope.key, upload, self._front)
-        async with self._lock(upload):
-            parts = await self._read_index(scope, upload, self._front)
+        chunk_name = layout.part_list_chunk_name(scope.bucket, scope.key, upload_id, self._front_rank)
+        async with self._lock(upload_id):
+            parts = await self._read_index(scope, upload_id, self._front_rank)
             parts[part.number] = part
             await self._store.write_record(scope, chunk_name, [part.row() for part in parts.values()])
 
-    async def _read_index(self, scope: Scope, upload: str, front: int) -> dict[int, Part]:
-        chunk_name = layout.part_list_chunk_name(scope.bucket, scope.key, upload, front)
+    async def _read_index(self, scope: Scope, upload_id: str, front_rank: int) -> dict[int, Part]:
+        chunk_name = layout.part_list_chunk_name(scope.bucket, scope.key, upload_id, front_rank)
         record: list[Any] = await self._store.read_record(scope, chunk_name) or []
         return {part.number: part for part in (Part(*entry) for entry in record)}
 
-    async def parts(self, scope: Scope, upload: str) -> dict[int, Part]:
+    async def parts(self, scope: Scope, upload_id: str) -> dict[int, Part]:
         """All parts by number, from the lists of all front processes."""
-        reads = (self._read_index(scope, upload, front) for front in range(self._fronts))
+        reads = (self._read_index(scope, upload_id, front_rank) for front_rank in range(self._front_count))
         found: dict[int, Part] = {}
         for index in await asyncio.gather(*reads):
             for number, part in index.items():
@@ -98,16 +98,16 @@
                     found[number] = part
         return dict(sorted(found.items()))
 
-    async def complete(self, scope: Scope, upload: str, requested: list[tuple[int, str]]) -> Manifest:
+    async def complete(self, scope: Scope, upload_id: str, requested: list[tuple[int, str]]) -> Manifest:
         """Creates the object from the requested parts (number and ETag); raises `InvalidPartList` if they are not
         valid."""
-        opened = await self.find(scope, upload)
-        selected = self._select_parts(await self.parts(scope, upload), requested)
-        manifest = Manifest(layout.etag_of_parts(selected), layout.now(), selected, opened.content_type, opened.meta)
+        upload = await self.find(scope, upload_id)
+        selected = self._select_parts(await self.parts(scope, upload_id), requested)
+        manifest = Manifest(layout.etag_of_parts(selected), layout.now(), selected, upload.content_type, upload.meta)
         await self._store.commit(scope, manifest)
         # the object exists from here on: a failure to update the upload's state must not fail the request
         with suppress(Unavailable, StorageFailed, DeadlineExceeded):
-            await self._write_state(scope, opened, "complete")
+            await self._write_state(scope, upload, "complete")
         return manifest
 
     def _select_parts(self, uploaded: dict[int, Part], requested: list[tuple[int, str]]) -> list[Part]:
@@ -126,6 +126,6 @@
             raise InvalidPartList("EntityTooSmall", f"every part but the last needs {self._min_part_bytes} bytes")
         return selected
 
-    async def abort(self, scope: Scope, upload: str) -> None:
+    async def abort(self, scope: Scope, upload_id: str) -> None:
         """Aborts an upload; no object is created."""
-        await self._write_state(scope, await self.find(scope, upload), "aborted")
+        await self._write_state(scope, await self.find(scope, upload_id), "aborted")
--- a/tests/test_contract_fronts.py
+++ b/tests/test_contract_fronts.py
@@ -9,7 +9,7 @@
 import pytest
 
 from .front_harness import VOLUME, FrontHarness, StubChunkServer, StubGraphite, run_scenario, wait_until
-from .test_objects import code, some_bytes
+from .test_objects import code, random_bytes
 
 OTHER, NOBODYS = "00000000000000bb", "00000000000000cc"
 
@@ -292,11 +292,11 @@
         token = {"Authorization": "Bearer token-a"}
         async with FrontHarness(2, contracts(a="budget = { units_per_s = 2000 }")) as world:
             await asyncio.sleep(0.3)
-            first = some_bytes(200_000)
+            first = random_bytes(200_000)
             assert (await world.object_request("PUT", "/aaa/x", first, **token))[0] == 200
             status, _, body = await world.object_request("POST", "/aaa/x?uploads", **token)
             upload = body.decode().partition("<UploadId>")[2].partition("<")[0]
-            parts = [some_bytes(400_000, seed) for seed in (2, 3)]
+            parts = [random_bytes(400_000, seed) for seed in (2, 3)]
             etags = []
             status, headers, _ = await world.object_request(
                 "PUT", f"/aaa/x?partNumber=1&uploadId={upload}", parts[0], **token
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -10,7 +10,7 @@
 from .front_harness import KEY, VOLUME, FrontHarness, free_port, request_headers, run_scenario, wait_until
 from .h2client import Client
 from .http2_cases import GOAWAY, PREFACE, cases, frame, sent_frames
-from .test_objects import some_bytes
+from .test_objects import random_bytes
 
 PATH = f"/api/{VOLUME}/{KEY}"
 
@@ -49,7 +49,7 @@
 
 
 def test_both_handlers_are_served_over_http2():
-    async def story():
+    async def scenario():
         async with H2World(1) as world, world.platform() as client, world.object_client() as objects:
             world.nodes[0].default_response = ""
             assert (await client.call("GET", "/up")).status == 200
@@ -62,7 +62,7 @@
             assert (await client.call("PUT", PATH, long, request_headers("t4", 0, cls="write"))).status == 200
             assert world.nodes[0].stored[PATH] == long
             assert len(world.nodes[0].received) == 3
-            body = some_bytes(300_000)
+            body = random_bytes(300_000)
             got = await objects.call("PUT", "/photos/x", body)
             assert got.status == 200 and got.headers["etag"] == f'"{hashlib.md5(body).hexdigest()}"'
             got = await objects.call("GET", "/photos/x", b"", {"Range": "bytes=100000-299999"})
@@ -75,11 +75,11 @@
             await objects.send(waiting, b"later")
             assert (await objects.wait_response(waiting)).status == 200
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 def test_five_hundred_streams_each_end_once_and_no_request_has_two_attempts_in_flight():
-    async def story():
+    async def scenario():
         async with H2World(3, "streams = 200") as world:
             rng = random.Random(3)
             for node in world.nodes:
@@ -126,11 +126,11 @@
                 lambda: not any(any(node.in_flight.values()) for node in world.nodes if node.phase == "up")
             )
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 def test_a_stream_reset_cancels_its_attempt_without_a_retry():
-    async def story():
+    async def scenario():
         async with H2World(1) as world, world.platform() as client:
             node = world.nodes[0]
             node.scripted_responses.append("stall")
@@ -142,11 +142,11 @@
             assert (await client.call("GET", PATH, b"", request_headers("t2", 0))).status == 200
             assert [h["x-trace-id"] for _, _, h, _ in node.received] == ["t1", "t2"] and node.overlapping_attempts == 0
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 def test_streams_beyond_the_limit_are_refused_and_the_others_continue():
-    async def story():
+    async def scenario():
         async with H2World(1, "streams = 3") as world, world.platform() as client:
             node = world.nodes[0]
             node.scripted_responses.extend(["stall"] * 3)
@@ -162,13 +162,13 @@
             assert (await client.wait_response(open_streams[1])).status == 200
             assert (await client.call("GET", PATH, b"", request_headers("t9", 0))).status == 200
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 def test_a_slow_reader_stalls_its_own_stream_only():
-    async def story():
+    async def scenario():
         async with H2World(2) as world, world.object_client(window=65_535) as client:
-            body = some_bytes(3 << 20)
+            body = random_bytes(3 << 20)
             assert (await client.call("PUT", "/photos/large", body)).status == 200
             assert (await client.call("PUT", "/photos/small", b"small")).status == 200
             slow = client.begin("GET", "/photos/large")
@@ -183,24 +183,24 @@
             client.flush()
             assert bytes((await client.wait_response(slow)).body) == body
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 def test_a_stream_whose_window_is_never_opened_is_reset_after_the_stall_timeout():
-    async def story():
+    async def scenario():
         async with H2World(1, "patience_s = 0.3") as world, world.object_client(window=0) as client:
             async with world.object_client() as other:
-                assert (await other.call("PUT", "/photos/x", some_bytes(100_000))).status == 200
+                assert (await other.call("PUT", "/photos/x", random_bytes(100_000))).status == 200
             got = await client.call("GET", "/photos/x")
             assert got.status == 200 and got.reset == 8 and not got.body  # CANCEL
             assert (await client.call("HEAD", "/photos/x")).status == 200  # the connection stays open
             assert not client.goaways
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 def test_a_drain_sends_two_goaways_and_completes_accepted_streams():
-    async def story():
+    async def scenario():
         async with H2World(1) as world, world.platform() as client:
             node = world.nodes[0]
             node.default_response, node.delay = "any", 0.3
@@ -220,15 +220,15 @@
             assert await asyncio.wait_for(world.process.wait(), 20) == 0
             assert len(node.received) == 3 and "Traceback" not in world.log
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 def test_a_hundred_concurrent_parts_on_one_connection():
-    async def story():
+    async def scenario():
         async with H2World(2, "streams = 200") as world, world.object_client() as client:
             got = await client.call("POST", "/photos/whole?uploads")
             upload = got.body.decode().partition("<UploadId>")[2].partition("<")[0]
-            parts = [some_bytes(100_000, seed) for seed in range(120)]
+            parts = [random_bytes(100_000, seed) for seed in range(120)]
             sent = await asyncio.gather(
                 *(
                     client.call("PUT", f"/photos/whole?partNumber={n + 1}&uploadId={upload}", part)
@@ -255,7 +255,7 @@
             assert got.status == 200
             assert bytes((await client.call("GET", "/photos/whole")).body) == b"".join(parts)
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
@@ -263,7 +263,7 @@
     [("withdrawn = true", 403, None), ("budget = { units_per_s = 0.01 }", 429, "retry-after")],
 )
 def test_contract_refusals_equal_those_of_http1(contract, status, field):
-    async def story():
+    async def scenario():
         world = H2World(1, contracts=contract)
         world.operator = world.operator.replace("[objects]", "[contracts]\nfronts = 1\n[objects]", 1)
         async with world, world.platform() as client:
@@ -272,12 +272,12 @@
             assert got.status == first == status and bytes(got.body) == body
             assert field is None or (field in got.headers and "Retry-After" in headers)
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("received", [b"", b"PRI * HT", b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\4\0\0\0\0\0"])
 def test_a_connection_without_a_complete_request_is_closed_after_the_http1_timeout(received):
-    async def story():
+    async def scenario():
         async with H2World(1) as world:
             reader, writer = await asyncio.open_connection("127.0.0.1", world.platform_port)
             writer.write(received)
@@ -286,7 +286,7 @@
             async with world.platform() as client:
                 assert (await client.call("GET", "/up")).status == 200
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 HOSTILE = [case for case in cases() if case.section.startswith("10.5")]
@@ -294,7 +294,7 @@
 
 @pytest.mark.parametrize("case", HOSTILE, ids=[case.what for case in HOSTILE])
 def test_a_hostile_peer_is_disconnected_without_affecting_other_connections(case):
-    async def story():
+    async def scenario():
         async with H2World(1, "streams = 4\nheaders_bytes = 16384") as world, world.platform() as client:
             node = world.nodes[0]
             node.default_response = "any"
@@ -314,11 +314,11 @@
             assert "Traceback" not in world.log
             await wait_until(lambda: "connection ended" in world.log)
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 def test_a_peer_that_does_not_read_its_ping_responses_is_disconnected():
-    async def story():
+    async def scenario():
         async with H2World(1) as world:
             reader, writer = await asyncio.open_connection("127.0.0.1", world.platform_port, limit=1024)
             writer.transport.pause_reading()
@@ -334,4 +334,4 @@
                 assert (await client.call("GET", "/up")).status == 200
             await wait_until(lambda: "too many pings" in world.log)
 
-    run_scenario(story())
+    run_scenario(scenario())
--- a/tests/test_http2_connection.py
+++ b/tests/test_http2_connection.py
@@ -331,7 +331,7 @@
             received = self.pair.received_body(stream)
             assert sent.startswith(received)
             if self.pair.server.is_open(stream):
-                assert len(received) + self.pair.server.pending(stream) == len(sent)
+                assert len(received) + self.pair.server.pending_bytes(stream) == len(sent)
             elif stream in self.completed:
                 assert received == sent
         assert self.pair.server.open_streams <= SMALL.max_streams and self.pair.buffers.used_bytes >= 0
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -39,7 +39,7 @@
 NS = "{http://s3.amazonaws.com/doc/2006-03-01/}"
 
 
-def some_bytes(size: int, seed: int = 1) -> bytes:
+def random_bytes(size: int, seed: int = 1) -> bytes:
     return random.Random(seed).randbytes(size)
 
 
@@ -59,8 +59,8 @@
 
 @pytest.mark.parametrize("size", [0, 1, PAYLOAD_BYTES - 1, PAYLOAD_BYTES, PAYLOAD_BYTES + 1, 7 * PAYLOAD_BYTES + 9])
 def test_an_object_is_returned_unchanged_after_put_and_not_found_after_delete(size):
-    async def story():
-        body = some_bytes(size)
+    async def scenario():
+        body = random_bytes(size)
         async with FrontHarness(3, OPERATOR) as world:
             assert (await world.object_request("GET", KEY_PATH))[0] == 404
             status, headers, _ = await world.object_request(
@@ -83,7 +83,7 @@
             assert status == 404 and code(got) == "NoSuchKey"
             assert all(node.overlapping_attempts == 0 for node in world.nodes)
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 SIZE = 3 * PAYLOAD_BYTES + 100
@@ -100,8 +100,8 @@
         (f"bytes=10-{2 * PAYLOAD_BYTES}", 10, 2 * PAYLOAD_BYTES + 1),
     ]
 
-    async def story():
-        body = some_bytes(SIZE)
+    async def scenario():
+        body = random_bytes(SIZE)
         async with FrontHarness(3, OPERATOR) as world:
             await world.object_request("PUT", KEY_PATH, body)
             for header, start, end in cases:
@@ -117,14 +117,14 @@
             status, headers, got = await world.object_request("HEAD", KEY_PATH, Range="bytes=1-4")
             assert (status, headers["Content-Length"], got) == (206, "4", b"")
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 def test_conditional_requests():
     old, new = "Mon, 01 Jan 2001 00:00:00 GMT", "Fri, 01 Jan 2100 00:00:00 GMT"
 
-    async def story():
-        body = some_bytes(50)
+    async def scenario():
+        body = random_bytes(50)
         tag = f'"{md5(body)}"'
         async with FrontHarness(2, OPERATOR) as world:
             await world.object_request("PUT", KEY_PATH, body)
@@ -149,7 +149,7 @@
                 assert got == {200: body, 206: body[1:3], 304: b""}.get(status, got)
                 assert status == 412 or got_headers["ETag"] == tag
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 def complete(parts: list[tuple[int, str]]) -> bytes:
@@ -163,8 +163,8 @@
 
 
 def test_a_multipart_upload_through_two_front_processes_without_shared_state():
-    async def story():
-        bodies = {1: some_bytes(150_000, 1), 2: some_bytes(PAYLOAD_BYTES * 2, 2), 5: some_bytes(10, 5)}
+    async def scenario():
+        bodies = {1: random_bytes(150_000, 1), 2: random_bytes(PAYLOAD_BYTES * 2, 2), 5: random_bytes(10, 5)}
         async with FrontHarness(3, OPERATOR) as one, FrontHarness(operator=OPERATOR, rank=1, shared=one) as two:
             upload = await begin_upload(one)
             at = f"{KEY_PATH}?uploadId={upload}"
@@ -191,19 +191,19 @@
             digests = b"".join(hashlib.md5(body).digest() for _, body in sorted(bodies.items()))
             tag = f'"{md5(digests)}-3"'
             assert status == 200 and ElementTree.fromstring(got).findtext(NS + "ETag") == tag
-            whole = b"".join(body for _, body in sorted(bodies.items()))
+            full_body = b"".join(body for _, body in sorted(bodies.items()))
             status, headers, got = await one.object_request("GET", KEY_PATH)
-            assert got == whole and headers["ETag"] == tag and headers["Content-Type"] == "image/png"
+            assert got == full_body and headers["ETag"] == tag and headers["Content-Type"] == "image/png"
             _, _, got = await two.object_request("GET", KEY_PATH, Range="bytes=149000-281000")
-            assert got == whole[149000:281001]
+            assert got == full_body[149000:281001]
             status, _, got = await one.object_request("POST", at, complete(expected))
             assert (status, code(got)) == (404, "NoSuchUpload")
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 def test_a_part_below_the_minimum_and_requests_after_an_abort_are_refused():
-    async def story():
+    async def scenario():
         async with FrontHarness(2, OPERATOR) as world:
             at = f"{KEY_PATH}?uploadId={await begin_upload(world)}"
             tags = [(n, md5(b"tiny")) for n in (1, 2)]
@@ -220,7 +220,7 @@
                 status, _, got = await world.object_request(method, path, body)
                 assert (status, code(got)) == (404, "NoSuchUpload")
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
@@ -248,19 +248,19 @@
     ],
 )
 def test_errors_have_the_s3_code_and_format(method, path, headers, status, error_code):
-    async def story():
+    async def scenario():
         async with FrontHarness(1, OPERATOR) as world:
             got, _, body = await world.object_request(method, path, b"<x" if method != "GET" else b"", **headers)
             assert (got, code(body)) == (status, error_code)
             assert (await world.object_request("PUT", "/photos/x", b"y"))[0] == 200  # the front still serves requests
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("act", ["half", "reset", "full", "error", "corrupt", "close"])
 def test_a_failed_chunk_read_is_retried_without_duplicate_or_missing_bytes(act):
-    async def story():
-        body = some_bytes(6 * PAYLOAD_BYTES + 5)
+    async def scenario():
+        body = random_bytes(6 * PAYLOAD_BYTES + 5)
         async with FrontHarness(1, OPERATOR) as world:
             node = world.nodes[0]
             await world.object_request("PUT", KEY_PATH, body)
@@ -270,34 +270,34 @@
                 status == 206 and got == body[100:] and node.overlapping_attempts == 0 and not node.scripted_responses
             )
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 def test_a_read_from_a_stalled_node_aborts_the_connection_and_resumes_by_range():
-    async def story():
-        body = some_bytes(8 * PAYLOAD_BYTES)
+    async def scenario():
+        body = random_bytes(8 * PAYLOAD_BYTES)
         async with FrontHarness(1, OPERATOR) as world:
             node = world.nodes[0]
             await world.object_request("PUT", KEY_PATH, body)
             node.scripted_responses.extend([""] * 5 + ["stall"])
             got = bytearray()
             url = f"http://127.0.0.1:{world.object_port}{KEY_PATH}"
-            async with world.session.get(url) as answer:
-                assert answer.status == 200 and answer.headers["Content-Length"] == str(len(body))
+            async with world.session.get(url) as response:
+                assert response.status == 200 and response.headers["Content-Length"] == str(len(body))
                 with pytest.raises(aiohttp.ClientError):
-                    async for some in answer.content.iter_any():
+                    async for some in response.content.iter_any():
                         got += some
             assert 0 < len(got) < len(body) and body.startswith(bytes(got))
             status, _, rest = await world.object_request("GET", KEY_PATH, Range=f"bytes={len(got)}-")
             assert status == 206 and bytes(got) + rest == body and node.overlapping_attempts == 0
             await wait_until(lambda: not any(node.in_flight.values()))
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 def test_a_stalled_chunk_read_is_retried_once_the_node_is_known_to_lose_responses():
-    async def story():
-        body = some_bytes(5 * PAYLOAD_BYTES)
+    async def scenario():
+        body = random_bytes(5 * PAYLOAD_BYTES)
         async with FrontHarness(1, OPERATOR) as world:
             node = world.nodes[0]
             node.delay = 0.1  # so that four times the usual response time is long
@@ -316,15 +316,15 @@
                 and node.overlapping_attempts == 0
             )
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("replaced", [True, False])
 def test_an_upload_gets_one_final_response_if_its_node_drains_midway(replaced):
-    async def story():
+    async def scenario():
         # the shard of each chunk is random: with 32 chunks, either half of the upload reaches both nodes
         half = 32 * PAYLOAD_BYTES
-        before, body = some_bytes(1000, 7), some_bytes(2 * half, 8)
+        before, body = random_bytes(1000, 7), random_bytes(2 * half, 8)
         async with FrontHarness(2, OPERATOR) as world:
             assert (await world.object_request("PUT", KEY_PATH, before))[0] == 200
             drained = world.nodes[1]
@@ -344,57 +344,59 @@
                 yield body[half:]
 
             url = f"http://127.0.0.1:{world.object_port}{KEY_PATH}"
-            async with world.session.put(url, data=sending()) as answer:
-                status, got = answer.status, await answer.read()
+            async with world.session.put(url, data=sending()) as response:
+                status, got = response.status, await response.read()
             if replaced:
                 assert status == 200
             else:
-                assert (status, code(got), answer.headers["Retry-After"]) == (503, "SlowDown", "1")
+                assert (status, code(got), response.headers["Retry-After"]) == (503, "SlowDown", "1")
                 world.publish_state(drained, "up")
                 await wait_until(lambda: world.calls[-1][1] == str(world.revision))
             assert (await world.object_request("GET", KEY_PATH))[2] == (body if replaced else before)
             assert all(node.overlapping_attempts == 0 for node in world.nodes)
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("method", ["PUT", "GET"])
 def test_a_client_that_disconnects_midway_releases_its_chunks_and_changes_no_data(method):
-    async def story():
-        body = some_bytes(6 * PAYLOAD_BYTES)
+    async def scenario():
+        body = random_bytes(6 * PAYLOAD_BYTES)
         async with FrontHarness(1, OPERATOR) as world:
             node = world.nodes[0]
             await world.object_request("PUT", KEY_PATH, body)
             seen, stored = len(node.received), dict(node.stored)
             node.scripted_responses.extend([""] + ["stall"] * 4 if method == "GET" else ["stall"] * 4)
-            leaving = asyncio.create_task(world.object_request(method, KEY_PATH, body[1:] if method == "PUT" else b""))
+            client_task = asyncio.create_task(
+                world.object_request(method, KEY_PATH, body[1:] if method == "PUT" else b"")
+            )
             await wait_until(lambda: len(node.received) > seen + 1 and any(node.in_flight.values()))
-            leaving.cancel()
+            client_task.cancel()
             await wait_until(lambda: not any(node.in_flight.values()))
             node.scripted_responses.clear()
             assert (await world.object_request("GET", KEY_PATH))[2] == body
             assert {path: node.stored[path] for path in stored} == stored and node.overlapping_attempts == 0
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(("rate", "expected"), [(0.01, 503), (100000, 200)])
 def test_a_teams_budget_is_enforced(rate, expected):
-    async def story():
+    async def scenario():
         budget = f"budget = {{units_per_s = {rate}}}\n"
         operator = OPERATOR.replace('buckets = ["photos"]', budget + 'buckets = ["photos"]')
         async with FrontHarness(1, operator) as world:
-            status, _, got = await world.object_request("PUT", KEY_PATH, some_bytes(100))
+            status, _, got = await world.object_request("PUT", KEY_PATH, random_bytes(100))
             assert status == expected and (status == 200 or code(got) == "SlowDown")
             assert bool(world.nodes[0].received) == (expected == 200)
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 def test_a_large_object_is_streamed_with_bounded_memory():
-    async def story():
+    async def scenario():
         async with FrontHarness(2, OPERATOR) as world:
-            body = some_bytes(48 << 20)
+            body = random_bytes(48 << 20)
             assert (await world.object_request("PUT", KEY_PATH, body))[0] == 200
             slow = await world.session.get(f"http://127.0.0.1:{world.object_port}{KEY_PATH}")
             await asyncio.sleep(0.5)  # the front must not buffer for a client that does not read
@@ -402,4 +404,4 @@
             status = Path(f"/proc/{world.process.pid}/status").read_text()
             assert int(status.split("VmHWM:")[1].split()[0]) < 120_000  # kB
 
-    run_scenario(story())
+    run_scenario(scenario())
