--- a/ochrespan/http2/section.py
+++ b/ochrespan/http2/section.py
@@ -1,4 +1,4 @@
-"""The table [http2] of the operator's file."""
+"""The table [http2] of the operator configuration file."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class Http2Table(Table):
-    """The table as it is written."""
+    """Schema of the table."""
 
-    platform: str | None = None  # where the platform's requests are taken
-    objects: str | None = None  # where the object API is
+    platform: str | None = None  # address for the requests of the platform
+    objects: str | None = None  # address of the object API
     streams: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = 100
     headers_bytes: Annotated[int, msgspec.Meta(ge=1024, le=1 << 20)] = 16 * 1024
     stream_window_bytes: Bytes = 64 * 1024
@@ -30,28 +30,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Http2:
-    """What the operator's file says of HTTP/2, checked."""
+class Http2Config:
+    """Validated configuration of HTTP/2."""
 
-    listen: dict[str, tuple[str, int]]  # by the front that is served there
+    listen: dict[str, tuple[str, int]]  # by handler: platform, objects
     limits: Limits
-    buffered: int  # bytes of bodies that all connections together may hold
-    stall_timeout: timedelta  # for a client that takes nothing of its answer
+    max_buffered_bytes: int  # unread request bodies of all connections
+    stall_timeout: timedelta  # limit without progress in sending a response
 
 
-def read(tables: Mapping[str, Any], settings: api.Settings, faults: Faults, earlier: Mapping[str, Any]) -> Http2 | None:
-    """The checked section; None where the table cannot be read. Faults are collected in `faults`."""
-    told = read_table(Http2Table, tables["http2"], "[http2]", faults)
-    if told is None:
+def read(
+    tables: Mapping[str, Any], settings: api.Settings, faults: Faults, earlier: Mapping[str, Any]
+) -> Http2Config | None:
+    """Parses and validates the table; None if its schema is violated. Adds findings to `faults`."""
+    table = read_table(Http2Table, tables["http2"], "[http2]", faults)
+    if table is None:
         return None
     listen = {
-        name: read_address(where, f"[http2] {name}", faults)
+        name: read_address(address, f"[http2] {name}", faults)
         for name in ("platform", "objects")
-        if (where := getattr(told, name)) is not None
+        if (address := getattr(table, name)) is not None
     }
     if not listen:
         faults.add("[http2]", "no address", "platform, objects, or both")
     if "objects" in listen and "objects" not in earlier:
-        faults.add("[http2] objects", told.objects, "an address only beside [objects]")
-    limits = Limits(told.streams, told.headers_bytes, told.stream_window_bytes, told.connection_window_bytes)
-    return Http2(listen, limits, told.buffered_bytes, timedelta(seconds=told.patience_s))
+        faults.add("[http2] objects", table.objects, "an address only beside [objects]")
+    limits = Limits(table.streams, table.headers_bytes, table.stream_window_bytes, table.connection_window_bytes)
+    return Http2Config(listen, limits, table.buffered_bytes, timedelta(seconds=table.patience_s))
--- a/ochrespan/objects/front.py
+++ b/ochrespan/objects/front.py
@@ -1,4 +1,4 @@
-"""The object API over HTTP: routes calls, maps results to answers, streams bodies."""
+"""HTTP handler of the object API: routes requests, maps results to responses and streams bodies."""
 
 from __future__ import annotations
 
@@ -13,29 +13,30 @@
 from ..logs import bind
 from . import conditions, layout, xml
 from .call import Call, expected_md5
-from .conditions import Verdict
+from .conditions import ConditionResult
 from .errors import XML_TYPE, ApiError, api_error, denied, invalid_argument, no_key, not_implemented
 from .layout import Manifest, Part
-from .section import Objects
-from .store import ChunkStore, Expired, StorageFailed, Unavailable
+from .section import ObjectsConfig
+from .store import ChunkStore, DeadlineExceeded, StorageFailed, Unavailable
 from .uploads import Uploads
 
 log = logging.getLogger(__name__)
 
-UNSERVED = frozenset({"acl", "tagging"})  # parts of an object that S3 has and this API has not
+UNSUPPORTED_SUBRESOURCES = frozenset({"acl", "tagging"})  # query parameters of S3 operations that are not supported
 
 
 class ObjectFront:
-    """Routes calls to the store and the uploads, and answers them."""
+    """Routes requests to the store and the uploads, and builds the responses."""
 
     def __init__(
-        self, objects: Objects, gate: ContractGate, store: ChunkStore, uploads: Uploads, lifecycle: Lifecycle
+        self, objects: ObjectsConfig, gate: ContractGate, store: ChunkStore, uploads: Uploads, lifecycle: Lifecycle
     ) -> None:
         self._objects, self._gate, self._store, self._uploads = objects, gate, store, uploads
         self._lifecycle = lifecycle
 
     async def handle(self, request: Exchange) -> Reply | None:
-        """One final answer, or a connection that visibly breaks once the headers are out."""
+        """Returns the response, or None if it was streamed. A read that fails once its headers are sent aborts the
+        connection, so that the client detects the truncation."""
         bind()
         with self._lifecycle.track_request():
             try:
@@ -44,38 +45,39 @@
                 reply = await self._route(call)
             except asyncio.CancelledError:
                 raise
-            except Exception as why:
-                reply = api_error(why).reply(request)
-            if reply is not None:  # what is left of a body that we refused is not read
+            except Exception as error:
+                reply = api_error(error).reply(request)
+            if reply is not None:  # the rest of a rejected request body is not read
                 reply.close = self._lifecycle.closing or not request.body_ended
             return reply
 
     def _check_covered(self, call: Call) -> None:
-        """Before anything is asked of a chunk server. What has been taken may end though the contract changes."""
+        """Checks the contract before the first chunk request. A request that was accepted may complete even if the
+        contract changes meanwhile."""
         contract = call.scope.contract
         reads = call.request.method in ("GET", "HEAD")
         for cls in {contract.read} if reads else {contract.read, contract.write}:
             self._require_class(contract, cls)
 
     def _require_class(self, contract: Contract, cls: str) -> None:
-        if (why := self._gate.covers(contract, cls)) is not None:
-            raise denied(f"{why.rule}: {why.message}")
+        if (refusal := self._gate.covers(contract, cls)) is not None:
+            raise denied(f"{refusal.rule}: {refusal.message}")
 
     async def _route(self, call: Call) -> Reply | None:
         query = call.query
         match call.request.method:
             case "GET" if "uploadId" in query:
                 return await self._list_parts(call)
-            case "GET" | "HEAD" if not (UNSERVED | {"uploads"}) & set(query):
-                return await self._read(call)
+            case "GET" | "HEAD" if not (UNSUPPORTED_SUBRESOURCES | {"uploads"}) & set(query):
+                return await self._get_object(call)
             case "PUT" if "uploadId" in query:
                 return await self._put_part(call)
-            case "PUT" if not UNSERVED & set(query):
-                return await self._put(call)
+            case "PUT" if not UNSUPPORTED_SUBRESOURCES & set(query):
+                return await self._put_object(call)
             case "POST" if "uploads" in query:
-                return await self._create(call)
+                return await self._create_upload(call)
             case "POST" if "uploadId" in query:
-                return await self._complete(call)
+                return await self._complete_upload(call)
             case "DELETE" if "uploadId" in query:
                 await self._uploads.abort(call.scope, query["uploadId"])
                 return Reply(204)
@@ -86,17 +88,17 @@
 
     # ---- reads ----
 
-    async def _read(self, call: Call) -> Reply | None:
-        manifest = await self._store.manifest(call.scope)
+    async def _get_object(self, call: Call) -> Reply | None:
+        manifest = await self._store.read_manifest(call.scope)
         if manifest is None:
             raise no_key()
         headers = call.request.headers
         match conditions.evaluate(headers, manifest.etag, manifest.modified):
-            case Verdict.FAILED:
+            case ConditionResult.FAILED:
                 raise ApiError(412, "PreconditionFailed", "A precondition you specified did not hold.")
-            case Verdict.NOT_MODIFIED:
+            case ConditionResult.NOT_MODIFIED:
                 return Reply(304, headers=self._object_headers(manifest))
-        size, span = manifest.size, self._span(call, manifest)
+        size, span = manifest.size, self._requested_range(call, manifest)
         begin, end = span or (0, size)
         headers = self._object_headers(manifest) | {"Content-Type": manifest.content_type}
         if span:
@@ -109,14 +111,14 @@
         return None
 
     @staticmethod
-    def _span(call: Call, manifest: Manifest) -> tuple[int, int] | None:
-        """Begin and end (without) of the bytes that are wanted; None: all."""
+    def _requested_range(call: Call, manifest: Manifest) -> tuple[int, int] | None:
+        """Begin and exclusive end of the requested bytes; None: the complete object."""
         headers = call.request.headers
-        if not conditions.range_holds(headers, manifest.etag, manifest.modified):
+        if not conditions.range_applies(headers, manifest.etag, manifest.modified):
             return None
         try:
-            return conditions.read_range(headers.get("Range"), manifest.size)
-        except conditions.Unsatisfiable:
+            return conditions.parse_range(headers.get("Range"), manifest.size)
+        except conditions.RangeNotSatisfiable:
             raise ApiError(
                 416,
                 "InvalidRange",
@@ -128,18 +130,18 @@
     def _object_headers(manifest: Manifest) -> dict[str, str]:
         return manifest.meta | {
             "ETag": f'"{manifest.etag}"',
-            "Last-Modified": conditions.http_date(manifest.modified),
+            "Last-Modified": conditions.format_http_date(manifest.modified),
             "Accept-Ranges": "bytes",
         }
 
     async def _stream(self, call: Call, manifest: Manifest, begin: int, end: int, headers: dict[str, str]) -> None:
         status = 206 if "Content-Range" in headers else 200
         contract = call.scope.contract
-        cls = contract.export if end - begin >= self._objects.export_from else contract.read
+        cls = contract.export if end - begin >= self._objects.export_threshold_bytes else contract.read
         self._require_class(contract, cls)
         slices = list(manifest.slices(begin, end))
         async with aclosing(self._store.load(call.scope, cls, slices)) as load:
-            # the headers wait for the first chunk, so that a refusal can still be told as one
+            # headers are sent once the first chunk has arrived, so that a refusal before it still gets an error status
             first = await anext(load, b"")
             await call.request.start(status, headers, end - begin, self._lifecycle.closing)
             try:
@@ -147,10 +149,12 @@
                     await call.request.write(first)
                 async for payload in load:
                     await call.request.write(payload)
-            except (Unavailable, StorageFailed, Expired, layout.Corrupt) as why:
-                log.warning("read broke off", extra={"key": call.scope.key, "why": repr(why)})
+            except (Unavailable, StorageFailed, DeadlineExceeded, layout.CorruptChunk) as error:
+                log.warning(
+                    "object read aborted after the response headers", extra={"key": call.scope.key, "why": repr(error)}
+                )
                 call.request.abort()
-                raise ConnectionResetError("broken off") from why
+                raise ConnectionResetError("object read failed after the response headers were sent") from error
             await call.request.finish()
 
     # ---- writes ----
@@ -160,19 +164,19 @@
         if headers.get("x-amz-content-sha256", "").startswith("STREAMING-") or "x-amz-copy-source" in headers:
             raise not_implemented("Signed chunks and copies are not served.")
         if {"If-Match", "If-None-Match"} & set(headers):
-            # fronts share nothing: no two of them could agree on which write came first
+            # front processes share no state, so they cannot agree on the order of two writes
             raise not_implemented("Conditional writes are not served.")
-        wanted = expected_md5(headers)
+        expected_digest = expected_md5(headers)
         if headers.get("Expect", "").lower() == "100-continue":
             await call.request.send_continue()
         async with aclosing(call.body()) as body:
             part = await self._store.store(call.scope, body, number)
-        if wanted is not None and wanted != part.md5:
+        if expected_digest is not None and expected_digest != part.md5:
             raise ApiError(400, "BadDigest", "The Content-MD5 you specified did not match what we received.")
         return part
 
-    async def _put(self, call: Call) -> Reply:
-        content_type, meta = call.description()
+    async def _put_object(self, call: Call) -> Reply:
+        content_type, meta = call.object_metadata()
         part = await self._store_body(call, 1)
         manifest = Manifest(part.md5, layout.now(), [part], content_type, meta)
         await self._store.commit(call.scope, manifest)
@@ -187,14 +191,14 @@
 
     # ---- uploads ----
 
-    async def _create(self, call: Call) -> Reply:
-        upload = await self._uploads.create(call.scope, *call.description())
+    async def _create_upload(self, call: Call) -> Reply:
+        upload = await self._uploads.create(call.scope, *call.object_metadata())
         return self._result(
             "InitiateMultipartUploadResult",
             [("Bucket", call.scope.bucket), ("Key", call.scope.key), ("UploadId", upload)],
         )
 
-    async def _complete(self, call: Call) -> Reply:
+    async def _complete_upload(self, call: Call) -> Reply:
         parts = xml.read_parts(await call.document())
         manifest = await self._uploads.complete(call.scope, call.query["uploadId"], parts)
         return self._result(
@@ -209,7 +213,7 @@
 
     async def _list_parts(self, call: Call) -> Reply:
         upload, query = call.query["uploadId"], call.query
-        limit, after = query.get("max-parts", str(layout.MOST_PARTS)), query.get("part-number-marker", "0")
+        limit, after = query.get("max-parts", str(layout.MAX_PARTS)), query.get("part-number-marker", "0")
         if not (limit.isdecimal() and after.isdecimal()):
             raise invalid_argument("max-parts and part-number-marker must be numbers.")
         await self._uploads.find(call.scope, upload)
--- a/ochrespan/objects/uploads.py
+++ b/ochrespan/objects/uploads.py
@@ -1,7 +1,7 @@
-"""Multipart uploads. Their state lies on the chunk servers too, so each call may reach another front.
+"""Multipart uploads. Their state is stored on the chunk servers, so each request may reach another front process.
 
-Every front keeps the list of the parts that came through it in a record of its own, which no other writes; the
-parts of an upload are all those lists together, the newest of each number.
+Every front process writes the parts that it received to a record of its own, so no two processes write the same
+record. The parts of an upload are the union of these lists, with the newest part for each number.
 """
 
 from __future__ import annotations
@@ -15,26 +15,26 @@
 
 from . import layout
 from .layout import Manifest, Part
-from .store import ChunkStore, Expired, Scope, StorageFailed, Unavailable
+from .store import ChunkStore, DeadlineExceeded, Scope, StorageFailed, Unavailable
 
-MAX_LOCKS = 1000  # uploads whose lock is kept; beyond, the longest unused goes
+MAX_LOCKS = 1000  # cached upload locks; the least recently used one is evicted first
 
 
 class NoSuchUpload(Exception):
     """The upload was never created, or has been completed or aborted."""
 
 
-class BadPart(Exception):
-    """A part that was named is not there, not the one meant, or too small."""
+class InvalidPartList(Exception):
+    """The parts named in a completion request are missing, mismatched, out of order or too small."""
 
-    def __init__(self, code: str, words: str) -> None:
-        super().__init__(words)
+    def __init__(self, code: str, detail: str) -> None:
+        super().__init__(detail)
         self.code = code
 
 
 @dataclass(slots=True)
 class Upload:
-    """One open upload and what the object is to be."""
+    """An open upload and the metadata of the future object."""
 
     id: str
     content_type: str
@@ -42,55 +42,55 @@
 
 
 class Uploads:
-    """Multipart uploads of one front."""
+    """Multipart uploads as handled by one front process."""
 
-    def __init__(self, store: ChunkStore, front: int, fronts: int, least_part: int) -> None:
-        self._store, self._front, self._fronts = store, front, max(1, fronts, front + 1)
-        self._least_part = least_part
+    def __init__(self, store: ChunkStore, front_rank: int, front_count: int, min_part_bytes: int) -> None:
+        self._store, self._front_rank, self._front_count = store, front_rank, max(1, front_count, front_rank + 1)
+        self._min_part_bytes = min_part_bytes
         self._locks: OrderedDict[str, asyncio.Lock] = OrderedDict()
 
-    def _lock(self, upload: str) -> asyncio.Lock:
-        """One writer at a time for this front's list of an upload's parts."""
-        lock = self._locks.setdefault(upload, asyncio.Lock())
-        self._locks.move_to_end(upload)
+    def _lock(self, upload_id: str) -> asyncio.Lock:
+        """The lock that serializes writes to this process's part list of an upload."""
+        lock = self._locks.setdefault(upload_id, asyncio.Lock())
+        self._locks.move_to_end(upload_id)
         while len(self._locks) > MAX_LOCKS and not next(iter(self._locks.values())).locked():
             self._locks.popitem(last=False)
         return lock
 
     async def create(self, scope: Scope, content_type: str, meta: dict[str, str]) -> str:
-        """Opens an upload and returns its id."""
-        upload = secrets.token_hex(16)
-        await self._mark(scope, Upload(upload, content_type, meta), "open")
-        return upload
+        """Creates an upload and returns its id."""
+        upload_id = secrets.token_hex(16)
+        await self._write_state(scope, Upload(upload_id, content_type, meta), "open")
+        return upload_id
 
-    async def _mark(self, scope: Scope, upload: Upload, state: str) -> None:
-        names = layout.upload_names(scope.bucket, scope.key, upload.id)
+    async def _write_state(self, scope: Scope, upload: Upload, state: str) -> None:
+        chunk_name = layout.upload_chunk_name(scope.bucket, scope.key, upload.id)
         record = {"state": state, "type": upload.content_type, "meta": upload.meta}
-        await self._store.write_record(scope, names, record)
+        await self._store.write_record(scope, chunk_name, record)
 
-    async def find(self, scope: Scope, upload: str) -> Upload:
-        """The open upload of this id, or `NoSuchUpload`."""
-        record = await self._store.read_record(scope, layout.upload_names(scope.bucket, scope.key, upload))
+    async def find(self, scope: Scope, upload_id: str) -> Upload:
+        """Returns the open upload with this id, or raises `NoSuchUpload`."""
+        record = await self._store.read_record(scope, layout.upload_chunk_name(scope.bucket, scope.key, upload_id))
         if record is None or record["state"] != "open":
-            raise NoSuchUpload(upload)
-        return Upload(upload, record["type"], record["meta"])
-
-    async def put_part(self, scope: Scope, upload: str, part: Part) -> None:
-        """Makes a stored part known."""
-        names = layout.index_names(scope.bucket, scope.key, upload, self._front)
-        async with self._lock(upload):
-            parts = await self._read_index(scope, upload, self._front)
+            raise NoSuchUpload(upload_id)
+        return Upload(upload_id, record["type"], record["meta"])
+
+    async def put_part(self, scope: Scope, upload_id: str, part: Part) -> None:
+        """Adds a stored part to the part list of this process."""
+        chunk_name = layout.part_list_chunk_name(scope.bucket, scope.key, upload_id, self._front_rank)
+        async with self._lock(upload_id):
+            parts = await self._read_index(scope, upload_id, self._front_rank)
             parts[part.number] = part
-            await self._store.write_record(scope, names, [part.row() for part in parts.values()])
+            await self._store.write_record(scope, chunk_name, [part.row() for part in parts.values()])
 
-    async def _read_index(self, scope: Scope, upload: str, front: int) -> dict[int, Part]:
-        names = layout.index_names(scope.bucket, scope.key, upload, front)
-        record: list[Any] = await self._store.read_record(scope, names) or []
+    async def _read_index(self, scope: Scope, upload_id: str, front_rank: int) -> dict[int, Part]:
+        chunk_name = layout.part_list_chunk_name(scope.bucket, scope.key, upload_id, front_rank)
+        record: list[Any] = await self._store.read_record(scope, chunk_name) or []
         return {part.number: part for part in (Part(*entry) for entry in record)}
 
-    async def parts(self, scope: Scope, upload: str) -> dict[int, Part]:
-        """All parts by number, whichever front they came through."""
-        reads = (self._read_index(scope, upload, front) for front in range(self._fronts))
+    async def parts(self, scope: Scope, upload_id: str) -> dict[int, Part]:
+        """All parts by number, from the lists of all front processes."""
+        reads = (self._read_index(scope, upload_id, front_rank) for front_rank in range(self._front_count))
         found: dict[int, Part] = {}
         for index in await asyncio.gather(*reads):
             for number, part in index.items():
@@ -98,33 +98,34 @@
                     found[number] = part
         return dict(sorted(found.items()))
 
-    async def complete(self, scope: Scope, upload: str, wanted: list[tuple[int, str]]) -> Manifest:
-        """Makes the named parts the object, in this order; raises `BadPart` where they cannot be."""
-        opened = await self.find(scope, upload)
-        chosen = self._choose(await self.parts(scope, upload), wanted)
-        manifest = Manifest(layout.etag_of_parts(chosen), layout.now(), chosen, opened.content_type, opened.meta)
+    async def complete(self, scope: Scope, upload_id: str, requested: list[tuple[int, str]]) -> Manifest:
+        """Creates the object from the requested parts (number and ETag); raises `InvalidPartList` if they are not
+        valid."""
+        upload = await self.find(scope, upload_id)
+        selected = self._select_parts(await self.parts(scope, upload_id), requested)
+        manifest = Manifest(layout.etag_of_parts(selected), layout.now(), selected, upload.content_type, upload.meta)
         await self._store.commit(scope, manifest)
-        # the object stands from here on: a mark that cannot be made must not turn that into a failure
-        with suppress(Unavailable, StorageFailed, Expired):
-            await self._mark(scope, opened, "complete")
+        # the object exists from here on: a failure to update the upload's state must not fail the request
+        with suppress(Unavailable, StorageFailed, DeadlineExceeded):
+            await self._write_state(scope, upload, "complete")
         return manifest
 
-    def _choose(self, have: dict[int, Part], wanted: list[tuple[int, str]]) -> list[Part]:
-        """The parts that a client names by number and ETag, checked."""
-        numbers = [number for number, _ in wanted]
-        if not wanted or len(wanted) > layout.MOST_PARTS:
-            raise BadPart("MalformedXML", f"name 1 to {layout.MOST_PARTS} parts")
+    def _select_parts(self, uploaded: dict[int, Part], requested: list[tuple[int, str]]) -> list[Part]:
+        """Returns the uploaded parts that match the requested numbers and ETags, validated."""
+        numbers = [number for number, _ in requested]
+        if not requested or len(requested) > layout.MAX_PARTS:
+            raise InvalidPartList("MalformedXML", f"name 1 to {layout.MAX_PARTS} parts")
         if numbers != sorted(set(numbers)):
-            raise BadPart("InvalidPartOrder", "the parts must be named in ascending order")
-        chosen = []
-        for number, etag in wanted:
-            if number not in have or have[number].md5 != etag.strip('"'):
-                raise BadPart("InvalidPart", f"part {number} was not uploaded with this ETag")
-            chosen.append(have[number])
-        if any(part.size < self._least_part for part in chosen[:-1]):
-            raise BadPart("EntityTooSmall", f"every part but the last needs {self._least_part} bytes")
-        return chosen
-
-    async def abort(self, scope: Scope, upload: str) -> None:
-        """Ends an upload without an object."""
-        await self._mark(scope, await self.find(scope, upload), "aborted")
+            raise InvalidPartList("InvalidPartOrder", "the parts must be named in ascending order")
+        selected = []
+        for number, etag in requested:
+            if number not in uploaded or uploaded[number].md5 != etag.strip('"'):
+                raise InvalidPartList("InvalidPart", f"part {number} was not uploaded with this ETag")
+            selected.append(uploaded[number])
+        if any(part.size < self._min_part_bytes for part in selected[:-1]):
+            raise InvalidPartList("EntityTooSmall", f"every part but the last needs {self._min_part_bytes} bytes")
+        return selected
+
+    async def abort(self, scope: Scope, upload_id: str) -> None:
+        """Aborts an upload; no object is created."""
+        await self._write_state(scope, await self.find(scope, upload_id), "aborted")
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -1,4 +1,4 @@
-"""HTTP/2 on the real program, between stand-in clients and chunk servers."""
+"""End-to-end tests of HTTP/2 on the real program, with test clients and stub chunk servers."""
 
 import asyncio
 import hashlib
@@ -10,7 +10,7 @@
 from .front_harness import KEY, VOLUME, FrontHarness, free_port, request_headers, run_scenario, wait_until
 from .h2client import Client
 from .http2_cases import GOAWAY, PREFACE, cases, frame, sent_frames
-from .test_objects import some_bytes
+from .test_objects import random_bytes
 
 PATH = f"/api/{VOLUME}/{KEY}"
 
@@ -48,8 +48,8 @@
         return Client(self.objects_port, **more)
 
 
-def test_both_fronts_answer_on_streams_as_on_connections():
-    async def story():
+def test_both_handlers_are_served_over_http2():
+    async def scenario():
         async with H2World(1) as world, world.platform() as client, world.object_client() as objects:
             world.nodes[0].default_response = ""
             assert (await client.call("GET", "/up")).status == 200
@@ -62,7 +62,7 @@
             assert (await client.call("PUT", PATH, long, request_headers("t4", 0, cls="write"))).status == 200
             assert world.nodes[0].stored[PATH] == long
             assert len(world.nodes[0].received) == 3
-            body = some_bytes(300_000)
+            body = random_bytes(300_000)
             got = await objects.call("PUT", "/photos/x", body)
             assert got.status == 200 and got.headers["etag"] == f'"{hashlib.md5(body).hexdigest()}"'
             got = await objects.call("GET", "/photos/x", b"", {"Range": "bytes=100000-299999"})
@@ -73,29 +73,29 @@
             waiting = objects.begin("PUT", "/photos/y", {"Expect": "100-continue"}, end=False)
             await wait_until(lambda: objects.streams[waiting].interim == [100])
             await objects.send(waiting, b"later")
-            assert (await objects.answer(waiting)).status == 200
+            assert (await objects.wait_response(waiting)).status == 200
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
-def test_five_hundred_streams_each_end_once_and_no_request_has_two_attempts_out():
-    async def story():
+def test_five_hundred_streams_each_end_once_and_no_request_has_two_attempts_in_flight():
+    async def scenario():
         async with H2World(3, "streams = 200") as world:
-            lot = random.Random(3)
+            rng = random.Random(3)
             for node in world.nodes:
                 node.default_response = "any"
                 node.scripted_responses.extend(
-                    lot.choices(("any", "reset", "full", "error", "half", "stall"), (12, 1, 1, 1, 1, 1), k=120)
+                    rng.choices(("any", "reset", "full", "error", "half", "stall"), (12, 1, 1, 1, 1, 1), k=120)
                 )
             ends: Counter[str] = Counter()
-            at_once = asyncio.Semaphore(60)  # as many are out on a fast machine as on a slow one
+            at_once = asyncio.Semaphore(60)  # the same concurrency on fast and slow machines
             async with world.platform() as one, world.platform() as two, world.platform() as three:
 
-                async def ask(number: int) -> None:
+                async def send_limited(number: int) -> None:
                     async with at_once:
-                        await ask_now(number)
+                        await send_one(number)
 
-                async def ask_now(number: int) -> None:
+                async def send_one(number: int) -> None:
                     client = (one, two, three)[number % 3]
                     stream = client.begin(
                         "GET",
@@ -108,16 +108,16 @@
                             client.reset(stream)
                             ends["left"] += 1
                             return
-                    got = await client.answer(stream)
+                    got = await client.wait_response(stream)
                     assert got.ends == 1 and got.reset is None, got
                     if got.status == 200:
                         assert bytes(got.body) == b"body of " + PATH.encode()
                     ends[str(got.status)] += 1
 
-                tasks = [asyncio.create_task(ask(n)) for n in range(250)]
+                tasks = [asyncio.create_task(send_limited(n)) for n in range(250)]
                 await wait_until(lambda: ends.total() >= 100)
                 world.publish_state(world.nodes[2], "draining")
-                tasks += [asyncio.create_task(ask(n)) for n in range(250, 500)]
+                tasks += [asyncio.create_task(send_limited(n)) for n in range(250, 500)]
                 await asyncio.gather(*tasks)
                 assert ends.total() == 500 and set(ends) <= {"200", "502", "503", "left"} and ends["200"] > 150, ends
                 assert not any(client.goaways for client in (one, two, three))
@@ -126,11 +126,11 @@
                 lambda: not any(any(node.in_flight.values()) for node in world.nodes if node.phase == "up")
             )
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
-def test_a_reset_stream_takes_back_its_attempt_and_nothing_follows():
-    async def story():
+def test_a_stream_reset_cancels_its_attempt_without_a_retry():
+    async def scenario():
         async with H2World(1) as world, world.platform() as client:
             node = world.nodes[0]
             node.scripted_responses.append("stall")
@@ -142,97 +142,100 @@
             assert (await client.call("GET", PATH, b"", request_headers("t2", 0))).status == 200
             assert [h["x-trace-id"] for _, _, h, _ in node.received] == ["t1", "t2"] and node.overlapping_attempts == 0
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
-def test_streams_beyond_the_limit_are_refused_and_the_others_go_on():
-    async def story():
+def test_streams_beyond_the_limit_are_refused_and_the_others_continue():
+    async def scenario():
         async with H2World(1, "streams = 3") as world, world.platform() as client:
             node = world.nodes[0]
             node.scripted_responses.extend(["stall"] * 3)
             node.default_response = "any"
-            client.h2.remote_settings.max_concurrent_streams = 100  # a client that does not keep to it
-            held = [client.begin("GET", PATH, request_headers(f"t{n}", 0)) for n in range(3)]
+            client.h2.remote_settings.max_concurrent_streams = 100  # a client that ignores the limit
+            open_streams = [client.begin("GET", PATH, request_headers(f"t{n}", 0)) for n in range(3)]
             await wait_until(lambda: len(node.received) == 3)
             got = await client.call("GET", PATH, b"", request_headers("t9", 0))
             assert got.reset == 7 and not client.goaways  # REFUSED_STREAM
-            client.reset(held[0])
+            client.reset(open_streams[0])
             await wait_until(lambda: not node.in_flight["t0"])
             node.released.set()
-            assert (await client.answer(held[1])).status == 200
+            assert (await client.wait_response(open_streams[1])).status == 200
             assert (await client.call("GET", PATH, b"", request_headers("t9", 0))).status == 200
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 def test_a_slow_reader_stalls_its_own_stream_only():
-    async def story():
+    async def scenario():
         async with H2World(2) as world, world.object_client(window=65_535) as client:
-            body = some_bytes(3 << 20)
+            body = random_bytes(3 << 20)
             assert (await client.call("PUT", "/photos/large", body)).status == 200
             assert (await client.call("PUT", "/photos/small", b"small")).status == 200
             slow = client.begin("GET", "/photos/large")
-            client.slow.add(slow)
+            client.withhold_credit.add(slow)
             await wait_until(lambda: len(client.streams[slow].body) == 65_535)
             for _ in range(20):
                 assert bytes((await client.call("GET", "/photos/small")).body) == b"small"
             assert bytes((await client.call("GET", "/photos/large")).body) == body
             assert len(client.streams[slow].body) == 65_535
-            client.slow.clear()
+            client.withhold_credit.clear()
             client.h2.acknowledge_received_data(65_535, slow)
             client.flush()
-            assert bytes((await client.answer(slow)).body) == body
+            assert bytes((await client.wait_response(slow)).body) == body
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
-def test_a_client_that_never_opens_its_window_is_let_go():
-    async def story():
+def test_a_stream_whose_window_is_never_opened_is_reset_after_the_stall_timeout():
+    async def scenario():
         async with H2World(1, "patience_s = 0.3") as world, world.object_client(window=0) as client:
             async with world.object_client() as other:
-                assert (await other.call("PUT", "/photos/x", some_bytes(100_000))).status == 200
+                assert (await other.call("PUT", "/photos/x", random_bytes(100_000))).status == 200
             got = await client.call("GET", "/photos/x")
             assert got.status == 200 and got.reset == 8 and not got.body  # CANCEL
-            assert (await client.call("HEAD", "/photos/x")).status == 200  # the connection goes on
+            assert (await client.call("HEAD", "/photos/x")).status == 200  # the connection stays open
             assert not client.goaways
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
-def test_at_a_drain_the_client_is_told_twice_and_each_stream_taken_has_its_answer():
-    async def story():
+def test_a_drain_sends_two_goaways_and_completes_accepted_streams():
+    async def scenario():
         async with H2World(1) as world, world.platform() as client:
             node = world.nodes[0]
             node.default_response, node.delay = "any", 0.3
-            held = [client.begin("GET", PATH, request_headers(f"t{n}", 0)) for n in range(3)]
+            open_streams = [client.begin("GET", PATH, request_headers(f"t{n}", 0)) for n in range(3)]
             await wait_until(lambda: len(node.received) == 3)
             world.stop()
             await wait_until(lambda: len(client.goaways) == 2)
-            assert client.goaways == [(2**31 - 1, 0), (held[-1], 0)]
+            assert client.goaways == [(2**31 - 1, 0), (open_streams[-1], 0)]
             late = client.begin("GET", PATH, request_headers("late", 0))
-            assert [(await client.answer(s)).status for s in held] == [200] * 3
-            got = await client.answer(late)
-            assert got.reset == 7 or (got.status, got.reset) == (0, None)  # refused, or the connection had ended
+            assert [(await client.wait_response(s)).status for s in open_streams] == [200] * 3
+            got = await client.wait_response(late)
+            assert got.reset == 7 or (got.status, got.reset) == (
+                0,
+                None,
+            )  # refused, or the connection had ended
             await asyncio.wait_for(client.closed.wait(), 5)
             assert await asyncio.wait_for(world.process.wait(), 20) == 0
             assert len(node.received) == 3 and "Traceback" not in world.log
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
-def test_hundreds_of_parts_at_once_on_one_connection():
-    async def story():
+def test_a_hundred_concurrent_parts_on_one_connection():
+    async def scenario():
         async with H2World(2, "streams = 200") as world, world.object_client() as client:
             got = await client.call("POST", "/photos/whole?uploads")
             upload = got.body.decode().partition("<UploadId>")[2].partition("<")[0]
-            parts = [some_bytes(100_000, seed) for seed in range(120)]
+            parts = [random_bytes(100_000, seed) for seed in range(120)]
             sent = await asyncio.gather(
                 *(
                     client.call("PUT", f"/photos/whole?partNumber={n + 1}&uploadId={upload}", part)
                     for n, part in enumerate(parts)
                 )
             )
-            again = [n for n, got in enumerate(sent) if got.status == 503]  # refused: harmless to try again
+            again = [n for n, got in enumerate(sent) if got.status == 503]  # refused before execution: safe to retry
             for n in again:
                 while (
                     got := await client.call("PUT", f"/photos/whole?partNumber={n + 1}&uploadId={upload}", parts[n])
@@ -252,15 +255,15 @@
             assert got.status == 200
             assert bytes((await client.call("GET", "/photos/whole")).body) == b"".join(parts)
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
     ("contract", "status", "field"),
     [("withdrawn = true", 403, None), ("budget = { units_per_s = 0.01 }", 429, "retry-after")],
 )
-def test_contract_refusals_read_as_on_http1(contract, status, field):
-    async def story():
+def test_contract_refusals_equal_those_of_http1(contract, status, field):
+    async def scenario():
         world = H2World(1, contracts=contract)
         world.operator = world.operator.replace("[objects]", "[contracts]\nfronts = 1\n[objects]", 1)
         async with world, world.platform() as client:
@@ -269,60 +272,60 @@
             assert got.status == first == status and bytes(got.body) == body
             assert field is None or (field in got.headers and "Retry-After" in headers)
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
-@pytest.mark.parametrize("silent", [b"", b"PRI * HT", b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\4\0\0\0\0\0"])
-def test_who_says_nothing_is_let_go_as_on_http1(silent):
-    async def story():
+@pytest.mark.parametrize("received", [b"", b"PRI * HT", b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\4\0\0\0\0\0"])
+def test_a_connection_without_a_complete_request_is_closed_after_the_http1_timeout(received):
+    async def scenario():
         async with H2World(1) as world:
             reader, writer = await asyncio.open_connection("127.0.0.1", world.platform_port)
-            writer.write(silent)
+            writer.write(received)
             await asyncio.wait_for(reader.read(), 10)  # 2 s
             writer.close()
             async with world.platform() as client:
                 assert (await client.call("GET", "/up")).status == 200
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 HOSTILE = [case for case in cases() if case.section.startswith("10.5")]
 
 
 @pytest.mark.parametrize("case", HOSTILE, ids=[case.what for case in HOSTILE])
-def test_a_hostile_peer_is_let_go_and_harms_no_other_connection(case):
-    async def story():
+def test_a_hostile_peer_is_disconnected_without_affecting_other_connections(case):
+    async def scenario():
         async with H2World(1, "streams = 4\nheaders_bytes = 16384") as world, world.platform() as client:
             node = world.nodes[0]
             node.default_response = "any"
             node.scripted_responses.append("stall")
-            held = client.begin("GET", PATH, request_headers("held", 0))
+            open_streams = client.begin("GET", PATH, request_headers("held", 0))
             await wait_until(lambda: node.received)
             for _ in range(3):
                 reader, writer = await asyncio.open_connection("127.0.0.1", world.platform_port)
                 writer.write(case.preface + case.sent)
-                got = await asyncio.wait_for(reader.read(), 10)  # to its end: the front closes it
+                got = await asyncio.wait_for(reader.read(), 10)  # until the front closes the connection
                 codes = [payload[4:8] for kind, _, payload in sent_frames(got) if kind == GOAWAY]
                 assert codes and int.from_bytes(codes[-1]) in (1, 9, 11)  # PROTOCOL, COMPRESSION, ENHANCE_YOUR_CALM
                 writer.close()
                 assert (await client.call("GET", "/up")).status == 200
             node.released.set()
-            assert (await client.answer(held)).status == 200 and not client.goaways
+            assert (await client.wait_response(open_streams)).status == 200 and not client.goaways
             assert "Traceback" not in world.log
             await wait_until(lambda: "connection ended" in world.log)
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
-def test_a_peer_that_reads_nothing_of_what_it_makes_us_answer_is_let_go():
-    async def story():
+def test_a_peer_that_does_not_read_its_ping_responses_is_disconnected():
+    async def scenario():
         async with H2World(1) as world:
             reader, writer = await asyncio.open_connection("127.0.0.1", world.platform_port, limit=1024)
             writer.transport.pause_reading()
             writer.write(PREFACE + frame(4))
             with pytest.raises((ConnectionError, TimeoutError)):
                 async with asyncio.timeout(10):
-                    for _ in range(100_000):  # window updates are answered by nothing, pings by as much
+                    for _ in range(100_000):  # unlike window updates, each ping causes a response of the same size
                         writer.write(frame(6, b"12345678"))
                         await writer.drain()
                         await asyncio.sleep(0.001)
@@ -331,4 +334,4 @@
                 assert (await client.call("GET", "/up")).status == 200
             await wait_until(lambda: "too many pings" in world.log)
 
-    run_scenario(story())
+    run_scenario(scenario())
