--- a/ochrespan/front.py
+++ b/ochrespan/front.py
@@ -24,13 +24,13 @@
 from .lifecycle import Lifecycle, Phase
 from .metric_samples import front_samples
 from .net import discovery
-from .net.bodies import MOST_BODY
-from .net.chunks import ChunkClient
+from .net.chunk_client import ChunkClient
 from .net.client_session import open_session, resize
 from .net.discovery import Directory, Watch
 from .net.http1 import Http1Server
 from .net.listener import Listener, Server
 from .net.platform import MOST_WHOLE, PlatformFront
+from .net.request_bodies import MOST_BODY
 from .shutdown_schedule import CLIENTS_LEAVE_AFTER, SILENT_IDLE_AFTER, shutdown_schedule
 from .sockets import SocketBudget, open_descriptor_count
 from .subsystem import CoreComponents, Subsystem
--- a/ochrespan/http2/exchange.py
+++ b/ochrespan/http2/exchange.py
@@ -11,7 +11,7 @@
 from multidict import CIMultiDict
 
 from ..exchange import BadBody, Exchange, Reply
-from ..net.guard import REQUEST_TIME
+from ..net.client_connection import REQUEST_TIME
 from .events import BodyReceived, RequestStarted
 
 CONNECTION_FIELDS = frozenset({"connection", "keep-alive", "proxy-connection", "transfer-encoding", "upgrade"})
--- a/ochrespan/http2/protocol.py
+++ b/ochrespan/http2/protocol.py
@@ -14,7 +14,7 @@
 
 from h2.errors import ErrorCodes
 
-from ..net.guard import State
+from ..net.client_connection import State
 from .connection import Connection
 from .events import BodyEnded, BodyReceived, ConnectionEnded, RequestStarted, StreamAborted
 from .exchange import Http2Exchange
--- a/ochrespan/http2/start.py
+++ b/ochrespan/http2/start.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..net.bodies import MOST_BODY
+from ..net.request_bodies import MOST_BODY
 from ..subsystem import CoreComponents, Subsystem
 from .limits import BufferBudget
 from .section import Http2
--- a/ochrespan/net/chunks.py
+++ b/ochrespan/net/chunk_client.py
@@ -16,11 +16,11 @@
 from ..broker import Broker
 from ..logs import bind
 from ..requests import Attempt, Counts, Final, Outcome, Request, Status
-from .answers import PIECE, Spoilt, Stale
-from .bodies import StreamedBody
 from .client_session import PROGRESS, Progress, Withdrawn
 from .discovery import Directory
-from .reports import ELSEWHERE, LOAD, Repeats, read_load, read_units
+from .load_reports import ELSEWHERE, LOAD, Repeats, read_load, read_units
+from .request_bodies import StreamedBody
+from .responses import PIECE, Spoilt, Stale
 
 log = logging.getLogger(__name__)
 
--- a/ochrespan/net/client_session.py
+++ b/ochrespan/net/client_session.py
@@ -15,8 +15,8 @@
 from aiohttp.client_proto import ResponseHandler
 
 from ..settings import ConnectionSettings
-from .answers import AnswerHandler, Stale
-from .bodies import StreamedBody
+from .request_bodies import StreamedBody
+from .responses import AnswerHandler, Stale
 
 # of the time after which chunk servers close idle connections. Nothing is sent on one that was idle for longer;
 # aiohttp sweeps the pool only once in that span, so the last of them is closed after up to twice as long.
@@ -150,7 +150,7 @@
         timeout=aiohttp.ClientTimeout(total=None, sock_connect=links.connect_timeout.total_seconds()),
     )
     # aiohttp would send a GET or PUT again by itself when a kept connection drops: a second copy. It has no
-    # public switch for that; tests/test_chunks.py fails if this one stops working.
+    # public switch for that; tests/test_chunk_client.py fails if this one stops working.
     session._retry_connection = False
     return session
 
--- a/ochrespan/net/discovery.py
+++ b/ochrespan/net/discovery.py
@@ -16,7 +16,7 @@
 from ..metric_samples import TargetCounts
 from ..requests import ListKind, Node, NodeState
 from ..suspension import SuspendedServers
-from .reports import Repeats
+from .load_reports import Repeats
 
 log = logging.getLogger(__name__)
 
--- a/ochrespan/net/http1.py
+++ b/ochrespan/net/http1.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 
 from ..exchange import Exchange, Handler
-from .guard import CONTINUE, LINGER, PIECE, Guard
+from .client_connection import CONTINUE, LINGER, PIECE, Guard
 
 
 class Http1Exchange(Exchange):
--- a/ochrespan/net/listener.py
+++ b/ochrespan/net/listener.py
@@ -12,9 +12,9 @@
 from datetime import timedelta
 from typing import Any, Protocol
 
-from .answers import waits_for
-from .guard import LIMITS, State
-from .reports import Repeats
+from .client_connection import LIMITS, State
+from .load_reports import Repeats
+from .responses import waits_for
 
 log = logging.getLogger(__name__)
 
--- a/ochrespan/net/platform.py
+++ b/ochrespan/net/platform.py
@@ -15,8 +15,8 @@
 from ..logs import bind
 from ..requests import Claim, Failed, NotCovered, OverBudget, Refused, Request, Unacceptable
 from ..subsystem import CoreComponents
-from .bodies import HELD_PART, Body, BodyBudget, HeldBody, Receiver
-from .chunks import Answer, Message, Rest, serve
+from .chunk_client import Answer, Message, Rest, serve
+from .request_bodies import HELD_PART, Body, BodyBudget, HeldBody, Receiver
 
 log = logging.getLogger(__name__)
 
--- a/ochrespan/net/bodies.py
+++ b/ochrespan/net/request_bodies.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from ..exchange import BadBody, Exchange
-from .guard import BODY_RATE, REQUEST_TIME
+from .client_connection import BODY_RATE, REQUEST_TIME
 
 MOST_BODY = 64 << 20  # bytes, twice the longest that is promised
 MOST_HELD = 1 << 20  # bytes of one body that are held, so that attempts can repeat it
--- a/ochrespan/objects/store.py
+++ b/ochrespan/objects/store.py
@@ -14,7 +14,7 @@
 
 from ..broker import Broker
 from ..contracts.terms import Contract
-from ..net.chunks import Answer, ChunkClient, Message, serve
+from ..net.chunk_client import Answer, ChunkClient, Message, serve
 from ..requests import Claim, Failed, NotCovered, OverBudget, Refused, Request
 from . import layout
 from .layout import ChunkSlice, Manifest, Names, Part
--- a/ochrespan/subsystem.py
+++ b/ochrespan/subsystem.py
@@ -11,7 +11,7 @@
 from .exchange import Handler
 from .lifecycle import Lifecycle
 from .metric_samples import MetricSample
-from .net.chunks import ChunkClient
+from .net.chunk_client import ChunkClient
 from .net.listener import Server
 
 if TYPE_CHECKING:
--- a/tests/test_chunks.py
+++ b/tests/test_chunk_client.py
@@ -10,12 +10,12 @@
 import pytest
 
 from ochrespan.broker import Attempt, Request, Status
-from ochrespan.net import answers
-from ochrespan.net.answers import MOST_BODY
-from ochrespan.net.chunks import ChunkClient, Message
+from ochrespan.net import responses
+from ochrespan.net.chunk_client import ChunkClient, Message
 from ochrespan.net.client_session import open_session
 from ochrespan.net.discovery import Directory
-from ochrespan.net.reports import read_load, read_units
+from ochrespan.net.load_reports import read_load, read_units
+from ochrespan.net.responses import MOST_BODY
 from ochrespan.settings import ConnectionSettings
 
 from .front_harness import StubChunkServer, is_open, run_scenario
@@ -473,7 +473,7 @@
                 reset()
             return False
 
-        monkeypatch.setattr(answers, "waits_for", looked)
+        monkeypatch.setattr(responses, "waits_for", looked)
         async with open_session(LINKS, 10) as session:
             client, loop = ChunkClient(session, raw.directory), asyncio.get_running_loop()
             first = asyncio.create_task(client.send(attempt_at(), Message("GET", "/x")))
--- a/tests/test_guard.py
+++ b/tests/test_client_connections.py
@@ -8,8 +8,8 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
+from ochrespan.net.client_connection import RequestFramer
 from ochrespan.net.framing import Unreadable
-from ochrespan.net.guard import RequestFramer
 
 from .front_harness import KEY, VOLUME, FrontHarness, request_headers, run_scenario, wait_until
 from .test_objects import OPERATOR
--- a/tests/test_drain_by_hand.py
+++ b/tests/test_drain_by_hand.py
@@ -9,7 +9,7 @@
 
 from .controlled_front import ControlledFront
 from .front_harness import run_scenario, wait_until
-from .test_guard import raw
+from .test_client_connections import raw
 
 
 def phases(*steps: str) -> list[Phase]:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -14,13 +14,13 @@
 import pytest
 
 from ochrespan.exchange import Reply
-from ochrespan.net.guard import MOST_AHEAD, State
+from ochrespan.net.client_connection import MOST_AHEAD, State
 from ochrespan.net.http1 import Http1Server
 from ochrespan.net.listener import Listener
 from ochrespan.shutdown_schedule import shutdown_schedule
 
 from .front_harness import MAX_RUNS, MS, FrontHarness, free_port, run_scenario, run_timed_scenario, wait_until
-from .test_guard import raw
+from .test_client_connections import raw
 from .test_objects import OPERATOR
 
 
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ochrespan.broker import Broker
-from ochrespan.net.chunks import Answer, Message, serve
+from ochrespan.net.chunk_client import Answer, Message, serve
 from ochrespan.requests import (
     Claim,
     Failed,
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -9,8 +9,8 @@
 
 from .front_harness import MS, StubChunkServer, request_headers, run_scenario, wait_until
 from .h2client import Client
-from .test_chunks import Raw
-from .test_guard import raw
+from .test_chunk_client import Raw
+from .test_client_connections import raw
 from .test_http2 import PATH, H2World
 
 MAX_CANCEL_DELAY_S = 0.3  # from the disconnect until nothing may be sent any more
--- a/tests/test_long_bodies.py
+++ b/tests/test_long_bodies.py
@@ -8,12 +8,12 @@
 import pytest
 
 from ochrespan.exchange import BadBody
-from ochrespan.net import bodies
-from ochrespan.net.bodies import BodyBudget, HeldBody, Receiver, StreamedBody
+from ochrespan.net import request_bodies
+from ochrespan.net.request_bodies import BodyBudget, HeldBody, Receiver, StreamedBody
 
 from .controlled_front import ControlledFront
 from .front_harness import KEY, VOLUME, FrontHarness, run_scenario, wait_until
-from .test_guard import raw
+from .test_client_connections import raw
 
 PATH = f"/api/{VOLUME}/{KEY}"
 LONG = 8 << 20
@@ -56,7 +56,7 @@
 
 def test_a_body_that_goes_on_for_ever_is_refused(monkeypatch):
     async def story():
-        monkeypatch.setattr(bodies, "MOST_BODY", 1000)
+        monkeypatch.setattr(request_bodies, "MOST_BODY", 1000)
         with pytest.raises(BadBody) as why:
             await Receiver(Pieces(*[b"x" * 300] * 9), BodyBudget(10_000)).receive()
         assert why.value.status == 413
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -10,7 +10,7 @@
 from ochrespan.net.discovery import Directory
 
 from .front_harness import KEY, VOLUME, FrontHarness, free_port, request_headers, run_scenario, wait_until
-from .test_guard import raw
+from .test_client_connections import raw
 
 BODY = bytes(range(256)) * 256  # 64 KiB
 
--- a/tests/test_answers.py
+++ b/tests/test_responses.py
@@ -4,7 +4,7 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from ochrespan.net.answers import MOST_BODY, AnswerReader, Spoilt
+from ochrespan.net.responses import MOST_BODY, AnswerReader, Spoilt
 
 from .front_harness import KEY, VOLUME, FrontHarness, run_scenario
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -26,8 +26,8 @@
 
 from .controlled_front import ControlledFront
 from .front_harness import free_port, run_scenario, wait_until
+from .test_client_connections import raw
 from .test_endings import GET, StubServer, open_listener
-from .test_guard import raw
 
 NUMBERS = count()  # for unique request ids
 
