--- a/ochrespan/front.py
+++ b/ochrespan/front.py
@@ -25,12 +25,12 @@
 from .metric_samples import front_samples
 from .net import discovery
 from .net.chunk_client import ChunkClient
-from .net.client_session import open_session, resize
+from .net.client_session import open_session, set_connection_limit
 from .net.discovery import Directory, Watch
 from .net.http1 import Http1Server
 from .net.listener import Listener, Server
-from .net.platform import MOST_WHOLE, PlatformFront
-from .net.request_bodies import MOST_BODY
+from .net.platform import MAX_BUFFERED_BODY_BYTES, PlatformFront
+from .net.request_bodies import MAX_BODY_BYTES
 from .shutdown_schedule import CLIENTS_LEAVE_AFTER, SILENT_IDLE_AFTER, shutdown_schedule
 from .sockets import SocketBudget, open_descriptor_count
 from .subsystem import CoreComponents, Subsystem
@@ -77,7 +77,7 @@
             return
         details = {"discovery": new.discovery, "only_by_restart": ",".join(fixed) or "-"}
         log.info("configuration reloaded", extra=details)
-        self._watch.move(new.discovery)
+        self._watch.change_address(new.discovery)
 
     async def _reload_operator_config(self, path: Path) -> None:
         from . import operator_config
@@ -134,7 +134,9 @@
     await wait(schedule.accept_until)
     await wait(schedule.exit_at, connected)
     # a client that does not read its response must not delay the exit
-    await wait(schedule.exit_at + LAST_RESPONSES_GRACE, lambda: any(listener.occupied for listener in listeners))
+    await wait(
+        schedule.exit_at + LAST_RESPONSES_GRACE, lambda: any(listener.has_open_requests for listener in listeners)
+    )
     if lifecycle.in_flight:
         log.warning("exiting with responses that clients have not read", extra={"requests": lifecycle.in_flight})
 
@@ -153,12 +155,15 @@
         )
         if clients_gone or lifecycle.has_successor:
             for listener in listeners:
-                listener.dismiss_idle(SILENT_IDLE_AFTER)
+                listener.close_idle(SILENT_IDLE_AFTER)
 
 
 async def wait_for_first_list(watch: Watch, lifecycle: Lifecycle, timeout: timedelta) -> None:
     """Waits for the first list from discovery, the timeout or the begin of the shutdown, whichever is first."""
-    waits = [asyncio.create_task(watch.heard(timeout)), asyncio.create_task(lifecycle.reached(Phase.DRAINING))]
+    waits = [
+        asyncio.create_task(watch.wait_for_first_list(timeout)),
+        asyncio.create_task(lifecycle.reached(Phase.DRAINING)),
+    ]
     await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
     for wait in waits:
         wait.cancel()
@@ -186,9 +191,9 @@
             directory,
             discovery_session,
             configuration.discovery,
-            timedelta() if list_due_at_once else discovery.FIRST_WAIT,
+            timedelta() if list_due_at_once else discovery.FIRST_LONG_POLL_WAIT,
         )
-        watch.known(configuration.known_servers)
+        watch.load_known_list(configuration.known_servers)
         components = CoreComponents(configuration, broker, ChunkClient(session, directory, broker.counts), lifecycle)
         components.metric_sources.append(partial(front_samples, broker, watch))
         components.handlers["platform"] = PlatformFront(components).handle
@@ -212,7 +217,7 @@
         if configuration.shared_dir is not None:
             background_jobs.append(follow_processes(registry, suspensions, lifecycle, sockets, session, listeners))
         tasks += [asyncio.create_task(job) for job in background_jobs]
-        first = watch.heard(FIRST_LIST_TIMEOUT if list_due_at_once and not is_successor else timedelta())
+        first = watch.wait_for_first_list(FIRST_LIST_TIMEOUT if list_due_at_once and not is_successor else timedelta())
         tasks.append(asyncio.create_task(become_ready(first, lifecycle, registry)))
         await lifecycle.reached(Phase.DRAINING)
         lifecycle.has_successor = registry.has_ready_successor()
@@ -231,7 +236,7 @@
     """Opens the listeners for clients, those of the platform and of the subsystems; the stack closes them."""
     configuration = components.config
     fronts: list[tuple[Server, tuple[str, int]]] = [
-        (Http1Server(components.handlers["platform"], MOST_BODY, MOST_WHOLE), configuration.listen)
+        (Http1Server(components.handlers["platform"], MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES), configuration.listen)
     ]
     fronts += [front for subsystem in subsystems.values() for front in subsystem.fronts]
     listeners = []
@@ -282,7 +287,7 @@
             log.info("number of processes of this front changed", extra={"was": last_count, "now": view.processes})
             last_count = view.processes
         if sockets.reserve_for_others(view.descriptors_of_others):
-            resize(session, sockets.outgoing)
+            set_connection_limit(session, sockets.outgoing)
             sockets.allocate(listeners, len(listeners))
 
 
--- a/ochrespan/http2/exchange.py
+++ b/ochrespan/http2/exchange.py
@@ -11,7 +11,7 @@
 from multidict import CIMultiDict
 
 from ..exchange import BadBody, Exchange, Reply
-from ..net.client_connection import REQUEST_TIME
+from ..net.client_connection import REQUEST_TIMEOUT
 from .events import BodyReceived, RequestStarted
 
 CONNECTION_FIELDS = frozenset({"connection", "keep-alive", "proxy-connection", "transfer-encoding", "upgrade"})
@@ -86,7 +86,7 @@
         """The whole body, in the time and up to the size that a request has on any wire."""
         parts, size = [], 0
         try:
-            async with asyncio.timeout(REQUEST_TIME.total_seconds()):
+            async with asyncio.timeout(REQUEST_TIMEOUT.total_seconds()):
                 while some := await self.read_available():
                     size += len(some)
                     if self._most_body is not None and size > self._most_body:
--- a/ochrespan/http2/protocol.py
+++ b/ochrespan/http2/protocol.py
@@ -14,7 +14,7 @@
 
 from h2.errors import ErrorCodes
 
-from ..net.client_connection import State
+from ..net.client_connection import ConnectionState
 from .connection import Connection
 from .events import BodyEnded, BodyReceived, ConnectionEnded, RequestStarted, StreamAborted
 from .exchange import Http2Exchange
@@ -37,7 +37,7 @@
         """`on_state` hears of each new state, and of the end."""
         self._server, self._on_state = server, on_state
         self._loop = asyncio.get_running_loop()
-        self.state, self.since = State.SILENT, self._loop.time()
+        self.state, self.since = ConnectionState.CONNECTED, self._loop.time()
         self.transport: asyncio.Transport | None = None
         self._connection = Connection(server.limits, server.buffers, self._loop.time())
         self._exchanges: dict[int, Http2Exchange] = {}
@@ -56,17 +56,17 @@
 
     def expire(self) -> None:
         """Its time is up, or its descriptor is needed."""
-        if self.state is State.LEAVING or self.transport is None:
+        if self.state is ConnectionState.CLOSING or self.transport is None:
             if self.transport is not None:
                 self.transport.abort()
             return
         self._connection.finish_drain()
         self._leave()
 
-    def _enter(self, state: State) -> None:
-        if self.state in (state, State.CLOSED):
+    def _enter(self, state: ConnectionState) -> None:
+        if self.state in (state, ConnectionState.CLOSED):
             return
-        if (self.state, state) != (State.SILENT, State.READING):
+        if (self.state, state) != (ConnectionState.CONNECTED, ConnectionState.READING):
             self.since = self._loop.time()
         self.state = state
         self._on_state(self)
@@ -74,8 +74,8 @@
     def _leave(self) -> None:
         """What is written goes out, then the connection ends."""
         self._flush()
-        if self.state is not State.CLOSED:
-            self._enter(State.LEAVING)
+        if self.state is not ConnectionState.CLOSED:
+            self._enter(ConnectionState.CLOSING)
             if self.transport is not None:
                 self.transport.close()
 
@@ -99,7 +99,7 @@
             event.set()
         self._server.connections.discard(self)
         self._server.relieve()
-        self.state = State.CLOSED
+        self.state = ConnectionState.CLOSED
         self._on_state(self)
 
     def pause_writing(self) -> None:
@@ -110,7 +110,7 @@
         self._flush()
 
     def data_received(self, data: bytes) -> None:
-        if self.state in (State.LEAVING, State.CLOSED):
+        if self.state in (ConnectionState.CLOSING, ConnectionState.CLOSED):
             return
         for event in self._connection.receive(data, self._loop.time()):
             match event:
@@ -125,8 +125,8 @@
                     self._cancel(stream)
                 case ConnectionEnded(code, why):
                     self._end(code, why)
-        if self.state is State.SILENT:
-            self._enter(State.READING)
+        if self.state is ConnectionState.CONNECTED:
+            self._enter(ConnectionState.READING)
         self._flush()
         self._become_idle()
 
@@ -150,7 +150,7 @@
         task = self._tasks[request.stream] = self._loop.create_task(self._run(exchange))
         # also of one that is cancelled before it runs
         task.add_done_callback(lambda _: self._stream_done(request.stream))
-        self._enter(State.BUSY)
+        self._enter(ConnectionState.BUSY)
 
     async def _run(self, exchange: Http2Exchange) -> None:
         stream = exchange.stream
@@ -179,12 +179,17 @@
 
     def _become_idle(self) -> None:
         """Between streams, or at the end."""
-        if self._tasks or self.state in (State.LEAVING, State.CLOSED, State.READING, State.SILENT):
+        if self._tasks or self.state in (
+            ConnectionState.CLOSING,
+            ConnectionState.CLOSED,
+            ConnectionState.READING,
+            ConnectionState.CONNECTED,
+        ):
             return
         if self._connection.done or self._server.lifecycle.closing:
             self.expire()
         else:
-            self._enter(State.QUIET)
+            self._enter(ConnectionState.IDLE)
 
     # ---- the exchanges' side ----
 
@@ -279,7 +284,7 @@
 
     def finish_drain(self) -> None:
         """Tells the client which stream was the last; ends the connection once none is open."""
-        if self.state is not State.CLOSED:
+        if self.state is not ConnectionState.CLOSED:
             self._connection.finish_drain()
             self._flush()
             self._become_idle()
--- a/ochrespan/http2/start.py
+++ b/ochrespan/http2/start.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..net.request_bodies import MOST_BODY
+from ..net.request_bodies import MAX_BODY_BYTES
 from ..subsystem import CoreComponents, Subsystem
 from .limits import BufferBudget
 from .section import Http2
@@ -14,7 +14,7 @@
     buffers, running = BufferBudget(section.buffered), Subsystem()
     aims = {cls.name: cls.latency_target for cls in core.config.settings.classes.values()}
     for name, address in section.listen.items():
-        most_body = MOST_BODY if name == "platform" else None
+        most_body = MAX_BODY_BYTES if name == "platform" else None
         server = Http2Server(
             core.handlers[name], most_body, core.lifecycle, section.limits, buffers, section.stall_timeout, aims
         )
--- a/ochrespan/net/http1.py
+++ b/ochrespan/net/http1.py
@@ -10,12 +10,12 @@
 from aiohttp import web
 
 from ..exchange import Exchange, Handler
-from .client_connection import CONTINUE, LINGER, PIECE, Guard
+from .client_connection import CONTINUE_RESPONSE, LINGER_TIMEOUT, READ_SIZE_BYTES, ClientConnection
 
 
 class Http1Exchange(Exchange):
-    def __init__(self, request: web.BaseRequest, guard: Guard | None = None) -> None:
-        self._request, self._guard = request, guard
+    def __init__(self, request: web.BaseRequest, connection: ClientConnection | None = None) -> None:
+        self._request, self._connection = request, connection
         self.method, self.target, self.headers = request.method, request.raw_path, request.headers
         self.has_body = request.body_exists
         self.has_length = "Content-Length" in self.headers or "Transfer-Encoding" in self.headers
@@ -33,10 +33,10 @@
         return await self._request.read()
 
     async def send_continue(self) -> None:
-        if self._guard is not None and self._guard.continued:
+        if self._connection is not None and self._connection.continue_sent:
             return  # the connection has told it already
         writer = self._request.writer
-        await writer.write(CONTINUE)
+        await writer.write(CONTINUE_RESPONSE)
         writer.output_size = 0
 
     async def start(self, status: int, headers: Mapping[str, str], length: int | None, close: bool = False) -> None:
@@ -64,26 +64,30 @@
 class Http1Server:
     """Makes the connections of one port."""
 
-    def __init__(self, handler: Handler, most_body: int | None, most_held: int | None = None) -> None:
+    def __init__(
+        self, handler: Handler, max_body_bytes: int | None, max_buffered_body_bytes: int | None = None
+    ) -> None:
         """`most_body`: of any request; those with up to `most_held` are handled once they are whole (left out: all,
         where there is a bound)."""
-        self._handler, self._most_body = handler, most_body
-        self._most_held = (most_body or 0) if most_held is None else most_held
-        bounded = {"read_bufsize": PIECE} if self._most_held else {}
+        self._handler, self._max_body_bytes = handler, max_body_bytes
+        self._max_buffered_body_bytes = (
+            (max_body_bytes or 0) if max_buffered_body_bytes is None else max_buffered_body_bytes
+        )
+        options = {"read_bufsize": READ_SIZE_BYTES} if self._max_buffered_body_bytes else {}
         self._server = web.Server(
             self._handle,
             handler_cancellation=True,
             access_log=None,
             auto_decompress=False,
-            lingering_time=LINGER.total_seconds(),
-            **bounded,
+            lingering_time=LINGER_TIMEOUT.total_seconds(),
+            **options,
         )
-        self._guards: dict[Any, Guard] = {}  # by aiohttp's handler
+        self._connections: dict[Any, ClientConnection] = {}  # by aiohttp's handler
         self._loop = asyncio.get_running_loop()
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         try:
-            exchange = Http1Exchange(request, self._guards.get(request.protocol))
+            exchange = Http1Exchange(request, self._connections.get(request.protocol))
             reply = await self._handler(exchange)
             if reply is None:
                 assert exchange.response is not None, "neither a reply nor a streamed answer"
@@ -93,18 +97,18 @@
                 response.force_close()
             return response
         finally:
-            if guard := self._guards.get(request.protocol):
-                self._loop.call_soon(guard.done)  # the answer is written in this turn of the loop
-
-    def connection(self, moved: Callable[[Guard], None]) -> Guard:
-        def follow(guard: Guard) -> None:
-            if guard.closed:
-                self._guards.pop(guard.handler, None)
-            elif guard.handler is not None:
-                self._guards[guard.handler] = guard
-            moved(guard)
-
-        return Guard(self._server, self._most_body, self._most_held, follow)
+            if connection := self._connections.get(request.protocol):
+                self._loop.call_soon(connection.response_written)  # the answer is written in this turn of the loop
+
+    def connection(self, on_state_change: Callable[[ClientConnection], None]) -> ClientConnection:
+        def track(connection: ClientConnection) -> None:
+            if connection.closed:
+                self._connections.pop(connection.handler, None)
+            elif connection.handler is not None:
+                self._connections[connection.handler] = connection
+            on_state_change(connection)
+
+        return ClientConnection(self._server, self._max_body_bytes, self._max_buffered_body_bytes, track)
 
     async def shutdown(self, timeout: timedelta) -> None:
         await self._server.shutdown(timeout.total_seconds())
--- a/ochrespan/net/listener.py
+++ b/ochrespan/net/listener.py
@@ -12,33 +12,33 @@
 from datetime import timedelta
 from typing import Any, Protocol
 
-from .client_connection import LIMITS, State
-from .load_reports import Repeats
-from .responses import waits_for
+from .client_connection import STATE_TIMEOUTS, ConnectionState
+from .load_reports import LogSampler
+from .responses import has_event
 
 log = logging.getLogger(__name__)
 
 SO_ATTACH_REUSEPORT_CBPF = 51  # Linux; the socket module does not name it
 RETURN_CONSTANT = 0x06  # BPF_RET | BPF_K, the only instruction of a filter
-SECOND = 1  # of the sockets of a group, counted from 0
+NEWER_SOCKET_INDEX = 1  # of the sockets of a group, counted from 0
 
-RESERVE = 48  # descriptors for the rest: log, discovery, listeners, sinks, what is being closed
+RESERVED_DESCRIPTORS = 48  # descriptors for the rest: log, discovery, listeners, sinks, what is being closed
 BACKLOG = 1024
-HUNG_UP = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-AT_ONCE = 16  # connections taken in one turn of the loop: the rest of the program has its turns between
-LOOK = timedelta(seconds=0.2)  # between looks at whose time is up
-SPARE = {  # who has to go when a descriptor is needed, from what age on
-    State.LEAVING: timedelta(seconds=0.1),
-    State.SILENT: timedelta(seconds=0.2),
-    State.READING: timedelta(seconds=0.5),
-    State.QUIET: timedelta(seconds=0.3),
+PEER_CLOSED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+MAX_ACCEPTS_PER_TURN = 16  # connections taken in one turn of the loop: the rest of the program has its turns between
+CHECK_INTERVAL = timedelta(seconds=0.2)  # between looks at whose time is up
+EVICTION_AGES = {  # who has to go when a descriptor is needed, from what age on
+    ConnectionState.CLOSING: timedelta(seconds=0.1),
+    ConnectionState.CONNECTED: timedelta(seconds=0.2),
+    ConnectionState.READING: timedelta(seconds=0.5),
+    ConnectionState.IDLE: timedelta(seconds=0.3),
 }
 
 
 class Connection(Protocol):
     """One client's connection, whichever protocol it speaks."""
 
-    state: State
+    state: ConnectionState
     since: float  # when it entered the state, on the loop's clock
     transport: asyncio.Transport | None
 
@@ -50,26 +50,26 @@
 
 
 class Server(Protocol):
-    def connection(self, moved: Callable[[Any], None]) -> Any:
+    def connection(self, on_state_change: Callable[[Any], None]) -> Any:
         """A connection; `moved` hears of each new state, and of the end."""
 
     async def shutdown(self, timeout: timedelta) -> None: ...
 
 
-def prefer_newest(listening: socket.socket) -> None:
+def prefer_newest(listening_socket: socket.socket) -> None:
     """Steers new connections to the second of the sockets that share an address.
 
     The filter names it by its place, which is that of the newer process of an upgrade. Where there is none at this
     place the kernel deals by its own rule. What waits at the older socket stays there, and nothing is added to it.
     """
-    instruction = struct.pack("HBBI", RETURN_CONSTANT, 0, 0, SECOND)
+    instruction = struct.pack("HBBI", RETURN_CONSTANT, 0, 0, NEWER_SOCKET_INDEX)
     program = ctypes.create_string_buffer(instruction)
     try:
-        listening.setsockopt(
+        listening_socket.setsockopt(
             socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, struct.pack("HP", 1, ctypes.addressof(program))
         )
-    except OSError as why:
-        log.warning("connections are dealt to both processes of an upgrade", extra={"why": str(why)})
+    except OSError as error:
+        log.warning("connections are dealt to both processes of an upgrade", extra={"why": str(error)})
 
 
 class Listener:
@@ -79,76 +79,81 @@
     connect by the hundreds, and then takes nobody for a second. Requests are never among what has to go.
     """
 
-    def __init__(self, server: Server, most: int, most_quiet: int | None = None) -> None:
+    def __init__(self, server: Server, max_connections: int, max_idle: int | None = None) -> None:
         """`most_quiet`: so many connections between requests are kept; those beyond go before their time."""
-        self._server, self._most = server, max(1, most)
-        self._most_quiet = most if most_quiet is None else most_quiet
+        self._server, self._max_connections = server, max(1, max_connections)
+        self._max_idle = max_connections if max_idle is None else max_idle
         # the longest in a state first
-        self._held: dict[State, dict[Connection, None]] = {state: {} for state in State}
-        self._states: dict[Connection, State] = {}
-        self._arriving: set[asyncio.Task[Any]] = set()
+        self._connections_by_state: dict[ConnectionState, dict[Connection, None]] = {
+            state: {} for state in ConnectionState
+        }
+        self._states: dict[Connection, ConnectionState] = {}
+        self._accepting: set[asyncio.Task[Any]] = set()
         self._loop = asyncio.get_running_loop()
         self._socket: socket.socket | None = None
         self._listening = False
-        self._look: asyncio.TimerHandle | None = None
-        self._full = Repeats()
+        self._check_timer: asyncio.TimerHandle | None = None
+        self._log_sampler = LogSampler()
 
     # ---- connections ----
 
-    def _make(self) -> Any:
-        return self._server.connection(self._moved)
+    def _make_connection(self) -> Any:
+        return self._server.connection(self._on_state_change)
 
-    def _moved(self, guard: Connection) -> None:
-        if (was := self._states.pop(guard, None)) is not None:
-            del self._held[was][guard]
-        if guard.state is State.CLOSED:
-            self._listen()
+    def _on_state_change(self, connection: Connection) -> None:
+        if (previous := self._states.pop(connection, None)) is not None:
+            del self._connections_by_state[previous][connection]
+        if connection.state is ConnectionState.CLOSED:
+            self._resume_accepting()
             return
-        self._states[guard] = guard.state
-        self._held[guard.state][guard] = None
+        self._states[connection] = connection.state
+        self._connections_by_state[connection.state][connection] = None
         # clients hold a bounded number of connections: those that ask once and stay would leave the others none
-        if guard.state is State.QUIET and len(self._held[State.QUIET]) > self._most_quiet:
-            self._spare(State.QUIET)
-
-    def _accept(self) -> None:
-        for _ in range(AT_ONCE):
+        if (
+            connection.state is ConnectionState.IDLE
+            and len(self._connections_by_state[ConnectionState.IDLE]) > self._max_idle
+        ):
+            self._evict(ConnectionState.IDLE)
+
+    def _accept_batch(self) -> None:
+        for _ in range(MAX_ACCEPTS_PER_TURN):
             if not self._accept_one():
                 return
 
     def _accept_one(self) -> bool:
         """Whether one was taken: else none is waiting, or there is no room (and then we do not listen)."""
         assert self._socket is not None
-        if len(self._states) + len(self._arriving) >= self._most and not self._make_room():
-            self._pause()  # until somebody leaves
-            if number := self._full.count("full"):
-                log.info("no room for a connection", extra={"most": self._most, "number": number})
+        if len(self._states) + len(self._accepting) >= self._max_connections and not self._evict_any():
+            self._pause_accepting()  # until somebody leaves
+            if number := self._log_sampler.count("full"):
+                log.info("no room for a connection", extra={"most": self._max_connections, "number": number})
             return False
         try:
             sock, _ = self._socket.accept()
         except (BlockingIOError, InterruptedError, ConnectionAbortedError):
             return False
-        except OSError as why:
-            log.warning("cannot take a connection", extra={"why": str(why)})
-            self._pause()
+        except OSError as error:
+            log.warning("cannot take a connection", extra={"why": str(error)})
+            self._pause_accepting()
             return False
         sock.setblocking(False)
-        task = self._loop.create_task(self._loop.connect_accepted_socket(self._make, sock))
-        self._arriving.add(task)
-        task.add_done_callback(self._arrived)
+        task = self._loop.create_task(self._loop.connect_accepted_socket(self._make_connection, sock))
+        self._accepting.add(task)
+        task.add_done_callback(self._on_accepted)
         return True
 
-    def _arrived(self, task: asyncio.Task[Any]) -> None:
-        self._arriving.discard(task)
-        if not task.cancelled() and (why := task.exception()) is not None:
-            log.warning("a connection was lost as it came", extra={"why": repr(why)})
+    def _on_accepted(self, task: asyncio.Task[Any]) -> None:
+        self._accepting.discard(task)
+        if not task.cancelled() and (error := task.exception()) is not None:
+            log.warning("a connection was lost as it came", extra={"why": repr(error)})
 
-    def _make_room(self) -> bool:
-        return any(map(self._spare, SPARE))
+    def _evict_any(self) -> bool:
+        return any(map(self._evict, EVICTION_AGES))
 
-    def _spare(self, state: State) -> bool:
+    def _evict(self, state: ConnectionState) -> bool:
         """Whether one in this state could go: the one that has been in it for longest, if that is long enough."""
-        for oldest in list(self._held[state]):
-            if self._loop.time() - oldest.since <= SPARE[state].total_seconds():
+        for oldest in list(self._connections_by_state[state]):
+            if self._loop.time() - oldest.since <= EVICTION_AGES[state].total_seconds():
                 return False
             if not oldest.closing and self._expire(oldest):
                 return True
@@ -159,84 +164,90 @@
         """Ends one whose time is up, or whose descriptor is needed. A request that has arrived on it, though nobody
         has read it yet, is answered instead: its client would find it cut off."""
         transport = connection.transport
-        idle = connection.state in (State.QUIET, State.SILENT)
-        if idle and transport is not None and waits_for(transport, select.POLLIN):
+        idle = connection.state in (ConnectionState.IDLE, ConnectionState.CONNECTED)
+        if idle and transport is not None and has_event(transport, select.POLLIN):
             return False
         connection.expire()
         return True
 
-    def _listen(self) -> None:
+    def _resume_accepting(self) -> None:
         if self._socket is not None and not self._listening:
             self._listening = True
-            self._loop.add_reader(self._socket.fileno(), self._accept)
+            self._loop.add_reader(self._socket.fileno(), self._accept_batch)
 
-    def _pause(self) -> None:
+    def _pause_accepting(self) -> None:
         if self._socket is not None and self._listening:
             self._listening = False
             self._loop.remove_reader(self._socket.fileno())
 
-    def _look_round(self) -> None:
-        for state, limit in LIMITS.items():
-            for guard in list(self._held[state]):
-                if self._loop.time() - guard.since > limit.total_seconds():
-                    self._expire(guard)
-        for guard in list(self._held[State.BUSY]):
-            transport = guard.transport
+    def _check_timeouts(self) -> None:
+        for state, limit in STATE_TIMEOUTS.items():
+            for connection in list(self._connections_by_state[state]):
+                if self._loop.time() - connection.since > limit.total_seconds():
+                    self._expire(connection)
+        for connection in list(self._connections_by_state[ConnectionState.BUSY]):
+            transport = connection.transport
             # while a body waits to be taken nobody reads, and nobody would hear that its client has left
-            if transport is not None and not transport.is_reading() and waits_for(transport, HUNG_UP):
+            if transport is not None and not transport.is_reading() and has_event(transport, PEER_CLOSED_EVENTS):
                 transport.abort()
-        self._listen()
-        self._look = self._loop.call_later(LOOK.total_seconds(), self._look_round)
+        self._resume_accepting()
+        self._check_timer = self._loop.call_later(CHECK_INTERVAL.total_seconds(), self._check_timeouts)
 
     # ---- the socket ----
 
     @property
     def connections(self) -> int:
-        return len(self._states) + len(self._arriving)
+        return len(self._states) + len(self._accepting)
 
     async def open(self, address: tuple[str, int], shared: bool = False) -> None:
         """`shared`: a second process may listen there; of two, the one that came last takes what is new."""
-        (family, kind, proto, _, where), *_ = await self._loop.getaddrinfo(*address, type=socket.SOCK_STREAM)
-        self._socket = socket.socket(family, kind, proto)
+        (family, socket_type, protocol, _, socket_address), *_ = await self._loop.getaddrinfo(
+            *address, type=socket.SOCK_STREAM
+        )
+        self._socket = socket.socket(family, socket_type, protocol)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         if shared:
             self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         self._socket.setblocking(False)
-        self._socket.bind(where)
+        self._socket.bind(socket_address)
         self._socket.listen(BACKLOG)
         if shared:
             prefer_newest(self._socket)
-        self._look_round()
+        self._check_timeouts()
 
-    def resize(self, most: int, most_quiet: int) -> None:
+    def resize(self, max_connections: int, max_idle: int) -> None:
         """Another bound from now on; who is there already may stay."""
-        self._most, self._most_quiet = max(1, most), most_quiet
+        self._max_connections, self._max_idle = max(1, max_connections), max_idle
 
-    def dismiss_idle(self, silent_for: timedelta) -> None:
+    def close_idle(self, no_data_for: timedelta) -> None:
         """Ends the connections between requests, and those on which nothing has come for so long.
 
         One whose next request has arrived, though nobody has read it yet, is left to be answered.
         """
         now = self._loop.time()
-        idle = list(self._held[State.QUIET])
-        idle += [one for one in self._held[State.SILENT] if now - one.since > silent_for.total_seconds()]
+        idle = list(self._connections_by_state[ConnectionState.IDLE])
+        idle += [
+            connection
+            for connection in self._connections_by_state[ConnectionState.CONNECTED]
+            if now - connection.since > no_data_for.total_seconds()
+        ]
         for connection in idle:
             self._expire(connection)
 
     @property
-    def occupied(self) -> bool:
+    def has_open_requests(self) -> bool:
         """Whether a request, or its answer, is on its way on any connection: also one that nobody has read yet."""
-        return bool(self._arriving) or any(self._busy(guard) for guard in self._states)
+        return bool(self._accepting) or any(self._has_open_request(connection) for connection in self._states)
 
     @staticmethod
-    def _busy(guard: Connection) -> bool:
-        if guard.state in (State.READING, State.BUSY, State.WRITING):
+    def _has_open_request(connection: Connection) -> bool:
+        if connection.state in (ConnectionState.READING, ConnectionState.BUSY, ConnectionState.WRITING):
             return True
-        transport = guard.transport
+        transport = connection.transport
         return (
             transport is not None
             and not transport.is_closing()
-            and (transport.get_write_buffer_size() > 0 or waits_for(transport, select.POLLIN))
+            and (transport.get_write_buffer_size() > 0 or has_event(transport, select.POLLIN))
         )
 
     def stop_accepting(self) -> bool:
@@ -260,12 +271,15 @@
 
     async def shutdown(self, timeout: timedelta) -> None:
         self._close()
-        if self._look is not None:
-            self._look.cancel()
-        for guard in list(self._states):
-            if guard.transport is not None and guard.state in (State.SILENT, State.QUIET):
-                guard.transport.close()
+        if self._check_timer is not None:
+            self._check_timer.cancel()
+        for connection in list(self._states):
+            if connection.transport is not None and connection.state in (
+                ConnectionState.CONNECTED,
+                ConnectionState.IDLE,
+            ):
+                connection.transport.close()
         await self._server.shutdown(timeout)
-        for guard in list(self._states):
-            if guard.transport is not None:
-                guard.transport.abort()
+        for connection in list(self._states):
+            if connection.transport is not None:
+                connection.transport.abort()
--- a/ochrespan/net/load_reports.py
+++ b/ochrespan/net/load_reports.py
@@ -7,12 +7,15 @@
 
 from ..settings import REPORT_NAMES
 
-LOAD, ELSEWHERE = "endpoint-load-metrics", "x-served-elsewhere"
-MOST, MOST_BUSY = 1e6, 10.0  # no front has to do with more; one such figure would spoil all that is smoothed from it
-Tell = Callable[[str, str, str], None]  # where, what was found, what is allowed
+LOAD_HEADER, ELSEWHERE_HEADER = "endpoint-load-metrics", "x-served-elsewhere"
+MAX_VALUE, MAX_UTILIZATION = (
+    1e6,
+    10.0,
+)  # no front has to do with more; one such figure would spoil all that is smoothed from it
+OnInvalid = Callable[[str, str, str], None]  # where, what was found, what is allowed
 
 
-class Repeats:
+class LogSampler:
     """Of what may come again and again, the 1st, 2nd, 4th, 8th ... of a kind are worth a line, with their number."""
 
     def __init__(self) -> None:
@@ -23,37 +26,39 @@
         number = self._counts[kind] = self._counts.get(kind, 0) + 1
         return None if number & (number - 1) else number
 
-    def over(self, kind: str) -> None:
+    def reset(self, kind: str) -> None:
         """It has ended: the next one is the first again."""
         self._counts.pop(kind, None)
 
 
-def read_figure(where: str, text: str, most: float, tell: Tell) -> float | None:
+def parse_number(location: str, text: str, maximum: float, on_invalid: OnInvalid) -> float | None:
     try:
-        figure = float(text)
+        number = float(text)
     except ValueError:
-        figure = math.nan
-    if 0 <= figure <= most:
-        return figure
-    tell(where, text[:60], f"a number from 0 to {most:g}")
+        number = math.nan
+    if 0 <= number <= maximum:
+        return number
+    on_invalid(location, text[:60], f"a number from 0 to {maximum:g}")
     return None
 
 
-def read_load(value: str, tell: Tell) -> dict[str, float]:
+def parse_load_report(value: str, on_invalid: OnInvalid) -> dict[str, float]:
     """The figures of a load report under our names; those that the settings do not name may be anything."""
-    found = {}
-    for part in value.removeprefix("TEXT").split(",") if value else ():
-        name, mark, text = part.strip().partition("=")
+    values = {}
+    for item in value.removeprefix("TEXT").split(",") if value else ():
+        name, separator, text = item.strip().partition("=")
         if name in REPORT_NAMES:
-            ours = REPORT_NAMES[name]
-            figure = read_figure(f"{LOAD}.{name}", text, MOST_BUSY if ours == "util" else MOST, tell)
-            if figure is not None:
-                found[ours] = figure
-        elif not mark:
-            tell(LOAD, value[:60], "TEXT name=figure, ...")
-    return found
+            name_here = REPORT_NAMES[name]
+            number = parse_number(
+                f"{LOAD_HEADER}.{name}", text, MAX_UTILIZATION if name_here == "util" else MAX_VALUE, on_invalid
+            )
+            if number is not None:
+                values[name_here] = number
+        elif not separator:
+            on_invalid(LOAD_HEADER, value[:60], "TEXT name=figure, ...")
+    return values
 
 
-def read_units(value: str, tell: Tell) -> float:
+def parse_units(value: str, on_invalid: OnInvalid) -> float:
     """Left out means none."""
-    return (read_figure(ELSEWHERE, value, MOST, tell) or 0.0) if value else 0.0
+    return (parse_number(ELSEWHERE_HEADER, value, MAX_VALUE, on_invalid) or 0.0) if value else 0.0
--- a/ochrespan/net/request_bodies.py
+++ b/ochrespan/net/request_bodies.py
@@ -7,33 +7,33 @@
 from dataclasses import dataclass, field
 
 from ..exchange import BadBody, Exchange
-from .client_connection import BODY_RATE, REQUEST_TIME
+from .client_connection import MIN_BODY_BYTES_PER_S, REQUEST_TIMEOUT
 
-MOST_BODY = 64 << 20  # bytes, twice the longest that is promised
-MOST_HELD = 1 << 20  # bytes of one body that are held, so that attempts can repeat it
-HELD_PART = 16  # of the process's memory, one part is for all held bodies together
+MAX_BODY_BYTES = 64 << 20  # bytes, twice the longest that is promised
+MAX_BUFFERED_BYTES = 1 << 20  # bytes of one body that are held, so that attempts can repeat it
+BODY_MEMORY_DIVISOR = 16  # of the process's memory, one part is for all held bodies together
 
 
-class BodyBudget:
+class BodyBufferBudget:
     """Bytes that all held bodies may have together."""
 
     def __init__(self, limit: int) -> None:
-        self._left = limit
+        self._available = limit
 
-    def take(self, size: int) -> bool:
+    def reserve(self, size: int) -> bool:
         """Whether so many bytes more may be held; they are then."""
-        if size > self._left:
+        if size > self._available:
             return False
-        self._left -= size
+        self._available -= size
         return True
 
-    def give(self, size: int) -> None:
+    def release(self, size: int) -> None:
         """So many bytes are held no more."""
-        self._left += size
+        self._available += size
 
 
 @dataclass(slots=True)
-class HeldBody:
+class BufferedBody:
     """A whole body: each attempt can send it."""
 
     data: bytes
@@ -44,63 +44,65 @@
     """A body that is still coming: one attempt can send it, as it comes."""
 
     length: int | None
-    _receiver: Receiver
+    _receiver: BodyReceiver
 
-    async def pieces(self) -> AsyncIterator[bytes]:
+    async def segments(self) -> AsyncIterator[bytes]:
         """All of it. Raises BadBody where the client sends too much or too slowly."""
-        yield self._receiver.held()
-        while piece := await self._receiver.next_piece():
-            yield piece
+        yield self._receiver.take_buffer()
+        while segment := await self._receiver.next_segment():
+            yield segment
 
 
-Body = HeldBody | StreamedBody
+Body = BufferedBody | StreamedBody
 
 
 @dataclass(slots=True)
-class Receiver:
+class BodyReceiver:
     """Takes in the body of one request; what it holds counts on the budget until it is let go."""
 
     _request: Exchange
-    _budget: BodyBudget
-    _held: bytearray = field(default_factory=bytearray)
-    _taken: int = 0  # of the budget
-    _size: int = 0  # bytes that have come
-    _began: float = field(default_factory=lambda: asyncio.get_running_loop().time())
+    _budget: BodyBufferBudget
+    _buffer: bytearray = field(default_factory=bytearray)
+    _reserved: int = 0  # of the budget
+    _received_bytes: int = 0  # bytes that have come
+    _started_at: float = field(default_factory=lambda: asyncio.get_running_loop().time())
 
     async def receive(self) -> Body:
         """The whole body, or one that goes on where it is too long to be held."""
-        while piece := await self.next_piece():
-            self._held += piece
-            if len(self._held) > MOST_HELD or not self._count(len(piece)):
+        while segment := await self.next_segment():
+            self._buffer += segment
+            if len(self._buffer) > MAX_BUFFERED_BYTES or not self._reserve(len(segment)):
                 return StreamedBody(self._request.length, self)
-        return HeldBody(self.held())
+        return BufferedBody(self.take_buffer())
 
-    async def next_piece(self) -> bytes:
+    async def next_segment(self) -> bytes:
         """What has come, at least a byte; empty at the end. Raises BadBody."""
         if not self._request.has_body:
             return b""
         try:
-            async with asyncio.timeout_at(self._began + REQUEST_TIME.total_seconds() + self._size / BODY_RATE):
-                piece = await self._request.read_available()
+            async with asyncio.timeout_at(
+                self._started_at + REQUEST_TIMEOUT.total_seconds() + self._received_bytes / MIN_BODY_BYTES_PER_S
+            ):
+                segment = await self._request.read_available()
         except TimeoutError:
             raise BadBody(408, "the request's body did not come in time") from None
-        self._size += len(piece)
-        if self._size > MOST_BODY:
+        self._received_bytes += len(segment)
+        if self._received_bytes > MAX_BODY_BYTES:
             raise BadBody(413, "the request's body is too long")
-        return piece
+        return segment
 
-    def held(self) -> bytes:
+    def take_buffer(self) -> bytes:
         """What is held, which is handed over."""
-        data, self._held = bytes(self._held), bytearray()
+        data, self._buffer = bytes(self._buffer), bytearray()
         return data
 
-    def let_go(self) -> None:
+    def release(self) -> None:
         """The request is over."""
-        self._budget.give(self._taken)
-        self._taken = 0
+        self._budget.release(self._reserved)
+        self._reserved = 0
 
-    def _count(self, size: int) -> bool:
-        if not self._budget.take(size):
+    def _reserve(self, size: int) -> bool:
+        if not self._budget.reserve(size):
             return False
-        self._taken += size
+        self._reserved += size
         return True
--- a/ochrespan/objects/store.py
+++ b/ochrespan/objects/store.py
@@ -14,7 +14,7 @@
 
 from ..broker import Broker
 from ..contracts.terms import Contract
-from ..net.chunk_client import Answer, ChunkClient, Message, serve
+from ..net.chunk_client import ChunkClient, UpstreamRequest, UpstreamResponse, serve
 from ..requests import Claim, Failed, NotCovered, OverBudget, Refused, Request
 from . import layout
 from .layout import ChunkSlice, Manifest, Names, Part
@@ -84,7 +84,7 @@
         claim = Claim(bucket=scope.bucket, contract=scope.contract)
         return Request(place.volume, cls, scope.contract.plan, left, units, place.shard, place.key, claim=claim)
 
-    async def _serve(self, request: Request, message: Message) -> Answer:
+    async def _serve(self, request: Request, message: UpstreamRequest) -> UpstreamResponse:
         message.headers["X-Trace-Id"] = secrets.token_hex(TRACE_ID_BYTES)
         match await serve(self._broker, self._client, request, message):
             case Refused(pause):
@@ -104,13 +104,13 @@
             raise StorageFailed("a record does not fit into a chunk")
         location = layout.locate(scope.owner, names, self._shards)
         request = self._request(scope, cls, location, len(payload))
-        await self._serve(request, Message("PUT", location.target, layout.seal(names, payload)))
+        await self._serve(request, UpstreamRequest("PUT", location.target, layout.seal(names, payload)))
 
     async def read(self, scope: Scope, cls: str, names: Names, size: int) -> bytes | None:
         """The payload, or None where nothing is stored. Only a whole body whose seal opens ends the request."""
         location = layout.locate(scope.owner, names, self._shards)
 
-        def whole(answer: Answer) -> bool:
+        def whole(answer: UpstreamResponse) -> bool:
             if answer.status == 404:
                 return True
             try:
@@ -119,7 +119,7 @@
                 return False
             return True
 
-        message = Message("GET", location.target, served=frozenset({200, 404}), check=whole)
+        message = UpstreamRequest("GET", location.target, accepted_statuses=frozenset({200, 404}), is_valid=whole)
         answer = await self._serve(self._request(scope, cls, location, size), message)
         return None if answer.status == 404 else answer.body[layout.SEAL :]
 
--- a/ochrespan/sockets.py
+++ b/ochrespan/sockets.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from .control.front import MAX_CONNECTIONS as CONTROL_MAX_CONNECTIONS
-from .net.listener import RESERVE, Listener
+from .net.listener import RESERVED_DESCRIPTORS, Listener
 
 DESCRIPTOR_FOLDER = Path("/proc/self/fd")
 
@@ -21,7 +21,7 @@
 
     def __init__(self, limit: int, controlled: bool) -> None:
         self._limit, self._used_by_others = limit, 0
-        self._reserved = RESERVE + (CONTROL_MAX_CONNECTIONS if controlled else 0)
+        self._reserved = RESERVED_DESCRIPTORS + (CONTROL_MAX_CONNECTIONS if controlled else 0)
 
     def reserve_for_others(self, descriptors: int) -> bool:
         """Deducts the descriptors of the other processes of this front; returns whether the number changed."""
--- a/ochrespan/suspension.py
+++ b/ochrespan/suspension.py
@@ -205,9 +205,9 @@
 class ServerList(Protocol):
     """The current list of chunk servers."""
 
-    def knows(self, server: str) -> bool: ...
+    def is_listed(self, server: str) -> bool: ...
 
-    def relist(self) -> None:
+    def resend_list(self) -> None:
         """Passes the complete list to the scheduler again."""
 
 
@@ -221,20 +221,20 @@
         self._check(server)
         self._suspended.suspend(server)
         log.info("chunk server suspended", extra={"node": server})
-        self._servers.relist()
+        self._servers.resend_list()
 
     def resume(self, server: str) -> None:
         self._check(server)
         self._suspended.resume(server)
         log.info("chunk server resumed", extra={"node": server})
-        self._servers.relist()
+        self._servers.resend_list()
 
     def refresh(self) -> None:
         """Applies the changes that were made through the other process of an upgrade."""
         if self._suspended.refresh():
             log.info("suspended chunk servers updated by the other process")
-            self._servers.relist()
+            self._servers.resend_list()
 
     def _check(self, server: str) -> None:
-        if server not in self._suspended and not self._servers.knows(server):
+        if server not in self._suspended and not self._servers.is_listed(server):
             raise UnknownServer("there is no such chunk server")
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from ochrespan.net.discovery import MOST_ODD, BadList, Directory, Watch, open_session
+from ochrespan.net.discovery import MAX_LOGGED_PHASES, Directory, InvalidList, Watch, open_session
 from ochrespan.requests import ListKind, NodeState
 
 from .front_harness import MS, FrontHarness, wait_until
 
-GOOD = {
+MEMBER = {
     "id": "n1",
     "host_port": "127.0.0.1:9",
     "locality": "a",
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "where"),
+    ("listing_value", "location"),
     [
         ([], "the list"),
         ("nothing", "the list"),
@@ -37,96 +37,98 @@
         (listing(revision="9"), "revision"),
         (listing(complete="yes"), "complete"),
         (listing("n1"), "members[0]"),
-        (listing(GOOD, {k: v for k, v in GOOD.items() if k != "id"}), "members[1].id"),
-        (listing(GOOD | {"id": 5}), "members[0].id"),
-        (listing(GOOD, GOOD | {"cell": 4}), "members[1].id"),
-        (listing(GOOD | {"size": -1.0}), "members[0].size"),
-        (listing(GOOD | {"size": float("nan")}), "members[0].size"),
-        (listing(GOOD | {"size": "big"}), "members[0].size"),
-        (listing(GOOD | {"cell": -2}), "members[0].cell"),
-        (listing(GOOD | {"cell": 1.5}), "members[0].cell"),
-        (listing(GOOD | {"up_since_ms": -3}), "members[0].up_since_ms"),
-        (listing(GOOD | {"up_since_ms": 1e300}), "members[0].up_since_ms"),
-        (listing(GOOD | {"up_since_ms": [1]}), "members[0].up_since_ms"),
+        (listing(MEMBER, {k: v for k, v in MEMBER.items() if k != "id"}), "members[1].id"),
+        (listing(MEMBER | {"id": 5}), "members[0].id"),
+        (listing(MEMBER, MEMBER | {"cell": 4}), "members[1].id"),
+        (listing(MEMBER | {"size": -1.0}), "members[0].size"),
+        (listing(MEMBER | {"size": float("nan")}), "members[0].size"),
+        (listing(MEMBER | {"size": "big"}), "members[0].size"),
+        (listing(MEMBER | {"cell": -2}), "members[0].cell"),
+        (listing(MEMBER | {"cell": 1.5}), "members[0].cell"),
+        (listing(MEMBER | {"up_since_ms": -3}), "members[0].up_since_ms"),
+        (listing(MEMBER | {"up_since_ms": 1e300}), "members[0].up_since_ms"),
+        (listing(MEMBER | {"up_since_ms": [1]}), "members[0].up_since_ms"),
     ],
 )
-def test_a_list_with_a_fault_is_not_taken_in_any_part_and_its_place_is_named(told, where):
+def test_a_list_with_a_fault_is_not_taken_in_any_part_and_its_place_is_named(listing_value, location):
     directory = Directory()
-    directory.apply(listing(GOOD, revision=3))
+    directory.apply(listing(MEMBER, revision=3))
     before = (directory.addresses, directory.shards, directory.revision)
-    with pytest.raises(BadList) as why:
-        directory.apply(told)
-    assert str(why.value).startswith(f"{where}: found ") and "allowed: " in str(why.value)
+    with pytest.raises(InvalidList) as error:
+        directory.apply(listing_value)
+    assert str(error.value).startswith(f"{location}: found ") and "allowed: " in str(error.value)
     assert (directory.addresses, directory.shards, directory.revision) == before
 
 
 def test_a_member_that_is_told_twice_alike_or_changed_twice_in_turn_is_taken():
     directory = Directory()
-    directory.apply(listing(GOOD, GOOD))
-    kind, nodes = directory.apply(listing(GOOD | {"phase": "draining"}, GOOD | {"phase": "removed"}, complete=False))
+    directory.apply(listing(MEMBER, MEMBER))
+    kind, nodes = directory.apply(
+        listing(MEMBER | {"phase": "draining"}, MEMBER | {"phase": "removed"}, complete=False)
+    )
     assert kind is ListKind.DELTA and len(nodes) == 2 and not directory.addresses
 
 
 def test_phases_that_are_not_known_get_nothing_new_and_few_lines(caplog):
     directory = Directory()
     for i in range(100):
-        directory.apply(listing(GOOD | {"phase": f"odd{i}"}, GOOD | {"id": "n2", "cell": 4}))
-        directory.apply(listing(GOOD | {"phase": "odd0"}, GOOD | {"id": "n2", "cell": 4}))
+        directory.apply(listing(MEMBER | {"phase": f"odd{i}"}, MEMBER | {"id": "n2", "cell": 4}))
+        directory.apply(listing(MEMBER | {"phase": "odd0"}, MEMBER | {"id": "n2", "cell": 4}))
     assert set(directory.shards) == {4}
-    assert len([line for line in caplog.records if "not known" in line.message]) == MOST_ODD
+    assert len([line for line in caplog.records if "not known" in line.message]) == MAX_LOGGED_PHASES
 
 
-class Told:
+class FakeBroker:
     """A broker that wants the list again at once whenever a call failed."""
 
     def __init__(self) -> None:
         self.kinds: list[ListKind] = []
 
     def on_watch_requested(self, call) -> None:
-        self.want = call
+        self.request_watch = call
 
     def update_servers(self, kind, nodes=None) -> None:
         self.kinds.append(kind)
         if kind is ListKind.FAILED:
-            self.want()
+            self.request_watch()
 
 
 def test_bad_answers_in_a_row_are_told_ever_more_seldom_and_a_good_one_ends_the_row(caplog):
     caplog.set_level(logging.INFO)
 
-    async def story() -> None:
-        broker, directory = Told(), Directory()
+    async def scenario() -> None:
+        broker, directory = FakeBroker(), Directory()
         watch = Watch(broker, directory, None, "127.0.0.1:9")
-        answers = [json.dumps({"revision": 1})] * 100 + [json.dumps(listing(GOOD))] + ["[]"] * 3
+        responses = [json.dumps({"revision": 1})] * 100 + [json.dumps(listing(MEMBER))] + ["[]"] * 3
 
         async def call(wait):
-            if not answers:
+            if not responses:
                 await asyncio.sleep(60)
-            return json.loads(answers.pop(0))
+            return json.loads(responses.pop(0))
 
         watch._call = call
-        broker.want()
+        broker.request_watch()
         task = asyncio.create_task(watch.run())
-        while answers:
+        while responses:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.01)
         task.cancel()
         assert broker.kinds.count(ListKind.FAILED) == 103 and broker.kinds.count(ListKind.FULL) == 1
         assert directory.addresses == {"n1": "127.0.0.1:9"}
 
-    asyncio.run(story())
-    rows = [line.in_a_row for line in caplog.records if line.message == "watch ended"]
-    assert rows == [1, 2, 4, 8, 16, 32, 64, 1, 2]
+    asyncio.run(scenario())
+    logged_counts = [line.in_a_row for line in caplog.records if line.message == "watch ended"]
+    assert logged_counts == [1, 2, 4, 8, 16, 32, 64, 1, 2]
 
 
-HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
 
 
-class Silent:
+class StallingDiscovery:
     """Discovery on a raw socket: answers so many calls, then falls silent as it is told to."""
 
-    def __init__(self, answers: int, then: bytes = b"") -> None:
-        self.answers, self.then = answers, then
+    def __init__(self, responses: int, partial_response: bytes = b"") -> None:
+        self.responses, self.partial_response = responses, partial_response
         self.calls: list[tuple[float, str, int]] = []  # when, what, on which connection
         self.connections = 0
 
@@ -140,64 +142,64 @@
         with suppress(asyncio.IncompleteReadError, ConnectionError):
             while head := await reader.readuntil(b"\r\n\r\n"):
                 self.calls.append((time.monotonic(), head.split(b" ")[1].decode(), number))
-                if len(self.calls) > self.answers:
-                    writer.write(self.then)
+                if len(self.calls) > self.responses:
+                    writer.write(self.partial_response)
                     continue
-                members = [GOOD] if len(self.calls) == 1 else []
+                members = [MEMBER] if len(self.calls) == 1 else []
                 body = json.dumps(listing(*members, complete=len(self.calls) == 1), indent=2).encode()
-                writer.write(HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body)
+                writer.write(RESPONSE_HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body)
 
 
 @pytest.mark.parametrize(
-    "silences",
+    "stalls",
     [
         [
-            Silent(1),
-            Silent(2),
-            Silent(3),
-            Silent(3, HEAD),
-            Silent(3, HEAD + b"Content-Length: 90\r\n\r\n{\n"),
-            Silent(1, HEAD + b"Transfer-Encoding: chunked\r\n\r\n2\r\n{\n\r\n"),
+            StallingDiscovery(1),
+            StallingDiscovery(2),
+            StallingDiscovery(3),
+            StallingDiscovery(3, RESPONSE_HEAD),
+            StallingDiscovery(3, RESPONSE_HEAD + b"Content-Length: 90\r\n\r\n{\n"),
+            StallingDiscovery(1, RESPONSE_HEAD + b"Transfer-Encoding: chunked\r\n\r\n2\r\n{\n\r\n"),
         ]
     ],
 )
-def test_a_watch_that_falls_silent_at_any_point_is_opened_anew_before_its_news_counts_as_told(silences):
+def test_a_watch_that_falls_silent_at_any_point_is_opened_anew_before_its_news_counts_as_told(stalls):
     """Its time-out was 22 s, moved on to the next whole second by aiohttp: up to a second after the news counted."""
 
-    async def one(discovery: Silent) -> None:
-        broker, directory = Told(), Directory()
+    async def open_watch(discovery: StallingDiscovery) -> None:
+        broker, directory = FakeBroker(), Directory()
         async with open_session() as session:
             watch = Watch(broker, directory, session, await discovery.open())
-            broker.want()
+            broker.request_watch()
             task = asyncio.create_task(watch.run())
             try:
-                await wait_until(lambda: len(discovery.calls) == discovery.answers + 2, 12)
+                await wait_until(lambda: len(discovery.calls) == discovery.responses + 2, 12)
             finally:
                 task.cancel()
-        (quiet, asked, old), (anew, _, new) = discovery.calls[-2:]
-        held = dict(part.split("=") for part in asked.partition("?")[2].split("&"))
+        (stalled_at, stalled_call, old_connection), (reopened_at, _, new_connection) = discovery.calls[-2:]
+        query = dict(part.split("=") for part in stalled_call.partition("?")[2].split("&"))
         # counts as told 6 s after the silence, or 2 s after the end of the call's wait
-        assert int(held["wait_ms"]) / 1000 + 2 <= 6 and 4.3 < anew - quiet < 5.5
-        assert new != old
+        assert int(query["wait_ms"]) / 1000 + 2 <= 6 and 4.3 < reopened_at - stalled_at < 5.5
+        assert new_connection != old_connection
 
-    async def story() -> None:
-        await asyncio.gather(*map(one, silences))
+    async def scenario() -> None:
+        await asyncio.gather(*map(open_watch, stalls))
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_changes_of_a_service_that_counts_anew_are_taken_and_the_whole_list_is_asked_for(caplog):
     directory = Directory()
-    directory.apply(listing(GOOD, GOOD | {"id": "n2"}, revision=41))
-    kind, nodes = directory.apply(listing(GOOD | {"phase": "draining"}, complete=False, revision=5))
+    directory.apply(listing(MEMBER, MEMBER | {"id": "n2"}, revision=41))
+    kind, nodes = directory.apply(listing(MEMBER | {"phase": "draining"}, complete=False, revision=5))
     assert kind is ListKind.DELTA and [node.state for node in nodes] == [NodeState.DRAINING]
     assert directory.revision is None and set(directory.addresses) == {"n1", "n2"}
     assert any(getattr(line, "place", "") == "revision" and line.found == 5 for line in caplog.records)
-    directory.apply(listing(GOOD, revision=6))
+    directory.apply(listing(MEMBER, revision=6))
     assert directory.revision == 6 and set(directory.addresses) == {"n1"}
 
 
-class Late(FrontHarness):
+class LateListFront(FrontHarness):
     """Its first list comes late, and says that a chunk server drains that the known list has as up."""
 
     async def _discovery(self, request):
@@ -207,32 +209,32 @@
         return await super()._discovery(request)
 
 
-@pytest.mark.parametrize(("discovery", "up"), [("pushed", "a list"), ("on_request", "none")])
-def test_a_front_is_up_once_it_has_the_list_where_that_counts_as_told_from_its_start(discovery, up):
-    async def story():
-        async with Late(2, Discovery=discovery) as world:
-            assert bool(world.calls) is (up == "a list")
-            world.nodes[0].default_response = "any"
-            if up == "a list":
-                assert (await world.send_request("t1", cls="brief", left="900"))[0] == 503 and not world.nodes[
+@pytest.mark.parametrize(("discovery", "waits_for_list"), [("pushed", "a list"), ("on_request", "none")])
+def test_a_front_is_up_once_it_has_the_list_where_that_counts_as_told_from_its_start(discovery, waits_for_list):
+    async def scenario():
+        async with LateListFront(2, Discovery=discovery) as harness:
+            assert bool(harness.calls) is (waits_for_list == "a list")
+            harness.nodes[0].default_response = "any"
+            if waits_for_list == "a list":
+                assert (await harness.send_request("t1", cls="brief", left="900"))[0] == 503 and not harness.nodes[
                     0
                 ].received
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_a_front_that_hears_nothing_goes_up_all_the_same():
-    async def story():
-        world = FrontHarness(1, Discovery="pushed")
-        world.failing = 999
-        async with world:
-            world.nodes[0].default_response = "any"
-            assert (await world.send_request("t1"))[0] == 200
+    async def scenario():
+        harness = FrontHarness(1, Discovery="pushed")
+        harness.failing = 999
+        async with harness:
+            harness.nodes[0].default_response = "any"
+            assert (await harness.send_request("t1"))[0] == 200
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-class Ending(FrontHarness):
+class StoppedAtStartFront(FrontHarness):
     """Told to end while it waits for its first list, which never comes."""
 
     async def _discovery(self, request):
@@ -241,19 +243,21 @@
 
 
 def test_a_front_that_is_told_to_end_before_it_is_up_begins_to_end_at_once():
-    async def story():
-        short = [{"Name": "read", "ObjectiveNs": 410 * MS, "DeadlineNs": 420 * MS, "Effect": "free", "Group": "all"}]
-        world = Ending(1, Discovery="pushed", Classes=short)
+    async def scenario():
+        classes = [{"Name": "read", "ObjectiveNs": 410 * MS, "DeadlineNs": 420 * MS, "Effect": "free", "Group": "all"}]
+        harness = StoppedAtStartFront(1, Discovery="pushed", Classes=classes)
         with pytest.raises(AssertionError, match="did not come up"):
-            await world.__aenter__()
-        await world.__aexit__()
-        assert world.process.returncode == 0
-        began, ended = (
+            await harness.__aenter__()
+        await harness.__aexit__()
+        assert harness.process.returncode == 0
+        draining_at, stopped_at = (
             float(line.split()[0].split(":")[-1].rstrip("Z"))
             for phase in ("draining", "stopped")
-            for line in world.log.splitlines()
+            for line in harness.log.splitlines()
             if f"now={phase}" in line
         )
-        assert (ended - began) % 60 < 1.5  # 0.9 by the settings; it waited for the list first, which made 1.8
+        assert (
+            stopped_at - draining_at
+        ) % 60 < 1.5  # 0.9 by the settings; it waited for the list first, which made 1.8
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/test_drain_by_hand.py
+++ b/tests/test_drain_by_hand.py
@@ -9,7 +9,7 @@
 
 from .controlled_front import ControlledFront
 from .front_harness import run_scenario, wait_until
-from .test_client_connections import raw
+from .test_client_connections import raw_request
 
 
 def phases(*steps: str) -> list[Phase]:
@@ -59,12 +59,12 @@
             for node in harness.nodes:
                 node.default_response = "any"
             idle = await asyncio.open_connection("127.0.0.1", harness.port)
-            idle[1].write(raw("GET", **{"X-Trace-Id": "idle"}))
+            idle[1].write(raw_request("GET", **{"X-Trace-Id": "idle"}))
             await idle[0].readuntil(b"\r\n\r\n")
             unused = await asyncio.open_connection("127.0.0.1", harness.port)
             slow.delay = 1.0
             busy = await asyncio.open_connection("127.0.0.1", harness.port)
-            busy[1].write(raw("GET", **{"X-Trace-Id": "busy", "X-IO": "units=2,shard=1,hosts=2"}))
+            busy[1].write(raw_request("GET", **{"X-Trace-Id": "busy", "X-IO": "units=2,shard=1,hosts=2"}))
             await wait_until(lambda: slow.received)
             began = time.monotonic()
             assert (await harness.command("/v1/front/drain"))[0] == 200
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -14,13 +14,13 @@
 import pytest
 
 from ochrespan.exchange import Reply
-from ochrespan.net.client_connection import MOST_AHEAD, State
+from ochrespan.net.client_connection import MAX_PIPELINED_BYTES, ConnectionState
 from ochrespan.net.http1 import Http1Server
 from ochrespan.net.listener import Listener
 from ochrespan.shutdown_schedule import shutdown_schedule
 
 from .front_harness import MAX_RUNS, MS, FrontHarness, free_port, run_scenario, run_timed_scenario, wait_until
-from .test_client_connections import raw
+from .test_client_connections import raw_request
 from .test_objects import OPERATOR
 
 
@@ -73,7 +73,7 @@
             harness.stop()
             for at, wanted in ((1.0, b"200"), (2.5, b"503")):
                 await asyncio.sleep(began + at - time.monotonic())
-                open_connection[1].write(raw("GET"))
+                open_connection[1].write(raw_request("GET"))
                 head = await asyncio.wait_for(open_connection[0].readuntil(b"\r\n\r\n"), 5)
                 assert head.startswith(b"HTTP/1.1 " + wanted)
                 if wanted == b"200":
@@ -95,14 +95,14 @@
 
     def connection(self, moved):
         class One(asyncio.Protocol):
-            state, since, transport, closing = State.BUSY, 0.0, None, False
+            state, since, transport, closing = ConnectionState.BUSY, 0.0, None, False
 
             def connection_made(self, transport):
                 self.transport = transport
                 moved(self)
 
             def connection_lost(self, exc):
-                self.state = State.CLOSED
+                self.state = ConnectionState.CLOSED
                 moved(self)
 
         self.made.append(One())
@@ -175,10 +175,12 @@
         writer.write(GET)
         await reader.readuntil(b"\r\n\r\n")
         await asyncio.sleep(0.3)
-        assert listener.occupied and [guard.state for guard in listener._states] == [State.WRITING]
+        assert listener.has_open_requests and [connection.state for connection in listener._states] == [
+            ConnectionState.WRITING
+        ]
         await reader.readexactly(size)
-        await wait_until(lambda: not listener.occupied)
-        assert [guard.state for guard in listener._states] == [State.QUIET]
+        await wait_until(lambda: not listener.has_open_requests)
+        assert [connection.state for connection in listener._states] == [ConnectionState.IDLE]
         writer.close()
         await listener.shutdown(timedelta())
 
@@ -191,10 +193,10 @@
         listener, handled = await open_listener(b"x", port)
         client = socket.create_connection(("127.0.0.1", port), 5)
         await wait_until(lambda: listener.connections == 1 and not listener._arriving)
-        assert not listener.occupied
+        assert not listener.has_open_requests
         client.sendall(GET)  # the event loop has not read it yet
-        assert listener.occupied and not handled
-        await wait_until(lambda: handled and not listener.occupied)
+        assert listener.has_open_requests and not handled
+        await wait_until(lambda: handled and not listener.has_open_requests)
         client.close()
         await listener.shutdown(timedelta())
 
@@ -210,10 +212,10 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(GET)
         await wait_until(lambda: handled)
-        writer.write(b"PUT /b HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n" % (MOST_AHEAD + 9))
-        writer.write(bytes(MOST_AHEAD + 9))
-        guard = next(iter(listener._states))
-        await wait_until(lambda: len(guard._ahead) > MOST_AHEAD)
+        writer.write(b"PUT /b HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n" % (MAX_PIPELINED_BYTES + 9))
+        writer.write(bytes(MAX_PIPELINED_BYTES + 9))
+        connection = next(iter(listener._states))
+        await wait_until(lambda: len(connection._pipelined) > MAX_PIPELINED_BYTES)
         may_respond.set()
         got = await asyncio.wait_for(reader.read(), 10)
         assert got.count(b"HTTP/1.1 ") == 2 and b"HTTP/1.1 400 " in got and "/b" not in handled
@@ -268,7 +270,7 @@
                     if harness.process.returncode is None:
                         harness.process.send_signal(name)
                 if phase == "draining":
-                    open_connection[1].write(raw("GET"))
+                    open_connection[1].write(raw_request("GET"))
                     assert (await open_connection[0].readline()).startswith(b"HTTP/1.1 200 ")
             assert await asyncio.wait_for(harness.process.wait(), 20) == 0
             assert "Traceback" not in harness.log
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ochrespan.broker import Broker
-from ochrespan.net.chunk_client import Answer, Message, serve
+from ochrespan.net.chunk_client import UpstreamRequest, UpstreamResponse, serve
 from ochrespan.requests import (
     Claim,
     Failed,
@@ -71,7 +71,7 @@
             except TimeoutError:
                 action = Status.TIMEOUT
         outcome = Outcome(attempt, action, timedelta(seconds=0.01), elsewhere=4.0)
-        return outcome, Answer(200, b"", {}) if action is Status.OK else None
+        return outcome, UpstreamResponse(200, b"", {}) if action is Status.OK else None
 
 
 async def run(script, gate: Gate, cls: str = "read", plan: str = "", leave: bool = False, end: bool = False, **more):
@@ -82,7 +82,7 @@
     request = Request("v", cls, plan, timedelta(seconds=1), 2.0, 0, claim=Claim(token="t"))
     if end:
         broker.complete_within(timedelta(seconds=0.05))
-    task = asyncio.create_task(serve(broker, client, request, Message("GET", "/")))
+    task = asyncio.create_task(serve(broker, client, request, UpstreamRequest("GET", "/")))
     if leave:
         while not client.out:
             await asyncio.sleep(0.001)
@@ -96,8 +96,13 @@
 @pytest.mark.parametrize(
     ("script", "more", "kind", "cost"),
     [
-        ([Status.OK], {}, Answer, (1, 1)),
-        ([Status.FULL, Status.RESET, Status.OK], {}, Answer, (3, 2)),  # the first was rejected: sent, but never ran
+        ([Status.OK], {}, UpstreamResponse, (1, 1)),
+        (
+            [Status.FULL, Status.RESET, Status.OK],
+            {},
+            UpstreamResponse,
+            (3, 2),
+        ),  # the first was rejected: sent, but never ran
         ([Status.FULL, Status.ERROR, Status.ERROR], {}, Refused, (3, 2)),
         ([Status.ERROR] * 3, {}, Refused, (3, 3)),
         ([Status.ERROR], {"cls": "once"}, Failed, (1, 1)),
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -9,8 +9,8 @@
 
 from .front_harness import MS, StubChunkServer, request_headers, run_scenario, wait_until
 from .h2client import Client
-from .test_chunk_client import Raw
-from .test_client_connections import raw
+from .test_chunk_client import ManualChunkServer
+from .test_client_connections import raw_request
 from .test_http2 import PATH, H2World
 
 MAX_CANCEL_DELAY_S = 0.3  # from the disconnect until nothing may be sent any more
@@ -21,16 +21,16 @@
     """A chunk server whose TCP connections are established only when the test says so."""
 
     async def start(self) -> None:
-        self.raw = Raw(backlog=0)
-        self.first = socket.create_connection(self.raw.listener.getsockname(), 5)  # fills the backlog
-        self.address = f"127.0.0.1:{self.raw.listener.getsockname()[1]}"
+        self.server = ManualChunkServer(backlog=0)
+        self.first = socket.create_connection(self.server.listener.getsockname(), 5)  # fills the backlog
+        self.address = f"127.0.0.1:{self.server.listener.getsockname()[1]}"
 
     async def accept_waiting(self) -> bytes:
         """Accepts the waiting connections; returns the bytes received on them."""
         got = b""
         with suppress(TimeoutError):
             while True:
-                sock = await asyncio.wait_for(self.raw.accept(), 1.0)
+                sock = await asyncio.wait_for(self.server.accept(), 1.0)
                 with suppress(TimeoutError, ConnectionError):
                     got += await asyncio.wait_for(asyncio.get_running_loop().sock_recv(sock, 4096), 0.5)
         return got
@@ -47,7 +47,9 @@
             return
         port = harness.object_port if upload else harness.port
         self.sock = socket.create_connection(("127.0.0.1", port), 5)
-        self.sock.sendall(PART_UPLOAD.format(upload).encode() if upload else raw("GET", **{"X-Expires-In-Ms": "3000"}))
+        self.sock.sendall(
+            PART_UPLOAD.format(upload).encode() if upload else raw_request("GET", **{"X-Expires-In-Ms": "3000"})
+        )
 
     async def disconnect(self) -> None:
         if self.way == "stream":
@@ -63,7 +65,7 @@
     harness.nodes[0].default_response = "stall"
     for number in range(3):
         sock = socket.create_connection(("127.0.0.1", harness.port), 5)
-        sock.sendall(raw("GET", **{"X-Trace-Id": f"f{number}", "X-Expires-In-Ms": "3000"}))
+        sock.sendall(raw_request("GET", **{"X-Trace-Id": f"f{number}", "X-Expires-In-Ms": "3000"}))
         harness.open_clients.append(sock)
     await wait_until(lambda: len(harness.nodes[0].received) == 3)
 
--- a/tests/test_long_bodies.py
+++ b/tests/test_long_bodies.py
@@ -9,68 +9,68 @@
 
 from ochrespan.exchange import BadBody
 from ochrespan.net import request_bodies
-from ochrespan.net.request_bodies import BodyBudget, HeldBody, Receiver, StreamedBody
+from ochrespan.net.request_bodies import BodyBufferBudget, BodyReceiver, BufferedBody, StreamedBody
 
 from .controlled_front import ControlledFront
 from .front_harness import KEY, VOLUME, FrontHarness, run_scenario, wait_until
-from .test_client_connections import raw
+from .test_client_connections import raw_request
 
 PATH = f"/api/{VOLUME}/{KEY}"
-LONG = 8 << 20
+LONG_SIZE = 8 << 20
 
 
-def memory(pid: int) -> int:
+def resident_bytes(pid: int) -> int:
     """Bytes of physical memory that a process holds."""
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     return pages * resource.getpagesize()
 
 
-class Pieces:
+class SegmentedBody:
     """A request's body that comes in given pieces."""
 
     has_body, length = True, None
 
-    def __init__(self, *pieces: bytes) -> None:
-        self._pieces = list(pieces)
+    def __init__(self, *segments: bytes) -> None:
+        self._segments = list(segments)
 
     async def read_available(self) -> bytes:
-        return self._pieces.pop(0) if self._pieces else b""
+        return self._segments.pop(0) if self._segments else b""
 
 
 def test_a_body_is_held_within_its_bound_and_the_budget_and_streams_beyond():
-    async def story():
-        budget = BodyBudget(100)
-        small = Receiver(Pieces(b"ab", b"c"), budget)
-        assert await small.receive() == HeldBody(b"abc")
-        beyond = Receiver(Pieces(b"x" * 60, b"y" * 60, b"z"), budget)
-        body = await beyond.receive()
+    async def scenario():
+        budget = BodyBufferBudget(100)
+        small = BodyReceiver(SegmentedBody(b"ab", b"c"), budget)
+        assert await small.receive() == BufferedBody(b"abc")
+        large = BodyReceiver(SegmentedBody(b"x" * 60, b"y" * 60, b"z"), budget)
+        body = await large.receive()
         assert isinstance(body, StreamedBody)
-        assert [piece async for piece in body.pieces()] == [b"x" * 60 + b"y" * 60, b"z"]
-        assert not budget.take(50)
-        beyond.let_go()
-        small.let_go()
-        assert budget.take(100)
+        assert [segment async for segment in body.segments()] == [b"x" * 60 + b"y" * 60, b"z"]
+        assert not budget.reserve(50)
+        large.release()
+        small.release()
+        assert budget.reserve(100)
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 def test_a_body_that_goes_on_for_ever_is_refused(monkeypatch):
-    async def story():
-        monkeypatch.setattr(request_bodies, "MOST_BODY", 1000)
-        with pytest.raises(BadBody) as why:
-            await Receiver(Pieces(*[b"x" * 300] * 9), BodyBudget(10_000)).receive()
-        assert why.value.status == 413
+    async def scenario():
+        monkeypatch.setattr(request_bodies, "MAX_BODY_BYTES", 1000)
+        with pytest.raises(BadBody) as error:
+            await BodyReceiver(SegmentedBody(*[b"x" * 300] * 9), BodyBufferBudget(10_000)).receive()
+        assert error.value.status == 413
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
-@pytest.mark.parametrize("form", ["length", "chunked", "close"])
-def test_a_long_answer_goes_out_as_it_comes_and_keeps_no_deadline_once_it_has_begun(form):
+@pytest.mark.parametrize("framing", ["length", "chunked", "close"])
+def test_a_long_answer_goes_out_as_it_comes_and_keeps_no_deadline_once_it_has_begun(framing):
     """The front gave up answers above 1 MiB, and cut those that took longer than the deadline."""
 
-    async def story():
-        async with FrontHarness(1) as world:
-            pieces = [bytes([n]) * 100_000 for n in range(5)]
+    async def scenario():
+        async with FrontHarness(1) as harness:
+            segments = [bytes([n]) * 100_000 for n in range(5)]
 
             async def serve(reader, writer):
                 await reader.readuntil(b"\r\n\r\n")
@@ -78,21 +78,21 @@
                     "length": b"Content-Length: 500000",
                     "chunked": b"Transfer-Encoding: chunked",
                     "close": b"Connection: close",
-                }[form]
+                }[framing]
                 writer.write(b"HTTP/1.1 200 OK\r\n" + head + b"\r\n\r\n")
-                for piece in pieces:
-                    writer.write(b"%x;a=b\r\n%b\r\n" % (len(piece), piece) if form == "chunked" else piece)
+                for segment in segments:
+                    writer.write(b"%x;a=b\r\n%b\r\n" % (len(segment), segment) if framing == "chunked" else segment)
                     await writer.drain()
                     await asyncio.sleep(0.3)
-                writer.write(b"0\r\nX-Trailer: y\r\n\r\n" if form == "chunked" else b"")
+                writer.write(b"0\r\nX-Trailer: y\r\n\r\n" if framing == "chunked" else b"")
                 writer.close()
 
             server = await asyncio.start_server(serve, "127.0.0.1", 0)
-            world.nodes[0].address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-            world.publish_state(world.nodes[0], "up")
+            harness.nodes[0].address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
+            harness.publish_state(harness.nodes[0], "up")
             await asyncio.sleep(0.3)
-            began = time.monotonic()
-            url = f"http://127.0.0.1:{world.port}{PATH}"
+            started_at = time.monotonic()
+            url = f"http://127.0.0.1:{harness.port}{PATH}"
             headers = {
                 "X-Trace-Id": "t1",
                 "X-Qos": "brief",
@@ -100,151 +100,151 @@
                 "X-Expires-In-Ms": "600",
                 "X-IO": "units=2,shard=0,hosts=2",
             }
-            async with world.session.get(url, headers=headers) as answer:
+            async with harness.session.get(url, headers=headers) as answer:
                 first = await answer.content.readany()
-                assert answer.status == 200 and time.monotonic() - began < 0.5
+                assert answer.status == 200 and time.monotonic() - started_at < 0.5
                 rest = await answer.content.read()
-            assert first + rest == b"".join(pieces) and time.monotonic() - began > 1.2
+            assert first + rest == b"".join(segments) and time.monotonic() - started_at > 1.2
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 def test_a_long_answer_that_breaks_ends_its_connection_and_counts_as_failed():
-    async def story():
-        async with ControlledFront(1) as world:
+    async def scenario():
+        async with ControlledFront(1) as harness:
             head = b"HTTP/1.1 200 OK\r\nContent-Length: 500000\r\n\r\n"
-            world.nodes[0].scripted_responses.append(head + bytes(200_000))
-            reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
-            writer.write(raw("GET"))
+            harness.nodes[0].scripted_responses.append(head + bytes(200_000))
+            reader, writer = await asyncio.open_connection("127.0.0.1", harness.port)
+            writer.write(raw_request("GET"))
             await reader.readuntil(b"\r\n\r\n")
             await reader.readexactly(150_000)
-            for sock in world.nodes[0].connection_sockets:
+            for sock in harness.nodes[0].connection_sockets:
                 sock.shutdown(2)
             assert len(await asyncio.wait_for(reader.read(), 5)) < 350_000
             writer.close()
-            found = await world.metrics()
-            assert (found["success.read"], found["error.read"], found["concurrent"]) == (0, 1, 0)
+            metrics = await harness.metrics()
+            assert (metrics["success.read"], metrics["error.read"], metrics["concurrent"]) == (0, 1, 0)
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 def test_clients_that_read_late_hold_back_the_chunk_server_and_not_the_memory():
     """Ten answers of 8 MiB at once, none of them read for a second."""
 
-    async def story():
-        async with ControlledFront(1) as world:
-            node = world.nodes[0]
-            node.stored[PATH] = bytes(LONG)
-            before = memory(world.process.pid)
+    async def scenario():
+        async with ControlledFront(1) as harness:
+            node = harness.nodes[0]
+            node.stored[PATH] = bytes(LONG_SIZE)
+            before = resident_bytes(harness.process.pid)
             clients = []
             for number in range(10):
-                reader, writer = await asyncio.open_connection("127.0.0.1", world.port, limit=1024)
-                writer.write(raw("GET", **{"X-Trace-Id": f"t{number}"}))
+                reader, writer = await asyncio.open_connection("127.0.0.1", harness.port, limit=1024)
+                writer.write(raw_request("GET", **{"X-Trace-Id": f"t{number}"}))
                 clients.append((reader, writer))
             await wait_until(lambda: len(node.received) >= 3)
             await asyncio.sleep(1)
-            assert (await world.metrics())["concurrent"] >= 3
-            assert memory(world.process.pid) - before < 16 << 20
+            assert (await harness.metrics())["concurrent"] >= 3
+            assert resident_bytes(harness.process.pid) - before < 16 << 20
             for reader, writer in clients:
                 head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), 10)
                 if head.startswith(b"HTTP/1.1 200 "):
-                    await reader.readexactly(LONG)
+                    await reader.readexactly(LONG_SIZE)
                 writer.close()
-            assert memory(world.process.pid) - before < 16 << 20
+            assert resident_bytes(harness.process.pid) - before < 16 << 20
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("chunked", [False, True])
 def test_a_body_that_is_too_long_to_be_held_streams_through_one_attempt(chunked):
-    async def story():
-        async with FrontHarness(1) as world:
-            before = memory(world.process.pid)
-            got = bytearray()
+    async def scenario():
+        async with FrontHarness(1) as harness:
+            before = resident_bytes(harness.process.pid)
+            received = bytearray()
 
             async def serve(reader, writer):
                 head = await reader.readuntil(b"\r\n\r\n")
                 if b"chunked" in head.lower():
                     while size := int(await reader.readline(), 16):
-                        got.extend(await reader.readexactly(size))
+                        received.extend(await reader.readexactly(size))
                         await reader.readline()
                     await reader.readline()
                 else:
-                    got.extend(await reader.readexactly(LONG))
+                    received.extend(await reader.readexactly(LONG_SIZE))
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
                 await reader.read()
                 writer.close()
 
             server = await asyncio.start_server(serve, "127.0.0.1", 0)
-            world.nodes[0].address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-            world.publish_state(world.nodes[0], "up")
+            harness.nodes[0].address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
+            harness.publish_state(harness.nodes[0], "up")
             await asyncio.sleep(0.3)
-            body = bytes(range(256)) * (LONG // 256)
-            reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
-            how = "Transfer-Encoding: chunked" if chunked else f"Content-Length: {LONG}"
-            writer.write(raw("PUT", how, "Expect: 100-Continue"))
+            body = bytes(range(256)) * (LONG_SIZE // 256)
+            reader, writer = await asyncio.open_connection("127.0.0.1", harness.port)
+            framing = "Transfer-Encoding: chunked" if chunked else f"Content-Length: {LONG_SIZE}"
+            writer.write(raw_request("PUT", framing, "Expect: 100-Continue"))
             assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
-            for at in range(0, LONG, 1 << 20):
-                piece = body[at : at + (1 << 20)]
-                writer.write(b"%x\r\n%b\r\n" % (len(piece), piece) if chunked else piece)
+            for offset in range(0, LONG_SIZE, 1 << 20):
+                segment = body[offset : offset + (1 << 20)]
+                writer.write(b"%x\r\n%b\r\n" % (len(segment), segment) if chunked else segment)
                 await writer.drain()
             writer.write(b"0\r\n\r\n" if chunked else b"")
             assert (await asyncio.wait_for(reader.readuntil(b"ok"), 10)).startswith(b"HTTP/1.1 200 ")
-            assert bytes(got) == body and memory(world.process.pid) - before < 12 << 20
+            assert bytes(received) == body and resident_bytes(harness.process.pid) - before < 12 << 20
             writer.close()
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 def test_a_streamed_body_whose_attempt_fails_is_refused_and_not_sent_twice():
-    async def story():
-        async with FrontHarness(1) as world:
-            node = world.nodes[0]
+    async def scenario():
+        async with FrontHarness(1) as harness:
+            node = harness.nodes[0]
             node.scripted_responses.extend(["cut", "cut"])
-            status, headers, _ = await world.send_request("t1", "PUT", bytes(4 << 20), cls="write")
+            status, headers, _ = await harness.send_request("t1", "PUT", bytes(4 << 20), cls="write")
             assert status == 503 and "Retry-After" in headers
             assert len(node.scripted_responses) == 1  # the second was never asked
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(("method", "body"), [("GET", b""), ("PUT", b"ab" * 50_000)])
 def test_a_client_may_take_2_s_for_its_head_and_send_its_body_at_64_kB_a_second(method, body):
     """It was cut off 2 s after it had connected."""
 
-    async def story():
-        async with FrontHarness(1) as world:
-            world.nodes[0].default_response = "any" if method == "GET" else ""
-            reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
+    async def scenario():
+        async with FrontHarness(1) as harness:
+            harness.nodes[0].default_response = "any" if method == "GET" else ""
+            reader, writer = await asyncio.open_connection("127.0.0.1", harness.port)
             length = (f"Content-Length: {len(body)}",) if body else ()
-            head = raw(method, *length)
-            for at in range(0, len(head), 40):
-                writer.write(head[at : at + 40])
+            head = raw_request(method, *length)
+            for offset in range(0, len(head), 40):
+                writer.write(head[offset : offset + 40])
                 await asyncio.sleep(2.0 / (len(head) / 40))
-            for at in range(0, len(body), 6_400):
-                writer.write(body[at : at + 6_400])
+            for offset in range(0, len(body), 6_400):
+                writer.write(body[offset : offset + 6_400])
                 await asyncio.sleep(0.1)
             assert (await asyncio.wait_for(reader.readline(), 10)).startswith(b"HTTP/1.1 200 ")
             writer.close()
             if body:
-                assert world.nodes[0].stored[PATH] == body
+                assert harness.nodes[0].stored[PATH] == body
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 def test_a_request_in_chunks_with_extensions_and_trailers_is_served():
-    async def story():
-        async with FrontHarness(1) as world:
-            reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
+    async def scenario():
+        async with FrontHarness(1) as harness:
+            reader, writer = await asyncio.open_connection("127.0.0.1", harness.port)
             chunks = b'3;name=value\r\nabc\r\n2 ; quoted="a;b"\r\nde\r\n0;last\r\nX-Trailer: y\r\nOther:z\r\n\r\n'
             for number in range(2):
-                sent = raw("PUT", "Transfer-Encoding: chunked", body=chunks, **{"X-Trace-Id": f"t{number}"})
-                for at in range(0, len(sent), 3):
-                    writer.write(sent[at : at + 3])
+                sent = raw_request("PUT", "Transfer-Encoding: chunked", body=chunks, **{"X-Trace-Id": f"t{number}"})
+                for offset in range(0, len(sent), 3):
+                    writer.write(sent[offset : offset + 3])
                     await asyncio.sleep(0)
                 assert (await asyncio.wait_for(reader.readline(), 10)).startswith(b"HTTP/1.1 200 ")
                 await reader.readuntil(b"\r\n\r\n")
-                assert world.nodes[0].stored[PATH] == b"abcde"
+                assert harness.nodes[0].stored[PATH] == b"abcde"
             writer.close()
 
-    run_scenario(story())
+    run_scenario(scenario())
--- a/tests/test_responses.py
+++ b/tests/test_responses.py
@@ -4,17 +4,17 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from ochrespan.net.responses import MOST_BODY, AnswerReader, Spoilt
+from ochrespan.net.responses import MAX_RESPONSE_BODY_BYTES, MalformedResponse, ResponseReader
 
 from .front_harness import KEY, VOLUME, FrontHarness, run_scenario
 
 OK = b"HTTP/1.1 200 OK\r\n"
-ODD = b"Endpoint-Load-Metrics: TEXT depth=?, load_share=\xff\r\nX-Served-Elsewhere: lots\r\n"
-GOOD = OK + ODD + b"Content-Length: 4\r\n\r\ngood"
+INVALID_EXTRAS = b"Endpoint-Load-Metrics: TEXT depth=?, load_share=\xff\r\nX-Served-Elsewhere: lots\r\n"
+VALID_RESPONSE = OK + INVALID_EXTRAS + b"Content-Length: 4\r\n\r\ngood"
 CHUNKED = OK + b"Transfer-Encoding: chunked\r\n\r\n"
-HINT = b"HTTP/1.1 103 Early Hints\r\nLink: <x>\r\n\r\n"
+EARLY_HINTS = b"HTTP/1.1 103 Early Hints\r\nLink: <x>\r\n\r\n"
 
-SPOILT = [
+MALFORMED = [
     b"\x0b\xe73\x19\r\n\r\n",
     b"ICY 200 OK\r\nContent-Length: 2\r\n\r\nno",
     b"HTTP/1.1 2x0 OK\r\n\r\n",
@@ -41,76 +41,76 @@
     CHUNKED + b"2;\x00\r\nno\r\n",
     CHUNKED + b"2;" + b"x" * 3000,
     CHUNKED + b"4000001\r\n",
-    HINT * 3 + b"HTTP/1.1 2x0 OK\r\n\r\n",
+    EARLY_HINTS * 3 + b"HTTP/1.1 2x0 OK\r\n\r\n",
 ]
-MORE = [
-    GOOD,
-    GOOD + GOOD,
-    GOOD + b"\x0b\xe73\x19\r\n\r\n",
-    HINT * 500 + GOOD,
-    CHUNKED + b"1\r\ng\r\n3\r\nood\r\n0\r\n\r\n" + GOOD,
-    CHUNKED + b'1;a="b;c"\r\ng\r\n3 ; d\r\nood\r\n0;e=f\r\nTrailer: x\r\nOther:y\r\n\r\n' + GOOD,
+VALID = [
+    VALID_RESPONSE,
+    VALID_RESPONSE + VALID_RESPONSE,
+    VALID_RESPONSE + b"\x0b\xe73\x19\r\n\r\n",
+    EARLY_HINTS * 500 + VALID_RESPONSE,
+    CHUNKED + b"1\r\ng\r\n3\r\nood\r\n0\r\n\r\n" + VALID_RESPONSE,
+    CHUNKED + b'1;a="b;c"\r\ng\r\n3 ; d\r\nood\r\n0;e=f\r\nTrailer: x\r\nOther:y\r\n\r\n' + VALID_RESPONSE,
 ]
 
 
-@pytest.mark.parametrize("raw", SPOILT, ids=range(len(SPOILT)))
-def test_a_spoilt_answer_is_a_failed_attempt_and_its_connection_is_not_used_again(raw):
+@pytest.mark.parametrize("response_bytes", MALFORMED, ids=range(len(MALFORMED)))
+def test_a_spoilt_answer_is_a_failed_attempt_and_its_connection_is_not_used_again(response_bytes):
     """aiohttp forgave some of these, and read what never ended until the memory was gone."""
 
-    async def story():
-        async with FrontHarness(1) as world:
-            node = world.nodes[0]
+    async def scenario():
+        async with FrontHarness(1) as harness:
+            node = harness.nodes[0]
             node.stored[f"/api/{VOLUME}/{KEY}"] = b"the answer"
-            node.scripted_responses.append(raw)
-            status, _, body = await world.send_request("t1")
+            node.scripted_responses.append(response_bytes)
+            status, _, body = await harness.send_request("t1")
             assert (status, body) == (200, b"the answer")
             assert (len(node.received), node.connections, node.overlapping_attempts) == (2, 2, 0)
-            node.scripted_responses.append(raw)
-            assert (await world.send_request("t2", cls="once"))[0] == 502  # it may have run
+            node.scripted_responses.append(response_bytes)
+            assert (await harness.send_request("t2", cls="once"))[0] == 502  # it may have run
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
-@pytest.mark.parametrize("raw", MORE, ids=range(len(MORE)))
-def test_a_good_answer_is_served_and_what_follows_it_is_nobodys_answer(raw):
-    async def story():
-        async with FrontHarness(1) as world:
-            node = world.nodes[0]
+@pytest.mark.parametrize("response_bytes", VALID, ids=range(len(VALID)))
+def test_a_good_answer_is_served_and_what_follows_it_is_nobodys_answer(response_bytes):
+    async def scenario():
+        async with FrontHarness(1) as harness:
+            node = harness.nodes[0]
             node.stored[f"/api/{VOLUME}/{KEY}"] = b"the answer"
             for number in range(4):
-                node.scripted_responses.append(raw)
-                status, _, body = await world.send_request(f"a{number}")
+                node.scripted_responses.append(response_bytes)
+                status, _, body = await harness.send_request(f"a{number}")
                 assert (status, body) == (200, b"good")
-                status, _, body = await world.send_request(f"b{number}")
+                status, _, body = await harness.send_request(f"b{number}")
                 assert (status, body) == (200, b"the answer")
             assert len(node.received) == 8 and node.overlapping_attempts == 0
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 @seed(1)
 @settings(max_examples=80, deadline=None)
-@given(raw=st.sampled_from(SPOILT + MORE), cuts=st.lists(st.integers(1, 3000), max_size=12))
-def test_an_answer_reads_the_same_however_it_is_cut(raw, cuts):
-    def read(pieces):
-        reader, answer = AnswerReader(), b""
+@given(response_bytes=st.sampled_from(MALFORMED + VALID), cuts=st.lists(st.integers(1, 3000), max_size=12))
+def test_an_answer_reads_the_same_however_it_is_cut(response_bytes, cuts):
+    def parse(segments):
+        reader, output = ResponseReader(), b""
         try:
-            for piece in pieces:
-                answer += reader.feed(piece)
-                if reader.whole:
-                    return answer
-        except Spoilt:
-            return Spoilt
+            for segment in segments:
+                output += reader.feed(segment)
+                if reader.complete:
+                    return output
+        except MalformedResponse:
+            return MalformedResponse
         return None
 
-    pieces, rest = [], raw
+    segments, remaining = [], response_bytes
     for cut in cuts:
-        pieces.append(rest[:cut])
-        rest = rest[cut:]
-    assert read([*pieces, rest]) == read([raw]) != None  # noqa: E711
+        segments.append(remaining[:cut])
+        remaining = remaining[cut:]
+    assert parse([*segments, remaining]) == parse([response_bytes]) != None  # noqa: E711
 
 
 def test_the_largest_body_passes():
-    body = bytes(MOST_BODY)
-    raw = OK + b"Content-Length: %d\r\n\r\n" % len(body) + body
-    assert AnswerReader().feed(raw) == raw
+    body = bytes(MAX_RESPONSE_BODY_BYTES)
+    response_bytes = OK + b"Content-Length: %d\r\n\r\n" % len(body) + body
+    assert ResponseReader().feed(response_bytes) == response_bytes
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -20,7 +20,7 @@
 
 from .controlled_front import ControlledFront
 from .front_harness import run_scenario, wait_until
-from .test_discovery import GOOD, listing
+from .test_discovery import MEMBER, listing
 
 
 class Clock:
@@ -65,15 +65,15 @@
 def test_neither_a_full_list_nor_a_delta_ends_a_suspension():
     suspended = SuspendedServers()
     directory = Directory(suspended)
-    directory.apply(listing(GOOD))
+    directory.apply(listing(MEMBER))
     suspended.suspend("n1")
-    for update in (listing(GOOD), listing(GOOD | {"up_since_ms": 99_000}, complete=False)):
+    for update in (listing(MEMBER), listing(MEMBER | {"up_since_ms": 99_000}, complete=False)):
         _, nodes = directory.apply(update)
         assert [node.state for node in nodes] == [NodeState.DRAINING]
-        assert not directory.takes("n1") and not directory.shards
+        assert not directory.is_usable("n1") and not directory.shards
     suspended.resume("n1")
-    assert [node.state for node in directory.relisted()] == [NodeState.READY]
-    assert directory.takes("n1") and directory.shards == {3: ["n1"]}
+    assert [node.state for node in directory.refresh()] == [NodeState.READY]
+    assert directory.is_usable("n1") and directory.shards == {3: ["n1"]}
 
 
 def test_two_processes_share_the_set_through_its_file(tmp_path):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -26,7 +26,7 @@
 
 from .controlled_front import ControlledFront
 from .front_harness import free_port, run_scenario, wait_until
-from .test_client_connections import raw
+from .test_client_connections import raw_request
 from .test_endings import GET, StubServer, open_listener
 
 NUMBERS = count()  # for unique request ids
@@ -141,11 +141,11 @@
         listener, handled = await open_listener(b"x", port)
         client = socket.create_connection(("127.0.0.1", port), 5)
         client.sendall(GET)
-        await wait_until(lambda: len(handled) == 1 and not listener.occupied)
+        await wait_until(lambda: len(handled) == 1 and not listener.has_open_requests)
         client.sendall(GET)  # without a turn of the loop
-        listener.dismiss_idle(timedelta())
-        await wait_until(lambda: len(handled) == 2 and not listener.occupied)
-        listener.dismiss_idle(timedelta())
+        listener.close_idle(timedelta())
+        await wait_until(lambda: len(handled) == 2 and not listener.has_open_requests)
+        listener.close_idle(timedelta())
         await wait_until(lambda: not listener.connections)
         client.close()
         await listener.shutdown(timedelta())
@@ -280,7 +280,7 @@
             idle = []
             for number in range(5):
                 reader, writer = await asyncio.open_connection("127.0.0.1", harness.port)
-                writer.write(raw("GET", **{"X-Trace-Id": f"idle{number}"}))
+                writer.write(raw_request("GET", **{"X-Trace-Id": f"idle{number}"}))
                 await reader.readuntil(b"\r\n\r\n")
                 idle.append((reader, writer))
             began = asyncio.get_running_loop().time()
