--- a/ochrespan/net/__init__.py
+++ b/ochrespan/net/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's wire: its front, the chunk-server client and the discovery watch. Decides nothing."""
+"""Network I/O: the HTTP/1.1 server, the chunk-server client and the discovery watch. Makes no scheduling decisions."""
--- a/ochrespan/net/chunk_client.py
+++ b/ochrespan/net/chunk_client.py
@@ -1,4 +1,4 @@
-"""One exchange with a chunk server, and what came of it."""
+"""Client of chunk servers: one attempt and its outcome, and the loop of attempts for a request."""
 
 from __future__ import annotations
 
@@ -24,38 +24,36 @@
 
 log = logging.getLogger(__name__)
 
-MAX_BUFFERED_RESPONSE_BYTES = (
-    64 * 1024
-)  # bytes of an answer up to which it counts by its last byte, and a broken one is tried again
-MAX_COMPLETE_RESPONSE_BYTES = 1 << 20  # bytes of an answer that is needed whole, or that serves nothing
-UNKNOWN_LENGTH_WAIT = timedelta(seconds=0.1)  # from the first byte, for an answer without a length to turn out short
-READ_TIMEOUT = timedelta(seconds=5)  # of a chunk server within an answer that is being passed on
+# Up to this size, an attempt is measured at the last byte of its response, and a truncated response can be retried.
+MAX_BUFFERED_RESPONSE_BYTES = 64 * 1024
+MAX_COMPLETE_RESPONSE_BYTES = 1 << 20  # limit for responses that are validated as a whole, or are errors
+UNKNOWN_LENGTH_WAIT = timedelta(seconds=0.1)  # from the first byte, for the end of a response of unknown length
+READ_TIMEOUT = timedelta(seconds=5)  # without a byte from the chunk server in a streamed response
 
 
 @dataclass(slots=True)
 class UpstreamRequest:
-    """What goes to a chunk server, whichever attempt carries it."""
+    """A request to chunk servers, the same for each attempt."""
 
     method: str
-    target: str  # path and query, as on the wire
+    target: str  # path and query, undecoded
     body: bytes | StreamedBody = b""
     headers: CIMultiDict[str] = field(default_factory=CIMultiDict)
-    accepted_statuses: frozenset[int] = frozenset({200})  # the statuses that answer it
-    is_valid: Callable[[UpstreamResponse], bool] = lambda upstream_response: (
-        True
-    )  # whether a whole answer is what was asked for
-    may_stream: bool = False  # whether a long answer may be passed on as it comes
+    accepted_statuses: frozenset[int] = frozenset({200})  # statuses that count as success
+    is_valid: Callable[[UpstreamResponse], bool] = lambda upstream_response: True  # checks a complete response
+    may_stream: bool = False  # whether a long response may be streamed
 
 
 class ResponseRemainder:
-    """What is still to come of an answer."""
+    """The part of a response that has not been read yet."""
 
     def __init__(self, response: aiohttp.ClientResponse) -> None:
         self._response = response
-        self.length = response.content_length  # of the whole body, where it is told
+        self.length = response.content_length  # of the complete body in bytes, if declared
 
     async def segments(self) -> AsyncIterator[bytes]:
-        """As they come; reading waits while whoever takes them does. Raises what breaks the answer."""
+        """Yields received bytes, and reads no further while the consumer waits. Raises aiohttp's error or TimeoutError
+        if the response is truncated."""
         while True:
             async with asyncio.timeout(READ_TIMEOUT.total_seconds()):
                 segment = await self._response.content.readany()
@@ -64,13 +62,13 @@
             yield segment
 
     def close(self) -> None:
-        """A connection whose answer has not come whole is of no more use."""
+        """Closes the connection, which cannot be reused after an incomplete response."""
         self._response.close()
 
 
 @dataclass(slots=True)
 class UpstreamResponse:
-    """An answer of a chunk server: whole, or its first bytes and the rest."""
+    """A response of a chunk server: complete, or its first bytes and the remainder."""
 
     status: int
     body: bytes
@@ -91,7 +89,7 @@
     async def send(
         self, attempt: Attempt, upstream_request: UpstreamRequest
     ) -> tuple[Outcome, UpstreamResponse | None]:
-        """Makes the attempt: one message, at most one answer, never a second copy."""
+        """Makes the attempt: sends the request at most once, and returns the outcome with the response, if any."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         streamed_body = upstream_request.body if isinstance(upstream_request.body, StreamedBody) else None
@@ -114,13 +112,13 @@
                 upstream_response = await self._exchange(attempt, upstream_request, progress)
             status = self._status(upstream_response, upstream_request)
         except TimeoutError as error:
-            # aiohttp's own time-out is the one for connecting; ours ends the wait for an answer
+            # aiohttp enforces only the connect time-out; attempt.time_limit() ends the wait for a response
             connecting = isinstance(error, aiohttp.ConnectionTimeoutError) or not progress.written
             status = Status.CONNECT_FAILED if connecting else Status.TIMEOUT
-            if attempt.revoked and connecting:  # by us: it tells nothing of the chunk server
+            if attempt.revoked and connecting:  # cancelled by this front: no information about the chunk server
                 status = Status.MOOT
             await progress.abandon()
-        except asyncio.CancelledError:  # its client has left: aiohttp would close the connection once all is written
+        except asyncio.CancelledError:  # the client disconnected; aiohttp would first send the rest
             progress.abort()
             raise
         except StartNotAllowed:
@@ -129,15 +127,15 @@
         except aiohttp.ClientConnectorError:
             status = Status.CONNECT_FAILED
         except MalformedResponse as error:
-            # the node answers, though nothing that is of use: an error, which it may have run, and no sign of load
+            # the server responded, but invalidly: an error, not a sign of overload; it may have executed the request
             status = Status.ERROR if progress.written else Status.CONNECT_FAILED
-            if number := self._log_sampler.count("spoilt"):
-                log.info("answer spoilt", extra={"node": attempt.node, "why": str(error), "number": number})
+            if number := self._log_sampler.count("malformed response"):
+                log.info("malformed response", extra={"node": attempt.node, "why": str(error), "number": number})
             await progress.abandon()
         except (aiohttp.ClientError, OSError, ValueError) as error:
-            # a break before the last byte was written never ran; after it, it may have
+            # a request that broke before its last byte was written was not executed; after that it may have been
             status = Status.RESET if progress.written else Status.CONNECT_FAILED
-            log.debug("attempt broke", extra={"node": attempt.node, "why": repr(error)})
+            log.debug("attempt failed: connection broke", extra={"node": attempt.node, "why": repr(error)})
             await progress.abandon()
 
         def report_invalid(location: str, found: str, allowed: str) -> None:
@@ -149,7 +147,7 @@
                     "allowed": allowed,
                     "number": number,
                 }
-                log.warning("left out of an answer", extra=details)
+                log.warning("ignoring an invalid value in a response header", extra=details)
 
         headers = upstream_response.headers if upstream_response else {}
         outcome = Outcome(
@@ -185,20 +183,20 @@
                     read_bufsize=READ_SIZE_BYTES,
                 )
                 break
-            except UnusableConnection:  # nothing was sent: no attempt yet; each takes one connection out of the pool
+            except UnusableConnection:  # nothing was sent; each retry removes a connection from the pool
                 await progress.abandon()
         try:
-            if not progress.written:  # an answer to part of a request: its rest must not follow
+            if not progress.written:  # responded to a partial request: the rest must not be sent
                 upstream_response = await self._read_complete(response)
                 await progress.abandon()
                 if self._status(upstream_response, upstream_request) is not Status.FULL:
-                    raise MalformedResponse("an answer came before the request was whole")
+                    raise MalformedResponse("response before the request was completely sent")
                 return upstream_response
             if upstream_request.may_stream and response.status in upstream_request.accepted_statuses:
                 return await self._read_beginning(response)
-            return await self._read_complete(response)  # or not at all: a broken body is a reset
+            return await self._read_complete(response)  # raises if the body is truncated, which counts as a reset
         except BaseException:
-            response.close()  # the connection too: an abandoned exchange must not come back to the pool
+            response.close()  # and the connection: it must not return to the pool
             raise
 
     @staticmethod
@@ -212,7 +210,7 @@
 
     @staticmethod
     async def _read_beginning(response: aiohttp.ClientResponse) -> UpstreamResponse:
-        """A short answer whole; of a long one, or one that does not turn out short soon, the first bytes."""
+        """Reads a short response completely, otherwise a prefix; one of unknown length is short if it ends soon."""
         body, complete = bytearray(), False
         fits_buffer = response.content_length is not None and response.content_length <= MAX_BUFFERED_RESPONSE_BYTES
         max_bytes = 0 if response.content_length is not None and not fits_buffer else MAX_BUFFERED_RESPONSE_BYTES
@@ -243,8 +241,8 @@
 async def serve(
     broker: Broker, client: ChunkClient, request: Request, upstream_request: UpstreamRequest
 ) -> UpstreamResponse | Final:
-    """A request from its first attempt to its one final answer. Of one that has only begun, the rest is passed on
-    by the caller, who tells the broker when it is over."""
+    """Makes attempts until the request has its final result. If the response is streamed, the caller forwards the
+    remainder and reports its end to the broker."""
     streaming = False
     try:
         while True:
@@ -259,4 +257,4 @@
                 return upstream_response
     finally:
         if not streaming:
-            broker.abandon(request)  # nothing to do unless the client left or we broke
+            broker.abandon(request)  # no effect unless the client disconnected or an exception was raised
--- a/ochrespan/net/client_connection.py
+++ b/ochrespan/net/client_connection.py
@@ -1,7 +1,7 @@
-"""Stands between a client's connection and aiohttp's handler: what is no request never reaches the handler.
+"""Validates a client's connection before aiohttp's handler: only well-formed requests reach the handler.
 
-A connection costs a small object until its first request has come. It is owed little time: for its first byte, for
-the rest of a request, between requests.
+Until its first request is received, a connection costs only a small object. Short time-outs apply to its first byte,
+to the rest of a request and to the time between requests.
 """
 
 from __future__ import annotations
@@ -16,25 +16,25 @@
 
 from .framing import MalformedMessage, MessageFramer
 
-FIRST_BYTE_TIMEOUT = timedelta(seconds=2)  # from connecting
-REQUEST_TIMEOUT = timedelta(seconds=4)  # from connecting, or from its first byte, to the end of a request ...
-MIN_BODY_BYTES_PER_S = (
-    32 * 1024
-)  # ... and more by each byte of its body: bytes a second, half of what slow clients send
-WRITE_STALL_TIMEOUT = timedelta(seconds=10)  # for a client that takes none of its answer
+FIRST_BYTE_TIMEOUT = timedelta(seconds=2)  # since the connect
+REQUEST_TIMEOUT = timedelta(
+    seconds=4
+)  # for a request, from the connect or its first byte; each byte of body extends it
+MIN_BODY_BYTES_PER_S = 32 * 1024  # by its time at this rate, half the rate of slow clients
+WRITE_STALL_TIMEOUT = timedelta(seconds=10)  # for a client that reads nothing of its response
 IDLE_TIMEOUT = timedelta(seconds=2)  # between requests
-LINGER_TIMEOUT = timedelta(seconds=1)  # for a client to read the error that ends its connection
-MAX_DISCARDED_BYTES = 256 * 1024  # bytes read and thrown away meanwhile
-MAX_PIPELINED_BYTES = 16 * 1024  # bytes kept that come while a request is being answered
+LINGER_TIMEOUT = timedelta(seconds=1)  # for a client to read the error before the connection is closed
+MAX_DISCARDED_BYTES = 256 * 1024  # bytes read and discarded during the linger time
+MAX_PIPELINED_BYTES = 16 * 1024  # bytes buffered while a request is in progress
 
 
 class ConnectionState(Enum):
-    CONNECTED = "silent"  # nothing has come yet
-    READING = "reading"  # part of a request
-    BUSY = "busy"  # a request is being answered
-    WRITING = "writing"  # its answer is not yet all with the kernel: its client reads slowly
+    CONNECTED = "silent"  # no byte received yet
+    READING = "reading"  # a request is partly received
+    BUSY = "busy"  # a request is in progress
+    WRITING = "writing"  # the kernel has not taken the whole response yet: the client reads slowly
     IDLE = "quiet"  # between requests
-    CLOSING = "leaving"  # is being closed, or reads the error that ends it
+    CLOSING = "leaving"  # is being closed, or lingers so that the client can read an error
     CLOSED = "closed"
 
 
@@ -45,13 +45,11 @@
     ConnectionState.CLOSING: LINGER_TIMEOUT,
     ConnectionState.WRITING: WRITE_STALL_TIMEOUT,
 }
-FLUSH_CHECK_INTERVAL = timedelta(seconds=0.02)  # between looks at an answer that a client does not take at once
+FLUSH_CHECK_INTERVAL = timedelta(seconds=0.02)  # between checks of a response that is not flushed yet
 
 
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
-READ_SIZE_BYTES = (
-    32 * 1024
-)  # bytes read from a connection at once; asyncio's own 256 KiB on each would not fit into memory
+READ_SIZE_BYTES = 32 * 1024  # per read; asyncio's default of 256 KiB per connection would exceed the memory limit
 
 
 class RequestFramer(MessageFramer):
@@ -63,7 +61,7 @@
 
     @property
     def expects_continue(self) -> bool:
-        """Whether the client waits to be told to send the body."""
+        """Whether the client waits for 100 Continue before it sends the body."""
         return any(name == b"expect" and value.lower() == b"100-continue" for name, value in self.fields)
 
     def _has_no_body(self) -> bool:
@@ -80,10 +78,10 @@
         max_buffered_body_bytes: int,
         on_state_change: Callable[[ClientConnection], None],
     ) -> None:
-        """`make` gives a handler of aiohttp's server; `moved` hears of each new state, and of the end.
+        """`make_handler` creates an aiohttp handler; `on_state_change` is called on each state change and on close.
 
-        A request with up to `most_held` bytes of body is passed on once it is whole and alone; the body of a longer
-        one goes on as it comes. `most_body` bounds all bodies, where it is given.
+        A request with up to `max_buffered_body_bytes` of body is passed on once complete, and rejected if more data
+        follows. Longer bodies are streamed. `max_body_bytes` limits all bodies; None: unlimited.
         """
         self._make_handler, self._max_body_bytes, self._max_buffered_body_bytes, self._on_state_change = (
             make_handler,
@@ -91,21 +89,21 @@
             max_buffered_body_bytes,
             on_state_change,
         )
-        self.continue_sent = False  # the client has been told to send its body
+        self.continue_sent = False  # whether 100 Continue was sent for the current request
         self._loop = asyncio.get_running_loop()
         self.state, self.since = ConnectionState.CONNECTED, self._loop.time()
         self.handler: Any = None
         self.transport: asyncio.Transport | None = None
         self._framer: RequestFramer | None = None
-        self._request_buffer = bytearray()  # of the request that is being read
-        self._pipelined = bytearray()  # of what comes before its answer is out
+        self._request_buffer = bytearray()  # bytes of the current request that the handler has not received yet
+        self._pipelined = bytearray()  # bytes received before the current response is flushed
         self._discarded = 0
-        self._last_unsent = 0  # bytes of an answer at the last look
+        self._last_unsent = 0  # bytes of the response in the transport at the last check
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
-        if self._max_buffered_body_bytes:  # such bodies are bounded together, not by a budget of their own front
-            transport.max_size = READ_SIZE_BYTES  # type: ignore[attr-defined]  # there is no public way
+        if self._max_buffered_body_bytes:  # streaming fronts limit their buffers with a budget of their own
+            transport.max_size = READ_SIZE_BYTES  # type: ignore[attr-defined]  # no public API
         self._on_state_change(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -133,29 +131,29 @@
             self._read(data)
 
     def response_written(self) -> None:
-        """The answer is written; it is out once the kernel has it all."""
+        """Called when the response is written; it counts as sent once the kernel has taken all of it."""
         if self.state not in (ConnectionState.BUSY, ConnectionState.WRITING):
             return
         unsent = 0 if self._transport.is_closing() else self._transport.get_write_buffer_size()
         if unsent:
-            if self.state is ConnectionState.BUSY or unsent < self._last_unsent:  # it takes some: its time counts anew
+            if self.state is ConnectionState.BUSY or unsent < self._last_unsent:  # progress restarts the time-out
                 self._set_state(ConnectionState.WRITING)
             self._last_unsent = unsent
             self._loop.call_later(FLUSH_CHECK_INTERVAL.total_seconds(), self.response_written)
             return
-        if self._framer is not None:  # answered before its body had come; the handler closes
+        if self._framer is not None:  # responded before the body was received; the handler closes
             self._set_state(ConnectionState.CLOSING)
             return
         self._set_state(ConnectionState.IDLE)
         self.continue_sent = False
-        if len(self._pipelined) > MAX_PIPELINED_BYTES:  # what was not kept of them is missing somewhere in the middle
+        if len(self._pipelined) > MAX_PIPELINED_BYTES:  # bytes beyond the limit were dropped
             self.respond_with_error(HTTPStatus.BAD_REQUEST, "more came ahead of an answer than one request at a time")
         elif self._pipelined:
             pipelined, self._pipelined = bytes(self._pipelined), bytearray()
             self._read(pipelined)
 
     def expire(self) -> None:
-        """Its time is up, or its descriptor is needed."""
+        """Ends the connection because of a time-out, or because its descriptor is needed."""
         if self.state is ConnectionState.READING:
             self.respond_with_error(HTTPStatus.REQUEST_TIMEOUT, "the request did not come in time")
         elif self.state is ConnectionState.CLOSING:
@@ -178,7 +176,7 @@
         return self.transport
 
     def _set_state(self, state: ConnectionState) -> None:
-        # a first request has its time from connecting on: a silent beginning gains nothing
+        # the time-out of a first request counts from the connect: idling before it gains no time
         if (self.state, state) != (ConnectionState.CONNECTED, ConnectionState.READING):
             self.since = self._loop.time()
         self.state = state
@@ -193,7 +191,9 @@
             if self._max_buffered_body_bytes and self.state is ConnectionState.READING and consumed < len(data):
                 raise MalformedMessage("more came than the request that was announced")
         except MalformedMessage as error:
-            if self.state is ConnectionState.BUSY:  # the handler has its head: only a close can tell now
+            if (
+                self.state is ConnectionState.BUSY
+            ):  # the handler has the header section: an abort is the only signal left
                 self._transport.abort()
             else:
                 self.respond_with_error(error.status, str(error))
@@ -211,7 +211,7 @@
             self._transport.write(CONTINUE_RESPONSE)
 
     def _buffers_request(self, framer: RequestFramer) -> bool:
-        """Whether the request is still held until it is whole."""
+        """Whether the request is still buffered until it is complete."""
         if not self._max_buffered_body_bytes:
             return False
         body = len(self._request_buffer) - len(framer.header_section)
@@ -229,7 +229,7 @@
         self.handler.data_received(request_bytes)
 
     def respond_with_error(self, status: int, error: str) -> None:
-        """An error that the client can still read: the connection ends in two steps, so that none cuts it off."""
+        """Sends an error and half-closes: a close with unread input would reset the connection and lose the error."""
         http_status = HTTPStatus(status)
         self._framer, self._request_buffer = None, bytearray()
         self._transport.write(
--- a/ochrespan/net/client_session.py
+++ b/ochrespan/net/client_session.py
@@ -1,4 +1,4 @@
-"""The HTTP session to chunk servers: each request once, as it is, and how far it got."""
+"""The HTTP session to chunk servers: sends each request once, unmodified, and tracks how much of it was sent."""
 
 from __future__ import annotations
 
@@ -18,61 +18,61 @@
 from .request_bodies import StreamedBody
 from .responses import StrictResponseHandler, UnusableConnection
 
-# of the time after which chunk servers close idle connections. Nothing is sent on one that was idle for longer;
-# aiohttp sweeps the pool only once in that span, so the last of them is closed after up to twice as long.
+# Fraction of the chunk servers' idle timeout after which a pooled connection is not reused. aiohttp cleans the pool up
+# only once per that time, so that an idle connection is closed after up to twice as long.
 IDLE_FRACTION = 0.4
 
 
 class StartNotAllowed(aiohttp.ClientConnectionError):
-    """The attempt may not begin any more: nothing of it was sent."""
+    """The attempt may no longer start; nothing of it was sent."""
 
 
 @dataclass(slots=True)
 class SendProgress:
-    """How far the request of this exchange got."""
+    """How much of the request of this exchange was sent."""
 
-    may_start: Callable[[], bool]  # whether the attempt may still begin
-    on_written: Callable[[], None] = lambda: None  # to be told once, as the last byte leaves
-    body: StreamedBody | None = None  # where it is still coming from the client
+    may_start: Callable[[], bool]  # whether the attempt may still start
+    on_written: Callable[[], None] = lambda: None  # called once, when the last byte is written to the kernel
+    body: StreamedBody | None = None  # a body that is still being received from the client
     protocol: ResponseHandler | None = None
     transport: asyncio.Transport | None = None
-    handed_over: bool = False  # the last byte is the transport's
-    reported: bool = False  # that it left
+    handed_over: bool = False  # whether the transport has the last byte
+    reported: bool = False  # whether on_written was called
 
     def check_start(self) -> None:
-        """To be called right before the first byte is written: a connection may have come up late."""
+        """Must be called immediately before the first byte is written, because connecting may have taken long."""
         if not self.may_start():
-            raise StartNotAllowed("too late, or the attempt or its chunk server was taken back, before the first byte")
+            raise StartNotAllowed("deadline passed, attempt revoked or chunk server unavailable before the first byte")
         assert self.protocol is not None
         self.protocol.expect_response()  # type: ignore[attr-defined]
         self.protocol.on_drained = self.report_if_written  # type: ignore[attr-defined]
 
     def report_if_written(self) -> None:
-        """To be called whenever the last byte may have left."""
+        """Must be called whenever the last byte may have been written to the kernel."""
         if self.written and not self.reported:
             self.reported = True
             self.on_written()
 
     def check_handed_over(self) -> None:
-        """To be called in the turn of the first write, or right after it: a connection that broke in it took nothing.
-        What breaks it later is seen after that."""
+        """Must be called in the event loop turn of the first write, or right after it: if the connection broke in that
+        write, nothing was sent. Later failures are detected after this call."""
         assert self.transport is not None
         self.handed_over = not self.transport.is_closing()
         self.report_if_written()
 
     def abort(self) -> None:
-        """Nothing more leaves on this connection, of what the transport holds or the kernel."""
+        """Closes the connection and discards unsent bytes of the transport and of the kernel."""
         if self.transport is not None:
             sock = self.transport.get_extra_info("socket")
-            with suppress(OSError):  # else the kernel would go on sending what it has of half a request
+            with suppress(OSError):  # otherwise the kernel would still send its part of an incomplete request
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             self.transport.abort()
 
     async def abandon(self) -> None:
-        """Closes the connection before anything else is sent.
+        """Closes the connection before the next attempt is sent.
 
-        A closed transport keeps its socket until the loop's next turn, and one with bytes left to write for
-        longer. The next attempt was on its way before that: two attempts out at once for the chunk server.
+        A closed transport keeps its socket until the event loop's next turn, and longer with unsent bytes. The next
+        attempt was sent before that, so that the chunk server saw two attempts at once.
         """
         if self.transport is not None:
             self.abort()
@@ -80,7 +80,7 @@
 
     @property
     def written(self) -> bool:
-        """Whether the last byte left; what the kernel would not take keeps the protocol's writing paused."""
+        """Whether the kernel has the last byte; while it does not, writing is paused (the write buffer limit is 0)."""
         return self.handed_over and self.protocol is not None and not self.protocol.writing_paused
 
 
@@ -93,7 +93,7 @@
             conn.transport.set_write_buffer_limits(0)
         progress = SEND_PROGRESS.get()
         progress.protocol, progress.transport = conn.protocol, conn.transport
-        if self._body:  # the body's task begins to write, a turn of the loop later
+        if self._body:  # the body's task writes, one turn of the event loop later
             return await super().send(conn)
         progress.check_start()
         response = await super().send(conn)
@@ -112,17 +112,17 @@
             if conn.protocol is not None and conn.protocol.exception() is None:
                 progress.check_handed_over()
             return
-        progress.handed_over = True  # head and body go to the transport in one piece, before anything else happens
+        progress.handed_over = True  # aiohttp writes headers and body to the transport in one call, without an await
         asyncio.get_running_loop().call_soon(progress.check_handed_over)
         await super().write_bytes(writer, conn, content_length)
 
 
 class BoundedConnector(aiohttp.TCPConnector):
-    """Its limit holds for idle connections too; aiohttp's counts those in use alone, and the others, one chunk server
-    after the other, took the descriptors that clients need."""
+    """A connector whose limit includes idle connections. aiohttp's limit counts only those in use, and idle connections
+    to many chunk servers used up the descriptors that clients need."""
 
     async def _create_connection(self, req, traces, timeout):  # type: ignore[no-untyped-def]
-        # those in use, with the one that is to be made, are under the limit already
+        # aiohttp has already limited those in use, including the new one
         while self._conns and len(self._acquired) + sum(map(len, self._conns.values())) > self._limit:
             key, idle = min(self._conns.items(), key=lambda item: item[1][0][1])
             idle.popleft()[0].close()
@@ -132,14 +132,14 @@
 
 
 def open_session(settings: ConnectionSettings, max_connections: int) -> aiohttp.ClientSession:
-    """A session that sends each request once, as it is, and hands back what comes as it is."""
+    """Returns a session that sends each request once and unmodified, and does not decode responses."""
     connector = BoundedConnector(
         limit=max_connections,
         limit_per_host=0,
         keepalive_timeout=settings.idle_timeout.total_seconds() * IDLE_FRACTION,
         use_dns_cache=False,
     )
-    connector._factory = partial(StrictResponseHandler, loop=asyncio.get_running_loop())  # there is no public way
+    connector._factory = partial(StrictResponseHandler, loop=asyncio.get_running_loop())  # no public API
     session = aiohttp.ClientSession(
         connector=connector,
         request_class=TrackedRequest,
@@ -149,13 +149,13 @@
         skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding", "Content-Type"),
         timeout=aiohttp.ClientTimeout(total=None, sock_connect=settings.connect_timeout.total_seconds()),
     )
-    # aiohttp would send a GET or PUT again by itself when a kept connection drops: a second copy. It has no
-    # public switch for that; tests/test_chunk_client.py fails if this one stops working.
+    # aiohttp would resend a GET or PUT by itself when a pooled connection drops, a duplicate. It has no public switch
+    # for that; tests/test_chunk_client.py fails if this one stops working.
     session._retry_connection = False
     return session
 
 
 def set_connection_limit(session: aiohttp.ClientSession, max_connections: int) -> None:
-    """Another bound of its connections from now on."""
+    """Sets a new limit of connections."""
     assert session.connector is not None
-    session.connector._limit = max_connections  # there is no public way
+    session.connector._limit = max_connections  # no public API
--- a/ochrespan/net/discovery.py
+++ b/ochrespan/net/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery's list of chunk servers: the known one at the start, then a watch while the broker wants it."""
+"""The list of chunk servers: a stored list at the start, then updates from discovery by long polling."""
 
 from __future__ import annotations
 
@@ -20,29 +20,29 @@
 
 log = logging.getLogger(__name__)
 
-# What discovery has to tell counts as told 6 s later, or 2 s after the end of a call's wait. A watch that has fallen
-# silent is known by HEARD, so that the new one has 1.5 s and the time of a drain. The first call of a watch may
-# stand in discovery's queue, which takes 2 s at most, so it waits for less; those that follow stand in none.
-WATCH_CALL_TIMEOUT = timedelta(seconds=4.5)  # from a call to the end of its answer
-LONG_POLL_WAIT, FIRST_LONG_POLL_WAIT = (
-    timedelta(seconds=4),
-    timedelta(seconds=2),
-)  # how long discovery may hold a call open
+# A change counts as delivered 6 s after discovery publishes it, or 2 s after the end of a call's wait. A stalled watch
+# is detected after WATCH_CALL_TIMEOUT, which leaves 1.5 s, and the time of a drain, for a new one. The first call of a
+# watch may wait in discovery's queue for up to 2 s, so its long poll is shorter; later calls are not queued.
+WATCH_CALL_TIMEOUT = timedelta(seconds=4.5)  # from the start of a call to the end of its response
+# how long discovery may hold a call open until there is a change
+LONG_POLL_WAIT, FIRST_LONG_POLL_WAIT = timedelta(seconds=4), timedelta(seconds=2)
 CONNECT_TIMEOUT = timedelta(seconds=2)
-LIST_CALL_TIMEOUT = timedelta(seconds=2.5)  # for a list that discovery does not hold back
-MIN_CALL_INTERVAL = timedelta(milliseconds=100)  # least time between calls that bring nothing; a watch stands 200 ms
-MAX_LIST_BYTES = 4 << 20  # bytes
-MAX_LOGGED_PHASES = 8  # words for phases that are not known, each told once
-NO_SHARD = -1  # the cell of a server that holds no shard
+LIST_CALL_TIMEOUT = timedelta(seconds=2.5)  # for a complete list, which is no long poll
+MIN_CALL_INTERVAL = timedelta(
+    milliseconds=100
+)  # between calls without changes; discovery ends a watch after a gap of 200 ms
+MAX_LIST_BYTES = 4 << 20
+MAX_LOGGED_PHASES = 8  # limit of unknown phases that are logged, once each
+NO_SHARD = -1  # the `cell` of a server without a shard
 STATES_BY_PHASE = {"up": NodeState.READY, "draining": NodeState.DRAINING, "removed": NodeState.GONE}
 
 
 class InvalidList(ValueError):
-    """Discovery's answer cannot be read."""
+    """Discovery's response is invalid."""
 
 
 def read_node(entry: Any, path: str) -> tuple[Node, str]:
-    """One member of a list; `at` says where it stands."""
+    """Parses one member of a list into the node and its address; `path` is its location in the list, for errors."""
 
     def invalid(name: str, allowed: str) -> InvalidList:
         return InvalidList(f"{path}.{name}: found {str(entry.get(name))[:60]!r}, allowed: {allowed}")
@@ -71,7 +71,7 @@
     node = Node(
         id=entry["id"],
         shard=int(shard),
-        # a phase that is not known gets nothing new
+        # a server in an unknown phase gets no new requests
         state=STATES_BY_PHASE.get(str(entry.get("phase", "up")), NodeState.DRAINING),
         started_at=started_at,
         zone=str(entry.get("locality", "")),
@@ -81,7 +81,7 @@
 
 
 def read_list(listing: Any) -> tuple[bool, int, list[tuple[Node, str]]]:
-    """Whether it is complete, its revision, and its members; the first fault is told by its place."""
+    """Returns whether the list is complete, its revision, and its members. Raises InvalidList at the first fault."""
     if not isinstance(listing, dict):
         raise InvalidList(f"the list: found {str(listing)[:60]!r}, allowed: an object")
     for name, kind, allowed in (
@@ -92,41 +92,45 @@
         if not isinstance(listing.get(name), kind):
             raise InvalidList(f"{name}: found {str(listing.get(name))[:60]!r}, allowed: {allowed}")
     nodes_read = [read_node(entry, f"members[{i}]") for i, entry in enumerate(listing["members"])]
-    if listing["complete"]:  # changes may tell of one twice, in turn; a whole list has one word for each
+    if listing["complete"]:  # a delta may hold successive changes of one member; a complete list must not
         members: dict[str, tuple[Node, str]] = {}
         for i, member in enumerate(nodes_read):
             if members.setdefault(member[0].id, member) != member:
-                raise InvalidList(f"members[{i}].id: found {member[0].id!r} twice with different words, allowed: once")
+                raise InvalidList(
+                    f"members[{i}].id: found {member[0].id!r} twice with different contents, allowed: once"
+                )
     return listing["complete"], listing["revision"], nodes_read
 
 
 class Directory:
-    """Where the chunk servers listen; the watch keeps it, the client reads it."""
+    """The current list of chunk servers with their addresses: updated by the watch, read by the chunk client."""
 
     def __init__(self, suspended: SuspendedServers | None = None) -> None:
         self._suspended = suspended or SuspendedServers()
         self.addresses: dict[str, str] = {}
-        self.shards: dict[int, list[str]] = {}  # what runs, by shard, for fronts that place data themselves
+        self.shards: dict[
+            int, list[str]
+        ] = {}  # ids of ready servers, by shard, for the object API, which places data itself
         self._nodes: dict[str, Node] = {}
         self.revision: int | None = None
-        self._unknown_phases: set[str] = set()  # phases that are not known
+        self._unknown_phases: set[str] = set()  # those already logged
 
     def is_usable(self, node: str) -> bool:
-        """Whether something new may be sent there, as of now: an attempt may have waited since it was decided."""
+        """Whether a new attempt may be sent to this server now; that may have changed since the scheduler chose it."""
         entry = self._nodes.get(node)
         usable = entry is None or self._suspended.effective_entry(entry).state is NodeState.READY
         return node in self.addresses and usable
 
     def is_listed(self, server: str) -> bool:
-        """Whether the list names it."""
+        """Whether the list contains this chunk server."""
         return server in self._nodes
 
     def nodes(self) -> list[Node]:
-        """The list as the decisions are to see it: what is suspended by hand drains."""
+        """The list for the scheduler: servers that an operator has suspended are draining."""
         return [self._suspended.effective_entry(node) for node in self._nodes.values()]
 
     def apply(self, listing: Any) -> tuple[ListKind, list[Node]]:
-        """Takes in one of discovery's lists, whole or not at all."""
+        """Applies a list from discovery, completely or not at all. Raises InvalidList."""
         complete, revision, nodes_read = read_list(listing)
         for entry in listing["members"]:
             phase = str(entry.get("phase", "up"))[:32]
@@ -135,31 +139,33 @@
                 and phase not in self._unknown_phases
                 and len(self._unknown_phases) < MAX_LOGGED_PHASES
             ):
-                self._unknown_phases.add(phase)  # one line for each word, and not for any number of words
-                log.warning("a phase that is not known is taken as draining", extra={"phase": phase})
+                self._unknown_phases.add(phase)  # one line per phase, of a limited number of phases
+                log.warning("treating chunk servers in an unknown phase as draining", extra={"phase": phase})
         if complete:
             self._nodes = {}
         for node, address in nodes_read:
             self._nodes[node.id] = node
             if address:
                 self.addresses[node.id] = address
-            if node.state is NodeState.GONE:  # new ones come under new ids all day: nothing of the old may stay.
-                del self._nodes[node.id]  # An attempt just on its way there finds no address, and never ran.
+            if node.state is NodeState.GONE:  # new servers get new ids all day, so removed ones must not accumulate.
+                del self._nodes[
+                    node.id
+                ]  # An attempt that is about to be sent there finds no address and is not executed.
         self.addresses = {i: a for i, a in self.addresses.items() if i in self._nodes}
         self._group_by_shard()
         if not complete and self.revision is not None and revision < self.revision:
             log.warning(
-                "discovery counts anew: the whole list is asked for",
+                "revision of discovery went back; requesting the complete list",
                 extra={"place": "revision", "found": revision, "allowed": f"at least {self.revision}"},
             )
-            revision = None  # changes since another service's beginning; others may have been before them
+            revision = None  # the delta counts from the restart of discovery; earlier changes may be missing
         self.revision = revision
         return (ListKind.FULL if complete else ListKind.DELTA), [
             self._suspended.effective_entry(node) for node, _ in nodes_read
         ]
 
     def refresh(self) -> list[Node]:
-        """The whole list after a change of what is suspended."""
+        """Regroups the servers by shard after a change of the suspended ones, and returns the complete list."""
         self._group_by_shard()
         return self.nodes()
 
@@ -171,7 +177,7 @@
 
 
 def open_session() -> aiohttp.ClientSession:
-    """For the calls to discovery alone: its lists keep other bounds than chunk servers' answers."""
+    """Returns a session only for discovery, whose responses have other limits than those of chunk servers."""
     return aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=2, use_dns_cache=False),
         trust_env=False,
@@ -180,7 +186,7 @@
 
 
 class Watch:
-    """Calls discovery when the broker asks, and goes on calling for as long as the calls succeed."""
+    """Watches discovery: starts when the broker requests it, and continues while the calls succeed."""
 
     def __init__(
         self,
@@ -194,38 +200,38 @@
         self._broker, self._directory, self._session = broker, directory, session
         self._address = self._next_address = address
         self._requested = asyncio.Event()
-        self._calls_timeout: asyncio.Timeout | None = None  # round the calls that are under way
+        self._calls_timeout: asyncio.Timeout | None = None  # of the current watch, to interrupt it
         self._address_changed = False
         self._list_received = asyncio.Event()
         self._failures = LogSampler()
         broker.on_watch_requested(self._on_watch_requested)
 
     def load_known_list(self, listing: Any) -> None:
-        """The list as this front had it last; it may be old."""
+        """Loads the list that this front stored last; it may be outdated."""
         try:
             _, nodes = self._directory.apply(listing)
         except InvalidList as error:
-            log.warning("the known list cannot be read", extra={"why": str(error)})
+            log.warning("ignoring the stored list of chunk servers, which is invalid", extra={"why": str(error)})
             nodes = []
         self._broker.update_servers(ListKind.CACHED, nodes)
 
     def is_listed(self, server: str) -> bool:
-        """Whether the list names this chunk server."""
+        """Whether the list contains this chunk server."""
         return self._directory.is_listed(server)
 
     def target_counts(self) -> TargetCounts:
-        """Chunk servers in the list, and those of them that get nothing new or are backed off from."""
+        """Counts the chunk servers in the list, and those that are not ready or in backoff."""
         nodes, failing = self._directory.nodes(), self._broker.backing_off()
         avoided = [node for node in nodes if node.state is not NodeState.READY or node.id in failing]
         return TargetCounts(len(nodes), len(avoided))
 
     def resend_list(self) -> None:
-        """Tells the broker the known list anew. It is no news of discovery's, so the plan of calls stays."""
+        """Passes the current list to the broker again, as cached so that it does not affect the calls to discovery."""
         self._broker.update_servers(ListKind.CACHED, self._directory.refresh())
 
     def change_address(self, address: str) -> None:
-        """Goes on at another address when the broker wants: soon, since the old one is about to close, but not in
-        the moment in which all other fronts are told the same. The watch at the old one goes on until then."""
+        """Sets another address of discovery, used from the broker's next request on. That is soon, as the old address
+        will close, but spread over the fronts, which all get the change at once. The old watch goes on until then."""
         if address != self._next_address:
             self._next_address = address
             self._broker.update_servers(ListKind.MOVED)
@@ -241,7 +247,7 @@
             self._calls_timeout.reschedule(asyncio.get_running_loop().time())
 
     async def wait_for_first_list(self, span: timedelta) -> None:
-        """Waits for the first list, for so long."""
+        """Waits for the first list, for at most `span`."""
         with suppress(TimeoutError):
             async with asyncio.timeout(span.total_seconds()):
                 await self._list_received.wait()
@@ -249,27 +255,25 @@
     async def run(self) -> None:
         while True:
             await self._requested.wait()
-            if (
-                self._address != self._next_address
-            ):  # nodes and their connections stay, but what the revisions of the new
-                self._address, self._directory.revision = self._next_address, None  # service count is not known
+            if self._address != self._next_address:  # keeps nodes and connections; revisions differ between services
+                self._address, self._directory.revision = self._next_address, None
             try:
                 async with asyncio.timeout(None) as self._calls_timeout:
                     await self._watch()
             except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
-                if self._address_changed:  # no failure: the broker still waits for an answer
+                if self._address_changed:  # not a failure: the broker still waits for a list
                     continue
                 if number := self._failures.count("in a row"):
                     log.info("watch ended", extra={"why": f"{type(error).__name__}: {error}", "in_a_row": number})
-            except Exception:  # the list must go on whatever one answer did to us
-                log.exception("watch failed")
+            except Exception:  # an unexpected error must not end the updates
+                log.exception("watch of discovery failed unexpectedly")
             finally:
                 self._calls_timeout, self._address_changed = None, False
             self._requested.clear()
             self._broker.update_servers(ListKind.FAILED)
 
     async def _watch(self) -> None:
-        """Calls one after the other, each at once after the last: a gap of 200 ms would end the watch."""
+        """Makes successive calls without a pause: discovery ends a watch after a gap of 200 ms."""
         first, loop = True, asyncio.get_running_loop()
         while True:
             started_at = loop.time()
@@ -281,19 +285,19 @@
             if first or nodes or kind is ListKind.FULL:
                 self._broker.update_servers(kind, nodes)
             first = False
-            if not nodes:  # a discovery that does not hold its calls must not be asked in a tight loop
+            if not nodes:  # discovery may respond at once instead of holding the call: avoids a tight loop
                 await asyncio.sleep(max(0.0, (started_at + MIN_CALL_INTERVAL.total_seconds()) - loop.time()))
 
     async def _call(self, long_poll_wait: timedelta) -> Any:
         query, timeout_span = {}, LIST_CALL_TIMEOUT
-        # 0 is a revision like any other: taken for "none known" it made every call ask for the whole list at
-        # once, over and over, until discovery turned all fronts away
+        # 0 is a valid revision: treated as unknown, it made the front request the complete list in a loop until
+        # discovery rejected all fronts
         if self._directory.revision is not None:
             after, wait_ms = self._directory.revision, long_poll_wait // timedelta(milliseconds=1)
             query, timeout_span = {"after": str(after), "wait_ms": str(wait_ms)}, WATCH_CALL_TIMEOUT
         timeout = aiohttp.ClientTimeout(
             total=timeout_span.total_seconds(), sock_connect=CONNECT_TIMEOUT.total_seconds(), ceil_threshold=math.inf
-        )  # aiohttp moves a longer time-out to the next whole second of its clock
+        )  # aiohttp rounds longer time-outs up to a full second by default
         url = f"http://{self._address}/discovery/hosts"
         call = self._session.get(url, params=query, timeout=timeout, allow_redirects=False)
         async with call as response:
--- a/ochrespan/net/framing.py
+++ b/ochrespan/net/framing.py
@@ -1,7 +1,7 @@
-"""The framing of one HTTP/1.1 message, followed strictly through the bytes of a connection.
+"""Strict, incremental parsing of the framing of one HTTP/1.1 message.
 
-For both sides: requests of clients and answers of chunk servers. Whatever could be read in two ways is not read.
-What is read goes on in one form: chunks without extensions and trailers, which not every parser takes.
+Used for clients' requests and chunk servers' responses. An ambiguous message is rejected. Chunked bodies are forwarded
+without chunk extensions and trailers, which not every parser accepts.
 """
 
 from __future__ import annotations
@@ -9,17 +9,17 @@
 import re
 
 MAX_HEADER_SECTION_BYTES = 16 * 1024
-MAX_CHUNK_LINE_BYTES = 1024  # bytes of a chunk's size and its extensions
-MAX_TRAILER_SECTION_BYTES = 16 * 1024  # bytes of the fields behind the last chunk
+MAX_CHUNK_LINE_BYTES = 1024  # a chunk's size and its extensions
+MAX_TRAILER_SECTION_BYTES = 16 * 1024  # the fields after the last chunk
 CRLF = b"\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
 
 FIELD_LINE = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]+):[ \t]*([\t\x20-\x7e\x80-\xff]*)")
-CHUNK_SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,8})(?:[ \t]*;[\t\x20-\x7e\x80-\xff]*)?\r\n")  # a size, and extensions
+CHUNK_SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,8})(?:[ \t]*;[\t\x20-\x7e\x80-\xff]*)?\r\n")  # size; extensions
 
 
 class MalformedMessage(ValueError):
-    """Not a message, or not one within the bounds; `status` is what its sender may be told."""
+    """The message is malformed or exceeds a limit; `status` is the HTTP status for its sender, if it is a client."""
 
     def __init__(self, message: str, status: int = 400) -> None:
         super().__init__(message)
@@ -27,40 +27,40 @@
 
 
 class MessageFramer:
-    """One message, from its first byte to its last, however the bytes are cut."""
+    """Parses one message from its first byte to its last, in segments of any size."""
 
     START_LINE: re.Pattern[bytes]
 
     def __init__(self, max_body_bytes: int | None) -> None:
-        """`most_body` None: a body of any length."""
+        """`max_body_bytes` None: unlimited."""
         self._max_body_bytes = max_body_bytes
         self.header_section = bytearray()
-        self.start_line: re.Match[bytes] | None = None  # the first line, once the head is whole
-        self.fields: list[tuple[bytes, bytes]] = []  # names in small letters
+        self.start_line: re.Match[bytes] | None = None  # once the header section is complete
+        self.fields: list[tuple[bytes, bytes]] = []  # names in lower case
         self.complete = False
-        self.length: int | None = None  # of the body, where it is announced
-        self.delimited_by_close = False  # the end of the connection is the end of its body
-        self._remaining = 0  # bytes of the body, or of the chunk that has begun with its line's end
-        self._body_size: int | None = None  # of the body so far, where no length is told; None: one is
-        self._in_trailers = False  # the last chunk's size has come: trailers follow
-        self._partial_line = b""  # what has come of a line that tells a chunk's size, or of a trailer
-        self._trailer_size = 0  # bytes of trailers so far
-        self._output = bytearray()  # what may go on, and has not been handed over
+        self.length: int | None = None  # body length in bytes, if declared
+        self.delimited_by_close = False  # whether the body ends with the connection
+        self._remaining = 0  # bytes left of the body, or of the current chunk and its CRLF
+        self._body_size: int | None = None  # bytes of the body so far; None if its length is declared
+        self._in_trailers = False  # the last chunk's size line was received
+        self._partial_line = b""  # received bytes of a chunk size line or of a trailer
+        self._trailer_size = 0  # bytes of the trailer section so far
+        self._output = bytearray()  # bytes to forward that `take_output` has not returned yet
 
     def _is_possible_start(self) -> bool:
-        """Whether what has come of the head can be the beginning of one."""
+        """Whether the bytes received so far can be the start of a message."""
         raise NotImplementedError
 
     def _has_no_body(self) -> bool:
-        """Whether no body follows this head, whatever it says."""
+        """Whether no body follows, whatever the header section declares."""
         raise NotImplementedError
 
     def _announces_close(self) -> bool:
-        """Whether a head that tells no length says that its body goes on until the connection ends."""
+        """Whether a message without a declared length announces that its body ends with the connection."""
         return False
 
     def consume(self, data: bytes) -> int:
-        """Takes in what belongs to the message, and returns how many bytes that was."""
+        """Consumes the bytes that belong to the message, and returns their number."""
         consumed = 0
         if self.start_line is None:
             consumed = self._consume_header_section(data)
@@ -76,7 +76,7 @@
         return consumed
 
     def take_output(self) -> bytes:
-        """What has been taken in since the last call, as it is to go on; nothing before the head is whole."""
+        """Returns the bytes to forward since the last call; none before the header section is complete."""
         output, self._output = bytes(self._output), bytearray()
         return output
 
@@ -89,7 +89,7 @@
         if end < 0:
             if len(self.header_section) >= MAX_HEADER_SECTION_BYTES:
                 raise MalformedMessage("the head is too long", 431)
-            # a head whose lines end in another way would be waited for in vain
+            # a header section with bare LF would never be recognised as complete
             if self.header_section.count(b"\n") > self.header_section.count(b"\r\n"):
                 raise MalformedMessage("a line does not end as it should")
             return len(data)
@@ -113,7 +113,7 @@
         if self._has_no_body():
             lengths = [b"0"]
         elif codings:
-            if lengths or codings != [b"chunked"]:  # another message could hide in what one of the two leaves over
+            if lengths or codings != [b"chunked"]:  # request smuggling: the two could delimit different messages
                 raise MalformedMessage("the length is told in two ways, or in an unknown one")
             self._body_size = 0
             return
@@ -185,7 +185,7 @@
         self._remaining = size + len(CRLF) if size else 0
 
     def _consume_trailer(self, data: bytes, position: int) -> int:
-        """Fields behind the last chunk, up to an empty line."""
+        """Consumes the fields after the last chunk, up to an empty line."""
         position = self._consume_line(
             data, position, MAX_TRAILER_SECTION_BYTES - self._trailer_size, "the trailers are too long"
         )
@@ -200,7 +200,7 @@
         return position
 
     def _consume_line(self, data: bytes, position: int, limit: int, error: str) -> int:
-        """Takes in a line up to its end, or what there is of it."""
+        """Consumes a line up to its end, or the received part of it."""
         end = data.find(b"\n", position) + 1 or len(data)
         self._partial_line += data[position:end]
         if len(self._partial_line) > limit:
--- a/ochrespan/net/http1.py
+++ b/ochrespan/net/http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as exchanges, on aiohttp's low-level server."""
+"""Implements exchanges for HTTP/1.1 on aiohttp's low-level server."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
     async def send_continue(self) -> None:
         if self._connection is not None and self._connection.continue_sent:
-            return  # the connection has told it already
+            return  # the connection has sent it already
         writer = self._request.writer
         await writer.write(CONTINUE_RESPONSE)
         writer.output_size = 0
@@ -58,17 +58,17 @@
         if self.response is not None:
             self.response.force_close()
         if self._request.transport is not None:
-            self._request.transport.abort()  # the length is out: only a break says that bytes are missing
+            self._request.transport.abort()  # the length was sent: only an abort signals missing bytes
 
 
 class Http1Server:
-    """Makes the connections of one port."""
+    """Creates the connections of one port."""
 
     def __init__(
         self, handler: Handler, max_body_bytes: int | None, max_buffered_body_bytes: int | None = None
     ) -> None:
-        """`most_body`: of any request; those with up to `most_held` are handled once they are whole (left out: all,
-        where there is a bound)."""
+        """`max_body_bytes` limits any request body; None: unlimited. Requests with a body of up to
+        `max_buffered_body_bytes` are handled once complete; None: all requests, if there is a limit."""
         self._handler, self._max_body_bytes = handler, max_body_bytes
         self._max_buffered_body_bytes = (
             (max_body_bytes or 0) if max_buffered_body_bytes is None else max_buffered_body_bytes
@@ -90,7 +90,7 @@
             exchange = Http1Exchange(request, self._connections.get(request.protocol))
             reply = await self._handler(exchange)
             if reply is None:
-                assert exchange.response is not None, "neither a reply nor a streamed answer"
+                assert exchange.response is not None, "neither a reply nor a streamed response"
                 return exchange.response
             response = web.Response(status=reply.status, body=reply.body, headers=reply.headers)
             if reply.close:
@@ -98,7 +98,7 @@
             return response
         finally:
             if connection := self._connections.get(request.protocol):
-                self._loop.call_soon(connection.response_written)  # the answer is written in this turn of the loop
+                self._loop.call_soon(connection.response_written)  # the response is written in this turn of the loop
 
     def connection(self, on_state_change: Callable[[ClientConnection], None]) -> ClientConnection:
         def track(connection: ClientConnection) -> None:
--- a/ochrespan/net/listener.py
+++ b/ochrespan/net/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket whose connections stay under a bound, and none of which is owed more than a little time."""
+"""A listening socket with a connection limit, time-outs for each connection state, and eviction at the limit."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 log = logging.getLogger(__name__)
 
-SO_ATTACH_REUSEPORT_CBPF = 51  # Linux; the socket module does not name it
+SO_ATTACH_REUSEPORT_CBPF = 51  # Linux; not defined in the socket module
 RETURN_CONSTANT = 0x06  # BPF_RET | BPF_K, the only instruction of a filter
-NEWER_SOCKET_INDEX = 1  # of the sockets of a group, counted from 0
+NEWER_SOCKET_INDEX = 1  # index in the SO_REUSEPORT group, from 0
 
-RESERVED_DESCRIPTORS = 48  # descriptors for the rest: log, discovery, listeners, sinks, what is being closed
+RESERVED_DESCRIPTORS = 48  # for log, discovery, listeners, metric exporters and sockets that are closing
 BACKLOG = 1024
 PEER_CLOSED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-MAX_ACCEPTS_PER_TURN = 16  # connections taken in one turn of the loop: the rest of the program has its turns between
-CHECK_INTERVAL = timedelta(seconds=0.2)  # between looks at whose time is up
-EVICTION_AGES = {  # who has to go when a descriptor is needed, from what age on
+MAX_ACCEPTS_PER_TURN = 16  # so that accepting does not starve other tasks of the event loop
+CHECK_INTERVAL = timedelta(seconds=0.2)  # between checks for time-outs
+EVICTION_AGES = {  # in order of eviction: the minimum time in the state before a connection is evicted
     ConnectionState.CLOSING: timedelta(seconds=0.1),
     ConnectionState.CONNECTED: timedelta(seconds=0.2),
     ConnectionState.READING: timedelta(seconds=0.5),
@@ -36,31 +36,31 @@
 
 
 class Connection(Protocol):
-    """One client's connection, whichever protocol it speaks."""
+    """One client's connection, of any HTTP version."""
 
     state: ConnectionState
-    since: float  # when it entered the state, on the loop's clock
+    since: float  # time of the last state change, on the event loop's clock
     transport: asyncio.Transport | None
 
     @property
     def closing(self) -> bool: ...
 
     def expire(self) -> None:
-        """Its time is up, or its descriptor is needed."""
+        """Ends the connection because of a time-out, or because its descriptor is needed."""
 
 
 class Server(Protocol):
     def connection(self, on_state_change: Callable[[Any], None]) -> Any:
-        """A connection; `moved` hears of each new state, and of the end."""
+        """Creates a connection; `on_state_change` is called on each new state and on close."""
 
     async def shutdown(self, timeout: timedelta) -> None: ...
 
 
 def prefer_newest(listening_socket: socket.socket) -> None:
-    """Steers new connections to the second of the sockets that share an address.
+    """Directs new connections to the newer of two processes that share an address during an upgrade.
 
-    The filter names it by its place, which is that of the newer process of an upgrade. Where there is none at this
-    place the kernel deals by its own rule. What waits at the older socket stays there, and nothing is added to it.
+    The BPF filter selects the second socket by its index; without such a socket the kernel uses its default hash.
+    The backlog of the older socket stays there and gets no new connections.
     """
     instruction = struct.pack("HBBI", RETURN_CONSTANT, 0, 0, NEWER_SOCKET_INDEX)
     program = ctypes.create_string_buffer(instruction)
@@ -69,21 +69,24 @@
             socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, struct.pack("HP", 1, ctypes.addressof(program))
         )
     except OSError as error:
-        log.warning("connections are dealt to both processes of an upgrade", extra={"why": str(error)})
+        log.warning(
+            "cannot direct new connections to the newer process of an upgrade; the kernel distributes them to both",
+            extra={"why": str(error)},
+        )
 
 
 class Listener:
-    """Takes a connection only when there is room for it, and makes room where one is of little use.
+    """Accepts a connection only below its limit, and evicts connections without a complete request to stay below it.
 
-    What asyncio's own server does here, taking all that has come at once, runs out of descriptors when clients
-    connect by the hundreds, and then takes nobody for a second. Requests are never among what has to go.
+    asyncio's own server accepts the complete backlog at once: when clients connect by the hundreds, it runs out of
+    descriptors and then accepts nothing for a second. A request in progress is never evicted.
     """
 
     def __init__(self, server: Server, max_connections: int, max_idle: int | None = None) -> None:
-        """`most_quiet`: so many connections between requests are kept; those beyond go before their time."""
+        """`max_idle`: limit of connections between requests; beyond it the oldest are closed before their time-out."""
         self._server, self._max_connections = server, max(1, max_connections)
         self._max_idle = max_connections if max_idle is None else max_idle
-        # the longest in a state first
+        # in order of entry into the state, oldest first
         self._connections_by_state: dict[ConnectionState, dict[Connection, None]] = {
             state: {} for state in ConnectionState
         }
@@ -108,7 +111,7 @@
             return
         self._states[connection] = connection.state
         self._connections_by_state[connection.state][connection] = None
-        # clients hold a bounded number of connections: those that ask once and stay would leave the others none
+        # client connections are limited: clients that send one request and stay connected would block all others
         if (
             connection.state is ConnectionState.IDLE
             and len(self._connections_by_state[ConnectionState.IDLE]) > self._max_idle
@@ -121,19 +124,22 @@
                 return
 
     def _accept_one(self) -> bool:
-        """Whether one was taken: else none is waiting, or there is no room (and then we do not listen)."""
+        """Whether a connection was accepted. If not, the backlog is empty, or accepting pauses, as at the limit."""
         assert self._socket is not None
         if len(self._states) + len(self._accepting) >= self._max_connections and not self._evict_any():
-            self._pause_accepting()  # until somebody leaves
+            self._pause_accepting()  # until a connection closes
             if number := self._log_sampler.count("full"):
-                log.info("no room for a connection", extra={"most": self._max_connections, "number": number})
+                log.info(
+                    "connection limit reached; accepting is paused",
+                    extra={"most": self._max_connections, "number": number},
+                )
             return False
         try:
             sock, _ = self._socket.accept()
         except (BlockingIOError, InterruptedError, ConnectionAbortedError):
             return False
         except OSError as error:
-            log.warning("cannot take a connection", extra={"why": str(error)})
+            log.warning("cannot accept a connection", extra={"why": str(error)})
             self._pause_accepting()
             return False
         sock.setblocking(False)
@@ -145,13 +151,13 @@
     def _on_accepted(self, task: asyncio.Task[Any]) -> None:
         self._accepting.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            log.warning("a connection was lost as it came", extra={"why": repr(error)})
+            log.warning("setting up an accepted connection failed", extra={"why": repr(error)})
 
     def _evict_any(self) -> bool:
         return any(map(self._evict, EVICTION_AGES))
 
     def _evict(self, state: ConnectionState) -> bool:
-        """Whether one in this state could go: the one that has been in it for longest, if that is long enough."""
+        """Evicts the connection that is longest in this state, if it has reached the age; returns whether it did."""
         for oldest in list(self._connections_by_state[state]):
             if self._loop.time() - oldest.since <= EVICTION_AGES[state].total_seconds():
                 return False
@@ -161,8 +167,8 @@
 
     @staticmethod
     def _expire(connection: Connection) -> bool:
-        """Ends one whose time is up, or whose descriptor is needed. A request that has arrived on it, though nobody
-        has read it yet, is answered instead: its client would find it cut off."""
+        """Ends a connection and returns True, unless unread data is pending on an idle connection: that is a request to
+        be answered, and its client would see a reset."""
         transport = connection.transport
         idle = connection.state in (ConnectionState.IDLE, ConnectionState.CONNECTED)
         if idle and transport is not None and has_event(transport, select.POLLIN):
@@ -187,7 +193,7 @@
                     self._expire(connection)
         for connection in list(self._connections_by_state[ConnectionState.BUSY]):
             transport = connection.transport
-            # while a body waits to be taken nobody reads, and nobody would hear that its client has left
+            # while reading is paused for a body, asyncio does not notice that the client has disconnected
             if transport is not None and not transport.is_reading() and has_event(transport, PEER_CLOSED_EVENTS):
                 transport.abort()
         self._resume_accepting()
@@ -200,7 +206,7 @@
         return len(self._states) + len(self._accepting)
 
     async def open(self, address: tuple[str, int], shared: bool = False) -> None:
-        """`shared`: a second process may listen there; of two, the one that came last takes what is new."""
+        """`shared`: another process may listen on the same address; the newer one gets new connections."""
         (family, socket_type, protocol, _, socket_address), *_ = await self._loop.getaddrinfo(
             *address, type=socket.SOCK_STREAM
         )
@@ -216,13 +222,13 @@
         self._check_timeouts()
 
     def resize(self, max_connections: int, max_idle: int) -> None:
-        """Another bound from now on; who is there already may stay."""
+        """Sets new limits; existing connections are not closed."""
         self._max_connections, self._max_idle = max(1, max_connections), max_idle
 
     def close_idle(self, no_data_for: timedelta) -> None:
-        """Ends the connections between requests, and those on which nothing has come for so long.
+        """Closes connections between requests, and those that sent nothing for `no_data_for` since the connect.
 
-        One whose next request has arrived, though nobody has read it yet, is left to be answered.
+        A connection with an unread request stays open until the request is answered.
         """
         now = self._loop.time()
         idle = list(self._connections_by_state[ConnectionState.IDLE])
@@ -236,7 +242,7 @@
 
     @property
     def has_open_requests(self) -> bool:
-        """Whether a request, or its answer, is on its way on any connection: also one that nobody has read yet."""
+        """Whether any connection has an unread request, one in progress, or a response that is not flushed yet."""
         return bool(self._accepting) or any(self._has_open_request(connection) for connection in self._states)
 
     @staticmethod
@@ -251,7 +257,7 @@
         )
 
     def stop_accepting(self) -> bool:
-        """Takes all that has come already, and closes; False where there is no room for it yet: to be asked again."""
+        """Accepts the backlog and closes the socket; False if the limit prevents that now and the caller must retry."""
         if self._socket is None:
             return True
         poll = select.poll()
--- a/ochrespan/net/load_reports.py
+++ b/ochrespan/net/load_reports.py
@@ -1,4 +1,4 @@
-"""What answers tell beside their body: load reports and units served elsewhere. What is nonsense is left out."""
+"""Parsing of the response headers with load reports and with units served elsewhere. Invalid values are dropped."""
 
 from __future__ import annotations
 
@@ -8,26 +8,23 @@
 from ..settings import REPORT_NAMES
 
 LOAD_HEADER, ELSEWHERE_HEADER = "endpoint-load-metrics", "x-served-elsewhere"
-MAX_VALUE, MAX_UTILIZATION = (
-    1e6,
-    10.0,
-)  # no front has to do with more; one such figure would spoil all that is smoothed from it
-OnInvalid = Callable[[str, str, str], None]  # where, what was found, what is allowed
+MAX_VALUE, MAX_UTILIZATION = 1e6, 10.0  # beyond any real load; one larger value would distort the smoothed metrics
+OnInvalid = Callable[[str, str, str], None]  # location, found value, allowed values
 
 
 class LogSampler:
-    """Of what may come again and again, the 1st, 2nd, 4th, 8th ... of a kind are worth a line, with their number."""
+    """Limits log lines for repeated events: of each kind, the 1st, 2nd, 4th, 8th ... is logged, with its count."""
 
     def __init__(self) -> None:
-        self._counts: dict[str, int] = {}  # by kind: words of ours, never a peer's
+        self._counts: dict[str, int] = {}  # by kind; kinds are fixed texts of this program, never input from a peer
 
     def count(self, kind: str) -> int | None:
-        """Its number if it is worth a line."""
+        """Counts an event and returns its number if it is to be logged."""
         number = self._counts[kind] = self._counts.get(kind, 0) + 1
         return None if number & (number - 1) else number
 
     def reset(self, kind: str) -> None:
-        """It has ended: the next one is the first again."""
+        """Ends the series: the next event of this kind is the first again."""
         self._counts.pop(kind, None)
 
 
@@ -43,7 +40,7 @@
 
 
 def parse_load_report(value: str, on_invalid: OnInvalid) -> dict[str, float]:
-    """The figures of a load report under our names; those that the settings do not name may be anything."""
+    """Returns the values of a load report by internal name; values not named in the settings are not checked."""
     values = {}
     for item in value.removeprefix("TEXT").split(",") if value else ():
         name, separator, text = item.strip().partition("=")
@@ -60,5 +57,5 @@
 
 
 def parse_units(value: str, on_invalid: OnInvalid) -> float:
-    """Left out means none."""
+    """Returns the units; 0 if the header is missing or invalid."""
     return (parse_number(ELSEWHERE_HEADER, value, MAX_VALUE, on_invalid) or 0.0) if value else 0.0
--- a/ochrespan/net/platform.py
+++ b/ochrespan/net/platform.py
@@ -1,4 +1,4 @@
-"""The platform's protocol: reads a request, loops pick, send and report, writes the answer."""
+"""The platform's protocol: parses a request, has it served by chunk servers, and writes the response."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 TRACE_ID = re.compile(r"[\x21-\x7e]{1,128}")
 INTEGER = re.compile(r"-?[0-9]{1,9}")
 DECIMAL = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
-MAX_BUFFERED_BODY_BYTES = 64 * 1024  # bytes of a body with which a request is handled once it is whole
-CLIENT_WRITE_TIMEOUT = timedelta(seconds=10)  # for a client to take some of an answer that is passed on as it comes
-# what goes no further: the connection's own (RFC 9110, section 7.6.1), what this front reads or tells itself, and what
-# would ask for less than the whole answer
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # requests with bodies up to this size are handled once complete
+CLIENT_WRITE_TIMEOUT = timedelta(seconds=10)  # without progress of a client that reads a streamed response
+# Headers that are not forwarded: hop-by-hop headers (RFC 9110, section 7.6.1), those that this front reads or sets
+# itself, and those that could request less than the complete response.
 NOT_FORWARDED = frozenset(
     [
         "connection",
@@ -64,11 +64,11 @@
 
 
 class MalformedRequest(ValueError):
-    """The client's request cannot be read."""
+    """The client's request is invalid."""
 
 
 def single_header(request: Exchange, name: str) -> str:
-    """The header's value; a header that is there twice says nothing for certain."""
+    """Returns the header's value, empty if missing. A repeated header is ambiguous, and raises MalformedRequest."""
     values = request.headers.getall(name, [])
     if len(values) > 1:
         raise MalformedRequest(f"{name} is there more than once")
@@ -82,7 +82,7 @@
 
 
 def read_request(request: Exchange) -> Request:
-    """The core's request in the platform's headers."""
+    """Parses the platform's headers into a request for the broker."""
     found = REQUEST_PATH.fullmatch(request.target)
     if request.method not in ("GET", "PUT") or found is None:
         raise MalformedRequest("not a GET or PUT of a volume's data")
@@ -113,13 +113,13 @@
 
 
 def read_claim(request: Exchange) -> Claim:
-    """What the request says it is covered by (RFC 6750, section 2.1); its volume may say enough."""
+    """Returns the request's bearer token (RFC 6750, section 2.1); without one, its volume may identify the contract."""
     scheme, _, token = single_header(request, "Authorization").partition(" ")
     return Claim(token=token.strip() if scheme.lower() == "bearer" else "")
 
 
 def forwarded_headers(request: Exchange) -> CIMultiDict[str]:
-    """The headers that are for the chunk server, as they came: what makes a repeat known there is one of them."""
+    """Returns the headers to forward unchanged to the chunk server; they include the idempotency key."""
     connection_options = {
         name.strip().lower() for line in request.headers.getall("Connection", []) for name in line.split(",")
     }
@@ -139,25 +139,25 @@
 class PlatformFront:
     def __init__(self, core: CoreComponents) -> None:
         self._core, self._lifecycle = core, core.lifecycle
-        self._open_trace_ids: set[str] = set()  # the ids of the requests in hand
+        self._open_trace_ids: set[str] = set()  # of requests in progress
         self._body_budget = BodyBufferBudget(core.config.memory // BODY_MEMORY_DIVISOR)
 
     async def handle(self, request: Exchange) -> Reply | None:
-        """One final answer to whatever arrives, also when something of ours breaks."""
-        bind()  # the last request's words, on a connection that clients keep
+        """Responds to every request, also after an internal error."""
+        bind()  # clears the log fields of the previous request on a keep-alive connection
         with self._lifecycle.track_request():
             try:
                 reply = await self._route(request)
             except (MalformedRequest, Unacceptable) as error:
-                reply = Reply.text(400, f"{error}\n", close=True)  # whoever sends such things may as well start anew
+                reply = Reply.text(400, f"{error}\n", close=True)  # a client that sends invalid requests can reconnect
             except BadBody as error:
                 reply = Reply.text(error.status, f"{error}\n", close=True)
             except asyncio.CancelledError:
                 raise
             except Exception:
-                log.exception("request failed")
+                log.exception("request failed with an internal error")
                 reply = Reply(500)
-            if reply is not None:  # only after the whole answer; what is left of a body is not read
+            if reply is not None:  # closes after the response; the rest of the body is not read
                 reply.close = reply.close or self._lifecycle.closing or not request.body_ended
             return reply
 
@@ -168,9 +168,7 @@
         if self._core.govern_platform:
             core_request.claim = read_claim(request)
         trace_id = request.headers["X-Trace-Id"]
-        if (
-            trace_id in self._open_trace_ids
-        ):  # answers could not be told apart, and the other is not this client's to touch
+        if trace_id in self._open_trace_ids:  # the responses would be ambiguous; the open one may be another client's
             raise MalformedRequest("X-Trace-Id is that of an open request")
         self._open_trace_ids.add(trace_id)
         try:
@@ -217,7 +215,7 @@
     async def _stream_response(
         self, request: Exchange, core_request: Request, beginning: bytes, remainder: ResponseRemainder
     ) -> None:
-        """An answer that goes out as it comes; one that breaks ends its connection, so that its client can tell."""
+        """Streams a response to the client; if it breaks, aborts the connection so that the client notices."""
         broker = self._core.broker
         try:
             await request.start(200, {}, remainder.length, self._lifecycle.closing)
@@ -228,12 +226,12 @@
             await request.finish()
             broker.finish(core_request, complete=True)
         except (aiohttp.ClientPayloadError, aiohttp.ClientConnectionError, TimeoutError, OSError) as error:
-            log.info("answer broke off", extra={"why": repr(error)})
+            log.info("streamed response failed", extra={"why": repr(error)})
             broker.finish(core_request, complete=False)
             request.abort()
         finally:
             remainder.close()
-            broker.abandon(core_request)  # nothing to do unless its client left
+            broker.abandon(core_request)  # no effect unless the client disconnected
 
     @staticmethod
     async def _write(request: Exchange, segment: bytes) -> None:
--- a/ochrespan/net/request_bodies.py
+++ b/ochrespan/net/request_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of clients' requests: held whole while they are small, else passed on as they come."""
+"""Bodies of clients' requests: buffered completely if small, otherwise streamed."""
 
 from __future__ import annotations
 
@@ -9,45 +9,45 @@
 from ..exchange import BadBody, Exchange
 from .client_connection import MIN_BODY_BYTES_PER_S, REQUEST_TIMEOUT
 
-MAX_BODY_BYTES = 64 << 20  # bytes, twice the longest that is promised
-MAX_BUFFERED_BYTES = 1 << 20  # bytes of one body that are held, so that attempts can repeat it
-BODY_MEMORY_DIVISOR = 16  # of the process's memory, one part is for all held bodies together
+MAX_BODY_BYTES = 64 << 20  # twice the largest size that the platform specifies
+MAX_BUFFERED_BYTES = 1 << 20  # of one body; only a buffered body can be sent by more than one attempt
+BODY_MEMORY_DIVISOR = 16  # all buffered bodies together may use 1/16 of the process's memory limit
 
 
 class BodyBufferBudget:
-    """Bytes that all held bodies may have together."""
+    """Limit in bytes for all buffered bodies together."""
 
     def __init__(self, limit: int) -> None:
         self._available = limit
 
     def reserve(self, size: int) -> bool:
-        """Whether so many bytes more may be held; they are then."""
+        """Reserves `size` bytes if available; returns whether it did."""
         if size > self._available:
             return False
         self._available -= size
         return True
 
     def release(self, size: int) -> None:
-        """So many bytes are held no more."""
+        """Returns `size` bytes to the budget."""
         self._available += size
 
 
 @dataclass(slots=True)
 class BufferedBody:
-    """A whole body: each attempt can send it."""
+    """A complete body: each attempt can send it."""
 
     data: bytes
 
 
 @dataclass(slots=True)
 class StreamedBody:
-    """A body that is still coming: one attempt can send it, as it comes."""
+    """A body that is still being received: only one attempt can send it."""
 
     length: int | None
     _receiver: BodyReceiver
 
     async def segments(self) -> AsyncIterator[bytes]:
-        """All of it. Raises BadBody where the client sends too much or too slowly."""
+        """Yields the complete body. Raises BadBody if the client sends too much or too slowly."""
         yield self._receiver.take_buffer()
         while segment := await self._receiver.next_segment():
             yield segment
@@ -58,17 +58,17 @@
 
 @dataclass(slots=True)
 class BodyReceiver:
-    """Takes in the body of one request; what it holds counts on the budget until it is let go."""
+    """Receives the body of one request; buffered bytes count against the budget until `release`."""
 
     _request: Exchange
     _budget: BodyBufferBudget
     _buffer: bytearray = field(default_factory=bytearray)
-    _reserved: int = 0  # of the budget
-    _received_bytes: int = 0  # bytes that have come
+    _reserved: int = 0  # bytes of the budget
+    _received_bytes: int = 0
     _started_at: float = field(default_factory=lambda: asyncio.get_running_loop().time())
 
     async def receive(self) -> Body:
-        """The whole body, or one that goes on where it is too long to be held."""
+        """Returns the complete body, or a streamed body if it is too long to be buffered."""
         while segment := await self.next_segment():
             self._buffer += segment
             if len(self._buffer) > MAX_BUFFERED_BYTES or not self._reserve(len(segment)):
@@ -76,7 +76,7 @@
         return BufferedBody(self.take_buffer())
 
     async def next_segment(self) -> bytes:
-        """What has come, at least a byte; empty at the end. Raises BadBody."""
+        """Returns received bytes, at least one; empty at the end. Raises BadBody."""
         if not self._request.has_body:
             return b""
         try:
@@ -92,12 +92,12 @@
         return segment
 
     def take_buffer(self) -> bytes:
-        """What is held, which is handed over."""
+        """Returns and clears the buffer."""
         data, self._buffer = bytes(self._buffer), bytearray()
         return data
 
     def release(self) -> None:
-        """The request is over."""
+        """Returns the reserved bytes to the budget, at the end of the request."""
         self._budget.release(self._reserved)
         self._reserved = 0
 
--- a/ochrespan/net/responses.py
+++ b/ochrespan/net/responses.py
@@ -1,7 +1,7 @@
-"""Reads the answers of chunk servers strictly, byte by byte of their framing, before aiohttp sees them.
+"""Strict validation of the framing of chunk servers' responses, before aiohttp parses them.
 
-aiohttp's own parser for answers forgives much, and takes bytes that come between two requests for the next answer.
-Here an answer is within bounds and alone, or its attempt has failed and its connection is never used again.
+aiohttp's response parser is lenient, and takes bytes that arrive between two requests for the next response.
+Here a response that is malformed or exceeds a limit fails its attempt, and surplus bytes close the connection.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 
 from .framing import MalformedMessage, MessageFramer
 
-MAX_RESPONSE_BODY_BYTES = 64 << 20  # twice the longest that is promised; what is far beyond that may never end
-READ_SIZE_BYTES = (
-    32 * 1024
-)  # bytes read from a connection at once; asyncio's own 256 KiB on each would not fit into memory
+MAX_RESPONSE_BODY_BYTES = (
+    64 << 20
+)  # twice the largest size that the platform specifies; a body far beyond that may be endless
+READ_SIZE_BYTES = 32 * 1024  # per read; asyncio's default of 256 KiB per connection would exceed the memory limit
 
 STATUS_LINE_START = b"HTTP/1."
 
 
 class MalformedResponse(aiohttp.ClientPayloadError):
-    """An answer that cannot be read: the request may have run, and the connection is of no more use."""
+    """The response cannot be parsed: the request may have been executed, and the connection cannot be reused."""
 
 
 class UnusableConnection(aiohttp.ClientConnectionError):
-    """A kept connection that was found unusable before anything was sent on it."""
+    """A pooled connection was found closed or with unsolicited data before anything was sent on it."""
 
 
 class ResponseFramer(MessageFramer):
@@ -45,17 +45,17 @@
         )
 
     def _announces_close(self) -> bool:
-        # one that does not say that it ends the connection could be any answer that lost its length on the way
+        # without "Connection: close" it could be any response whose length was lost on the way
         options = b",".join(value for name, value in self.fields if name == b"connection").lower()
         return b"close" in map(bytes.strip, options.split(b","))
 
 
 class ResponseReader:
-    """One answer, from its first byte to its last; 1xx heads before it are skipped."""
+    """Validates one response from its first byte to its last; skips 1xx responses before it."""
 
     def __init__(self) -> None:
         self._framer = ResponseFramer(MAX_RESPONSE_BODY_BYTES)
-        self.surplus = b""  # what came behind the answer
+        self.surplus = b""  # bytes received after the end of the response
 
     @property
     def complete(self) -> bool:
@@ -63,11 +63,14 @@
 
     @property
     def delimited_by_close(self) -> bool:
-        """Whether only the end of the connection is the end of this answer."""
+        """Whether the end of this response is marked only by the end of the connection."""
         return self._framer.delimited_by_close
 
     def feed(self, data: bytes) -> bytes:
-        """What can be passed on now: the head once it is whole, then the body as it comes. Raises Spoilt."""
+        """Returns the bytes to pass to aiohttp: the header section once complete, then the body as it is received.
+
+        Raises MalformedResponse.
+        """
         output = bytearray()
         try:
             while data and not self._framer.complete:
@@ -82,7 +85,7 @@
         consumed = framer.consume(data)
         if framer.start_line and framer.start_line[1][0:1] == b"1":
             if framer.start_line[1] == b"101":
-                raise MalformedMessage("a change of protocol was not asked for")
+                raise MalformedMessage("unsolicited switch of protocols")
             self._framer = ResponseFramer(MAX_RESPONSE_BODY_BYTES)
         else:
             output += framer.take_output()
@@ -90,22 +93,22 @@
 
 
 class StrictResponseHandler(ResponseHandler):
-    """aiohttp's handler of a connection, given answers that can be read, and nothing that was not asked for."""
+    """aiohttp's protocol for a connection, which receives only well-formed responses and no unsolicited data."""
 
-    _reader: ResponseReader | None = None  # while an answer is awaited
-    on_drained: Callable[[], None] | None = None  # to be told when the kernel has all that was written
+    _reader: ResponseReader | None = None  # while a response is expected
+    on_drained: Callable[[], None] | None = None  # called when the kernel has taken all written bytes
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        transport.max_size = READ_SIZE_BYTES  # type: ignore[attr-defined]  # there is no public way
+        transport.max_size = READ_SIZE_BYTES  # type: ignore[attr-defined]  # no public API
 
     def expect_response(self) -> None:
-        """To be called right before the first byte of a request is written."""
+        """Must be called immediately before the first byte of a request is written."""
         transport = self.transport
         if transport is None or transport.is_closing() or has_event(transport, select.POLLIN):
             if transport is not None:
                 transport.abort()
-            raise UnusableConnection("the connection has been closed or holds what was not asked for")
+            raise UnusableConnection("the connection is closed or has unsolicited data")
         self._reader = ResponseReader()
 
     def resume_writing(self) -> None:
@@ -114,7 +117,7 @@
             self.on_drained()
 
     def data_received(self, data: bytes) -> None:
-        if not data:  # aiohttp resumes what it paused
+        if not data:  # aiohttp resumes reading after a pause
             super().data_received(data)
             return
         reader = self._reader
@@ -134,10 +137,10 @@
             self._abort_connection()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """An answer that the connection's end makes whole may lack its tail where that end was a reset."""
+        """A response that ends with the connection may be truncated if the connection was reset."""
         reader, self._reader = self._reader, None
         if reader is not None and reader.delimited_by_close and exc is not None:
-            self._fail_payload(aiohttp.ClientPayloadError("the connection was reset before its end"))
+            self._fail_payload(aiohttp.ClientPayloadError("the connection was reset before the end of the response"))
         super().connection_lost(exc)
 
     def _fail_response(self, error: MalformedResponse) -> None:
@@ -147,19 +150,19 @@
         self._abort_connection()
 
     def _fail_payload(self, error: aiohttp.ClientPayloadError) -> None:
-        """Whoever reads a body that has begun sees that it is not whole."""
+        """Makes the reader of a started body fail, because the body is incomplete."""
         if self._payload is not None and not self._payload.is_eof():
             self._payload.set_exception(error)
 
     def _abort_connection(self) -> None:
-        """The connection may bring anything now; its socket closes before anything else can be sent on it."""
+        """Closes the connection, which may deliver arbitrary data from now on, before anything else is sent on it."""
         self.force_close()
         if self.transport is not None:
             self.transport.abort()
 
 
 def has_event(transport: Any, events: int) -> bool:
-    """Whether the kernel has it for the connection's socket, though the loop may not have seen it yet."""
+    """Whether one of the poll events is pending on the socket, even if the event loop has not processed it yet."""
     descriptor = transport.get_extra_info("socket").fileno()
     if descriptor < 0:
         return False
--- a/tests/test_chunk_client.py
+++ b/tests/test_chunk_client.py
@@ -247,7 +247,11 @@
                 outcome, answer = await client.send(attempt, UpstreamRequest("GET", "/x"))
                 assert outcome.status is Status.OK and answer.body == b"ok"
                 assert outcome.load == {"util": 0.5} and outcome.elsewhere == 0
-        lines = [record for record in caplog.records if record.getMessage() == "left out of an answer"]
+        lines = [
+            record
+            for record in caplog.records
+            if record.getMessage() == "ignoring an invalid value in a response header"
+        ]
         assert [(line.place, line.number) for line in lines[:2]] == [
             ("endpoint-load-metrics.depth", 1),
             ("x-served-elsewhere", 1),
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -121,7 +121,7 @@
             requests = [harness.send_request(f"t{number}") for number in range(60)]
             assert {status for status, _, _ in await asyncio.gather(*requests)} == {200}
             assert len(list(Path(f"/proc/{harness.process.pid}/fd").iterdir())) < 200
-            assert "cannot take" not in harness.log
+            assert "cannot accept" not in harness.log
             for reader, _ in idle:  # none is kept for good
                 with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                     await asyncio.wait_for(reader.readexactly(100_000), 20)
