--- a/tests/test_chunk_client.py
+++ b/tests/test_chunk_client.py
@@ -1,4 +1,4 @@
-"""What one exchange with a chunk server counts as."""
+"""Outcomes of attempts, as the client of chunk servers classifies them."""
 
 import asyncio
 import socket
@@ -21,11 +21,11 @@
 from .front_harness import StubChunkServer, is_open, run_scenario
 
 CONNECTIONS = ConnectionSettings(timedelta(seconds=0.5), timedelta(seconds=15))
-UNREADABLE_SIZE = 32 << 20  # far more than the kernel takes for a peer that does not read
+UNREADABLE_SIZE = 32 << 20  # bytes; far more than the kernel buffers for a peer that does not read
 
 
 @pytest.mark.parametrize(("size", "expected"), [(UNREADABLE_SIZE, Status.CONNECT_FAILED), (100, Status.RESET)])
-def test_a_break_before_the_last_byte_was_written_never_ran(size, expected):
+def test_connection_lost_before_the_last_byte_was_written_counts_as_not_executed(size, expected):
     async def scenario():
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
@@ -46,12 +46,12 @@
     run_scenario(scenario())
 
 
-def test_a_connection_that_never_comes_up_counts_as_not_connected():
+def test_connect_timeout_counts_as_connect_failed():
     async def scenario():
         with socket.socket() as listener:
             listener.bind(("127.0.0.1", 0))
             listener.listen(0)
-            sockets = [socket.socket() for _ in range(4)]  # its backlog: what comes later waits for ever
+            sockets = [socket.socket() for _ in range(4)]  # fill the backlog, so that later connects do not complete
             for sock in sockets:
                 sock.setblocking(False)
                 sock.connect_ex(listener.getsockname())
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize(("idle_timeout", "expected"), [(timedelta(seconds=1), 2), (timedelta(seconds=100), 1)])
-def test_a_connection_is_not_used_once_it_was_idle_for_a_good_part_of_the_limit(idle_timeout, expected):
+def test_pooled_connection_is_not_reused_after_a_fraction_of_the_idle_timeout(idle_timeout, expected):
     async def scenario():
         node = StubChunkServer(0)
         node.default_response = "any"
@@ -86,8 +86,8 @@
     run_scenario(scenario())
 
 
-def test_idle_connections_count_and_the_one_that_rested_longest_goes_first():
-    """With more chunk servers than descriptors for them, the idle ones took those of clients."""
+def test_idle_connections_count_against_the_limit_and_the_oldest_is_closed_first():
+    """With more chunk servers than descriptors for them, idle connections used up the descriptors for clients."""
 
     async def scenario():
         nodes, directory = [StubChunkServer(i) for i in range(9)], Directory()
@@ -101,29 +101,31 @@
             for number in range(18):
                 attempt = Attempt(request, number, nodes[number % 9].id, timedelta(seconds=5))
                 assert (await client.send(attempt, UpstreamRequest("GET", "/x")))[0].status is Status.OK
-                await asyncio.sleep(0.02)  # what is closed has gone
+                await asyncio.sleep(0.02)  # lets closed connections disappear
                 open_count = sum(is_open(sock) for node in nodes for sock in node.connection_sockets)
                 assert open_count == min(4, number + 1)
-            last_attempt = Attempt(request, 18, nodes[5].id, timedelta(seconds=5))  # the oldest of the four
+            last_attempt = Attempt(
+                request, 18, nodes[5].id, timedelta(seconds=5)
+            )  # its connection is the oldest of the four
             assert (await client.send(last_attempt, UpstreamRequest("GET", "/x")))[0].status is Status.OK
         assert [node.connections for node in nodes] == [2] * 9
 
     run_scenario(scenario())
 
 
-def test_an_attempt_taken_back_before_it_began_sends_nothing():
+def test_attempt_revoked_before_its_start_sends_nothing():
     async def scenario():
         async with open_session(CONNECTIONS, 10) as session:
             attempt = Attempt(Request("v", "read", "gold", timedelta(seconds=5)), 0, "n", timedelta(seconds=5))
             attempt.revoke()
             outcome, _ = await ChunkClient(session, Directory()).send(attempt, UpstreamRequest("GET", "/x"))
-        assert outcome.status is Status.MOOT  # it never ran
+        assert outcome.status is Status.MOOT  # not executed
 
     run_scenario(scenario())
 
 
-def test_an_attempt_can_be_taken_back_while_its_limit_runs_out():
-    """It raised within the core, which then dropped the module's other actions: those requests got no answer."""
+def test_attempt_can_be_revoked_while_its_timeout_expires():
+    """revoke() raised in the broker, which dropped the scheduler's other actions; their requests got no response."""
 
     async def scenario():
         attempt = Attempt(Request("v", "read", "gold", timedelta(seconds=5)), 0, "n", timedelta(milliseconds=1))
@@ -139,8 +141,8 @@
     run_scenario(scenario())
 
 
-def test_an_abandoned_attempt_is_closed_before_the_next_can_be_sent():
-    """The next attempt went out in the same turn of the loop, with the old connection still open."""
+def test_connection_of_an_abandoned_attempt_is_closed_before_the_next_attempt():
+    """The next attempt was sent in the same turn of the event loop, while the old connection was still open."""
 
     async def scenario():
         connections = []
@@ -160,8 +162,8 @@
 
 @pytest.mark.parametrize("body", [b"", b"some"])
 @pytest.mark.parametrize("is_read", [True, False])
-def test_what_comes_between_two_requests_answers_neither(is_read, body):
-    """aiohttp keeps it for the next request; unseen in the kernel it would be read as that one's answer."""
+def test_unsolicited_response_between_two_requests_is_dropped(is_read, body):
+    """aiohttp keeps it for the next request; still unread in the kernel, it would be taken for that one's response."""
     answer = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"
     first_received, surplus_sent = threading.Event(), threading.Event()
 
@@ -203,7 +205,7 @@
 @pytest.mark.parametrize(
     ("value", "values", "faults"),
     [
-        # the names are those of the settings' Report.Columns; under others every figure was dropped
+        # names from the settings' Report.Columns; with other names every value was dropped
         ("TEXT concurrent=7, depth=2, load_share=0.61", {"inflight": 7, "queue": 2, "util": 0.61}, []),
         ("TEXT depth=nan, load_share=, odd=x, tps=1e999,=", {}, [".depth", ".load_share", ".tps"]),
         ("TEXT depth=-1, load_share=1e300, concurrent=3", {"inflight": 3}, [".depth", ".load_share"]),
@@ -211,7 +213,7 @@
         ("", {}, []),
     ],
 )
-def test_load_reports_are_read_as_far_as_they_can_be_and_the_rest_is_told_by_place(value, values, faults):
+def test_load_report_keeps_valid_values_and_reports_invalid_ones_by_location(value, values, faults):
     reported = []
     assert parse_load_report(value, lambda *fault: reported.append(fault)) == values
     assert [where.removeprefix("endpoint-load-metrics") for where, _, _ in reported] == faults
@@ -222,13 +224,13 @@
     ("value", "units", "faults"),
     [("3.5", 3.5, 0), ("", 0, 0), ("-4", 0, 1), ("nan", 0, 1), ("1e999", 0, 1), ("x" * 9999, 0, 1)],
 )
-def test_units_served_elsewhere_that_are_nonsense_are_none(value, units, faults):
+def test_invalid_units_served_elsewhere_count_as_none(value, units, faults):
     reported = []
     assert parse_units(value, lambda *fault: reported.append(fault)) == units
     assert len(reported) == faults and all(len(found) <= 60 for _, found, _ in reported)
 
 
-def test_nonsense_beside_answers_harms_none_of_them_and_writes_few_lines(caplog):
+def test_invalid_response_headers_do_not_affect_responses_and_log_few_lines(caplog):
     async def scenario():
         node = StubChunkServer(0)
         await node.start()
@@ -262,7 +264,7 @@
 
 
 class ManualChunkServer:
-    """A chunk server that takes a connection, or bytes of one, only when the test says so."""
+    """A chunk server that accepts connections and reads bytes only when the test requests it."""
 
     def __init__(self, backlog: int = 8) -> None:
         self.listener = socket.socket()
@@ -283,7 +285,7 @@
 
     @staticmethod
     async def read_rest(sock: socket.socket) -> bytes:
-        """All that ever comes."""
+        """Reads to the end of the connection."""
         received = b""
         with suppress(ConnectionError):
             while some := await asyncio.wait_for(asyncio.get_running_loop().sock_recv(sock, 1 << 20), 8):
@@ -296,9 +298,9 @@
 
 
 @pytest.mark.parametrize("size", [UNREADABLE_SIZE, 200_000])
-def test_of_a_request_that_was_partly_written_nothing_more_leaves_after_its_client_went(size):
-    """aiohttp closes a cancelled connection once all is written: the chunk server got it whole, and ran it.
-    The smaller one fits the kernel's buffer: there it would go on without us."""
+def test_partly_written_request_is_not_continued_after_its_client_disconnected(size):
+    """aiohttp closes a cancelled connection only after writing everything, so the chunk server executed the request.
+    The smaller one fits into the kernel's buffer, which would be sent even after a close."""
 
     async def scenario():
         server = ManualChunkServer()
@@ -307,7 +309,7 @@
                 ChunkClient(session, server.directory).send(attempt_at(), UpstreamRequest("PUT", "/x", bytes(size)))
             )
             sock = await server.accept()
-            await asyncio.get_running_loop().sock_recv(sock, 10)  # it has begun
+            await asyncio.get_running_loop().sock_recv(sock, 10)  # sending has started
             task.cancel()
             with pytest.raises(asyncio.CancelledError):
                 await task
@@ -318,7 +320,7 @@
 
 
 @pytest.mark.parametrize("revoked", [False, True])
-def test_an_attempt_whose_last_byte_was_not_written_in_its_time_never_ran(revoked):
+def test_attempt_not_completely_written_in_time_counts_as_not_executed(revoked):
     async def scenario():
         server = ManualChunkServer()
         async with open_session(CONNECTIONS, 10) as session:
@@ -341,13 +343,13 @@
 
 @pytest.mark.parametrize("body", [b"", b"some"])
 @pytest.mark.parametrize("phase", ["draining", "removed", "up"])
-def test_what_is_told_while_a_connection_comes_up_is_looked_at_before_the_first_byte(phase, body):
-    """A connection that came up late began a send long after its chunk server was told to drain."""
+def test_phase_change_during_connect_is_checked_before_the_first_byte(phase, body):
+    """After a slow connect, an attempt was sent long after its chunk server had started to drain."""
 
     async def scenario():
         server = ManualChunkServer(backlog=0)
         async with open_session(ConnectionSettings(timedelta(seconds=8), timedelta(seconds=15)), 10) as session:
-            first = socket.socket()  # fills the backlog: whoever comes now waits until it has been taken
+            first = socket.socket()  # fills the backlog: the next connect waits until this one is accepted
             first.connect(server.listener.getsockname())
             task = asyncio.create_task(
                 ChunkClient(session, server.directory).send(attempt_at(), UpstreamRequest("PUT", "/x", body))
@@ -371,8 +373,8 @@
 
 @pytest.mark.parametrize("body", [b"", b"some"])
 @pytest.mark.parametrize(("begin_within_s", "expected"), [(None, Status.OK), (8, Status.OK), (0.2, Status.MOOT)])
-def test_an_attempt_that_has_to_begin_by_a_time_does_not_begin_later(begin_within_s, expected, body):
-    """A repeat of a keyed request left in time; its connection came up after the time in which it is known as one."""
+def test_attempt_does_not_start_after_its_latest_start_time(begin_within_s, expected, body):
+    """A slow connect delayed a retry beyond the time in which the server recognises its idempotency key."""
 
     async def scenario():
         server = ManualChunkServer(backlog=0)
@@ -402,8 +404,8 @@
     ("head", "expected"),
     [(b"503 X\r\nX-Never-Ran: 1", Status.FULL), (b"200 X", Status.CONNECT_FAILED), (b"500 X", Status.CONNECT_FAILED)],
 )
-def test_an_answer_to_half_a_request_ends_it_and_its_other_half_never_leaves(head, expected):
-    """The front waited for the chunk server to take the rest, until the attempt's time was up."""
+def test_response_to_a_partial_request_ends_it_and_the_rest_is_not_sent(head, expected):
+    """The front waited for the chunk server to read the rest, until the attempt timed out."""
 
     async def scenario():
         server = ManualChunkServer()
@@ -438,10 +440,10 @@
         ("ended", b"close", b"x" * MAX_RESPONSE_BODY_BYTES, Status.ERROR),
     ],
 )
-def test_an_answer_without_a_length_is_whole_when_its_connection_ends_and_not_when_it_is_reset(
+def test_response_without_a_length_is_complete_on_close_and_not_on_reset(
     ending, connection_header, rest_of_body, expected, is_read
 ):
-    """All of them counted as errors, also the good ones."""
+    """All of them counted as errors, also the valid ones."""
 
     async def scenario():
         server = ManualChunkServer()
@@ -455,7 +457,7 @@
             head = HEAD_UNTIL_CLOSE % connection_header
             with suppress(ConnectionError):
                 await loop.sock_sendall(sock, head[:-2] if ending == "half" else head + b"some" + rest_of_body)
-            if is_read:  # the front has it all before the end comes
+            if is_read:  # the front has read everything before the connection ends
                 await asyncio.sleep(0.1)
             if ending == "reset":
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -470,8 +472,8 @@
 
 @pytest.mark.parametrize("body", [b"", b"some"])
 @pytest.mark.parametrize(("when", "expected"), [("in the write", Status.CONNECT_FAILED), ("after it", Status.RESET)])
-def test_a_kept_connection_that_breaks_in_the_first_write_took_nothing(when, expected, body, monkeypatch):
-    """With a body, it counted as reset: of a class that may not be repeated the request failed."""
+def test_pooled_connection_that_breaks_in_the_first_write_has_sent_nothing(when, expected, body, monkeypatch):
+    """With a body, it counted as reset, which failed requests of classes that must not be retried."""
 
     async def scenario():
         server, connections = ManualChunkServer(), []
@@ -480,7 +482,7 @@
             connections[0].setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             connections[0].close()
 
-        def has_event(transport, what):  # between the look into the socket and the write
+        def has_event(transport, events):  # called between the check of the socket and the write
             if connections and when == "in the write":
                 reset_connection()
             return False
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Clients that send what is no request, too much, too little, or nothing at all."""
+"""Clients that send invalid requests, too much, too little, or nothing at all."""
 
 import asyncio
 import time
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize(("request_bytes", "status"), INVALID, ids=range(len(INVALID)))
-def test_what_is_no_request_gets_an_error_and_a_close_and_reaches_nobody(request_bytes, status):
+def test_invalid_request_gets_an_error_and_a_close_and_reaches_no_chunk_server(request_bytes, status):
     async def scenario():
         async with FrontHarness(1) as harness:
             harness.nodes[0].default_response = "any"
@@ -74,7 +74,7 @@
     run_scenario(scenario())
 
 
-def test_an_error_is_not_cut_off_by_what_the_client_still_sends():
+def test_error_response_is_not_lost_while_the_client_still_sends():
     """Closing at once with bytes unread resets the connection, and the client's kernel drops the error."""
 
     async def scenario():
@@ -83,14 +83,14 @@
             writer.write(raw_request("PUT", "Content-Length: 80000000"))
             for _ in range(80):
                 writer.write(bytes(1_000_000))
-            await asyncio.sleep(0.3)  # it reads late
+            await asyncio.sleep(0.3)  # the client reads late
             assert (await asyncio.wait_for(reader.readline(), 10)).startswith(b"HTTP/1.1 413 ")
             writer.transport.abort()
 
     run_scenario(scenario())
 
 
-def test_the_id_of_an_open_request_is_refused_and_the_open_one_is_not_touched():
+def test_duplicate_of_an_open_trace_id_is_rejected_without_affecting_the_open_request():
     async def scenario():
         async with FrontHarness(1) as harness:
             node = harness.nodes[0]
@@ -99,14 +99,14 @@
             await wait_until(lambda: node.received)
             assert (await harness.send_request("t1"))[0] == 400
             assert (await first)[0] == 200 and len(node.received) == 1
-            assert (await harness.send_request("t1"))[0] == 200  # it is open no more
+            assert (await harness.send_request("t1"))[0] == 200  # no longer open
 
     run_scenario(scenario())
 
 
 @pytest.mark.parametrize("sends_request", [False, True])
-def test_connections_of_no_use_by_the_hundreds_keep_nobody_out(sends_request):
-    """asyncio took them all at once, ran out of descriptors, and took nobody for the next second."""
+def test_hundreds_of_idle_connections_do_not_block_other_clients(sends_request):
+    """asyncio accepted them all at once, ran out of descriptors, and accepted nothing for the next second."""
 
     async def scenario():
         harness = FrontHarness(1)
@@ -122,7 +122,7 @@
             assert {status for status, _, _ in await asyncio.gather(*requests)} == {200}
             assert len(list(Path(f"/proc/{harness.process.pid}/fd").iterdir())) < 200
             assert "cannot accept" not in harness.log
-            for reader, _ in idle:  # none is kept for good
+            for reader, _ in idle:  # each is closed eventually
                 with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                     await asyncio.wait_for(reader.readexactly(100_000), 20)
 
@@ -130,12 +130,12 @@
 
 
 @pytest.mark.parametrize(("other_connections", "min_s", "max_s"), [(0, 1.9, 4.5), (40, 0.0, 1.9)])
-def test_a_connection_is_kept_for_2_s_between_requests_unless_many_are(other_connections, min_s, max_s):
-    """Clients that asked once and stayed held all that clients may hold: the others had no connection left."""
+def test_idle_connection_is_kept_for_2_s_unless_there_are_many(other_connections, min_s, max_s):
+    """Clients that sent one request and stayed connected used up the limit: the others could not connect."""
 
     async def scenario():
         harness = FrontHarness(1)
-        harness.sockets = 240  # of which clients may hold 80
+        harness.sockets = 240  # of which 80 are for clients
         async with harness:
             harness.nodes[0].default_response = "any"
 
@@ -156,7 +156,7 @@
     run_scenario(scenario())
 
 
-def test_a_request_in_small_pieces_is_served_and_so_is_the_next():
+def test_request_in_small_segments_is_served_and_so_is_the_next():
     async def scenario():
         async with FrontHarness(1) as harness:
             reader, writer = await asyncio.open_connection("127.0.0.1", harness.port)
@@ -180,7 +180,7 @@
 
 
 @pytest.mark.parametrize(("body", "stored"), [(b"3\r\nabc\r\n0\r\n\r\n", b"abc"), (b"3\r\nabc\r\nzz\r\n", None)])
-def test_a_body_for_the_object_api_streams_through_the_same_guard(body, stored):
+def test_body_for_the_object_api_is_validated_while_streamed(body, stored):
     async def scenario():
         async with FrontHarness(2, OPERATOR) as harness:
             reader, writer = await asyncio.open_connection("127.0.0.1", harness.object_port)
@@ -203,7 +203,7 @@
     request_bytes=st.sampled_from([request_bytes for request_bytes, _ in INVALID]),
     cuts=st.lists(st.integers(1, 300), max_size=12),
 )
-def test_a_request_reads_the_same_however_it_is_cut(request_bytes, cuts):
+def test_request_is_parsed_the_same_in_any_segmentation(request_bytes, cuts):
     def parse(segments):
         framer, used = RequestFramer(65536), 0
         try:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery's lists as they must not be: what was known stays, and the log says why in few lines."""
+"""Invalid lists and stalled calls of discovery: the previous list stays, and few lines are logged."""
 
 import asyncio
 import json
@@ -50,7 +50,7 @@
         (listing(MEMBER | {"up_since_ms": [1]}), "members[0].up_since_ms"),
     ],
 )
-def test_a_list_with_a_fault_is_not_taken_in_any_part_and_its_place_is_named(listing_value, location):
+def test_invalid_list_is_rejected_completely_and_the_error_names_the_location(listing_value, location):
     directory = Directory()
     directory.apply(listing(MEMBER, revision=3))
     before = (directory.addresses, directory.shards, directory.revision)
@@ -60,7 +60,7 @@
     assert (directory.addresses, directory.shards, directory.revision) == before
 
 
-def test_a_member_that_is_told_twice_alike_or_changed_twice_in_turn_is_taken():
+def test_identical_duplicates_and_successive_changes_of_a_member_are_accepted():
     directory = Directory()
     directory.apply(listing(MEMBER, MEMBER))
     kind, nodes = directory.apply(
@@ -69,7 +69,7 @@
     assert kind is ListKind.DELTA and len(nodes) == 2 and not directory.addresses
 
 
-def test_phases_that_are_not_known_get_nothing_new_and_few_lines(caplog):
+def test_servers_in_unknown_phases_get_no_requests_and_few_log_lines(caplog):
     directory = Directory()
     for i in range(100):
         directory.apply(listing(MEMBER | {"phase": f"odd{i}"}, MEMBER | {"id": "n2", "cell": 4}))
@@ -79,7 +79,7 @@
 
 
 class FakeBroker:
-    """A broker that wants the list again at once whenever a call failed."""
+    """A broker that requests the watch again at once whenever a call failed."""
 
     def __init__(self) -> None:
         self.kinds: list[ListKind] = []
@@ -93,7 +93,7 @@
             self.request_watch()
 
 
-def test_bad_answers_in_a_row_are_told_ever_more_seldom_and_a_good_one_ends_the_row(caplog):
+def test_repeated_invalid_lists_are_logged_ever_more_rarely_until_a_valid_one(caplog):
     caplog.set_level(logging.INFO)
 
     async def scenario() -> None:
@@ -125,11 +125,11 @@
 
 
 class StallingDiscovery:
-    """Discovery on a raw socket: answers so many calls, then falls silent as it is told to."""
+    """Discovery on a raw socket: responds to `responses` calls, then sends `partial_response` and stalls."""
 
     def __init__(self, responses: int, partial_response: bytes = b"") -> None:
         self.responses, self.partial_response = responses, partial_response
-        self.calls: list[tuple[float, str, int]] = []  # when, what, on which connection
+        self.calls: list[tuple[float, str, int]] = []  # time, target, number of the connection
         self.connections = 0
 
     async def open(self) -> str:
@@ -163,8 +163,8 @@
         ]
     ],
 )
-def test_a_watch_that_falls_silent_at_any_point_is_opened_anew_before_its_news_counts_as_told(stalls):
-    """Its time-out was 22 s, moved on to the next whole second by aiohttp: up to a second after the news counted."""
+def test_stalled_watch_is_reopened_before_missed_changes_count_as_delivered(stalls):
+    """The time-out was 22 s, rounded up by aiohttp to a full second, up to 1 s after changes counted as delivered."""
 
     async def open_watch(discovery: StallingDiscovery) -> None:
         broker, directory = FakeBroker(), Directory()
@@ -178,7 +178,7 @@
                 task.cancel()
         (stalled_at, stalled_call, old_connection), (reopened_at, _, new_connection) = discovery.calls[-2:]
         query = dict(part.split("=") for part in stalled_call.partition("?")[2].split("&"))
-        # counts as told 6 s after the silence, or 2 s after the end of the call's wait
+        # a change counts as delivered 6 s after the stall, or 2 s after the end of the call's wait
         assert int(query["wait_ms"]) / 1000 + 2 <= 6 and 4.3 < reopened_at - stalled_at < 5.5
         assert new_connection != old_connection
 
@@ -188,7 +188,7 @@
     asyncio.run(scenario())
 
 
-def test_changes_of_a_service_that_counts_anew_are_taken_and_the_whole_list_is_asked_for(caplog):
+def test_delta_with_a_lower_revision_is_applied_and_the_complete_list_is_requested(caplog):
     directory = Directory()
     directory.apply(listing(MEMBER, MEMBER | {"id": "n2"}, revision=41))
     kind, nodes = directory.apply(listing(MEMBER | {"phase": "draining"}, complete=False, revision=5))
@@ -200,7 +200,7 @@
 
 
 class LateListFront(FrontHarness):
-    """Its first list comes late, and says that a chunk server drains that the known list has as up."""
+    """Its first list arrives late, with a chunk server draining that the stored list has as up."""
 
     async def _discovery(self, request):
         if not self.revision:
@@ -210,7 +210,7 @@
 
 
 @pytest.mark.parametrize(("discovery", "waits_for_list"), [("pushed", "a list"), ("on_request", "none")])
-def test_a_front_is_up_once_it_has_the_list_where_that_counts_as_told_from_its_start(discovery, waits_for_list):
+def test_front_waits_for_the_first_list_where_changes_count_as_delivered_from_its_start(discovery, waits_for_list):
     async def scenario():
         async with LateListFront(2, Discovery=discovery) as harness:
             assert bool(harness.calls) is (waits_for_list == "a list")
@@ -223,7 +223,7 @@
     asyncio.run(scenario())
 
 
-def test_a_front_that_hears_nothing_goes_up_all_the_same():
+def test_front_starts_without_a_list_if_discovery_fails():
     async def scenario():
         harness = FrontHarness(1, Discovery="pushed")
         harness.failing = 999
@@ -235,14 +235,14 @@
 
 
 class StoppedAtStartFront(FrontHarness):
-    """Told to end while it waits for its first list, which never comes."""
+    """Gets SIGTERM while it waits for its first list, which never arrives."""
 
     async def _discovery(self, request):
         self.stop()
         await asyncio.sleep(60)
 
 
-def test_a_front_that_is_told_to_end_before_it_is_up_begins_to_end_at_once():
+def test_front_stopped_before_it_is_up_starts_its_shutdown_at_once():
     async def scenario():
         classes = [{"Name": "read", "ObjectiveNs": 410 * MS, "DeadlineNs": 420 * MS, "Effect": "free", "Group": "all"}]
         harness = StoppedAtStartFront(1, Discovery="pushed", Classes=classes)
@@ -256,8 +256,6 @@
             for line in harness.log.splitlines()
             if f"now={phase}" in line
         )
-        assert (
-            stopped_at - draining_at
-        ) % 60 < 1.5  # 0.9 by the settings; it waited for the list first, which made 1.8
+        assert (stopped_at - draining_at) % 60 < 1.5  # 0.9 by the settings; with the wait for the list first it was 1.8
 
     asyncio.run(scenario())
--- a/tests/test_long_bodies.py
+++ b/tests/test_long_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies beyond what is held, peers that take seconds, and the forms of HTTP/1.1."""
+"""Bodies beyond the buffer limit, slow peers, and the body framings of HTTP/1.1."""
 
 import asyncio
 import resource
@@ -20,13 +20,13 @@
 
 
 def resident_bytes(pid: int) -> int:
-    """Bytes of physical memory that a process holds."""
+    """Returns the resident memory of a process in bytes."""
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     return pages * resource.getpagesize()
 
 
 class SegmentedBody:
-    """A request's body that comes in given pieces."""
+    """A request whose body arrives in the given segments."""
 
     has_body, length = True, None
 
@@ -37,7 +37,7 @@
         return self._segments.pop(0) if self._segments else b""
 
 
-def test_a_body_is_held_within_its_bound_and_the_budget_and_streams_beyond():
+def test_body_is_buffered_within_its_limit_and_the_budget_and_streamed_beyond():
     async def scenario():
         budget = BodyBufferBudget(100)
         small = BodyReceiver(SegmentedBody(b"ab", b"c"), budget)
@@ -54,7 +54,7 @@
     run_scenario(scenario())
 
 
-def test_a_body_that_goes_on_for_ever_is_refused(monkeypatch):
+def test_endless_body_is_rejected(monkeypatch):
     async def scenario():
         monkeypatch.setattr(request_bodies, "MAX_BODY_BYTES", 1000)
         with pytest.raises(BadBody) as error:
@@ -65,8 +65,8 @@
 
 
 @pytest.mark.parametrize("framing", ["length", "chunked", "close"])
-def test_a_long_answer_goes_out_as_it_comes_and_keeps_no_deadline_once_it_has_begun(framing):
-    """The front gave up answers above 1 MiB, and cut those that took longer than the deadline."""
+def test_long_response_is_streamed_and_not_limited_by_the_deadline(framing):
+    """The front failed responses above 1 MiB, and truncated those that took longer than the deadline."""
 
     async def scenario():
         async with FrontHarness(1) as harness:
@@ -109,7 +109,7 @@
     run_scenario(scenario())
 
 
-def test_a_long_answer_that_breaks_ends_its_connection_and_counts_as_failed():
+def test_truncated_long_response_closes_the_connection_and_counts_as_failed():
     async def scenario():
         async with ControlledFront(1) as harness:
             head = b"HTTP/1.1 200 OK\r\nContent-Length: 500000\r\n\r\n"
@@ -128,8 +128,8 @@
     run_scenario(scenario())
 
 
-def test_clients_that_read_late_hold_back_the_chunk_server_and_not_the_memory():
-    """Ten answers of 8 MiB at once, none of them read for a second."""
+def test_slow_readers_apply_backpressure_instead_of_using_memory():
+    """Ten concurrent responses of 8 MiB; the clients read nothing for a second."""
 
     async def scenario():
         async with ControlledFront(1) as harness:
@@ -156,7 +156,7 @@
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-def test_a_body_that_is_too_long_to_be_held_streams_through_one_attempt(chunked):
+def test_body_too_long_to_buffer_is_streamed_through_one_attempt(chunked):
     async def scenario():
         async with FrontHarness(1) as harness:
             before = resident_bytes(harness.process.pid)
@@ -196,21 +196,21 @@
     run_scenario(scenario())
 
 
-def test_a_streamed_body_whose_attempt_fails_is_refused_and_not_sent_twice():
+def test_streamed_body_is_not_sent_again_after_a_failed_attempt():
     async def scenario():
         async with FrontHarness(1) as harness:
             node = harness.nodes[0]
             node.scripted_responses.extend(["cut", "cut"])
             status, headers, _ = await harness.send_request("t1", "PUT", bytes(4 << 20), cls="write")
             assert status == 503 and "Retry-After" in headers
-            assert len(node.scripted_responses) == 1  # the second was never asked
+            assert len(node.scripted_responses) == 1  # no second attempt was made
 
     run_scenario(scenario())
 
 
 @pytest.mark.parametrize(("method", "body"), [("GET", b""), ("PUT", b"ab" * 50_000)])
-def test_a_client_may_take_2_s_for_its_head_and_send_its_body_at_64_kB_a_second(method, body):
-    """It was cut off 2 s after it had connected."""
+def test_client_may_take_2_s_for_its_headers_and_send_its_body_at_64_kB_per_s(method, body):
+    """The connection was closed 2 s after the connect."""
 
     async def scenario():
         async with FrontHarness(1) as harness:
@@ -232,7 +232,7 @@
     run_scenario(scenario())
 
 
-def test_a_request_in_chunks_with_extensions_and_trailers_is_served():
+def test_chunked_request_with_extensions_and_trailers_is_served():
     async def scenario():
         async with FrontHarness(1) as harness:
             reader, writer = await asyncio.open_connection("127.0.0.1", harness.port)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's protocol, spoken to the real program."""
+"""The platform's protocol, tested with the real program."""
 
 import asyncio
 import socket
@@ -15,7 +15,7 @@
 BODY = bytes(range(256)) * 256  # 64 KiB
 
 
-def test_a_read_and_a_write_pass_through_unchanged():
+def test_get_and_put_are_forwarded_unchanged():
     async def scenario():
         async with FrontHarness() as harness:
             status, _, _ = await harness.send_request("w1", "PUT", BODY, shard=1)
@@ -32,8 +32,8 @@
     run_scenario(scenario())
 
 
-def test_headers_for_the_chunk_server_go_on_with_each_attempt_and_the_fronts_own_do_not():
-    """A class whose repeats are known by a key lost its key: the bench calls that a request that no client sent."""
+def test_each_attempt_forwards_end_to_end_headers_and_no_others():
+    """Without the forwarded idempotency key, a retry counts as a request that no client sent."""
 
     async def scenario():
         async with FrontHarness(1) as harness:
@@ -81,16 +81,16 @@
 @pytest.mark.parametrize(
     ("script", "status", "attempts"),
     [
-        (["reset", "any"], 200, 2),  # may have run; the class is safe to repeat
-        (["half", "any"], 200, 2),  # half a body is no answer
+        (["reset", "any"], 200, 2),  # may have been executed; the class is idempotent
+        (["half", "any"], 200, 2),  # truncated body
         (["full", "any"], 200, 2),
         (["error", "any"], 200, 2),
         (["close", "reset", "any"], 200, 3),
-        (["reset", "reset", "reset", "any"], 503, 3),  # the most attempts, then refused
+        (["reset", "reset", "reset", "any"], 503, 3),  # the attempt limit, then refused
         (["error", "full", "half", "any"], 503, 3),
     ],
 )
-def test_each_outcome_leads_to_one_final_answer(script, status, attempts):
+def test_each_sequence_of_outcomes_gives_one_final_response(script, status, attempts):
     async def scenario():
         async with FrontHarness(1) as harness:
             node = harness.nodes[0]
@@ -108,15 +108,15 @@
     run_scenario(scenario())
 
 
-def test_a_kept_connection_that_breaks_is_one_attempt_and_no_hidden_copy():
-    """aiohttp resends a GET or PUT by itself there: the chunk server would see more than the core has sent."""
+def test_broken_pooled_connection_is_one_attempt_without_a_hidden_resend():
+    """aiohttp resends a GET or PUT by itself, so that the chunk server would see more attempts than were made."""
 
     async def scenario():
         async with FrontHarness(1, Limits__MaxAttempts=1) as harness:
             node = harness.nodes[0]
             node.default_response = "any"
             assert (await harness.send_request("t0"))[0] == 200
-            node.scripted_responses.append("reset")  # on the connection that t0 left
+            node.scripted_responses.append("reset")  # on the pooled connection of t0
             status, _, _ = await harness.send_request("t1")
             assert status == 503
             assert [received_before[2]["x-trace-id"] for received_before in node.received] == [
@@ -130,7 +130,7 @@
 @pytest.mark.parametrize(
     ("response_script", "expected"), [("reset", 502), ("full", 200), ("error", 502), ("stall", 502)]
 )
-def test_of_an_unsafe_class_only_what_never_ran_goes_again(response_script, expected):
+def test_unsafe_class_is_retried_only_if_not_executed(response_script, expected):
     async def scenario():
         async with FrontHarness(1) as harness:
             node = harness.nodes[0]
@@ -141,7 +141,7 @@
     run_scenario(scenario())
 
 
-def test_what_cannot_be_reached_is_refused_and_one_that_stalls_is_given_up():
+def test_unreachable_server_and_stalled_server_give_503():
     async def scenario():
         async with FrontHarness(2) as harness:
             harness.nodes[1].default_response = "stall"
@@ -154,11 +154,11 @@
             assert status == 503 and 0 < float(headers["Retry-After"]) <= 0.5
             started_at = time.monotonic()
             assert (await harness.send_request("t2", shard=1, cls="brief", left="900"))[0] == 503
-            # at its aim of 300 ms, when the module gives up, and not held towards the client's 900 ms
+            # gives up at the latency target of 300 ms, not at the client's 900 ms
             assert time.monotonic() - started_at < 0.85
             await wait_until(
                 lambda: not any(harness.nodes[1].in_flight.values())
-            )  # abandoned: its connection is closed
+            )  # the abandoned attempt's connection is closed
 
     run_scenario(scenario())
 
@@ -172,7 +172,7 @@
         {"X-IO": "units=2.5, shard=0,odd=x"},
     ],
 )
-def test_odd_but_readable_requests_are_served(changes):
+def test_unusual_but_valid_requests_are_served(changes):
     async def scenario():
         async with FrontHarness(1) as harness:
             harness.nodes[0].default_response = "any"
@@ -206,7 +206,7 @@
         {"X-IO": "shard=0,shard=0"},
     ],
 )
-def test_garbage_gets_400_and_the_front_goes_on(changes):
+def test_invalid_headers_get_400_and_the_front_keeps_serving(changes):
     async def scenario():
         async with FrontHarness(1) as harness:
             harness.nodes[0].default_response = "any"
@@ -218,7 +218,7 @@
     run_scenario(scenario())
 
 
-def test_an_id_is_taken_again_once_the_first_of_that_name_is_taken_back_and_not_before():
+def test_trace_id_is_accepted_again_once_the_first_request_is_cancelled():
     async def scenario():
         async with FrontHarness(1) as harness:
             node = harness.nodes[0]
@@ -226,7 +226,7 @@
             first = socket.create_connection(("127.0.0.1", harness.port), 5)
             first.sendall(raw_request("GET"))
             await wait_until(lambda: node.in_flight.get("t1"))
-            assert (await harness.send_request("t1"))[0] == 400  # answers could not be told apart
+            assert (await harness.send_request("t1"))[0] == 400  # the responses could not be told apart
             assert node.in_flight == {"t1": 1} and len(node.received) == 1
             node.default_response = "any"
             first.close()
@@ -236,7 +236,7 @@
     run_scenario(scenario())
 
 
-def test_a_client_that_leaves_frees_its_attempt():
+def test_client_disconnect_cancels_its_attempt():
     async def scenario():
         async with FrontHarness(1) as harness:
             node = harness.nodes[0]
@@ -252,8 +252,8 @@
 
 
 @pytest.mark.parametrize("discovery", ["on_request", "pushed"])
-def test_a_drained_node_gets_nothing_new_and_a_failed_watch_is_taken_up_again(discovery):
-    """Where the settings say that lists are pushed, nobody watched: no change was ever heard of."""
+def test_draining_server_gets_no_new_requests_and_a_failed_watch_is_resumed(discovery):
+    """With lists configured as pushed, the front did not watch discovery and missed every change."""
 
     async def scenario():
         harness = FrontHarness(2, Discovery=discovery)
@@ -275,8 +275,8 @@
 
 
 @pytest.mark.parametrize(("age_s", "expected"), [(3600, 200), (0, 503)])
-def test_starts_are_told_in_unix_time_and_so_is_the_modules_clock(age_s, expected):
-    """On the loop's clock, which begins anywhere, a node that is long warm would look cold, or a cold one warm."""
+def test_start_times_and_the_scheduler_clock_are_unix_time(age_s, expected):
+    """With the event loop's clock, whose origin is arbitrary, a warm server could look cold, or a cold one warm."""
 
     async def scenario():
         harness = FrontHarness(
@@ -298,8 +298,8 @@
     run_scenario(scenario())
 
 
-def test_the_watch_goes_on_from_revision_0_and_does_not_loop():
-    """Revision 0 was read as none: the whole list was asked for in a loop until discovery refused all fronts."""
+def test_watch_continues_from_revision_0_without_a_loop():
+    """Revision 0 was taken for none: the complete list was requested in a loop until discovery rejected all fronts."""
 
     async def scenario():
         async with FrontHarness(1) as harness:
@@ -312,7 +312,7 @@
     run_scenario(scenario())
 
 
-def test_nothing_is_kept_of_a_chunk_server_that_is_gone():
+def test_removed_chunk_servers_leave_no_state():
     directory, listing = Directory(), {"revision": 1, "complete": True, "members": []}
     for number in range(3):
         up, removed = (
@@ -326,7 +326,7 @@
         assert list(directory._nodes) == [up["id"]]
 
 
-def test_sigterm_answers_what_is_held_and_what_still_arrives_then_exits_0():
+def test_sigterm_serves_pending_and_arriving_requests_then_exits_0():
     async def scenario():
         async with FrontHarness(1) as harness:
             node = harness.nodes[0]
@@ -349,11 +349,11 @@
     run_scenario(scenario())
 
 
-def test_after_sigterm_kept_connections_are_served_until_the_platforms_patience_ends():
-    """No other front serves their volumes; each second that they were turned away early lost all its requests."""
+def test_after_sigterm_open_connections_are_served_until_shortly_before_sigkill():
+    """No other front serves their volumes: closing a second too early loses all requests of that second."""
 
     async def scenario():
-        async with FrontHarness(1) as harness:  # the longest deadline is 3 s: SIGKILL after 3.7
+        async with FrontHarness(1) as harness:  # the longest deadline is 3 s: SIGKILL after 3.7 s
             node = harness.nodes[0]
             node.default_response = "any"
             client = await asyncio.open_connection("127.0.0.1", harness.port)
@@ -363,8 +363,8 @@
             assert time.monotonic() - started_at > 0.4
             assert await raw_exchange(client, "t1") == (200, False)
             node.default_response = "stall"
-            await asyncio.sleep(started_at + 2.3 - time.monotonic())  # its aim, 1.5 s, is beyond the end
-            assert await raw_exchange(client, "t2", cls="once", left="3000") == (502, True)  # it may have run
+            await asyncio.sleep(started_at + 2.3 - time.monotonic())  # the latency target, 1.5 s, is beyond the exit
+            assert await raw_exchange(client, "t2", cls="once", left="3000") == (502, True)  # it may have been executed
             assert "now=closing" in harness.log and time.monotonic() - started_at < 3.7
             assert await client[0].read() == b""
             assert await asyncio.wait_for(harness.process.wait(), 20) == 0
@@ -378,7 +378,7 @@
 
 
 async def raw_exchange(connection, trace: str, **changes) -> tuple[int, bool]:
-    """The status of the answer, and whether it ends the connection."""
+    """Sends a request; returns the status of the response, and whether it closes the connection."""
     reader, writer = connection
     lines = [f"{name}: {value}" for name, value in request_headers(trace, 0, **changes).items()]
     writer.write("\r\n".join([f"GET /api/{VOLUME}/{KEY} HTTP/1.1", "Host: x", *lines, "", ""]).encode())
@@ -388,7 +388,7 @@
 
 
 @pytest.mark.parametrize("text", ["{", "{}", '{"settings": {}, "listen": "nowhere", "discovery": "127.0.0.1:1"}'])
-def test_a_configuration_that_cannot_be_read_stops_the_start(tmp_path, text):
+def test_invalid_configuration_stops_the_start(tmp_path, text):
     import os
     import subprocess
     import sys
--- a/tests/test_responses.py
+++ b/tests/test_responses.py
@@ -1,4 +1,4 @@
-"""Spoilt answers of chunk servers, and good ones with more than belongs to them."""
+"""Malformed responses of chunk servers, and valid ones with surplus bytes."""
 
 import pytest
 from hypothesis import given, seed, settings
@@ -54,8 +54,8 @@
 
 
 @pytest.mark.parametrize("response_bytes", MALFORMED, ids=range(len(MALFORMED)))
-def test_a_spoilt_answer_is_a_failed_attempt_and_its_connection_is_not_used_again(response_bytes):
-    """aiohttp forgave some of these, and read what never ended until the memory was gone."""
+def test_malformed_response_fails_the_attempt_and_closes_the_connection(response_bytes):
+    """aiohttp accepted some of these, and read endless ones until the memory was exhausted."""
 
     async def scenario():
         async with FrontHarness(1) as harness:
@@ -66,13 +66,13 @@
             assert (status, body) == (200, b"the answer")
             assert (len(node.received), node.connections, node.overlapping_attempts) == (2, 2, 0)
             node.scripted_responses.append(response_bytes)
-            assert (await harness.send_request("t2", cls="once"))[0] == 502  # it may have run
+            assert (await harness.send_request("t2", cls="once"))[0] == 502  # it may have been executed
 
     run_scenario(scenario())
 
 
 @pytest.mark.parametrize("response_bytes", VALID, ids=range(len(VALID)))
-def test_a_good_answer_is_served_and_what_follows_it_is_nobodys_answer(response_bytes):
+def test_valid_response_is_served_and_surplus_bytes_are_dropped(response_bytes):
     async def scenario():
         async with FrontHarness(1) as harness:
             node = harness.nodes[0]
@@ -91,7 +91,7 @@
 @seed(1)
 @settings(max_examples=80, deadline=None)
 @given(response_bytes=st.sampled_from(MALFORMED + VALID), cuts=st.lists(st.integers(1, 3000), max_size=12))
-def test_an_answer_reads_the_same_however_it_is_cut(response_bytes, cuts):
+def test_response_is_parsed_the_same_in_any_segmentation(response_bytes, cuts):
     def parse(segments):
         reader, output = ResponseReader(), b""
         try:
@@ -110,7 +110,7 @@
     assert parse([*segments, remaining]) == parse([response_bytes]) != None  # noqa: E711
 
 
-def test_the_largest_body_passes():
+def test_largest_allowed_body_passes():
     body = bytes(MAX_RESPONSE_BODY_BYTES)
     response_bytes = OK + b"Content-Length: %d\r\n\r\n" % len(body) + body
     assert ResponseReader().feed(response_bytes) == response_bytes
