--- a/ochrespan/net/discovery.py
+++ b/ochrespan/net/discovery.py
@@ -41,7 +41,7 @@
     """Discovery's response is invalid."""
 
 
-def read_node(entry: Any, path: str) -> tuple[Node, str]:
+def parse_member(entry: Any, path: str) -> tuple[Node, str]:
     """Parses one member of a list into the node and its address; `path` is its location in the list, for errors."""
 
     def invalid(name: str, allowed: str) -> InvalidList:
@@ -80,7 +80,7 @@
     return node, str(entry.get("host_port", ""))
 
 
-def read_list(listing: Any) -> tuple[bool, int, list[tuple[Node, str]]]:
+def parse_list(listing: Any) -> tuple[bool, int, list[tuple[Node, str]]]:
     """Returns whether the list is complete, its revision, and its members. Raises InvalidList at the first fault."""
     if not isinstance(listing, dict):
         raise InvalidList(f"the list: found {str(listing)[:60]!r}, allowed: an object")
@@ -91,15 +91,15 @@
     ):
         if not isinstance(listing.get(name), kind):
             raise InvalidList(f"{name}: found {str(listing.get(name))[:60]!r}, allowed: {allowed}")
-    nodes_read = [read_node(entry, f"members[{i}]") for i, entry in enumerate(listing["members"])]
+    members = [parse_member(entry, f"members[{i}]") for i, entry in enumerate(listing["members"])]
     if listing["complete"]:  # a delta may hold successive changes of one member; a complete list must not
-        members: dict[str, tuple[Node, str]] = {}
-        for i, member in enumerate(nodes_read):
-            if members.setdefault(member[0].id, member) != member:
+        members_by_id: dict[str, tuple[Node, str]] = {}
+        for i, member in enumerate(members):
+            if members_by_id.setdefault(member[0].id, member) != member:
                 raise InvalidList(
                     f"members[{i}].id: found {member[0].id!r} twice with different contents, allowed: once"
                 )
-    return listing["complete"], listing["revision"], nodes_read
+    return listing["complete"], listing["revision"], members
 
 
 class Directory:
@@ -131,7 +131,7 @@
 
     def apply(self, listing: Any) -> tuple[ListKind, list[Node]]:
         """Applies a list from discovery, completely or not at all. Raises InvalidList."""
-        complete, revision, nodes_read = read_list(listing)
+        complete, revision, members = parse_list(listing)
         for entry in listing["members"]:
             phase = str(entry.get("phase", "up"))[:32]
             if (
@@ -143,7 +143,7 @@
                 log.warning("treating chunk servers in an unknown phase as draining", extra={"phase": phase})
         if complete:
             self._nodes = {}
-        for node, address in nodes_read:
+        for node, address in members:
             self._nodes[node.id] = node
             if address:
                 self.addresses[node.id] = address
@@ -161,7 +161,7 @@
             revision = None  # the delta counts from the restart of discovery; earlier changes may be missing
         self.revision = revision
         return (ListKind.FULL if complete else ListKind.DELTA), [
-            self._suspended.effective_entry(node) for node, _ in nodes_read
+            self._suspended.effective_entry(node) for node, _ in members
         ]
 
     def refresh(self) -> list[Node]:
--- a/ochrespan/net/platform.py
+++ b/ochrespan/net/platform.py
@@ -81,7 +81,7 @@
     return float(text)
 
 
-def read_request(request: Exchange) -> Request:
+def parse_request(request: Exchange) -> Request:
     """Parses the platform's headers into a request for the broker."""
     found = REQUEST_PATH.fullmatch(request.target)
     if request.method not in ("GET", "PUT") or found is None:
@@ -112,7 +112,7 @@
     )
 
 
-def read_claim(request: Exchange) -> Claim:
+def parse_claim(request: Exchange) -> Claim:
     """Returns the request's bearer token (RFC 6750, section 2.1); without one, its volume may identify the contract."""
     scheme, _, token = single_header(request, "Authorization").partition(" ")
     return Claim(token=token.strip() if scheme.lower() == "bearer" else "")
@@ -137,10 +137,10 @@
 
 
 class PlatformFront:
-    def __init__(self, core: CoreComponents) -> None:
-        self._core, self._lifecycle = core, core.lifecycle
+    def __init__(self, components: CoreComponents) -> None:
+        self._components, self._lifecycle = components, components.lifecycle
         self._open_trace_ids: set[str] = set()  # of requests in progress
-        self._body_budget = BodyBufferBudget(core.config.memory // BODY_MEMORY_DIVISOR)
+        self._body_budget = BodyBufferBudget(components.config.memory // BODY_MEMORY_DIVISOR)
 
     async def handle(self, request: Exchange) -> Reply | None:
         """Responds to every request, also after an internal error."""
@@ -164,9 +164,9 @@
     async def _route(self, request: Exchange) -> Reply | None:
         if request.target == "/up":
             return Reply(200 if self._lifecycle.ready else 503)
-        core_request = read_request(request)
-        if self._core.govern_platform:
-            core_request.claim = read_claim(request)
+        core_request = parse_request(request)
+        if self._components.govern_platform:
+            core_request.claim = parse_claim(request)
         trace_id = request.headers["X-Trace-Id"]
         if trace_id in self._open_trace_ids:  # the responses would be ambiguous; the open one may be another client's
             raise MalformedRequest("X-Trace-Id is that of an open request")
@@ -195,7 +195,7 @@
         upstream_request.headers["X-Trace-Id"] = trace_id
         if payload:
             upstream_request.headers["Content-Type"] = request.headers.get("Content-Type", "application/octet-stream")
-        match await serve(self._core.broker, self._core.client, core_request, upstream_request):
+        match await serve(self._components.broker, self._components.client, core_request, upstream_request):
             case NotCovered(rule, _, reason):
                 if rule == "token":
                     return Reply.text(401, f"{reason}\n", {"WWW-Authenticate": "Bearer"})
@@ -216,7 +216,7 @@
         self, request: Exchange, core_request: Request, beginning: bytes, remainder: ResponseRemainder
     ) -> None:
         """Streams a response to the client; if it breaks, aborts the connection so that the client notices."""
-        broker = self._core.broker
+        broker = self._components.broker
         try:
             await request.start(200, {}, remainder.length, self._lifecycle.closing)
             async with aclosing(remainder.segments()) as segments:
