--- a/ochrespan/http2/protocol.py
+++ b/ochrespan/http2/protocol.py
@@ -1,7 +1,7 @@
 """One HTTP/2 connection on a socket: bytes between its transport and a `Connection`, and a task for each stream.
 
-A connection is taken, kept and let go by the listener's rules for HTTP/1.1: it is SILENT until its preface and first
-request have come, BUSY while streams are open, QUIET between, LEAVING once it is to end.
+A connection is taken, kept and let go by the listener's rules for HTTP/1.1: it is CONNECTED until its preface and first
+request have come, BUSY while streams are open, IDLE between, CLOSING once it is to end.
 """
 
 from __future__ import annotations
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -192,7 +192,7 @@
         port = free_port()
         listener, handled = await open_listener(b"x", port)
         client = socket.create_connection(("127.0.0.1", port), 5)
-        await wait_until(lambda: listener.connections == 1 and not listener._arriving)
+        await wait_until(lambda: listener.connections == 1 and not listener._accepting)
         assert not listener.has_open_requests
         client.sendall(GET)  # the event loop has not read it yet
         assert listener.has_open_requests and not handled
