--- a/ochrespan/net/chunk_client.py
+++ b/ochrespan/net/chunk_client.py
@@ -81,6 +81,8 @@
 
 
 class ChunkClient:
+    """Sends attempts to chunk servers and classifies their outcomes."""
+
     def __init__(self, session: aiohttp.ClientSession, directory: Directory, counts: Counts | None = None) -> None:
         self._session, self._directory = session, directory
         self._counts = counts or Counts()
@@ -215,12 +217,12 @@
         fits_buffer = response.content_length is not None and response.content_length <= MAX_BUFFERED_RESPONSE_BYTES
         max_bytes = 0 if response.content_length is not None and not fits_buffer else MAX_BUFFERED_RESPONSE_BYTES
         with suppress(TimeoutError):
-            async with asyncio.timeout(None) as deadline:
+            async with asyncio.timeout(None) as timeout:
                 while not complete and (fits_buffer or len(body) <= max_bytes):
                     segment = await response.content.readany()
                     complete = not segment
                     if not (body or fits_buffer):
-                        deadline.reschedule(asyncio.get_running_loop().time() + UNKNOWN_LENGTH_WAIT.total_seconds())
+                        timeout.reschedule(asyncio.get_running_loop().time() + UNKNOWN_LENGTH_WAIT.total_seconds())
                     body += segment
         return UpstreamResponse(
             response.status,
--- a/ochrespan/net/client_connection.py
+++ b/ochrespan/net/client_connection.py
@@ -17,10 +17,10 @@
 from .framing import MalformedMessage, MessageFramer
 
 FIRST_BYTE_TIMEOUT = timedelta(seconds=2)  # since the connect
-REQUEST_TIMEOUT = timedelta(
-    seconds=4
-)  # for a request, from the connect or its first byte; each byte of body extends it
-MIN_BODY_BYTES_PER_S = 32 * 1024  # by its time at this rate, half the rate of slow clients
+# A request is timed from the connect or from its first byte. Each byte of its body extends the time-out, by its
+# time at MIN_BODY_BYTES_PER_S.
+REQUEST_TIMEOUT = timedelta(seconds=4)
+MIN_BODY_BYTES_PER_S = 32 * 1024  # half the rate of slow clients
 WRITE_STALL_TIMEOUT = timedelta(seconds=10)  # for a client that reads nothing of its response
 IDLE_TIMEOUT = timedelta(seconds=2)  # between requests
 LINGER_TIMEOUT = timedelta(seconds=1)  # for a client to read the error before the connection is closed
@@ -53,6 +53,8 @@
 
 
 class RequestFramer(MessageFramer):
+    """Parses the framing of one client's request."""
+
     START_LINE = re.compile(rb"[A-Z]{1,16} /[\x21-\x7e]* HTTP/1\.[01]")
     METHOD_START = re.compile(rb"[A-Z]{1,16}(?: |\Z)")
 
--- a/ochrespan/net/client_session.py
+++ b/ochrespan/net/client_session.py
@@ -88,6 +88,8 @@
 
 
 class TrackedRequest(aiohttp.ClientRequest):
+    """A request that records in SEND_PROGRESS how much of it was sent."""
+
     async def send(self, conn):  # type: ignore[no-untyped-def]
         if conn.transport is not None:
             conn.transport.set_write_buffer_limits(0)
--- a/ochrespan/net/discovery.py
+++ b/ochrespan/net/discovery.py
@@ -28,9 +28,8 @@
 LONG_POLL_WAIT, FIRST_LONG_POLL_WAIT = timedelta(seconds=4), timedelta(seconds=2)
 CONNECT_TIMEOUT = timedelta(seconds=2)
 LIST_CALL_TIMEOUT = timedelta(seconds=2.5)  # for a complete list, which is no long poll
-MIN_CALL_INTERVAL = timedelta(
-    milliseconds=100
-)  # between calls without changes; discovery ends a watch after a gap of 200 ms
+# between calls without changes; discovery ends a watch after a gap of 200 ms
+MIN_CALL_INTERVAL = timedelta(milliseconds=100)
 MAX_LIST_BYTES = 4 << 20
 MAX_LOGGED_PHASES = 8  # limit of unknown phases that are logged, once each
 NO_SHARD = -1  # the `cell` of a server without a shard
@@ -147,10 +146,10 @@
             self._nodes[node.id] = node
             if address:
                 self.addresses[node.id] = address
-            if node.state is NodeState.GONE:  # new servers get new ids all day, so removed ones must not accumulate.
-                del self._nodes[
-                    node.id
-                ]  # An attempt that is about to be sent there finds no address and is not executed.
+            # New servers get new ids all day, so removed ones must not accumulate. An attempt about to be sent to a
+            # removed one finds no address, and is not executed.
+            if node.state is NodeState.GONE:
+                del self._nodes[node.id]
         self.addresses = {i: a for i, a in self.addresses.items() if i in self._nodes}
         self._group_by_shard()
         if not complete and self.revision is not None and revision < self.revision:
@@ -295,9 +294,10 @@
         if self._directory.revision is not None:
             after, wait_ms = self._directory.revision, long_poll_wait // timedelta(milliseconds=1)
             query, timeout_span = {"after": str(after), "wait_ms": str(wait_ms)}, WATCH_CALL_TIMEOUT
+        # without ceil_threshold aiohttp would round longer time-outs up to a full second of its clock
         timeout = aiohttp.ClientTimeout(
             total=timeout_span.total_seconds(), sock_connect=CONNECT_TIMEOUT.total_seconds(), ceil_threshold=math.inf
-        )  # aiohttp rounds longer time-outs up to a full second by default
+        )
         url = f"http://{self._address}/discovery/hosts"
         call = self._session.get(url, params=query, timeout=timeout, allow_redirects=False)
         async with call as response:
--- a/ochrespan/net/platform.py
+++ b/ochrespan/net/platform.py
@@ -137,6 +137,8 @@
 
 
 class PlatformFront:
+    """The request handler of the platform's protocol."""
+
     def __init__(self, components: CoreComponents) -> None:
         self._components, self._lifecycle = components, components.lifecycle
         self._open_trace_ids: set[str] = set()  # of requests in progress
--- a/ochrespan/net/responses.py
+++ b/ochrespan/net/responses.py
@@ -17,9 +17,8 @@
 
 from .framing import MalformedMessage, MessageFramer
 
-MAX_RESPONSE_BODY_BYTES = (
-    64 << 20
-)  # twice the largest size that the platform specifies; a body far beyond that may be endless
+# twice the largest size that the platform specifies; a body far beyond that may be endless
+MAX_RESPONSE_BODY_BYTES = 64 << 20
 READ_SIZE_BYTES = 32 * 1024  # per read; asyncio's default of 256 KiB per connection would exceed the memory limit
 
 STATUS_LINE_START = b"HTTP/1."
@@ -34,6 +33,8 @@
 
 
 class ResponseFramer(MessageFramer):
+    """Parses the framing of one chunk server's response."""
+
     START_LINE = re.compile(rb"HTTP/1\.[01] ([1-5][0-9][0-9])(?: [\t\x20-\x7e\x80-\xff]*)?")
 
     def _is_possible_start(self) -> bool:
--- a/tests/test_chunk_client.py
+++ b/tests/test_chunk_client.py
@@ -104,9 +104,8 @@
                 await asyncio.sleep(0.02)  # lets closed connections disappear
                 open_count = sum(is_open(sock) for node in nodes for sock in node.connection_sockets)
                 assert open_count == min(4, number + 1)
-            last_attempt = Attempt(
-                request, 18, nodes[5].id, timedelta(seconds=5)
-            )  # its connection is the oldest of the four
+            # the connection to this server is the oldest of the four
+            last_attempt = Attempt(request, 18, nodes[5].id, timedelta(seconds=5))
             assert (await client.send(last_attempt, UpstreamRequest("GET", "/x")))[0].status is Status.OK
         assert [node.connections for node in nodes] == [2] * 9
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -156,9 +156,8 @@
             assert (await harness.send_request("t2", shard=1, cls="brief", left="900"))[0] == 503
             # gives up at the latency target of 300 ms, not at the client's 900 ms
             assert time.monotonic() - started_at < 0.85
-            await wait_until(
-                lambda: not any(harness.nodes[1].in_flight.values())
-            )  # the abandoned attempt's connection is closed
+            # the abandoned attempt's connection is closed
+            await wait_until(lambda: not any(harness.nodes[1].in_flight.values()))
 
     run_scenario(scenario())
 
