--- a/ochrespan/http2/exchange.py
+++ b/ochrespan/http2/exchange.py
@@ -11,7 +11,7 @@
 from multidict import CIMultiDict
 
 from ..exchange import BadBody, Exchange, Reply
-from ..net.guard import REQUEST_TIME
+from ..net.client_connection import REQUEST_TIMEOUT
 from .events import BodyReceived, RequestStarted
 
 CONNECTION_SPECIFIC_FIELDS = frozenset({"connection", "keep-alive", "proxy-connection", "transfer-encoding", "upgrade"})
@@ -86,7 +86,7 @@
         """Reads the complete body, within the same time and size limits as over HTTP/1.1."""
         chunks, size = [], 0
         try:
-            async with asyncio.timeout(REQUEST_TIME.total_seconds()):
+            async with asyncio.timeout(REQUEST_TIMEOUT.total_seconds()):
                 while data := await self.read_available():
                     size += len(data)
                     if self._max_body_bytes is not None and size > self._max_body_bytes:
--- a/ochrespan/http2/protocol.py
+++ b/ochrespan/http2/protocol.py
@@ -15,7 +15,7 @@
 
 from h2.errors import ErrorCodes
 
-from ..net.guard import State
+from ..net.client_connection import ConnectionState
 from .connection import Connection
 from .events import BodyEnded, BodyReceived, ConnectionEnded, RequestStarted, StreamAborted
 from .exchange import Http2Exchange
@@ -38,7 +38,7 @@
         """`on_state_change` is called on every state change, including CLOSED."""
         self._server, self._on_state_change = server, on_state_change
         self._loop = asyncio.get_running_loop()
-        self.state, self.since = State.SILENT, self._loop.time()
+        self.state, self.since = ConnectionState.CONNECTED, self._loop.time()
         self.transport: asyncio.Transport | None = None
         self._connection = Connection(server.limits, server.buffers, self._loop.time())
         self._exchanges: dict[int, Http2Exchange] = {}
@@ -58,17 +58,17 @@
 
     def expire(self) -> None:
         """Closes the connection on a timeout or when its descriptor is needed; aborts it if it is already closing."""
-        if self.state is State.LEAVING or self.transport is None:
+        if self.state is ConnectionState.CLOSING or self.transport is None:
             if self.transport is not None:
                 self.transport.abort()
             return
         self._connection.finish_drain()
         self._close_gracefully()
 
-    def _set_state(self, state: State) -> None:
-        if self.state in (state, State.CLOSED):
+    def _set_state(self, state: ConnectionState) -> None:
+        if self.state in (state, ConnectionState.CLOSED):
             return
-        if (self.state, state) != (State.SILENT, State.READING):
+        if (self.state, state) != (ConnectionState.CONNECTED, ConnectionState.READING):
             self.since = self._loop.time()
         self.state = state
         self._on_state_change(self)
@@ -76,8 +76,8 @@
     def _close_gracefully(self) -> None:
         """Flushes pending output and closes the connection."""
         self._flush()
-        if self.state is not State.CLOSED:
-            self._set_state(State.LEAVING)
+        if self.state is not ConnectionState.CLOSED:
+            self._set_state(ConnectionState.CLOSING)
             if self.transport is not None:
                 self.transport.close()
 
@@ -101,7 +101,7 @@
             event.set()
         self._server.connections.discard(self)
         self._server.release_credit()
-        self.state = State.CLOSED
+        self.state = ConnectionState.CLOSED
         self._on_state_change(self)
 
     def pause_writing(self) -> None:
@@ -112,7 +112,7 @@
         self._flush()
 
     def data_received(self, data: bytes) -> None:
-        if self.state in (State.LEAVING, State.CLOSED):
+        if self.state in (ConnectionState.CLOSING, ConnectionState.CLOSED):
             return
         for event in self._connection.receive(data, self._loop.time()):
             match event:
@@ -127,8 +127,8 @@
                     self._cancel(stream)
                 case ConnectionEnded(code, reason):
                     self._end(code, reason)
-        if self.state is State.SILENT:
-            self._set_state(State.READING)
+        if self.state is ConnectionState.CONNECTED:
+            self._set_state(ConnectionState.READING)
         self._flush()
         self._update_idle_state()
 
@@ -152,7 +152,7 @@
         task = self._tasks[request.stream] = self._loop.create_task(self._run(exchange))
         # also called if the task is cancelled before it starts
         task.add_done_callback(lambda _: self._stream_done(request.stream))
-        self._set_state(State.BUSY)
+        self._set_state(ConnectionState.BUSY)
 
     async def _run(self, exchange: Http2Exchange) -> None:
         stream = exchange.stream
@@ -181,12 +181,17 @@
 
     def _update_idle_state(self) -> None:
         """Without open streams: closes the connection if it is drained or the process closes, else marks it QUIET."""
-        if self._tasks or self.state in (State.LEAVING, State.CLOSED, State.READING, State.SILENT):
+        if self._tasks or self.state in (
+            ConnectionState.CLOSING,
+            ConnectionState.CLOSED,
+            ConnectionState.READING,
+            ConnectionState.CONNECTED,
+        ):
             return
         if self._connection.done or self._server.lifecycle.closing:
             self.expire()
         else:
-            self._set_state(State.QUIET)
+            self._set_state(ConnectionState.IDLE)
 
     # ---- called by the exchanges ----
 
@@ -284,7 +289,7 @@
 
     def finish_drain(self) -> None:
         """Sends the final GOAWAY; closes the connection once no stream is open."""
-        if self.state is not State.CLOSED:
+        if self.state is not ConnectionState.CLOSED:
             self._connection.finish_drain()
             self._flush()
             self._update_idle_state()
--- a/ochrespan/http2/start.py
+++ b/ochrespan/http2/start.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..net.bodies import MOST_BODY
+from ..net.request_bodies import MAX_BODY_BYTES
 from ..subsystem import CoreComponents, Subsystem
 from .limits import BufferBudget
 from .section import Http2Config
@@ -14,7 +14,7 @@
     buffers, subsystem = BufferBudget(section.max_buffered_bytes), Subsystem()
     latency_targets_s = {cls.name: cls.latency_target for cls in core.config.settings.classes.values()}
     for name, address in section.listen.items():
-        max_body_bytes = MOST_BODY if name == "platform" else None
+        max_body_bytes = MAX_BODY_BYTES if name == "platform" else None
         server = Http2Server(
             core.handlers[name],
             max_body_bytes,
--- a/ochrespan/objects/store.py
+++ b/ochrespan/objects/store.py
@@ -14,7 +14,7 @@
 
 from ..broker import Broker
 from ..contracts.terms import Contract
-from ..net.chunks import Answer, ChunkClient, Message, serve
+from ..net.chunk_client import ChunkClient, UpstreamRequest, UpstreamResponse, serve
 from ..requests import Claim, Failed, NotCovered, OverBudget, Refused, Request
 from . import layout
 from .layout import ChunkName, ChunkSlice, Manifest, Part
@@ -86,7 +86,7 @@
             location.volume, cls, scope.contract.plan, remaining_time, units, location.shard, location.key, claim=claim
         )
 
-    async def _serve(self, request: Request, message: Message) -> Answer:
+    async def _serve(self, request: Request, message: UpstreamRequest) -> UpstreamResponse:
         message.headers["X-Trace-Id"] = secrets.token_hex(TRACE_ID_BYTES)
         match await serve(self._broker, self._client, request, message):
             case Refused(retry_after):
@@ -106,14 +106,14 @@
             raise StorageFailed("payload exceeds the size of a chunk")
         location = layout.locate(scope.owner, chunk_name, self._shards)
         request = self._request(scope, cls, location, len(payload))
-        await self._serve(request, Message("PUT", location.target, layout.seal(chunk_name, payload)))
+        await self._serve(request, UpstreamRequest("PUT", location.target, layout.seal(chunk_name, payload)))
 
     async def read(self, scope: Scope, cls: str, chunk_name: ChunkName, size: int) -> bytes | None:
         """Returns the payload, or None if nothing is stored. A response with an invalid seal counts as failed and is
         retried."""
         location = layout.locate(scope.owner, chunk_name, self._shards)
 
-        def is_valid(response: Answer) -> bool:
+        def is_valid(response: UpstreamResponse) -> bool:
             if response.status == 404:
                 return True
             try:
@@ -122,7 +122,7 @@
                 return False
             return True
 
-        message = Message("GET", location.target, served=frozenset({200, 404}), check=is_valid)
+        message = UpstreamRequest("GET", location.target, accepted_statuses=frozenset({200, 404}), is_valid=is_valid)
         response = await self._serve(self._request(scope, cls, location, size), message)
         return None if response.status == 404 else response.body[layout.SEAL_BYTES :]
 
