--- a/tests/control_plane/config/test_commands_under_loss.py
+++ b/tests/control_plane/config/test_commands_under_loss.py
@@ -7,7 +7,7 @@
 from ochrespan.control_plane.config import state_machine
 from ochrespan.control_plane.config.state_machine import CommandOutcome, ConfigurationStateMachine
 from tests.support.raft_simulation.checks import Violation
-from tests.support.raft_simulation.faults import SETTLE_S, HarshFaultInjector
+from tests.support.raft_simulation.faults import RECOVERY_S, HarshFaultInjector
 from tests.support.raft_simulation.operators import ConfigMachine, Operator, ResponseLog
 from tests.support.raft_simulation.world import World
 
@@ -23,12 +23,12 @@
     faults.begin(gap_s, world.now + SECONDS)
     world.run(SECONDS)
     faults.end()
-    world.run(SETTLE_S)
+    world.run(RECOVERY_S)
     assert min(operator.responses for operator in operators) > 5
     newest = max(
         (node.machines[0].configuration for node in world.nodes.values()), key=lambda machine: machine.current.version
     )
-    book.at_the_end(newest)
+    book.check_final_state(newest)
     return world, book
 
 
--- a/tests/raft/test_bootstrap.py
+++ b/tests/raft/test_bootstrap.py
@@ -185,7 +185,7 @@
     world.run(5.0)
     assert is_command_acknowledged(world)
     world.run(0.5)
-    world.checks.at_the_end(list(world.nodes.values()))
+    world.checks.check_final_state(list(world.nodes.values()))
 
 
 @pytest.mark.parametrize("bootstrap", [True, False])
@@ -220,7 +220,7 @@
     assert len(clusters(world)) == 1
     assert is_command_acknowledged(world)
     world.run(2.0)
-    world.checks.at_the_end(list(world.nodes.values()))
+    world.checks.check_final_state(list(world.nodes.values()))
 
 
 def test_a_cluster_that_is_opened_without_all_initial_members_is_caught_as_two_clusters(monkeypatch):
--- a/tests/raft/test_planned_shutdown.py
+++ b/tests/raft/test_planned_shutdown.py
@@ -34,7 +34,7 @@
     world.run(RECOVERY_S)
     send_command(world)
     world.run(0.5)
-    world.checks.at_the_end(list(world.nodes.values()))
+    world.checks.check_final_state(list(world.nodes.values()))
 
 
 def possible_losses(size: int, tolerated: int):
--- a/tests/raft/test_state_search.py
+++ b/tests/raft/test_state_search.py
@@ -13,26 +13,26 @@
 @pytest.mark.parametrize(
     ("budget", "states"),
     [
-        (Budget(timeouts=1, orders=2, crashes=0), 575),
-        (Budget(timeouts=1, orders=1, crashes=1), 1177),
-        (Budget(timeouts=1, orders=2, crashes=0, cuts=1), 2190),
+        (Budget(timeouts=1, commands=2, crashes=0), 575),
+        (Budget(timeouts=1, commands=1, crashes=1), 1177),
+        (Budget(timeouts=1, commands=2, crashes=0, cuts=1), 2190),
     ],
 )
 def test_every_schedule_of_a_small_budget_keeps_the_rules(budget, states):
     found = search(budget, max_states=10_000)
     assert found.complete
     assert found.states == states  # a change of the protocol changes it: look at what became possible
-    assert found.committed == budget.orders + 1
+    assert found.committed == budget.commands + 1
 
 
 @pytest.mark.parametrize(
     "budget",
     [
-        Budget(timeouts=2, orders=1, crashes=0),
-        Budget(timeouts=2, orders=0, crashes=1),
-        Budget(timeouts=1, orders=1, crashes=0, wipes=1, changes=2),
-        Budget(timeouts=2, orders=1, crashes=0, wipes=1, changes=1, power=1),
-        Budget(timeouts=2, orders=1, crashes=1, wipes=1, changes=1),
+        Budget(timeouts=2, commands=1, crashes=0),
+        Budget(timeouts=2, commands=0, crashes=1),
+        Budget(timeouts=1, commands=1, crashes=0, wipes=1, changes=2),
+        Budget(timeouts=2, commands=1, crashes=0, wipes=1, changes=1, power=1),
+        Budget(timeouts=2, commands=1, crashes=1, wipes=1, changes=1),
     ],
 )
 def test_the_nearest_schedules_of_a_larger_budget_keep_the_rules(budget):
@@ -41,7 +41,7 @@
 
 def test_every_schedule_with_a_wiped_initial_member_keeps_the_rules():
     """It comes back under a new id before, amid or after the first election, and all others lose power once."""
-    found = search(Budget(timeouts=1, orders=1, crashes=0, wipes=1, power=1), max_states=10_000)
+    found = search(Budget(timeouts=1, commands=1, crashes=0, wipes=1, power=1), max_states=10_000)
     assert found.complete
     assert found.states == WIPED_MEMBER_STATES
 
@@ -55,7 +55,7 @@
 
     monkeypatch.setattr(State, "_wipe", same_id)
     with pytest.raises(Violation, match="lost order|two histories|two leaders"):
-        search(Budget(timeouts=2, orders=1, crashes=0, wipes=1), max_states=40_000)
+        search(Budget(timeouts=2, commands=1, crashes=0, wipes=1), max_states=40_000)
 
 
 def test_the_search_finds_an_election_by_less_than_a_majority(monkeypatch):
@@ -63,7 +63,7 @@
         MembershipConfig, "has_majority", lambda self, agreeing: any(agreeing(member.id) for member in self.voters)
     )
     with pytest.raises(Violation, match="two leaders of one term"):
-        search(Budget(timeouts=2, orders=0, crashes=0), max_states=20_000)
+        search(Budget(timeouts=2, commands=0, crashes=0), max_states=20_000)
 
 
 def test_the_search_finds_an_acknowledgement_before_the_write(monkeypatch):
@@ -71,4 +71,4 @@
     monkeypatch.setattr(ReplicaState, "send_when_persisted", ReplicaState.send)
     monkeypatch.setattr(ReplicaState, "needs_write", lambda _self: False)
     with pytest.raises(Violation):
-        search(Budget(timeouts=2, orders=0, crashes=1), max_states=20_000)
+        search(Budget(timeouts=2, commands=0, crashes=1), max_states=20_000)
--- a/tests/support/raft_simulation/checks.py
+++ b/tests/support/raft_simulation/checks.py
@@ -89,7 +89,7 @@
             if state.role is Role.LEADER:
                 self._check_one_leader(node, shard, state.term)
             if replica.is_leader:
-                self._check_holds_all_acked(node, shard)
+                self._check_leader_has_acked_commands(node, shard)
                 self._check_one_owner(node, shard)
 
     def _check_one_owner(self, node: Node, shard: int) -> None:
@@ -109,7 +109,7 @@
         if self._votes.setdefault((shard, term, replica_id), candidate) != candidate:
             raise Violation("two votes of one term", f"{address} in term {term} of shard {shard}")
 
-    def at_the_end(self, nodes: list[Node]) -> None:
+    def check_final_state(self, nodes: list[Node]) -> None:
         """All machines hold all that was acknowledged."""
         for shard, acked in self.acked.items():
             for node in nodes:
@@ -122,7 +122,7 @@
         if self._leaders.setdefault(key, node.multi_raft.id) != node.multi_raft.id:
             raise Violation("two leaders of one term", f"term {term} of shard {shard}, {node.address[0]}")
 
-    def _check_holds_all_acked(self, node: Node, shard: int) -> None:
+    def _check_leader_has_acked_commands(self, node: Node, shard: int) -> None:
         """A cheap form: the newest leader has applied no fewer commands than were acknowledged before."""
         replica = node.multi_raft.replicas[shard]
         own_cluster = node.multi_raft.bootstrap.identity.cluster_id
--- a/tests/support/raft_simulation/faults.py
+++ b/tests/support/raft_simulation/faults.py
@@ -7,9 +7,9 @@
 
 RESTART_S = (0.2, 1.0)
 CATCH_UP_S = 4.0
-SETTLE_S = 12.0
+RECOVERY_S = 12.0
 SEEDS = 3
-COME_BACK_CHANCE = 0.3
+RETURN_CHANCE = 0.3
 
 
 class FaultInjector:
@@ -31,7 +31,7 @@
         "full_disk",
         "leave",
         "final",
-        "turn_seeds",
+        "change_seeds",
     )
 
     # Apart, so that the runs of the others stay as they are
@@ -137,15 +137,15 @@
             new = self.world.add(self._next_number)
             self._next_number += 1
             self._restart_later(new)
-            if self.random.random() < COME_BACK_CHANCE:
-                self.world.later(CATCH_UP_S + 2.0, None, lambda: self._come_back(node))
+            if self.random.random() < RETURN_CHANCE:
+                self.world.later(CATCH_UP_S + 2.0, None, lambda: self._return_replaced(node))
 
-    def _come_back(self, node: Node) -> None:
+    def _return_replaced(self, node: Node) -> None:
         self.history.append(f"{self.world.now:.3f} come back {node.address[0]}")
         self.world.nodes[node.address] = node
         self._start(node)
 
-    def _turn_seeds(self, _: Node) -> None:
+    def _change_seeds(self, _: Node) -> None:
         """Processes that start from here on have other seeds: machines that run now."""
         running = [node.address for node in self.world.running()]
         if len(running) >= SEEDS:
@@ -298,17 +298,17 @@
     """
     faults = (injector or FaultInjector)(world, kinds)
     world.run(3.0)
-    world.traffic(0.05, world.now + seconds + SETTLE_S)
-    world.quota_traffic.begin(world.now + seconds + SETTLE_S)
+    world.traffic(0.05, world.now + seconds + RECOVERY_S)
+    world.quota_traffic.begin(world.now + seconds + RECOVERY_S)
     faults.begin(gap_s, world.now + seconds)
     world.run(seconds)
     faults.end()
-    world.run(SETTLE_S)
+    world.run(RECOVERY_S)
     assert all(world.quota_traffic.granted.values()), "a tenant was granted nothing"
     for shard in world.shards:
         before = len(world.checks.acked[shard])
         world.propose(shard)
         world.run(2.0)
         assert len(world.checks.acked[shard]) > before, f"shard {shard} accepts no commands after all has healed"
-    world.checks.at_the_end(list(world.nodes.values()))
+    world.checks.check_final_state(list(world.nodes.values()))
     return faults
--- a/tests/support/raft_simulation/first_start.py
+++ b/tests/support/raft_simulation/first_start.py
@@ -128,5 +128,5 @@
             world.run(0.05)
         assert len(world.checks.acked[0]) > before, "no command is acknowledged in the end"
         world.run(1.0)
-        world.checks.at_the_end(list(world.nodes.values()))
+        world.checks.check_final_state(list(world.nodes.values()))
     return world
--- a/tests/support/raft_simulation/operators.py
+++ b/tests/support/raft_simulation/operators.py
@@ -76,7 +76,7 @@
                 raise Violation("a retry rejected", f"the command on {builds_on}: {result.outcome.value}")
             self.rejected.add(digest)
 
-    def at_the_end(self, machine: ConfigurationStateMachine) -> None:
+    def check_final_state(self, machine: ConfigurationStateMachine) -> None:
         """What was confirmed is in force, and nothing else that was sent."""
         taken = set(machine._accepted_versions)  # noqa: SLF001 - the check looks inside
         if taken & self.rejected:
--- a/tests/support/raft_simulation/search.py
+++ b/tests/support/raft_simulation/search.py
@@ -44,7 +44,7 @@
     """How often each event may happen in a schedule."""
 
     timeouts: int = 2
-    orders: int = 2
+    commands: int = 2
     crashes: int = 1
     wipes: int = 0
     cuts: int = 0
@@ -106,8 +106,8 @@
         )
         if budget.timeouts and may_campaign:
             yield ("timeout", replica_id)
-        if raft_state.role is Role.LEADER and budget.orders:
-            yield ("order", replica_id)
+        if raft_state.role is Role.LEADER and budget.commands:
+            yield ("propose", replica_id)
         if raft_state.role is Role.LEADER and budget.changes:
             yield ("change", replica_id)
         if budget.crashes:
@@ -125,7 +125,7 @@
                 self._write(replica_id)
             self._collect(replica_id, replica)
         self._check()
-        self._drop_passed_over()
+        self._drop_ignored_messages()
 
     def _spend(self, **spent: int) -> None:
         left = {name: getattr(self.budget, name) - count for name, count in spent.items()}
@@ -150,11 +150,11 @@
         replica.state.election_deadline = self.now
         replica.tick(self.now)
 
-    def _order(self, replica_id: int) -> None:
+    def _propose(self, replica_id: int) -> None:
         replica = self.replicas[replica_id]
         replica.state.leader_since = self.now - LONG_S  # however long a new group waits for its members
-        replica.propose(self.now, b"order %d" % self.budget.orders)
-        self._spend(orders=1)
+        replica.propose(self.now, b"order %d" % self.budget.commands)
+        self._spend(commands=1)
 
     def _crash(self, replica_id: int) -> None:
         """The process starts again from its disk; messages to it are lost, those from it may still arrive."""
@@ -216,7 +216,7 @@
                 continue
             self.channels.setdefault((sender, receiver), []).append(message)
 
-    def _drop_passed_over(self) -> None:
+    def _drop_ignored_messages(self) -> None:
         for (_, receiver), messages in self.channels.items():
             replica = self.replicas.get(receiver)
             messages[:] = [message for message in messages if replica is not None and _matters(replica, message)]
