--- a/tests/raft/test_bootstrap.py
+++ b/tests/raft/test_bootstrap.py
@@ -443,7 +443,7 @@
     wiped.start(world.seeds, bootstrap=True)
     isolate(world, leader)
     world.cuts -= {(wiped.address, lagging.address), (lagging.address, wiped.address)}
-    with pytest.raises(Violation, match="two clusters|lost order|two leaders of one term"):
+    with pytest.raises(Violation, match="two clusters|lost command|two leaders of one term"):
         world.run(3.0)
         is_command_acknowledged(world)
 
--- a/tests/raft/test_history_checkers.py
+++ b/tests/raft/test_history_checkers.py
@@ -31,7 +31,7 @@
 
 def test_an_acknowledgement_before_the_sync_is_caught_as_a_lost_order(monkeypatch):
     monkeypatch.setattr(ReplicaState, "send_when_persisted", ReplicaState.send)
-    caught({"lost order", "two histories"}, ("power_all", "slow_disk"))
+    caught({"lost command", "two histories"}, ("power_all", "slow_disk"))
 
 
 def test_a_commitment_without_a_majority_is_caught_as_a_lost_order(monkeypatch):
@@ -39,7 +39,7 @@
         return max(value_of(member.id) for member in self.voters)
 
     monkeypatch.setattr(MembershipConfig, "majority_value", of_one)
-    caught({"lost order", "two histories", "stale read"}, ("isolate", "kill"))
+    caught({"lost command", "two histories", "stale read"}, ("isolate", "kill"))
 
 
 def test_a_forgotten_vote_is_caught_as_two_votes_or_two_leaders_of_one_term(monkeypatch):
@@ -98,7 +98,7 @@
         return any(agreeing(member.id) for member in self.voters)
 
     monkeypatch.setattr(MembershipConfig, "has_majority", half)
-    caught({"two leaders of one term", "two histories", "lost order"}, ("isolate", "kill_all"))
+    caught({"two leaders of one term", "two histories", "lost command"}, ("isolate", "kill_all"))
 
 
 def test_a_leader_that_commits_what_it_has_not_persisted_is_caught(monkeypatch):
@@ -107,4 +107,4 @@
         return core.log.last_index if member_id == core.id else self.progress[member_id].match_index
 
     monkeypatch.setattr(LeaderReplication, "_match_index", in_memory)
-    caught({"lost order", "two histories"}, ("final", "power_all", "slow_disk"), gap_s=0.4)
+    caught({"lost command", "two histories"}, ("final", "power_all", "slow_disk"), gap_s=0.4)
--- a/tests/raft/test_state_search.py
+++ b/tests/raft/test_state_search.py
@@ -54,7 +54,7 @@
         self._restart(replica_id)
 
     monkeypatch.setattr(State, "_wipe", same_id)
-    with pytest.raises(Violation, match="lost order|two histories|two leaders"):
+    with pytest.raises(Violation, match="lost command|two histories|two leaders"):
         search(Budget(timeouts=2, commands=1, crashes=0, wipes=1), max_states=40_000)
 
 
--- a/tests/support/raft_simulation/checks.py
+++ b/tests/support/raft_simulation/checks.py
@@ -115,7 +115,7 @@
             for node in nodes:
                 missing = set(acked) - set(node.machines[shard].commands)
                 if missing:
-                    raise Violation("lost order", f"{node.address[0]} shard {shard} lacks {sorted(missing)[:3]}")
+                    raise Violation("lost command", f"{node.address[0]} shard {shard} lacks {sorted(missing)[:3]}")
 
     def _check_one_leader(self, node: Node, shard: int, term: int) -> None:
         key = (node.multi_raft.bootstrap.identity.cluster_id, shard, term)
@@ -131,4 +131,4 @@
             return
         lacking = len(self.acked[shard]) - len(node.machines[shard].commands)
         if lacking > 0:
-            raise Violation("lost order", f"leader {node.address[0]} of shard {shard} lacks {lacking}")
+            raise Violation("lost command", f"leader {node.address[0]} of shard {shard} lacks {lacking}")
--- a/tests/support/raft_simulation/search.py
+++ b/tests/support/raft_simulation/search.py
@@ -153,7 +153,7 @@
     def _propose(self, replica_id: int) -> None:
         replica = self.replicas[replica_id]
         replica.state.leader_since = self.now - LONG_S  # however long a new group waits for its members
-        replica.propose(self.now, b"order %d" % self.budget.commands)
+        replica.propose(self.now, b"command %d" % self.budget.commands)
         self._spend(commands=1)
 
     def _crash(self, replica_id: int) -> None:
@@ -241,7 +241,7 @@
             return
         for index, (term, data) in self.committed.items():
             if raft_state.log.term_at(index) != term or raft_state.log.entry(index).data != data:
-                raise Violation("lost order", f"index {index} isn't at leader {replica_id} of term {raft_state.term}")
+                raise Violation("lost command", f"index {index} isn't at leader {replica_id} of term {raft_state.term}")
 
     # Identity
 
