--- a/ochrespan/programs/controller.py
+++ b/ochrespan/programs/controller.py
@@ -1,4 +1,4 @@
-"""The controller: a replica of every shard of the control state, with the control interface and the feed on it."""
+"""The controller process: replicates every shard of the control state, serves the control interface and the feed."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def control_address(settings: Settings) -> Address:
-    """Where the control interface listens; raises ValidationError."""
+    """The address that the control interface listens on; raises ValidationError."""
     return listen_address(settings, "control")
 
 
@@ -54,7 +54,7 @@
     """One controller process: replicas, control interface, feed and membership.
 
     Raises:
-        ValidationError: a controller cannot be made from these settings.
+        ValidationError: the settings are not usable for a controller.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -84,21 +84,21 @@
         self._host.on_leadership = self._node.leadership_changed
 
     def start(self) -> None:
-        """Starts the replicas, joins the members, and opens the control interface."""
+        """Starts the replicas, joins the membership, and opens the control interface."""
         self._host.start()
         self._node.start()
         self._membership.start()
         self._http = serve_api(self._control_address, self._node.api)
 
     def settings_changed(self, settings: Settings) -> None:
-        """Takes over changed seeds; every other setting is read at the next start."""
+        """Applies changed seeds; every other setting takes effect at the next start."""
         self._settings = settings
         seeds = seed_peer_addresses(settings)
         self._host.add_seeds(seeds)
         self._membership.seeds_changed(seeds)
 
     def stop(self) -> None:
-        """Transfers leadership and stops, within STOP_TIMEOUT_S; what is not done by then ends with the process."""
+        """Transfers leadership and stops, within STOP_TIMEOUT_S; the exit of the process ends what still runs then."""
         with gevent.Timeout(STOP_TIMEOUT_S, False):
             self._membership.stop()
             self._node.stop()
--- a/ochrespan/programs/early_listener.py
+++ b/ochrespan/programs/early_listener.py
@@ -1,7 +1,7 @@
-"""Opens a router's listener for clients, with few imports.
+"""Opens a router's listener for clients before the rest of the router is imported; imports little itself.
 
-The settings are read here without validation, and only for this address. Whatever is wrong with them is reported when
-the router reads and validates them; it then opens the listener itself.
+The settings are read here without validation, and only for this address. Any fault in them is reported when the
+router reads and validates them; if no listener is open by then, the router opens it itself.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     """Opens a listening socket at `listen.front` of the settings file; the caller owns it.
 
     Returns:
-        None where the settings name no usable address, or where it cannot be bound.
+        None if the settings name no usable address, or if it cannot be bound.
     """
     try:
         with open(os.environ[SETTINGS_VARIABLE], encoding="utf-8") as file:
--- a/ochrespan/programs/errors.py
+++ b/ochrespan/programs/errors.py
@@ -11,7 +11,7 @@
     OK = 0
     FAILED = 1  # a command was rejected, or its input has findings
     OUTCOME_UNKNOWN = 3  # a change may or may not have been committed
-    BAD_SETTINGS = 78  # EX_CONFIG of sysexits.h: starting again with the same settings is in vain
+    BAD_SETTINGS = 78  # EX_CONFIG of sysexits.h: a restart with the same settings would fail again
 
 
 class ProgramError(Exception):
@@ -19,10 +19,10 @@
 
 
 class CommandFailedError(ProgramError):
-    """A command of `fleetctl` has no result.
+    """A command of `fleetctl` failed, or its outcome is unknown.
 
     Attributes:
-        exit_status: what `fleetctl` ends with.
+        exit_status: the exit status of `fleetctl`.
     """
 
     def __init__(self, text: str, exit_status: ExitStatus = ExitStatus.FAILED) -> None:
--- a/ochrespan/programs/fleetctl.py
+++ b/ochrespan/programs/fleetctl.py
@@ -1,7 +1,7 @@
 """The operator's command line: `python3 -m ochrespan.programs.fleetctl COMMAND`.
 
-Every command of the fleet takes `--controllers IP:PORT ...`, the control addresses of one or more controllers; without
-it they are the seeds of the settings file that OCHRESPAN_SETTINGS names.
+Every command of the fleet takes `--controllers IP:PORT ...`, the control addresses of one or more controllers; the
+default are the seeds of the settings file that OCHRESPAN_SETTINGS names.
 """
 
 from __future__ import annotations
@@ -204,7 +204,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Runs a command and prints its result, or on standard error why there is none; returns the exit status."""
+    """Runs a command; prints its result, or its error on standard error. Returns the exit status."""
     try:
         print(defopt.run(COMMANDS, argv=arguments, show_types=False))
     except ValidationError as error:
--- a/ochrespan/programs/fleetctl_commands/backup_file.py
+++ b/ochrespan/programs/fleetctl_commands/backup_file.py
@@ -1,8 +1,8 @@
 """A backup of the control state, from which a cluster can be set up again: the configuration and the instances.
 
-It names the commands that were accepted, so that one that is sent again to the new cluster is recognised there. Files
-of earlier versions of the program lack them; those versions ignore them. Instances register by themselves. Their
-records are in the backup for operators to read, and for restoring `draining`.
+It lists the accepted commands, so that the new cluster recognises a command that is sent again. Files written by
+earlier versions of the program lack this list, and those versions ignore it. Instances register by themselves; their
+records are in the backup for operators to read, and for restoring the state `draining`.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 FORMAT = "ochrespan control state"
 FORMAT_VERSION = 1
 CHECKSUM_BYTES = 16
-COMMANDS_FIELD = "commands"  # has a checksum of its own, as earlier versions know only that of the other fields
+COMMANDS_FIELD = "commands"  # has its own checksum: earlier versions check only that of the other fields
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,7 +51,7 @@
         taken_at: ISO 8601, by the clock of the machine that ran `fleetctl`.
         configuration: as `GET /api/config` gives it.
         instances: as `GET /api/status` lists them.
-        commands: None in a file of an earlier version, or from controllers of one.
+        commands: None in a file of an earlier version, or if the controllers run an earlier version.
     """
 
     taken_at: str
@@ -62,7 +62,7 @@
     def restore_document(self) -> dict[str, Any]:
         """The body of `PUT /api/config/backup`.
 
-        Where the accepted commands are not known, any that builds on an older version may have been accepted.
+        If the accepted commands are unknown, any command that builds on an older version may have been accepted.
         """
         commands = self.commands or AcceptedCommands([], self.configuration["generation"])
         return {"configuration": self.configuration, **commands.fields()}
@@ -101,7 +101,7 @@
 
 
 def _read_commands(path: Path, section: Any) -> AcceptedCommands:
-    """The section of the accepted commands; its fields are checked with the whole backup."""
+    """The section of the accepted commands; `read_backup` validates its fields with the rest of the backup."""
     if not isinstance(section, dict):
         raise ValidationError([Finding(f"{path}: {COMMANDS_FIELD}", type(section).__name__, "a map")])
     commands = AcceptedCommands(section.get("accepted_commands", []), section.get("last_evicted_version", 0))
--- a/ochrespan/programs/fleetctl_commands/common.py
+++ b/ochrespan/programs/fleetctl_commands/common.py
@@ -1,4 +1,4 @@
-"""What the commands of `fleetctl` share: clients of the control interface, and reading documents."""
+"""Helpers for the commands of `fleetctl`: clients of the control interface, and reading documents."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def clients_for_each(controllers: list[str] | None) -> list[ControlClient]:
-    """A client for each controller by itself, for what every one of them has to be told; raises ValidationError."""
+    """One client for each controller, for calls that every controller must receive; raises ValidationError."""
     return [ControlClient([address]) for address in _controller_addresses(controllers)]
 
 
@@ -53,7 +53,7 @@
 
 
 def unwrap_document(result: Result[Any, CallFailure]) -> Any:
-    """The document of a successful call; raises CommandFailedError with the exit status of any other."""
+    """The document of a successful call; raises CommandFailedError, with its exit status, for a failed one."""
     if isinstance(result, Success):
         return result.unwrap()
     failure = result.failure()
--- a/ochrespan/programs/fleetctl_commands/control_client.py
+++ b/ochrespan/programs/fleetctl_commands/control_client.py
@@ -1,4 +1,4 @@
-"""A client of the control interface for the command line, which tries one controller after the other."""
+"""The command line's client of the control interface; it tries one controller after the other."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 CONNECT_TIMEOUT_S = 1.0
 RESPONSE_TIMEOUT_S = 5.0
-MAX_ROUNDS = 5  # over all controllers
-FIRST_BACKOFF_S = 0.2  # after the first round; it doubles with each
+MAX_ROUNDS = 5  # each round tries every controller once
+FIRST_BACKOFF_S = 0.2  # after the first round; doubles after each further round
 
 
 @dataclass(frozen=True, slots=True)
 class CallFailure:
-    """A call without a document.
+    """A call that returned no document.
 
     Attributes:
-        controller: the last one that was tried.
-        status: of its response; None where none came.
-        findings: what the response, or the connection, named as the cause.
+        controller: address of the last controller that was tried.
+        status: HTTP status of its response; None if there was no response.
+        findings: causes that the response, or the error of the connection, names.
     """
 
     controller: str
@@ -41,14 +41,14 @@
 
 
 class ControlClient:
-    """Calls the given controllers in turn, in rounds with an exponential backoff.
+    """Calls the given controllers in turn, in rounds with an exponential backoff between them.
 
     A call without a response, or with a 5xx status, is sent again unchanged. That is safe, as the controllers recognise
     a command that they have committed already.
 
     Args:
         controllers: their control addresses.
-        sleep: waits for so many seconds between two rounds.
+        sleep: waits between two rounds; called with a number of seconds.
     """
 
     def __init__(self, controllers: Sequence[Address], sleep: Callable[[float], None] = time.sleep) -> None:
@@ -60,7 +60,7 @@
         return self._call("GET", path, None, {})
 
     def put(self, path: str, document: Any, headers: dict[str, str] | None = None) -> Result[Any, CallFailure]:
-        """Replaces the document at `path`; the result holds that of the response."""
+        """Replaces the document at `path`; the result holds the document of the response."""
         return self._call("PUT", path, document, headers or {})
 
     def _call(self, method: str, path: str, document: Any, headers: dict[str, str]) -> Result[Any, CallFailure]:
--- a/ochrespan/programs/fleetctl_commands/files.py
+++ b/ochrespan/programs/fleetctl_commands/files.py
@@ -1,4 +1,4 @@
-"""Files of the command line: reads that name what is wrong, and writes that replace a file completely or not at all."""
+"""Files of the command line: reads whose errors are findings, and atomic, durable writes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def replace_file(path: Path, text: str) -> None:
-    """Writes a file atomically: the new contents are on disk before they take the name; raises OSError."""
+    """Writes a file atomically: the new contents are synced before they are renamed into place; raises OSError."""
     temporary = path.with_name(path.name + ".new")
     with open(temporary, "w") as file:
         file.write(text)
--- a/ochrespan/programs/fleetctl_commands/reports.py
+++ b/ochrespan/programs/fleetctl_commands/reports.py
@@ -49,7 +49,7 @@
 
 
 def members_report(status: dict[str, Any]) -> str:
-    """The controllers and routers that are alive."""
+    """The live controllers and routers."""
     controllers = [("controller", each["address"], each["zone"]) for each in status["controllers"]]
     routers = [("router", name, "") for name in status["routers"]]
     return table(("role", "member", "zone"), sorted(controllers) + routers)
@@ -64,7 +64,7 @@
 
 
 def history_report(changes: Iterable[dict[str, Any]]) -> str:
-    """The changes of the configuration, one a line."""
+    """The changes of the configuration, one per line."""
     rows = [
         (each["version"], each["builds_on"], _time_of(each["received_ms"]), each["kind"], _counts_of(each["changed"]))
         for each in changes
--- a/ochrespan/programs/fleetctl_commands/state_commands.py
+++ b/ochrespan/programs/fleetctl_commands/state_commands.py
@@ -68,7 +68,7 @@
     """Reports an instance as draining, on its behalf; raises CommandFailedError.
 
     The sequence number is one above that of the last committed change; heartbeats without a change are not committed.
-    Where the instance itself reports a change in between, that one takes the number, and this report is out of date.
+    If the instance itself reports a change in the meantime, its report takes that number, and this one is out of date.
     """
     fields = {name: value for name, value in record.items() if name != "id"}
     report = {**fields, "state": InstanceState.DRAINING.value, "sequence": record["sequence"] + 1}
@@ -76,7 +76,7 @@
 
 
 def _read_state(client: ControlClient) -> tuple[dict[str, Any], AcceptedCommands | None]:
-    """The configuration and the accepted commands; controllers of an earlier version do not tell the commands."""
+    """The configuration and the accepted commands; None for these from controllers of an earlier version."""
     result = client.get(BACKUP_PATH)
     if isinstance(result, Failure) and result.failure().status == NOT_FOUND:
         return current_configuration(client), None
@@ -85,7 +85,7 @@
 
 
 def _put_configuration(client: ControlClient, saved: Backup, restored: dict[str, Any], version: int) -> Any:
-    """Restores the complete state into a cluster without a configuration, else the configuration on `version`.
+    """Restores the complete state into a cluster without a configuration; else replaces the one of `version`.
 
     Raises:
         CommandFailedError: it was refused, or its outcome is unknown.
@@ -98,6 +98,6 @@
 
 
 def _next_version(saved: dict[str, Any], current: dict[str, Any]) -> int:
-    """The backup's version, or the next one where the fleet has reached that: versions only go up."""
+    """The backup's version, or the fleet's next version if that is higher: versions only increase."""
     version: int = max(saved["generation"], current["generation"] + 1)
     return version
--- a/ochrespan/programs/process.py
+++ b/ochrespan/programs/process.py
@@ -21,16 +21,16 @@
 
 
 class FleetProcess(Protocol):
-    """A program of the fleet, from its start until its stop."""
+    """A controller or a router, as `run_process` starts and stops it."""
 
     def start(self) -> None:
-        """Begins to listen and to take part in the fleet."""
+        """Opens the listeners and joins the fleet."""
 
     def stop(self) -> None:
-        """Ends everything that was started, in bounded time."""
+        """Stops everything that `start` started, in bounded time."""
 
     def settings_changed(self, settings: Settings) -> None:
-        """Takes over those settings that may change while the process runs."""
+        """Applies those settings that may change while the process runs."""
 
 
 def run_process(create: Callable[[Settings], FleetProcess], logger: logging.Logger) -> ExitStatus:
@@ -40,8 +40,8 @@
     and stops it right after its start.
 
     Args:
-        create: makes the program from its settings; raises ValidationError where it cannot use them.
-        logger: where findings in the settings are reported.
+        create: creates the program from its settings; raises ValidationError for settings that it cannot use.
+        logger: logs the findings in the settings.
 
     Returns:
         The exit status.
--- a/ochrespan/programs/router_process.py
+++ b/ochrespan/programs/router_process.py
@@ -1,4 +1,4 @@
-"""The router: forwards requests of clients to instances, by the table that it receives from a controller's feed."""
+"""The router process: forwards clients' requests to instances, by the table received from a controller's feed."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
     """One router process: data plane, feed client, quota client and membership.
 
     Args:
-        settings: as read at the start.
-        listener: the listening socket for clients where it is open already; the router owns it from here on.
+        settings: the settings file as read at the start of the process.
+        listener: the listening socket for clients if it is open already; the router takes ownership of it.
 
     Raises:
-        ValidationError: a router cannot be made from these settings.
+        ValidationError: the settings are not usable for a router.
     """
 
     def __init__(self, settings: Settings, listener: socket.socket | None = None) -> None:
@@ -62,13 +62,13 @@
         self._set_decision_sampling(settings)
 
     def start(self) -> None:
-        """Opens the listeners, subscribes to the feed, and joins the members."""
+        """Opens the listeners, subscribes to the feed, and joins the membership."""
         self._node.start()
         self._feed.start()
         self._membership.start()
 
     def settings_changed(self, settings: Settings) -> None:
-        """Takes over the seeds, the grace period and the sampling of decisions; the rest is read at the next start."""
+        """Applies the seeds, the grace period and the sampling of decisions; the rest needs a restart."""
         self._settings = settings
         self._set_decision_sampling(settings)
         seeds = seed_peer_addresses(settings)
@@ -76,7 +76,7 @@
         self._membership.seeds_changed(seeds)
 
     def stop(self) -> None:
-        """Drains requests within the platform's grace period; the feed lasts until then, so the table stays current."""
+        """Drains requests within the platform's grace period; the feed stops after that, so the table stays current."""
         self._node.drain(DrainTimes.within(bound_value(self._settings, "grace_s", DEFAULT_GRACE_S)))
         self._membership.stop()
         self._feed.stop()
@@ -97,7 +97,7 @@
     """Runs a router until SIGTERM.
 
     Args:
-        listener: the listening socket for clients where it is open already.
+        listener: the listening socket for clients if it is open already.
 
     Returns:
         The exit status.
@@ -108,7 +108,7 @@
 def listener_or_address(address: Address, listener: socket.socket | None) -> Address | socket.socket:
     """The open listener if it is bound to `address`; otherwise closes it and returns the address.
 
-    The settings may have changed between the opening of the listener and their validated reading.
+    The settings file may have changed between the opening of the listener and the validated read.
     """
     if listener is not None and listener.getsockname() == address:
         return listener
--- a/ochrespan/programs/settings.py
+++ b/ochrespan/programs/settings.py
@@ -79,7 +79,7 @@
 
 
 class Limits(TypedDict, total=False):
-    """What the machine grants a process.
+    """Resources that the machine grants to the process.
 
     Attributes:
         cpu_share: processor time; not read by the programs of the fleet.
@@ -99,7 +99,7 @@
 
 
 class FaultTolerance(TypedDict, total=False):
-    """How many failures at once the control state has to survive.
+    """How many simultaneous failures the control state has to survive.
 
     Attributes:
         machines: number of controllers.
@@ -148,10 +148,10 @@
         heartbeat_ms: milliseconds between two reports of an instance.
         contracts: not read by the programs of the fleet.
         fault_tolerance: failures that the control state has to survive.
-        bounds: numbers of the fleet's rules; read one by one with `bound_value`, so unknown ones are ignored.
+        bounds: numeric parameters of the fleet's rules; each is read with `bound_value`, unknown names are ignored.
         peer_tls: mutual TLS between processes; plain TCP where absent.
         decision_records: fraction (0 to 1) of the requests whose decisions a router records.
-        log_level: least level of log lines.
+        log_level: lowest level of the log lines that are written.
     """
 
     node: Annotated[str, text()]
@@ -230,7 +230,7 @@
     files = settings.get("peer_tls")
     if not files:
         return
-    from ochrespan.transport.tls import CertificateFiles, MutualTls  # only where it is used: a router's start counts
+    from ochrespan.transport.tls import CertificateFiles, MutualTls  # only where used: shortens a router's start
 
     try:
         secure_connections(MutualTls(CertificateFiles(files["certificate"], files["key"], files["authority"])))
@@ -240,7 +240,7 @@
 
 
 def bound_value(settings: Settings, name: str, default: float) -> float:
-    """A number from the `bounds` section; `default` where it is missing or not a number (true and false are none)."""
+    """A number from the `bounds` section; `default` where it is missing or not a number (or a boolean)."""
     value = settings.get("bounds", {}).get(name)
     if type(value) is int or type(value) is float:
         return value
@@ -250,7 +250,7 @@
 class SettingsFile:
     """The settings of a running process, reloaded on `reload()` (SIGHUP) and when the file has changed.
 
-    A file that cannot be read or has findings is reported in the log, and the previous settings stay.
+    A file that cannot be read or has findings is reported in the log, and the previous settings stay in force.
 
     Attributes:
         current: the settings in force.
@@ -276,9 +276,9 @@
             self.reload()
 
     def reload(self) -> None:
-        """Reads the file again, and calls `on_change` if the settings differ.
+        """Reads the file, and calls `on_change` if the settings differ.
 
-        The stamp is taken before the file is read: a change in between is noticed by the next poll.
+        The file's stamp is taken before its contents, so that the next poll notices a change made in between.
         """
         self._stamp = self._read_stamp()
         try:
--- a/tests/programs/__init__.py
+++ b/tests/programs/__init__.py
@@ -1,1 +1,1 @@
-"""Controller, settings and command line."""
+"""Tests of the programs: controller, early listener, settings and command line."""
--- a/tests/programs/test_controller.py
+++ b/tests/programs/test_controller.py
@@ -1,4 +1,4 @@
-"""Three controller processes on loopback: commands and instances through crashes; the history is checked afterwards."""
+"""Crashes three controller processes on loopback amid commands and reports of instances; checks what survives."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
             self.start(host, bootstrap=True)
 
     def start(self, host: str, bootstrap: bool = False) -> None:
-        """Starts the controller of a host, with the data that an earlier one has left."""
+        """Starts the controller of a host, with the data directory of its predecessor."""
         settings = {
             "node": host,
             "ip": host,
@@ -100,7 +100,7 @@
 
 
 def put(client: ControlClient, document: dict[str, Any], version: int) -> int:
-    """The status of a configuration command on a version."""
+    """Sends a configuration that builds on `version`; returns the status of the response."""
     result = _call_until_outcome(lambda: client.put("/api/config", document, {"If-Match": str(version)}))
     return 200 if isinstance(result, Success) else result.failure().status
 
--- a/tests/programs/test_early_listener.py
+++ b/tests/programs/test_early_listener.py
@@ -1,4 +1,4 @@
-"""A router's listener takes connections during its imports, and requests before its first table."""
+"""A router accepts connections while it imports its modules, and requests before its first table."""
 
 import gc
 import socket
@@ -15,7 +15,7 @@
 
 
 def settings_file(tmp_path, monkeypatch, text: str) -> None:
-    """Writes a settings file, and names it in the environment."""
+    """Writes a settings file, and sets the environment variable that names it."""
     path = tmp_path / "node.yaml"
     path.write_text(text)
     monkeypatch.setenv(SETTINGS_VARIABLE, str(path))
@@ -29,7 +29,7 @@
         client.sendall(b"GET / HTTP/1.1\r\n")
         assert not listener.getblocking()
         assert listener_or_address(address, listener) is listener
-        assert open_front() is None  # the address is taken
+        assert open_front() is None  # the address is in use
 
 
 @pytest.mark.parametrize(
--- a/tests/programs/test_fleetctl.py
+++ b/tests/programs/test_fleetctl.py
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def run(world, capsys):
-    """Runs a command against them; gives its exit status and what it printed."""
+    """Runs a command against both controllers; returns its exit status and its output."""
     addresses = [f"127.0.0.1:{each.http.server_port}" for each in world.controllers]
 
     def run_command(*arguments):
@@ -78,7 +78,7 @@
 
 
 def states(world):
-    """The state of each instance, as the second controller has it."""
+    """The state of each instance at the second controller."""
     return {record.id: record.state for record in world.controllers[1].state.records()}
 
 
@@ -245,7 +245,7 @@
             read_backup(file)
 
 
-def test_a_new_fleet_proceeds_without_missing_initial_members_on_an_operators_word(run, world):
+def test_a_new_fleet_proceeds_without_missing_initial_members_on_an_operators_command(run, world):
     for controller in world.controllers:
         controller.groups.missing = [("10.0.0.3", 7500)]
     assert "no commands before these initial members are there: 10.0.0.3:7500" in run("status")[1]
--- a/tests/programs/test_settings.py
+++ b/tests/programs/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file of the fleet's programs: what is read, what is refused, and when it is read again."""
+"""The settings file of the fleet's programs: parsing, validation and reloading."""
 
 import logging
 import os
@@ -29,7 +29,7 @@
 
 
 def parsed(**changes):
-    """GOOD with changed fields, as a program reads it."""
+    """GOOD with changed fields, parsed as a program parses its settings."""
     return parse_settings(yaml.safe_dump({**GOOD, **changes}), "node.yaml")
 
 
--- a/tests/support/raft_simulation/__init__.py
+++ b/tests/support/raft_simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Deterministic simulation of the whole core: replicas, disks and network of several machines under virtual time."""
+"""Deterministic simulation of the core (the replicated control state): machines, disks and network in virtual time."""
--- a/tests/support/raft_simulation/checks.py
+++ b/tests/support/raft_simulation/checks.py
@@ -13,8 +13,8 @@
     from .world import World
 
 
-class Violation(AssertionError):  # noqa: N818 - a finding about the program, in the words of model checkers
-    """A rule of the core is broken; `rule` names it."""
+class Violation(AssertionError):  # noqa: N818 - the model checkers' term for a broken rule
+    """A run has broken a rule of the core; `rule` names it."""
 
     def __init__(self, rule: str, details: str) -> None:
         super().__init__(f"{rule}: {details}")
@@ -22,7 +22,7 @@
 
 
 class Read:
-    """A confirmed read: it has to hold all that was acknowledged before it began."""
+    """A linearizable read: it must see every command that was acknowledged before it began."""
 
     def __init__(self, checks: Checks, shard: int) -> None:
         self._checks = checks
@@ -38,38 +38,38 @@
 
 
 class Checks:
-    """What has happened in a run, as far as the rules need it."""
+    """The history of a run, as far as the rules need it."""
 
     def __init__(self, world: World) -> None:
         self._world = world
         self.acked: dict[int, list[str]] = defaultdict(list)
         self.reads = 0
-        # Terms and indexes are those of a cluster; that only one cluster acknowledges commands is a rule of its own
+        # Terms and indexes are counted per cluster; `acknowledged` checks that only one cluster acknowledges commands
         self._newest_led: dict[tuple[int, int], int] = {}  # by cluster and shard, the newest term of a usable leader
         self._leaders: dict[tuple[int, int, int], int] = {}  # by cluster, shard and term
         self._entries: dict[tuple[int, int, int], bytes] = {}  # by cluster, shard and index
         self._votes: dict[tuple[int, int, int], int] = {}
         self._applied: dict[tuple[str, int, int, int], int] = {}  # by address, incarnation, replica id and shard
         self._entry_applied: dict[tuple[str, int, int, int], int] = {}
-        self._ids: dict[int, tuple] = {}  # replica id: the disk that it was drawn with
+        self._ids: dict[int, tuple] = {}  # by replica id, the address and the disk that it was first seen with
         self._clusters: dict[int, int] = {}  # by shard, the cluster that has acknowledged commands
 
     def started(self, node: Node) -> None:
-        """An id belongs to one disk for good."""
+        """A process has started: its replica id must never have been used with another disk."""
         replica_id = node.multi_raft.id
         disk = (node.address, id(node.disk))
         if self._ids.setdefault(replica_id, disk) != disk:
             raise Violation("an id with two disks", f"{replica_id} at {node.address[0]}")
 
     def acknowledged(self, node: Node, shard: int, command: str) -> None:
-        """One cluster acknowledges commands, whichever machine gets them."""
+        """A command was acknowledged: only one cluster may acknowledge commands, at whichever machine."""
         cluster = node.multi_raft.bootstrap.identity.cluster_id
         if self._clusters.setdefault(shard, cluster) != cluster:
-            raise Violation("two clusters", f"{node.address[0]} acknowledges {command} beside another fleet")
+            raise Violation("two clusters", f"{node.address[0]} acknowledges {command} after another cluster did")
         self.acked[shard].append(command)
 
     def committed(self, node: Node, shard: int, index: int, digest: bytes) -> None:
-        """All machines commit the same entry at an index, and each applies them in order."""
+        """An entry was committed: it must be the same on all machines, and each machine must apply entries in order."""
         cluster = node.multi_raft.bootstrap.identity.cluster_id
         if self._entries.setdefault((cluster, shard, index), digest) != digest:
             raise Violation("two histories", f"shard {shard} index {index} at {node.address[0]}")
@@ -79,7 +79,7 @@
         self._entry_applied[key] = index
 
     def observe(self, node: Node) -> None:
-        """After each step of a process."""
+        """Checks a process after each of its steps."""
         for shard, replica in node.multi_raft.replicas.items():
             state = replica.state
             key = (node.address[0], node.incarnation, node.multi_raft.id, shard)
@@ -93,7 +93,7 @@
                 self._check_one_owner(node, shard)
 
     def _check_one_owner(self, node: Node, shard: int) -> None:
-        """One leader at a time responds by its lease, without a round of messages."""
+        """At most one leader at a time has a valid lease, by which it responds without a round of messages."""
         replica = node.multi_raft.replicas[shard]
         key = (node.multi_raft.bootstrap.identity.cluster_id, shard)
         newest = self._newest_led[key] = max(self._newest_led.get(key, 0), replica.state.term)
@@ -105,12 +105,12 @@
         raise Violation("quota granted twice", f"{tokens:.0f} tokens of {tenant} too many at {self._world.now:.3f}")
 
     def vote(self, replica_id: int, address: str, shard: int, term: int, candidate: int) -> None:
-        """An id votes once in a term; that it has one disk is checked when a process starts."""
+        """A replica id votes for one candidate in a term; `started` checks that the id has only one disk."""
         if self._votes.setdefault((shard, term, replica_id), candidate) != candidate:
             raise Violation("two votes of one term", f"{address} in term {term} of shard {shard}")
 
     def check_final_state(self, nodes: list[Node]) -> None:
-        """All machines hold all that was acknowledged."""
+        """At the end of a run, every machine must have applied every acknowledged command."""
         for shard, acked in self.acked.items():
             for node in nodes:
                 missing = set(acked) - set(node.machines[shard].commands)
@@ -123,7 +123,7 @@
             raise Violation("two leaders of one term", f"term {term} of shard {shard}, {node.address[0]}")
 
     def _check_leader_has_acked_commands(self, node: Node, shard: int) -> None:
-        """A cheap form: the newest leader has applied no fewer commands than were acknowledged before."""
+        """The leader of the newest term has applied as many commands as were acknowledged (cheap: only counts)."""
         replica = node.multi_raft.replicas[shard]
         own_cluster = node.multi_raft.bootstrap.identity.cluster_id
         newest_term = max(term for cluster, group, term in self._leaders if (cluster, group) == (own_cluster, shard))
--- a/tests/support/raft_simulation/disk.py
+++ b/tests/support/raft_simulation/disk.py
@@ -1,4 +1,4 @@
-"""A simulated disk: what is not synced may be lost, torn or kept, each write by itself; calls can be made to fail."""
+"""A simulated disk: a loss of power keeps, loses or tears each unsynced write by itself; calls can be made to fail."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     data: bytes | None
 
     def apply(self, content: bytearray) -> None:
-        """Changes a file's content by this write."""
+        """Applies this write to the content of a file."""
         if self.data is None:
             del content[self.offset :]
             content.extend(bytes(self.offset - len(content)))
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class File:
-    """A file: what is synced, and the writes since, in their order."""
+    """A file: its synced content, and the writes since the last sync, in order."""
 
     durable: bytearray = field(default_factory=bytearray)
     unsynced: list[Write] = field(default_factory=list)
@@ -43,12 +43,12 @@
         return content
 
 
-class ProcessEnds(Exception):  # noqa: N818 - not an error: it ends the simulated process
-    """Planned by the test: the process ends before this call."""
+class ProcessEnds(Exception):  # noqa: N818 - no error: ends the simulated process
+    """The test has the process end before this call."""
 
 
 class SimDirectory:
-    """The store's file interface over memory."""
+    """The file interface of `SnapshotStore`, in memory."""
 
     def __init__(self) -> None:
         self.files: dict[str, File] = {}
@@ -91,13 +91,13 @@
         self._called(writes=False)
 
     def lose_power(self, source: random.Random) -> None:
-        """Each unsynced write is there, missing or torn; at some losses all are gone."""
-        all_gone = source.random() < ALL_LOST_CHANCE
+        """Keeps, loses or tears each unsynced write at random; with ALL_LOST_CHANCE loses all of them."""
+        all_lost = source.random() < ALL_LOST_CHANCE
         for file in self.files.values():
             kept = []
             for write in file.unsynced:
                 fate = source.choice(("kept", "missing", "torn"))
-                if all_gone or fate == "missing":
+                if all_lost or fate == "missing":
                     continue
                 if fate == "torn" and write.data:
                     write = Write(write.offset, write.data[: source.randrange(len(write.data))])
@@ -106,7 +106,7 @@
             file.durable, file.unsynced = file.visible(), []
 
     def after_power_loss(self) -> Iterator[SimDirectory]:
-        """Every disk that a loss of power may leave: each unsynced write kept, missing or torn in the middle."""
+        """Every state that a loss of power may leave the disk in: each unsynced write kept, missing or torn in half."""
         writes = [(name, write) for name, file in self.files.items() for write in file.unsynced]
         for fates in itertools.product(("kept", "missing", "torn"), repeat=len(writes)):
             left = SimDirectory()
--- a/tests/support/raft_simulation/faults.py
+++ b/tests/support/raft_simulation/faults.py
@@ -1,19 +1,19 @@
-"""Schedules of faults drawn from a seed, within what the core has to bear."""
+"""Schedules of faults drawn from a seed, within the failures that the core must tolerate."""
 
 from __future__ import annotations
 
 from .node import Node
 from .world import World
 
-RESTART_S = (0.2, 1.0)
-CATCH_UP_S = 4.0
-RECOVERY_S = 12.0
+RESTART_S = (0.2, 1.0)  # from the end of a process to its next start
+CATCH_UP_S = 4.0  # for replicas to catch up after a fault, and replaced machines to become voters
+RECOVERY_S = 12.0  # from the end of all faults to the final checks
 SEEDS = 3
-RETURN_CHANCE = 0.3
+RETURN_CHANCE = 0.3  # that a replaced machine starts again later
 
 
 class FaultInjector:
-    """Draws faults for a world. A disk is lost only while all others have been well for `CATCH_UP_S`."""
+    """Draws faults for a world. A disk is lost only after `CATCH_UP_S` and a second without failures."""
 
     KINDS = (
         "kill",
@@ -34,7 +34,7 @@
         "change_seeds",
     )
 
-    # Apart, so that the runs of the others stay as they are
+    # Not added to KINDS, so that the schedules that seeds draw from KINDS stay the same
     RESET_KINDS = ("cut_reset", "kill", "leave", "freeze")
     WIRE_KINDS = ("reorder", "narrow", "stall", "cut", "cut_reset", "kill", "wipe", "freeze", "transfer")
     LATE_KINDS = ("stall", "stall", "stall", "transfer", "transfer", "leave", "hang_disk", "freeze")
@@ -48,11 +48,11 @@
         self._next_number = len(world.nodes) + 1
 
     def begin(self, gap_s: float, until: float) -> None:
-        """Injects a fault each `gap_s` in the mean, up to the time `until`."""
+        """Injects a fault every `gap_s` seconds on average, up to the time `until`."""
         self.world.later(self.random.expovariate(1 / gap_s), None, lambda: self._inject(gap_s, until))
 
     def end(self) -> None:
-        """Heals every fault and starts every machine that is down."""
+        """Ends every fault and starts every machine whose process does not run."""
         self.world.cuts.clear()
         for node in self.world.nodes.values():
             self.world.bytes_per_s.pop(node.address, None)
@@ -130,7 +130,7 @@
                     self._power(other)
 
     def _replace(self, node: Node) -> None:
-        """A machine is gone for good, or comes back long after its replacement has become a voter."""
+        """Replaces a machine; it never returns, or only long after its replacement has become a voter."""
         if self._calm():
             node.kill()
             del self.world.nodes[node.address]
@@ -146,7 +146,7 @@
         self._start(node)
 
     def _change_seeds(self, _: Node) -> None:
-        """Processes that start from here on have other seeds: machines that run now."""
+        """Processes that start from now on get other seeds, drawn from the machines that run now."""
         running = [node.address for node in self.world.running()]
         if len(running) >= SEEDS:
             self.world.seeds = tuple(self.random.sample(running, SEEDS))
@@ -179,7 +179,7 @@
         self._cut_links({(node.address, at) for at in others} | {(at, node.address) for at in others})
 
     def _cut_reset(self, node: Node) -> None:
-        """A machine is cut off, and its connections are reset, so that both sides know at once."""
+        """A machine is cut off, and its connections are reset, so that both sides notice at once."""
         others = [other for other in self.world.nodes.values() if other is not node]
         self._isolate(node)
         for other in others:
@@ -193,21 +193,21 @@
         self.world.stall(node.address, other.address, seconds)
 
     def _reorder(self, node: Node) -> None:
-        """Messages overtake each other, as where old and new connections carry them, in both directions of a link."""
+        """Messages overtake each other in both directions of a link, as when an old and a new connection carry them."""
         other = self.random.choice(list(self.world.nodes.values()))
         until = self.world.now + self.random.uniform(0.5, 4.0)
         self.world.reorders_until[node.address, other.address] = until
         self.world.reorders_until[other.address, node.address] = until
 
     def _narrow(self, node: Node) -> None:
-        """The links of a machine carry 10 to 600 kB a second for a while."""
+        """Limits the links of a machine to 10, 60 or 600 kB/s for a while."""
         self.world.bytes_per_s[node.address] = self.random.choice([10e3, 60e3, 600e3])
         seconds = self.random.uniform(0.5, 4.0)
         self._disturb(seconds)
         self.world.later(seconds, None, lambda: self.world.bytes_per_s.pop(node.address, None))
 
     def _transfer(self, node: Node) -> None:
-        """An operator has all shards that a machine leads transferred."""
+        """Transfers the leadership of all shards that a machine leads, as an operator may."""
         if node.running:
             for replica in node.multi_raft.replicas.values():
                 replica.transfer_leadership(self.world.now)
@@ -237,7 +237,7 @@
 class HarshFaultInjector(FaultInjector):
     """Loses disks at any moment, amid cuts (of up to 20 s), kills and other losses.
 
-    Only the loss before has to be repaired: every machine has run without faults for `CATCH_UP_S` and a second since.
+    The previous loss must be repaired first: since then, `CATCH_UP_S` and a second have passed without failures.
     """
 
     CUT_S = (0.5, 3.0, 8.0, 20.0)
@@ -281,7 +281,7 @@
     kinds: tuple[str, ...] = FaultInjector.KINDS,
     injector: type[FaultInjector] | None = None,
 ) -> FaultInjector:
-    """A complete run: start, faults among traffic, healing, and the last checks.
+    """A complete run: start, faults amid traffic, recovery, and the final checks.
 
     Args:
         world: A new world.
@@ -294,7 +294,7 @@
         The injector with its history.
 
     Raises:
-        AssertionError: A rule is broken (Violation), or a shard accepts no commands after everything has healed.
+        AssertionError: A rule is broken (Violation), or a shard accepts no commands after the recovery.
     """
     faults = (injector or FaultInjector)(world, kinds)
     world.run(3.0)
@@ -309,6 +309,6 @@
         before = len(world.checks.acked[shard])
         world.propose(shard)
         world.run(2.0)
-        assert len(world.checks.acked[shard]) > before, f"shard {shard} accepts no commands after all has healed"
+        assert len(world.checks.acked[shard]) > before, f"shard {shard} accepts no commands after all faults have ended"
     world.checks.check_final_state(list(world.nodes.values()))
     return faults
--- a/tests/support/raft_simulation/first_start.py
+++ b/tests/support/raft_simulation/first_start.py
@@ -1,4 +1,4 @@
-"""First starts of a core: machines that are late, lose their disks or cannot reach each other amid the bootstrap."""
+"""First starts of a core: machines that are late, lose their disks or cannot reach each other during the bootstrap."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def world_of(seed: int, starts: dict[int, float], **options) -> World:
-    """A world in which the machines start at these times, in seconds, and the others not at all."""
+    """A world in which the machines in `starts` start after these delays in seconds, and the others do not start."""
     world = World(seed, starting=False, **options)
     for number, delay in starts.items():
         world.start_later(world.nodes[address(number)], delay)
@@ -59,7 +59,7 @@
 
 
 def play_faulty_first_start(world: World, wipes: bool) -> None:
-    """Four seconds with the faults of `schedule_faults`, then ten in which all machines run and reach each other."""
+    """Runs four seconds with the faults of `schedule_faults`, then ten seconds without faults."""
     world.traffic(0.05, world.now + 12.0)
     schedule_faults(world, wipes)
     world.run(4.0)
@@ -74,17 +74,17 @@
 def play_two_first_starts(
     seed: int, size: int, fault_tolerance: int, age_difference_s: float, apart_s: float = 2.0
 ) -> World:
-    """Machine 3 is late; machine 2 loses its disk just before it starts, while machine 1 is out of reach.
+    """Machine 3 is late; machine 2 loses its disk just before it starts, while both are cut off from the others.
 
     To machines 2 and 3 this looks like a first start without machine 1, if at most MAX_START_SPREAD_S are between
-    their starts. All meet again in the end.
+    their starts. In the end all machines reach each other again.
 
     Args:
         seed: Of the world.
         size: Number of machines; the seeds name the first three.
         fault_tolerance: How many machines may be lost at once.
-        age_difference_s: Time between the starts of machine 2 and of machine 3.
-        apart_s: How long machines 2 and 3 are apart from the others after that.
+        age_difference_s: Seconds between the starts of machine 2 and of machine 3.
+        apart_s: How long machines 2 and 3 stay cut off from the others after that, in seconds.
     """
     starts = {number: 0.0 for number in range(1, size + 1) if number != LATE}
     world = world_of(seed, starts, size=size, fault_tolerance=fault_tolerance)
@@ -105,7 +105,7 @@
 
 
 def play_drawn_first_start(seed: int, size: int = 3, fault_tolerance: int = 1) -> World:
-    """A first start drawn from a seed: half with a late member beside a wiped one, half with faults of every kind.
+    """A first start drawn from a seed: half with a late and a wiped machine, half with faults of every kind.
 
     Raises:
         AssertionError: A rule is broken (Violation), several clusters are left, or no command is acknowledged in the
--- a/tests/support/raft_simulation/node.py
+++ b/tests/support/raft_simulation/node.py
@@ -34,7 +34,7 @@
 
 
 def _ignore(_: Any) -> None:
-    """In place of a callback."""
+    """The default for a callback."""
 
 
 class Machine:
@@ -57,9 +57,9 @@
 
 
 class Node:
-    """A machine: its disk stays; its process, with the replicas, comes and goes.
+    """A machine: a disk, and a process with the replicas, which may end and start again on the same disk.
 
-    `incarnation` counts starts and ends of the process, so that events of an earlier process are not run.
+    `incarnation` counts starts and ends of the process, so that events scheduled for an earlier process are dropped.
     """
 
     def __init__(self, world: World, address: Address) -> None:
@@ -109,7 +109,7 @@
         self._later(world.random.uniform(0, TICK_INTERVAL_S), self._tick)
 
     def kill(self, resets_connections: bool = True) -> None:
-        """The process ends; a write that was in flight may have reached the file, but no sync."""
+        """The process ends; a write in flight may have reached the file, but has not been synced."""
         if not self.running:
             return
         if self._write_began is not None and self.world.random.random() < WRITTEN_CHANCE:
@@ -123,7 +123,7 @@
             self.world.process_ended(self.address)
 
     def lose_power(self) -> None:
-        """Nobody is notified: nothing more comes over the connections of a machine without power."""
+        """The machine loses power: peers get no reset, because a machine without power sends nothing more."""
         self.kill(resets_connections=False)
         self.disk.lose_power(self.world.random)
 
@@ -156,7 +156,7 @@
         return accepted
 
     def pump(self) -> None:
-        """Moves all output of the replicas: to the state machines, the network and the disk."""
+        """Passes all output of the replicas on to the state machines, the network and the disk."""
         world = self.world
         for shard, replica in self.multi_raft.replicas.items():
             if restored := replica.take_restored():
--- a/tests/support/raft_simulation/operators.py
+++ b/tests/support/raft_simulation/operators.py
@@ -26,7 +26,7 @@
 EARLY_CHANCE = 0.2  # that a command builds on a version that the operator expects, but has not seen
 LATE_COPY_CHANCE = 0.3  # that a command is delivered a second time
 LATE_COPY_S = (0.1, 4.0)  # how much later
-OPEN_OUTCOMES = (CommandOutcome.TOO_OLD, CommandOutcome.VERSION_NOT_REACHED)  # neither confirmed nor rejected
+OPEN_OUTCOMES = (CommandOutcome.TOO_OLD, CommandOutcome.VERSION_NOT_REACHED)  # neither confirm nor reject a command
 
 
 class ConfigMachine(Machine):
@@ -52,11 +52,11 @@
 
 
 def _is_config_command(command: str) -> bool:
-    return ":" not in command  # the plain commands of the simulation have one
+    return ":" not in command  # the simulation's own commands are `shard:number`
 
 
 class ResponseLog:
-    """The responses that the operators have got; each is checked against all before it."""
+    """The responses that the operators have received; each is checked against all earlier ones."""
 
     def __init__(self) -> None:
         self.confirmed: dict[int, bytes] = {}  # by the version that a command builds on, its digest
@@ -64,7 +64,7 @@
         self.retries_confirmed = 0
 
     def record(self, digest: bytes, builds_on: int, result: CommandResult) -> None:
-        """Checks and keeps a response."""
+        """Checks and records a response."""
         if result.outcome in (CommandOutcome.ACCEPTED, CommandOutcome.ALREADY_ACCEPTED):
             if digest in self.rejected:
                 raise Violation("confirmed after a rejection", f"the command on {builds_on}")
@@ -77,16 +77,16 @@
             self.rejected.add(digest)
 
     def check_final_state(self, machine: ConfigurationStateMachine) -> None:
-        """What was confirmed is in force, and nothing else that was sent."""
-        taken = set(machine._accepted_versions)  # noqa: SLF001 - the check looks inside
-        if taken & self.rejected:
+        """Every confirmed command must be in force, and no rejected one."""
+        accepted = set(machine._accepted_versions)  # noqa: SLF001 - not in the public interface
+        if accepted & self.rejected:
             raise Violation("a rejected command is in force", "at the end")
-        if lost := set(self.confirmed.values()) - taken:
+        if lost := set(self.confirmed.values()) - accepted:
             raise Violation("a confirmed command is not in force", f"{len(lost)} at the end")
 
 
 class Operator:
-    """Makes one change after the other on the newest version that a response named."""
+    """Sends one change after the other, most of them on the newest version that a response named."""
 
     def __init__(self, world: World, log: ResponseLog, name: str) -> None:
         self._world = world
@@ -142,7 +142,7 @@
 
     def _responded(self, digest: bytes, builds_on: int, result: CommandResult) -> None:
         if self._world.random.random() < self.responses_lost:
-            return  # lost on its way to the operator
+            return  # the response is lost on its way to the operator
         self._attempts += 1
         self.responses += 1
         self._log.record(digest, builds_on, result)
--- a/tests/support/raft_simulation/quota.py
+++ b/tests/support/raft_simulation/quota.py
@@ -1,4 +1,4 @@
-"""Token quotas in a simulated run: the program's own owner of quotas at each machine, and routers that ask all of them.
+"""Token quotas in a simulated run: the program's `QuotaOwner` on each machine, and routers that ask all of them.
 
 Each machine that leads a shard grants tokens of one tenant by its lease, without a round of messages. However often the
 leadership changes, all machines together must grant no more than one token bucket would.
@@ -21,9 +21,9 @@
     from .world import World
 
 RATE_PER_S = 1000.0
-BOUNDS = QuotaBounds(window_s=8.0, overshoot=0.0, slack=1000.0)  # a small bucket: it shows a short overlap of owners
+BOUNDS = QuotaBounds(window_s=8.0, overshoot=0.0, slack=1000.0)  # a small bucket reveals even a short overlap of owners
 REQUEST_INTERVAL_S = 0.02
-TOKENS_PER_REQUEST = 30.0  # 1,500 a second: more than the rate, so that the buckets stay empty
+TOKENS_PER_REQUEST = 30.0  # 1,500 a second: above the rate, so that the buckets stay empty
 ROUNDING_TOLERANCE = 1e-6
 
 
@@ -58,7 +58,7 @@
         self._owner = QuotaOwner(groups, _find_tenant, BOUNDS, clock=lambda: node.world.now)
 
     def follow_leadership(self) -> None:
-        """Tells the owner which shards this process has begun or ceased to lead."""
+        """Notifies the owner of the shards that this process has begun or ceased to lead."""
         for shard, replica in self._node.multi_raft.replicas.items():
             leads = replica.is_leader
             if leads != (shard in self._led_shards):
@@ -72,18 +72,18 @@
 
 
 class QuotaTraffic:
-    """Routers that ask every machine for tokens of one tenant a shard, and the check of what they get."""
+    """Routers that ask every machine for tokens of one tenant per shard, and the check of the tokens granted."""
 
     def __init__(self, world: World) -> None:
         self._world = world
         terms = terms_for(RATE_PER_S, 0.0, BOUNDS)
         tenants = [tenant_of(shard) for shard in world.shards if shard != CONFIG_SHARD]
-        # A bucket that starts full and is never overdrawn: what it gives out is within the bound in every window.
+        # A bucket that starts full and is never overdrawn grants no more than the bound in any window.
         self._allowed = {tenant: TokenBucket(terms.rate, terms.depth, world.now, terms.depth) for tenant in tenants}
         self.granted = dict.fromkeys(tenants, 0.0)
 
     def begin(self, until: float) -> None:
-        """Asks each REQUEST_INTERVAL_S, up to the time `until`."""
+        """Asks every REQUEST_INTERVAL_S, up to the time `until`."""
         if self._world.now >= until:
             return
         for tenant in self.granted:
--- a/tests/support/raft_simulation/search.py
+++ b/tests/support/raft_simulation/search.py
@@ -1,12 +1,13 @@
-"""Exhaustive search of small schedules of one group: every order of messages, writes, time-outs and faults in a budget.
+"""Exhaustive search of one group's schedules: every order of messages, writes, time-outs and faults within a budget.
 
-A state holds three replicas, their disks and the messages between them. Heartbeats are left out: appends carry what
-they do. Time passes only by the steps that need it. Steps that can't matter are not told apart:
+A state holds three replicas, their disks and the messages between them. Heartbeats are left out: appends have
+the same effects. Only steps that need time to pass advance it. Schedules with the same outcome are searched once:
 
-- A follower's or candidate's write comes at once, since everything that it holds back waits for it: an end of the
-  process before the write is the same as one before the message. A leader's appends don't wait, so its write is a step.
-- A message that the receiver will pass over (a vote for a candidate no more, a reply to a former leader) is dropped.
-- The machines are alike, so machine 1 campaigns first.
+- A follower's or candidate's write follows at once. It sends nothing that depends on the write before that is complete,
+  so a crash before the write is the same as one before the message that caused it. A leader sends appends before its
+  own write is complete, so its write is a step of its own.
+- A message that the receiver would ignore (a vote for a former candidate, a response to a former leader) is dropped.
+- The machines are interchangeable, so machine 1 campaigns first.
 """
 
 from __future__ import annotations
@@ -26,8 +27,8 @@
 
 MACHINES = 3
 REPLACEMENT_ID_OFFSET = 10  # a wiped machine comes back under its id plus this
-LONG_S = 10.0  # a time-out: no leader was heard from for long
-SHORT_S = 0.4  # enough for a replaced voter to time out
+LONG_S = 10.0  # without a leader's messages; more than any election time-out
+SHORT_S = 0.4  # without contact; enough for the leader to replace a voter
 
 
 class MiddleOfRange:
@@ -54,7 +55,7 @@
 
 @dataclass(slots=True)
 class State:
-    """Three replicas, their disks and the messages between them, and what has happened as far as rules need it."""
+    """Three replicas, their disks and the messages between them, and the history as far as the rules need it."""
 
     replicas: dict[int, Replica]
     machines: dict[int, int]  # number of the machine by replica id
@@ -69,7 +70,7 @@
 
     @classmethod
     def first(cls, budget: Budget) -> State:
-        """Three members of a new group that have had no message yet."""
+        """Three members of a new group before any message."""
         members = [Member(number, ("10.0.0.1", number)) for number in (1, 2, 3)]
         state = cls({}, {}, {}, {}, budget)
         for member in members:
@@ -116,7 +117,7 @@
             yield ("wipe", replica_id)
 
     def take(self, step: tuple) -> None:
-        """Takes one of `steps`, then what can't be told apart from coming at once."""
+        """Takes one of `steps`, then the writes that follow at once, as the module's docstring says."""
         kind, subject = step
         getattr(self, f"_{kind}")(subject)
         for replica_id, replica in self.replicas.items():
@@ -152,7 +153,7 @@
 
     def _propose(self, replica_id: int) -> None:
         replica = self.replicas[replica_id]
-        replica.state.leader_since = self.now - LONG_S  # however long a new group waits for its members
+        replica.state.leader_since = self.now - LONG_S  # longer than a new group waits for its members
         replica.propose(self.now, b"command %d" % self.budget.commands)
         self._spend(commands=1)
 
@@ -162,7 +163,7 @@
         self._restart(replica_id)
 
     def _power(self, _: int) -> None:
-        """All machines start again from their disks, and nothing that was under way arrives."""
+        """All machines start again from their disks, and no message in flight arrives."""
         self._spend(power=1)
         self.channels.clear()
         for replica_id in list(self.replicas):
@@ -177,7 +178,7 @@
         self.replicas[replica_id] = self._replica(replica_id, durable)
 
     def _wipe(self, replica_id: int) -> None:
-        """The machine comes back with an empty disk and a new id, and asks whoever leads to be taken in."""
+        """The machine comes back with an empty disk and a new id, and asks the leader to add it to the group."""
         self._spend(wipes=1)
         self._lose_messages_to(replica_id)
         del self.replicas[replica_id], self.disks[replica_id]
@@ -187,7 +188,7 @@
         self.replicas[new_id] = self._replica(new_id, PersistentState())
 
     def _change(self, replica_id: int) -> None:
-        """The leader hears the wiped machine ask, and makes the next change of members if one is due."""
+        """The leader receives the join requests of wiped machines, and makes the next membership change that is due."""
         self._spend(changes=1)
         replica = self.replicas[replica_id]
         for other, machine in self.machines.items():
@@ -246,7 +247,7 @@
     # Identity
 
     def key(self) -> tuple:
-        """What tells two states apart; times only as far as they decide anything."""
+        """Identifies a state; times are included only as far as a decision depends on them."""
         return (
             self.budget,
             self.cut,
@@ -257,7 +258,7 @@
         )
 
     def _replica_key(self, replica: Replica) -> tuple:
-        """All that decides how a replica goes on, inner state included."""
+        """Everything that a replica's further behaviour depends on, internal state included."""
         raft_state, log = replica.state, replica.state.log
         entries = tuple((entry.term, entry.data) for entry in log.slice(1, 99, 9999))
         progress = (
@@ -275,7 +276,7 @@
             if raft_state.role is Role.LEADER
             else ()
         )
-        granted = frozenset(replica._election._granted)  # noqa: SLF001 - inner state tells states apart
+        granted = frozenset(replica._election._granted)  # noqa: SLF001 - internal state is part of the key
         if raft_state.role is Role.FOLLOWER:
             granted = frozenset()
         pending = tuple(
@@ -301,7 +302,7 @@
 
 
 def _matters(replica: Replica, message) -> bool:
-    """Whether the receiver, now or after what it may still receive, could heed a message."""
+    """Whether the receiver may act on a message, in its present state or in a later one."""
     raft_state = replica.state
     if isinstance(message, RequestVoteResponse):
         if message.pre_vote and message.granted:
@@ -325,7 +326,7 @@
 
 @dataclass(slots=True)
 class SearchResult:
-    """What a search saw."""
+    """What a search has found."""
 
     states: int
     complete: bool
@@ -334,7 +335,7 @@
 
 
 def search(budget: Budget, max_states: int) -> SearchResult:
-    """Visits each state once, nearest first; raises Violation at the first that breaks a rule."""
+    """Visits each state once, breadth first; raises Violation at the first state that breaks a rule."""
     first = State.first(budget)
     seen = {hash(first.key())}
     waiting = [pickle.dumps(first)]
--- a/tests/support/raft_simulation/world.py
+++ b/tests/support/raft_simulation/world.py
@@ -1,4 +1,4 @@
-"""The simulated world: virtual time, a network that delays, cuts and loses, and the machines of the core."""
+"""The simulated world: virtual time, a network that delays and loses messages, and the machines of the core."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from .quota import QuotaTraffic
 
 PORT = 7500
-MAX_OVERTAKEN_S = 0.15  # a message is that much later than one that was sent after it, where links reorder
-COMMAND_FRACTION = 0.7  # of the traffic; the rest are reads
+MAX_OVERTAKEN_S = 0.15  # longest extra delay of a message on a link that reorders
+COMMAND_FRACTION = 0.7  # of the traffic; the rest is reads
 
 
 def address(number: int) -> Address:
@@ -45,11 +45,9 @@
         self.fault_tolerance = fault_tolerance
         self.seeds = tuple(map(address, seeds))
         self.cuts: set[tuple[Address, Address]] = set()
-        self.bytes_per_s: dict[
-            Address, float
-        ] = {}  # of the links of a machine; links that are not listed have no limit
+        self.bytes_per_s: dict[Address, float] = {}  # limit of a machine's links; none if it is not listed
         self.reorders_until: dict[tuple[Address, Address], float] = {}  # links whose messages overtake each other
-        self.carried: dict[tuple[Address, Address], int] = {}  # bytes, over links with a limit
+        self.carried: dict[tuple[Address, Address], int] = {}  # bytes sent on links with a limit
         self.checks = Checks(self)
         self.quota_traffic = QuotaTraffic(self)
         self.multi_raft_type = MultiRaft
@@ -63,23 +61,23 @@
             self.start_later(node, self.random.uniform(0, 0.3))
 
     def start_later(self, node: Node, delay: float) -> None:
-        """The first start of a machine."""
+        """Starts a machine for the first time, after `delay` seconds."""
         self.later(delay, None, lambda: node.start(self.seeds, True))
 
     def make_multi_raft(self, settings, identity, durable) -> MultiRaft:
-        """The replicas of a process that starts from what its disk holds."""
+        """The replicas of a starting process, from the state that was read from its disk."""
         recovered = RecoveredGroups.of_groups(self.shards, identity, durable)
         return self.multi_raft_type(settings, recovered, self.random, self.now)
 
     # Events
 
     def later(self, delay: float, node: Node | None, action: Callable[[], None]) -> None:
-        """Runs an action; those of a process end with it, and wait while it is frozen."""
+        """Schedules an action; those of a process (`node`) are dropped when it ends, and delayed while it is frozen."""
         self._count += 1
         heapq.heappush(self._events, (self.now + delay, self._count, node, node.incarnation if node else 0, action))
 
     def run(self, seconds: float) -> None:
-        """Runs what is due in the next `seconds` of virtual time."""
+        """Runs the events of the next `seconds` of virtual time."""
         end = self.now + seconds
         while self._events and self._events[0][0] <= end:
             at, _, node, incarnation, action = heapq.heappop(self._events)
@@ -95,7 +93,7 @@
     # Network
 
     def post(self, sender: Node, to: Address, envelope) -> None:
-        """Sends an envelope; a cut link loses it, and what is sent on one connection keeps its order."""
+        """Sends an envelope; a cut link loses it, and a link delivers in order unless it reorders."""
         for shard, message in envelope.frames:
             if isinstance(message, RequestVoteResponse) and message.granted and not message.pre_vote:
                 self.checks.vote(envelope.sender, sender.address[0], shard, message.term, envelope.to)
@@ -110,7 +108,7 @@
         self.later(arrival - self.now, receiver, lambda: self._deliver(sender.address, receiver, envelope))
 
     def _transmission_s(self, sender: Address, to: Address, envelope) -> float:
-        """Seconds that the slower link needs for an envelope; what follows on the connection waits behind it."""
+        """Seconds that the slower link needs for an envelope; later envelopes queue behind it."""
         rate = min(self.bytes_per_s.get(sender, float("inf")), self.bytes_per_s.get(to, float("inf")))
         if rate == float("inf"):
             return 0.0
@@ -123,11 +121,11 @@
             receiver.receive(envelope)
 
     def stall(self, sender: Address, to: Address, seconds: float) -> None:
-        """Holds back what one machine sends to another from now on; it arrives in order when the time is up."""
+        """For `seconds`, nothing that one machine sends to another arrives; after that it arrives in order."""
         self._arrives[sender, to] = max(self._arrives.get((sender, to), 0.0), self.now + seconds)
 
     def process_ended(self, gone: Address) -> None:
-        """The operating system resets the connections of a process that ends, where no cut prevents that."""
+        """The operating system resets the connections of a process that ends, unless a cut prevents it."""
         for node in self.nodes.values():
             if node.running and node.address != gone and (gone, node.address) not in self.cuts:
                 self.later(0.001, node, lambda node=node: node.multi_raft.peer_disconnected(self.now, gone))
@@ -164,7 +162,7 @@
                 return
 
     def traffic(self, gap_s: float, until: float) -> None:
-        """Commands and reads, one each `gap_s` in the mean."""
+        """Sends commands and reads, one every `gap_s` seconds on average, up to the time `until`."""
         if self.now >= until:
             return
         shard = self.random.choice(self.shards)
@@ -172,7 +170,7 @@
         self.later(self.random.expovariate(1 / gap_s), None, lambda: self.traffic(gap_s, until))
 
     def add(self, number: int) -> Node:
-        """A further machine, which is not started yet."""
+        """Adds a machine, which is not started yet."""
         node = self.nodes[address(number)] = Node(self, address(number))
         return node
 
--- a/tests/support/replica_hosts.py
+++ b/tests/support/replica_hosts.py
@@ -1,4 +1,4 @@
-"""Replica hosts on loopback for tests: a state machine that records its commands, and waits for conditions."""
+"""Replica hosts on loopback for tests: a state machine that records its commands, and functions that wait."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def host_settings(folder, number: int, port: int, bootstrap: bool = True) -> HostSettings:
-    """Settings of a host of its own folder and address; the seeds are those of hosts 1 to 3."""
+    """Settings of a host with its own folder and address; the seeds are hosts 1 to 3."""
     path = folder / str(number)
     path.mkdir(exist_ok=True)
     return HostSettings(
@@ -66,7 +66,7 @@
     """Lets the greenlets run until the condition holds."""
     deadline = time.monotonic() + WAIT_S
     while not (value := condition()):
-        assert time.monotonic() < deadline, f"{what} hasn't come"
+        assert time.monotonic() < deadline, f"timed out waiting for {what}"
         gevent.sleep(0.005)
     return value
 
@@ -85,14 +85,14 @@
             except (NotLeaderError, OutcomeUnknownError):
                 continue
         gevent.sleep(0.01)
-    raise AssertionError("no leader took the command: " + "; ".join(describe(host, shard) for host in hosts))
+    raise AssertionError("no leader accepted the command: " + "; ".join(describe(host, shard) for host in hosts))
 
 
 def describe(host: ReplicaHost, shard: int) -> str:
-    """The state of a host's replica, for the message of a wait that failed."""
+    """The state of a host's replica, for the error message of a wait that timed out."""
     running = host._running
     if running is None:
-        return f"{host.settings.node} hasn't read its disk"
+        return f"{host.settings.node} has not read its disk yet"
     state = running.multi_raft.replicas[shard].state
     return (
         f"{host.settings.node} {state.role.value} term={state.term} vote={state.vote} leader={state.leader_id} "
@@ -104,7 +104,7 @@
 
 
 def kill(host: ReplicaHost) -> None:
-    """Ends a host without a transfer of leadership, as a kill of its process would; a write under way ends first."""
+    """Ends a host without a transfer of leadership, as SIGKILL would; a write in progress completes first."""
     host._recovery.kill()
     running = host._running
     if running is not None:
