--- a/ochrespan/programs/fleetctl.py
+++ b/ochrespan/programs/fleetctl.py
@@ -1,7 +1,7 @@
 """The operator's command line: `python3 -m ochrespan.programs.fleetctl COMMAND`.
 
 Every command of the fleet takes `--controllers IP:PORT ...`, the control addresses of one or more controllers; the
-default are the seeds of the settings file that OCHRESPAN_SETTINGS names.
+default is the seeds of the settings file that OCHRESPAN_SETTINGS names.
 """
 
 from __future__ import annotations
--- a/ochrespan/programs/fleetctl_commands/state_commands.py
+++ b/ochrespan/programs/fleetctl_commands/state_commands.py
@@ -76,7 +76,7 @@
 
 
 def _read_state(client: ControlClient) -> tuple[dict[str, Any], AcceptedCommands | None]:
-    """The configuration and the accepted commands; None for these from controllers of an earlier version."""
+    """The configuration and the accepted commands; controllers of an earlier version do not list the commands: None."""
     result = client.get(BACKUP_PATH)
     if isinstance(result, Failure) and result.failure().status == NOT_FOUND:
         return current_configuration(client), None
@@ -85,7 +85,7 @@
 
 
 def _put_configuration(client: ControlClient, saved: Backup, restored: dict[str, Any], version: int) -> Any:
-    """Restores the complete state into a cluster without a configuration; else replaces the one of `version`.
+    """Restores the complete state into a cluster without a configuration; else replaces that of `version`.
 
     Raises:
         CommandFailedError: it was refused, or its outcome is unknown.
--- a/ochrespan/programs/settings.py
+++ b/ochrespan/programs/settings.py
@@ -118,7 +118,7 @@
     Attributes:
         certificate: this process's certificate.
         key: its private key.
-        authority: the certificate authority that the others' certificates are verified against.
+        authority: certificate authority against which the certificates of other processes are verified.
     """
 
     certificate: Annotated[str, text()]
@@ -133,7 +133,7 @@
         node: name of the process, unique in the fleet.
         ip: address at which the other processes reach this one.
         zone: failure domain of the process.
-        port_range: first and last port that the process may use; peers talk on the first.
+        port_range: first and last port that the process may use; other processes of the fleet connect to the first.
         seeds: control addresses (IP:PORT) of controllers to contact first.
         listen: listening addresses by their use.
         role: not read by the programs of the fleet.
@@ -143,7 +143,7 @@
         zones: not read by the programs of the fleet.
         bootstrap: whether this controller may take part in forming a new cluster.
         counts_for_quorum: not read by the programs of the fleet.
-        limits: what the machine grants.
+        limits: resources that the machine grants to the process.
         data_dir: folder of a controller's replicas.
         heartbeat_ms: milliseconds between two reports of an instance.
         contracts: not read by the programs of the fleet.
@@ -240,7 +240,7 @@
 
 
 def bound_value(settings: Settings, name: str, default: float) -> float:
-    """A number from the `bounds` section; `default` where it is missing or not a number (or a boolean)."""
+    """A number from the `bounds` section; `default` where it is missing, a boolean or not a number."""
     value = settings.get("bounds", {}).get(name)
     if type(value) is int or type(value) is float:
         return value
--- a/tests/support/raft_simulation/search.py
+++ b/tests/support/raft_simulation/search.py
@@ -27,8 +27,8 @@
 
 MACHINES = 3
 REPLACEMENT_ID_OFFSET = 10  # a wiped machine comes back under its id plus this
-LONG_S = 10.0  # without a leader's messages; more than any election time-out
-SHORT_S = 0.4  # without contact; enough for the leader to replace a voter
+LONG_S = 10.0  # without a leader's messages; more than `election_max_s`
+SHORT_S = 0.4  # without contact; more than `replaced_voter_timeout_s`
 
 
 class MiddleOfRange:
--- a/tests/support/replica_hosts.py
+++ b/tests/support/replica_hosts.py
@@ -66,7 +66,7 @@
     """Lets the greenlets run until the condition holds."""
     deadline = time.monotonic() + WAIT_S
     while not (value := condition()):
-        assert time.monotonic() < deadline, f"timed out waiting for {what}"
+        assert time.monotonic() < deadline, f"{what}: the wait timed out"
         gevent.sleep(0.005)
     return value
 
