--- a/ochrespan/control_plane/config/documents.py
+++ b/ochrespan/control_plane/config/documents.py
@@ -32,7 +32,7 @@
 
 from .commands import DIGEST_BYTES
 
-MAX_NESTING = 64  # levels in a document: every replica compares and packs it recursively
+MAX_NESTING = 64  # levels in a document: every replica compares and packs it recursively, on any stack
 MAX_ID_CHARACTERS = 200
 _COUNT = integer()
 _MILLISECONDS = number()
@@ -278,7 +278,7 @@
 
 
 def _is_nested_too_deeply(document: Any) -> bool:
-    """Whether the nesting exceeds MAX_NESTING; iterative, as the room for recursion depends on the caller's stack."""
+    """Whether the nesting exceeds MAX_NESTING; iterative, as the recursion limit left depends on the caller."""
     containers = [document]
     for _ in range(MAX_NESTING):
         containers = [
--- a/tests/control_plane/config/test_commands_under_loss.py
+++ b/tests/control_plane/config/test_commands_under_loss.py
@@ -1,4 +1,5 @@
-"""One command wins on each version while operators race, responses are lost, and controllers crash or disconnect."""
+"""One command wins on each version while operators race, responses are lost, and controllers crash, disconnect and
+compact their logs."""
 
 import dataclasses
 
