--- a/ochrespan/objects/front.py
+++ b/ochrespan/objects/front.py
@@ -35,8 +35,8 @@
         self._lifecycle = lifecycle
 
     async def handle(self, request: Exchange) -> Reply | None:
-        """Returns the response, or None if it was streamed. A read that fails once its headers are sent aborts the
-        connection, so that the client detects the truncation."""
+        """Returns the response, or None if it was streamed. A read that fails after its headers were sent is aborted,
+        so that the client detects the truncation."""
         bind()
         with self._lifecycle.track_request():
             try:
