--- a/ochrespan/net/chunk_client.py
+++ b/ochrespan/net/chunk_client.py
@@ -132,7 +132,7 @@
             # the server responded, but invalidly: an error, not a sign of overload; it may have executed the request
             status = Status.ERROR if progress.written else Status.CONNECT_FAILED
             if number := self._log_sampler.count("malformed response"):
-                log.info("malformed response", extra={"node": attempt.node, "why": str(error), "number": number})
+                log.info("answer spoilt", extra={"node": attempt.node, "why": str(error), "number": number})
             await progress.abandon()
         except (aiohttp.ClientError, OSError, ValueError) as error:
             # a request that broke before its last byte was written was not executed; after that it may have been
@@ -149,7 +149,7 @@
                     "allowed": allowed,
                     "number": number,
                 }
-                log.warning("ignoring an invalid value in a response header", extra=details)
+                log.warning("left out of an answer", extra=details)
 
         headers = upstream_response.headers if upstream_response else {}
         outcome = Outcome(
--- a/ochrespan/net/discovery.py
+++ b/ochrespan/net/discovery.py
@@ -139,7 +139,7 @@
                 and len(self._unknown_phases) < MAX_LOGGED_PHASES
             ):
                 self._unknown_phases.add(phase)  # one line per phase, of a limited number of phases
-                log.warning("treating chunk servers in an unknown phase as draining", extra={"phase": phase})
+                log.warning("a phase that is not known is taken as draining", extra={"phase": phase})
         if complete:
             self._nodes = {}
         for node, address in members:
--- a/ochrespan/net/listener.py
+++ b/ochrespan/net/listener.py
@@ -69,10 +69,7 @@
             socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, struct.pack("HP", 1, ctypes.addressof(program))
         )
     except OSError as error:
-        log.warning(
-            "cannot direct new connections to the newer process of an upgrade; the kernel distributes them to both",
-            extra={"why": str(error)},
-        )
+        log.warning("connections are dealt to both processes of an upgrade", extra={"why": str(error)})
 
 
 class Listener:
--- a/ochrespan/net/platform.py
+++ b/ochrespan/net/platform.py
@@ -228,7 +228,7 @@
             await request.finish()
             broker.finish(core_request, complete=True)
         except (aiohttp.ClientPayloadError, aiohttp.ClientConnectionError, TimeoutError, OSError) as error:
-            log.info("streamed response failed", extra={"why": repr(error)})
+            log.info("answer broke off", extra={"why": repr(error)})
             broker.finish(core_request, complete=False)
             request.abort()
         finally:
--- a/tests/test_chunk_client.py
+++ b/tests/test_chunk_client.py
@@ -248,11 +248,7 @@
                 outcome, answer = await client.send(attempt, UpstreamRequest("GET", "/x"))
                 assert outcome.status is Status.OK and answer.body == b"ok"
                 assert outcome.load == {"util": 0.5} and outcome.elsewhere == 0
-        lines = [
-            record
-            for record in caplog.records
-            if record.getMessage() == "ignoring an invalid value in a response header"
-        ]
+        lines = [record for record in caplog.records if record.getMessage() == "left out of an answer"]
         assert [(line.place, line.number) for line in lines[:2]] == [
             ("endpoint-load-metrics.depth", 1),
             ("x-served-elsewhere", 1),
