--- a/ochrespan/net/discovery.py
+++ b/ochrespan/net/discovery.py
@@ -36,15 +36,15 @@
 STATES_BY_PHASE = {"up": NodeState.READY, "draining": NodeState.DRAINING, "removed": NodeState.GONE}
 
 
-class InvalidList(ValueError):
+class BadList(ValueError):
     """Discovery's response is invalid."""
 
 
 def parse_member(entry: Any, path: str) -> tuple[Node, str]:
     """Parses one member of a list into the node and its address; `path` is its location in the list, for errors."""
 
-    def invalid(name: str, allowed: str) -> InvalidList:
-        return InvalidList(f"{path}.{name}: found {str(entry.get(name))[:60]!r}, allowed: {allowed}")
+    def invalid(name: str, allowed: str) -> BadList:
+        return BadList(f"{path}.{name}: found {str(entry.get(name))[:60]!r}, allowed: {allowed}")
 
     def read_number(name: str, default: float, minimum: float) -> float:
         try:
@@ -56,7 +56,7 @@
         return value
 
     if not isinstance(entry, dict):
-        raise InvalidList(f"{path}: found {str(entry)[:60]!r}, allowed: an object")
+        raise BadList(f"{path}: found {str(entry)[:60]!r}, allowed: an object")
     if not isinstance(entry.get("id"), str) or not entry["id"]:
         raise invalid("id", "a name")
     shard = read_number("cell", NO_SHARD, NO_SHARD)
@@ -82,22 +82,20 @@
 def parse_list(listing: Any) -> tuple[bool, int, list[tuple[Node, str]]]:
     """Returns whether the list is complete, its revision, and its members. Raises InvalidList at the first fault."""
     if not isinstance(listing, dict):
-        raise InvalidList(f"the list: found {str(listing)[:60]!r}, allowed: an object")
+        raise BadList(f"the list: found {str(listing)[:60]!r}, allowed: an object")
     for name, kind, allowed in (
         ("revision", int, "a whole number"),
         ("complete", bool, "true or false"),
         ("members", list, "a list"),
     ):
         if not isinstance(listing.get(name), kind):
-            raise InvalidList(f"{name}: found {str(listing.get(name))[:60]!r}, allowed: {allowed}")
+            raise BadList(f"{name}: found {str(listing.get(name))[:60]!r}, allowed: {allowed}")
     members = [parse_member(entry, f"members[{i}]") for i, entry in enumerate(listing["members"])]
     if listing["complete"]:  # a delta may hold successive changes of one member; a complete list must not
         members_by_id: dict[str, tuple[Node, str]] = {}
         for i, member in enumerate(members):
             if members_by_id.setdefault(member[0].id, member) != member:
-                raise InvalidList(
-                    f"members[{i}].id: found {member[0].id!r} twice with different contents, allowed: once"
-                )
+                raise BadList(f"members[{i}].id: found {member[0].id!r} twice with different contents, allowed: once")
     return listing["complete"], listing["revision"], members
 
 
@@ -209,7 +207,7 @@
         """Loads the list that this front stored last; it may be outdated."""
         try:
             _, nodes = self._directory.apply(listing)
-        except InvalidList as error:
+        except BadList as error:
             log.warning("ignoring the stored list of chunk servers, which is invalid", extra={"why": str(error)})
             nodes = []
         self._broker.update_servers(ListKind.CACHED, nodes)
@@ -302,10 +300,10 @@
         call = self._session.get(url, params=query, timeout=timeout, allow_redirects=False)
         async with call as response:
             if response.status != 200:
-                raise InvalidList(f"status {response.status}")
+                raise BadList(f"status {response.status}")
             body = b""
             async for data in response.content.iter_any():
                 body += data
                 if len(body) > MAX_LIST_BYTES:
-                    raise InvalidList("the list is too long")
+                    raise BadList("the list is too long")
             return json.loads(body)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ochrespan.net.discovery import MAX_LOGGED_PHASES, Directory, InvalidList, Watch, open_session
+from ochrespan.net.discovery import MAX_LOGGED_PHASES, BadList, Directory, Watch, open_session
 from ochrespan.requests import ListKind, NodeState
 
 from .front_harness import MS, FrontHarness, wait_until
@@ -54,7 +54,7 @@
     directory = Directory()
     directory.apply(listing(MEMBER, revision=3))
     before = (directory.addresses, directory.shards, directory.revision)
-    with pytest.raises(InvalidList) as error:
+    with pytest.raises(BadList) as error:
         directory.apply(listing_value)
     assert str(error.value).startswith(f"{location}: found ") and "allowed: " in str(error.value)
     assert (directory.addresses, directory.shards, directory.revision) == before
