--- a/ochrespan/raft/bootstrap_protocol.py
+++ b/ochrespan/raft/bootstrap_protocol.py
@@ -69,7 +69,7 @@
             and local.bootstrap.is_stuck(now, any(lacks_leader(now, replica) for replica in local.replicas.values()))
         ):
             log.warning(
-                "bootstrap abandoned: its cluster cannot start to accept commands replica=%d",
+                "bootstrap abandoned: no commands to come replica=%d",
                 local.bootstrap.identity.replica_id,
             )
             local.abandon_bootstrap(now)
