--- a/ochrespan/contracts/admission.py
+++ b/ochrespan/contracts/admission.py
@@ -1,7 +1,7 @@
 """Admission control: checks that a contract covers a request and that its budgets suffice, before scheduling.
 
-`admit` returns a `Grant` that holds the request's maximum cost, retries included; `NotCovered`, which is permanent;
-or `OverBudget`, with the time until a retry can succeed. When budgets run low, a grant may hold fewer attempts than
+`admit` returns a `Grant` that reserves the request's maximum cost, retries included; `NotCovered`, which is permanent;
+or `OverBudget`, with the time until a retry can succeed. When budgets run low, a grant may reserve fewer attempts than
 the settings allow; each further retry must then be paid for by `extend` before it is sent. Every grant is completed
 once, with the actual cost: unit budgets are charged for each attempt that may have run, attempt budgets for each
 attempt sent.
@@ -132,7 +132,7 @@
     def complete(self, now: float, grant: Grant, sent: int, ran: int) -> None:
         """Completes a grant: `sent` attempts were sent, of which `ran` may have run. Further calls have no effect.
 
-        A request that sent more attempts than it held is charged for all: its buckets go below 0 and refill.
+        A request that sent more attempts than were reserved is charged for all: its buckets go below 0 and refill.
         """
         if grant.completed:
             return
--- a/ochrespan/contracts/allocation.py
+++ b/ochrespan/contracts/allocation.py
@@ -48,9 +48,9 @@
         return OverBudget(exceeded.rule, path, level.path, max(exceeded.wait_us, MIN_WAIT_US) / MICROS_PER_S)
 
 
-def attempts_to_hold(bucket: TokenBucket, cost: int) -> int:
-    """Attempts to hold in advance. Retries are held from the upper half of the bucket only, so that they displace no
-    first attempts."""
+def attempts_to_reserve(bucket: TokenBucket, cost: int) -> int:
+    """Attempts to reserve in advance. Retries are reserved from the upper half of the bucket only, so that they
+    displace no first attempts."""
     if bucket.left < cost:
         return 0
     return max(1, (bucket.left - bucket.burst // 2) // cost)
@@ -88,7 +88,7 @@
     if leaf.reserve is None:
         return 0
     leaf.reserve.refill(now)
-    return attempts_to_hold(leaf.reserve, attempt_cost)
+    return attempts_to_reserve(leaf.reserve, attempt_cost)
 
 
 def _limit_by_ancestors(request: AllocationRequest, attempts: int, borrowing: bool) -> int | NotCovered | OverBudget:
@@ -128,12 +128,12 @@
 
 
 def _attempts_within_limits(level: Level, attempt_cost: int, now: int = 0, reserved_rate: int = 0) -> int:
-    """Attempts to hold within a level's limits, given that one fits."""
+    """Attempts to reserve within a level's limits, given that one fits."""
     attempts = UNLIMITED
     if level.units is not None:
-        attempts = min(attempts, attempts_to_hold(level.units, attempt_cost))
+        attempts = min(attempts, attempts_to_reserve(level.units, attempt_cost))
     if level.attempts is not None:
-        attempts = min(attempts, attempts_to_hold(level.attempts, PICO))
+        attempts = min(attempts, attempts_to_reserve(level.attempts, PICO))
     if level.extra_attempts is not None:
         attempts = min(attempts, 1 + level.extra_attempts.left // PICO)
     for window in level.windows:
--- a/ochrespan/contracts/grants.py
+++ b/ochrespan/contracts/grants.py
@@ -43,8 +43,8 @@
 
 
 @dataclass(slots=True)
-class BucketHold:
-    """An amount held in a token bucket, in pico attempts if `counts_attempts`, else in pico units."""
+class BucketReservation:
+    """An amount reserved in a token bucket, in pico attempts if `counts_attempts`, else in pico units."""
 
     bucket: TokenBucket
     amount: int
@@ -52,8 +52,8 @@
 
 
 @dataclass(slots=True)
-class WindowHold:
-    """An amount held in a budget window; `number` is the window that was current at that time."""
+class WindowReservation:
+    """An amount reserved in a budget window; `number` is the window that was current at that time."""
 
     window: Window
     number: int
@@ -70,18 +70,18 @@
 
 @dataclass(slots=True, eq=False)
 class Grant:
-    """What one admitted request holds until it is completed."""
+    """The amounts reserved for one admitted request until it is completed."""
 
     contract: Contract
     leaf: Level
     path: list[Level]  # from the leaf up; the request counts as open at each level
     attempt_cost: int  # pico units
     attempts: int = 0  # paid for
-    bucket_holds: list[BucketHold] = field(default_factory=list)
-    window_holds: list[WindowHold] = field(default_factory=list)
+    bucket_reservations: list[BucketReservation] = field(default_factory=list)
+    window_reservations: list[WindowReservation] = field(default_factory=list)
     draws: list[Draw] = field(default_factory=list)
     extra_bucket: TokenBucket | None = None  # pays for attempts beyond the first
-    extra_attempts_held: int = 0
+    extra_attempts_reserved: int = 0
     completed: bool = False
 
     @property
@@ -100,62 +100,62 @@
         return self.attempt_cost / PICO
 
     def add(self, allocation: Allocation) -> None:
-        """Adds attempts and holds their cost at every level, from the leaf up."""
+        """Adds attempts and reserves their cost at every level, from the leaf up."""
         attempts, first = allocation.attempts, not self.attempts
         self.attempts += attempts
         if allocation.draw.own or allocation.draw.borrowed:
             self.draws.append(allocation.draw)
         for level in self.path:
-            self._hold_at(level, attempts)
+            self._reserve_at(level, attempts)
         if first:
             self.extra_bucket = self.leaf.extra_attempts  # a reload may replace the level's bucket
         if self.extra_bucket is not None and (repeats := attempts - first):
-            self.extra_bucket.hold(repeats * PICO)
-            self.extra_attempts_held += repeats
+            self.extra_bucket.reserve(repeats * PICO)
+            self.extra_attempts_reserved += repeats
 
-    def _hold_at(self, level: Level, attempts: int) -> None:
+    def _reserve_at(self, level: Level, attempts: int) -> None:
         amount = attempts * self.attempt_cost
         if level.units is not None:
-            level.units.hold(amount)
-            self.bucket_holds.append(BucketHold(level.units, amount, counts_attempts=False))
+            level.units.reserve(amount)
+            self.bucket_reservations.append(BucketReservation(level.units, amount, counts_attempts=False))
         if level.attempts is not None:
-            level.attempts.hold(attempts * PICO)
-            self.bucket_holds.append(BucketHold(level.attempts, attempts * PICO, counts_attempts=True))
+            level.attempts.reserve(attempts * PICO)
+            self.bucket_reservations.append(BucketReservation(level.attempts, attempts * PICO, counts_attempts=True))
         for window in level.windows:
-            self.window_holds.append(WindowHold(window, window.hold(amount), amount))
+            self.window_reservations.append(WindowReservation(window, window.reserve(amount), amount))
 
     def release(self, sent: int, ran: int, at: int) -> None:
-        """Ends every hold and charges the actual cost: `sent` attempts, of which `ran` may have run."""
+        """Ends every reservation and charges the actual cost: `sent` attempts, of which `ran` may have run."""
         for level in self.path:
             level.open -= 1
         cost = ran * self.attempt_cost
         self._charge_buckets(sent * PICO, cost, at)
         self._charge_windows(cost, at)
         if self.extra_bucket is not None:
-            self.extra_bucket.charge(self.extra_attempts_held * PICO, max(0, sent - 1) * PICO)
+            self.extra_bucket.charge(self.extra_attempts_reserved * PICO, max(0, sent - 1) * PICO)
         self._charge_draws(cost, at)
 
     def _charge_buckets(self, attempts_cost: int, units_cost: int, at: int) -> None:
-        """Charges each bucket once: an extension holds further amounts in the same buckets."""
+        """Charges each bucket once: an extension reserves further amounts in the same buckets."""
         totals: dict[TokenBucket, int] = {}
         costs: dict[TokenBucket, int] = {}
-        for hold in self.bucket_holds:
-            totals[hold.bucket] = totals.get(hold.bucket, 0) + hold.amount
-            costs[hold.bucket] = attempts_cost if hold.counts_attempts else units_cost
+        for reservation in self.bucket_reservations:
+            totals[reservation.bucket] = totals.get(reservation.bucket, 0) + reservation.amount
+            costs[reservation.bucket] = attempts_cost if reservation.counts_attempts else units_cost
         for bucket, total in totals.items():
             bucket.refill(at)
             bucket.charge(total, costs[bucket])
 
     def _charge_windows(self, cost: int, at: int) -> None:
-        """Charges the holds of each window in order, each up to its amount."""
+        """Charges the reservations of each window in order, each up to its amount."""
         owed: dict[Window, int] = {}
-        for hold in self.window_holds:
-            if hold.window not in owed:
-                hold.window.advance(at)
-                owed[hold.window] = cost
-            paid = min(owed[hold.window], hold.amount)
-            hold.window.charge(hold.number, hold.amount, paid)
-            owed[hold.window] -= paid
+        for reservation in self.window_reservations:
+            if reservation.window not in owed:
+                reservation.window.advance(at)
+                owed[reservation.window] = cost
+            paid = min(owed[reservation.window], reservation.amount)
+            reservation.window.charge(reservation.number, reservation.amount, paid)
+            owed[reservation.window] -= paid
 
     def _charge_draws(self, cost: int, at: int) -> None:
         for draw in self.draws:
--- a/ochrespan/contracts/levels.py
+++ b/ochrespan/contracts/levels.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Draw:
-    """Funds that one request holds: from its level's own reserve, and borrowed.
+    """Funds drawn for one request: from its level's own reserve, and borrowed.
 
     `reserve` is the bucket that `own` was drawn from, as a reload may replace the level's bucket.
     """
@@ -51,7 +51,7 @@
     reserved_below: int = 0  # total rate of the descendants' reserves
     lent_since: int | None = None  # start of the lending in progress
     lent: int = 0  # total, without the lending in progress
-    borrowed: int = 0  # held and spent beyond its reserve
+    borrowed: int = 0  # reserved and spent beyond its own reserve
     extra_attempts: TokenBucket | None = None  # retries, earned by admissions
     extra_per_request: int = 0
     counts: dict[str, int] = field(default_factory=dict)  # admissions, completions, and refusals by rule
@@ -145,8 +145,8 @@
             self.lent_since = now
             self.parent.pool.change_rate(self.reserve.rate, now)
 
-    def end_lending(self, now: int) -> None:
-        """Stops lending, as the owner uses the reserve or the reserve changes."""
+    def withdraw_from_pool(self, now: int) -> None:
+        """Stops lending the reserve's inflow to the parent's pool, as the owner uses the reserve or it changes."""
         if self.lent_since is not None and self.reserve is not None:
             self.lent += self.reserve.rate * max(0, now - self.lent_since)
             self.lent_since = None
@@ -159,10 +159,10 @@
         if self.reserve is not None:
             self.reserve.refill(now)
             if own := min(wanted, self.reserve.left):
-                was_lending = self.lent_since is not None
-                self.end_lending(now)
-                self.reserve.hold(own)
-                if was_lending:
+                was_pooled = self.lent_since is not None
+                self.withdraw_from_pool(now)
+                self.reserve.reserve(own)
+                if was_pooled:
                     self._schedule_full_timer(timers)
         borrowed = 0
         if own < wanted and self.parent is not None and self.parent.pool is not None and self.borrower is not None:
--- a/ochrespan/contracts/token_bucket.py
+++ b/ochrespan/contracts/token_bucket.py
@@ -1,7 +1,7 @@
-"""A token bucket that holds amounts for requests in flight. Amounts and times: see `fixed_point.py`.
+"""A token bucket that reserves amounts for requests in flight. Amounts and times: see `fixed_point.py`.
 
-Refilled tokens count as granted and as left. Tokens are held for a request until it completes; then its cost counts as
-spent and the remainder as left again. So granted = spent + held + left at any moment.
+Refilled tokens count as granted and as left. Tokens reserved for a request count as held until it completes; then its
+cost counts as spent and the remainder as left again. So granted = spent + held + left at any moment.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
     burst: int  # maximum of `left`
     updated_at: int  # microseconds
     left: int = 0
-    held: int = 0
+    held: int = 0  # reserved for open requests
     spent: int = 0
     granted: int = 0
 
@@ -30,13 +30,13 @@
                 self.left += added
                 self.granted += added
 
-    def hold(self, amount: int) -> None:
+    def reserve(self, amount: int) -> None:
         """Moves an amount from `left` to `held`; `left` may become negative."""
         self.left -= amount
         self.held += amount
 
     def charge(self, held: int, cost: int) -> int:
-        """Ends a hold and charges its actual cost. Returns the overflow above `burst`, which is not granted."""
+        """Ends a reservation and charges its actual cost. Returns the overflow above `burst`, which is not granted."""
         self.held -= held
         self.spent += cost
         self.left += held - cost
--- a/ochrespan/contracts/tree.py
+++ b/ochrespan/contracts/tree.py
@@ -54,7 +54,7 @@
         rebuild = self._needs_rebuild(old, registry, changed)
         for path in self.levels if rebuild else [*removed, *changed]:
             if level := self.levels.get(path):
-                level.end_lending(at)  # at the old rates
+                level.withdraw_from_pool(at)  # at the old rates
         for path in removed:
             _adjust_reserved(self.levels.pop(path), -1)
         min_burst = to_pico(registry.max_units)
--- a/ochrespan/contracts/window.py
+++ b/ochrespan/contracts/window.py
@@ -22,8 +22,8 @@
     quota: int
     number: int  # index of the current window since 1970
     spent: int = 0
-    held: int = 0
-    held_earlier: int = 0  # held by requests that were admitted in an earlier window
+    held: int = 0  # reserved for open requests that were admitted in this window
+    reserved_earlier: int = 0  # reserved for open requests that were admitted in an earlier window
 
     @property
     def left(self) -> int:
@@ -35,21 +35,21 @@
         number = now // self.span
         if number > self.number:
             self.number = number
-            self.held_earlier += self.held
+            self.reserved_earlier += self.held
             self.held = self.spent = 0
 
-    def hold(self, amount: int) -> int:
-        """Holds an amount. Returns the window's number, to be passed to `charge`."""
+    def reserve(self, amount: int) -> int:
+        """Reserves an amount. Returns the window's number, to be passed to `charge`."""
         self.held += amount
         return self.number
 
     def charge(self, number: int, held: int, cost: int) -> None:
-        """Ends a hold made in window `number` and charges its actual cost, if that window is still current."""
+        """Ends a reservation made in window `number` and charges its actual cost, if that window is still current."""
         if number == self.number:
             self.held -= held
             self.spent += cost
         else:
-            self.held_earlier -= held
+            self.reserved_earlier -= held
 
     def reserved_until_end(self, rate: int, now: int) -> int:
         """The amount that reserves with a total of `rate` may need until the end of the window."""
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -151,7 +151,7 @@
     front.check(0)
     for level in front.admission.levels.values():
         assert not any(b.held for b in (level.units, level.attempts, level.extra_attempts, level.reserve) if b)
-        assert not any(window.held or window.held_earlier for window in level.windows) and not level.open
+        assert not any(window.held or window.reserved_earlier for window in level.windows) and not level.open
 
 
 @pytest.mark.parametrize(
@@ -221,7 +221,7 @@
     while isinstance(got := front.request("a"), Grant):
         grants.append(got)
     assert got.wait_s > 0 and sum(g.attempts for g in grants) == 50  # the admitted requests hold all 50 attempts
-    assert grants[0].attempts == 3 and len(grants) > 30  # retries are held from the upper half of the bucket only
+    assert grants[0].attempts == 3 and len(grants) > 30  # retries are reserved from the upper half of the bucket only
     assert (
         not front.admission.extend(front.now, grants[-1]) and grants[-1].attempts == 1
     )  # no attempt is left for a retry
@@ -374,7 +374,7 @@
     for grant in grants:
         front.complete(grant)
     window = front.admission.levels["a"].windows[0]
-    assert (window.held, window.spent, window.held_earlier) == (24 * 10**12, 0, 0)
+    assert (window.held, window.spent, window.reserved_earlier) == (24 * 10**12, 0, 0)
     front.now = edge - 5  # back across the boundary: the old window does not become current again
     assert isinstance(front.request("a", 8.0), Grant) and not isinstance(front.request("a", 8.0), Grant)
     front.check()
