--- a/ochrespan/broker.py
+++ b/ochrespan/broker.py
@@ -245,13 +245,13 @@
     @staticmethod
     def _attempt_limit(pending: _PendingRequest) -> int:
         """The number of attempts allowed so far; 0: unlimited."""
-        if not pending.request.repeatable:
+        if not pending.request.replayable:
             return 1
         return pending.reservation.attempts if pending.reservation else 0
 
     def _funded_attempts(self, pending: _PendingRequest) -> int:
         """The number of attempts covered by the budgets, after trying to reserve one more; 0: unlimited."""
-        if pending.reservation is None or self._gate is None or not pending.request.repeatable:
+        if pending.reservation is None or self._gate is None or not pending.request.replayable:
             return self._attempt_limit(pending)
         if pending.attempts >= pending.reservation.attempts and pending.attempts < self._settings.max_attempts:
             self._gate.extend(self._now(), pending.reservation)
--- a/ochrespan/cli.py
+++ b/ochrespan/cli.py
@@ -155,11 +155,11 @@
 )
 
 
-def contract_rows(book: Any, one_front: bool) -> Iterator[tuple[str, ...]]:
+def contract_rows(registry: Any, one_front: bool) -> Iterator[tuple[str, ...]]:
     """Yields a table row for each level, in the order of the file."""
-    for path, terms in book.levels.items():
-        contract = book.contracts.get(path)
-        fronts = ((contract.fronts if contract else 0) or book.fronts) if one_front else 1
+    for path, terms in registry.levels.items():
+        contract = registry.contracts.get(path)
+        fronts = ((contract.fronts if contract else 0) or registry.fronts) if one_front else 1
         budget = terms.budget
 
         def format_amount(value: float | None, fronts: int = fronts) -> str:
@@ -170,7 +170,7 @@
             terms.kind,
             contract.plan if contract else "-",
             ",".join(sorted(contract.classes - contract.withdrawn_classes)) if contract else "-",
-            _identified_by(book, path, contract),
+            _identified_by(registry, path, contract),
             format_amount(terms.reserve.units_per_s),
             f"{terms.weight:g}",
             format_amount(budget.units_per_s),
@@ -182,11 +182,11 @@
         )
 
 
-def _identified_by(book: Any, path: str, contract: Any) -> str:
+def _identified_by(registry: Any, path: str, contract: Any) -> str:
     counts = {
         "token": len(contract.tokens) if contract else 0,
-        "volume": sum(owner == path for owner in book.by_volume.values()),
-        "bucket": sum(owner == path for owner in book.by_bucket.values()),
+        "volume": sum(owner == path for owner in registry.by_volume.values()),
+        "bucket": sum(owner == path for owner in registry.by_bucket.values()),
     }
     return ", ".join(f"{n} {what}{'s' * (n > 1)}" for what, n in counts.items() if n) or "-"
 
@@ -199,12 +199,12 @@
         return "-"
     if contract.withdrawn:
         return "withdrawn"
-    words = [
-        f"{word} {datetime.fromtimestamp(at, UTC):%Y-%m-%dT%H:%MZ}"
-        for word, at in (("from", contract.begins), ("until", contract.ends))
+    bounds = [
+        f"{bound} {datetime.fromtimestamp(at, UTC):%Y-%m-%dT%H:%MZ}"
+        for bound, at in (("from", contract.begins), ("until", contract.ends))
         if isfinite(at)
     ]
-    return " ".join(words) or "in force"
+    return " ".join(bounds) or "in force"
 
 
 def main() -> int:
--- a/ochrespan/control_plane/quota/allocation.py
+++ b/ochrespan/control_plane/quota/allocation.py
@@ -184,12 +184,12 @@
 
     Attributes:
         terms: The tenant's terms.
-        equal_share: 1 divided by the number of live routers.
+        per_router_fraction: 1 divided by the number of live routers.
     """
 
     def __init__(self, terms: QuotaTerms) -> None:
         self.terms = terms
-        self.equal_share = 0.0
+        self.per_router_fraction = 0.0
         self._granted = SlidingWindowSum(terms.window_s)
         self._spent = SlidingWindowSum(terms.window_s + SEND_DELAY_S)
 
@@ -199,9 +199,9 @@
 
     def take(self, tokens: float, now: float) -> bool:
         """Spends the tokens if this router's share still covers them; returns whether it does."""
-        granted_share = min(1.0, self._granted.total(now) / max(self.terms.max_granted, _MIN_MAX_GRANTED))
-        share = EQUAL_FRACTION * self.equal_share + (1 - EQUAL_FRACTION) * granted_share
-        if self._spent.total(now) + tokens > share * self.terms.reserved:
+        granted_fraction = min(1.0, self._granted.total(now) / max(self.terms.max_granted, _MIN_MAX_GRANTED))
+        fraction = EQUAL_FRACTION * self.per_router_fraction + (1 - EQUAL_FRACTION) * granted_fraction
+        if self._spent.total(now) + tokens > fraction * self.terms.reserved:
             return False
         self._spent.add(tokens, now)
         return True
--- a/ochrespan/control_plane/quota/client.py
+++ b/ochrespan/control_plane/quota/client.py
@@ -182,7 +182,7 @@
         if state.configure_count != self._configure_count:
             state.configure_count = self._configure_count
             state.reserved.terms = self._terms_of(tenant)
-            state.reserved.equal_share = 1 / self._router_count
+            state.reserved.per_router_fraction = 1 / self._router_count
         state.used_at = now
         return state
 
--- a/ochrespan/front.py
+++ b/ochrespan/front.py
@@ -31,7 +31,7 @@
 from .net.listener import Listener, Server
 from .net.platform import MAX_BUFFERED_BODY_BYTES, PlatformFront
 from .net.request_bodies import MAX_BODY_BYTES
-from .shutdown_schedule import CLIENTS_LEAVE_AFTER, SILENT_IDLE_AFTER, shutdown_schedule
+from .shutdown_schedule import CLIENTS_LEAVE_AFTER, IDLE_WITHOUT_REQUEST_AFTER, shutdown_schedule
 from .sockets import SocketBudget, open_descriptor_count
 from .subsystem import CoreComponents, Subsystem
 from .suspension import SuspendedServers, SuspensionController, SuspensionFile
@@ -130,7 +130,7 @@
     if schedule.accept_until < schedule.close_connections_from:
         await wait(schedule.close_connections_from, connected)
     lifecycle.advance(Phase.CLOSING)
-    broker.complete_within(schedule.answer_deadline - schedule.close_connections_from)
+    broker.complete_within(schedule.response_deadline - schedule.close_connections_from)
     await wait(schedule.accept_until)
     await wait(schedule.exit_at, connected)
     # a client that does not read its response must not delay the exit
@@ -155,7 +155,7 @@
         )
         if clients_gone or lifecycle.has_successor:
             for listener in listeners:
-                listener.close_idle(SILENT_IDLE_AFTER)
+                listener.close_idle(IDLE_WITHOUT_REQUEST_AFTER)
 
 
 async def wait_for_first_list(watch: Watch, lifecycle: Lifecycle, timeout: timedelta) -> None:
--- a/ochrespan/net/platform.py
+++ b/ochrespan/net/platform.py
@@ -189,7 +189,7 @@
             receiver.release()
 
     async def _serve(self, request: Exchange, core_request: Request, trace_id: str, body: Body) -> Reply | None:
-        core_request.repeatable = isinstance(body, BufferedBody)
+        core_request.replayable = isinstance(body, BufferedBody)
         payload = body.data if isinstance(body, BufferedBody) else body
         upstream_request = UpstreamRequest(
             request.method, request.target, payload, forwarded_headers(request), may_stream=True
--- a/ochrespan/policy/front.py
+++ b/ochrespan/policy/front.py
@@ -5,7 +5,7 @@
 left, smallest (a + 1) / delta first. All attempts leave through `_send`; `_is_blocked` checks the rules
 ("guards") that comments refer to by number:
 
-1. The final answer leaves before the request's time is up. Besides, a request has one attempt at a time.
+1. The final response is sent before the request's deadline. Besides, a request has one attempt at a time.
 2. A request that may have run is repeated or refused only as its class's effect allows.
 3. Attempts go only to usable nodes of the request's shard.
 4. A cold node (one that is warming up) gets no more than its budget per overload window.
@@ -43,7 +43,7 @@
 SCAN_INTERVAL_S = 0.02  # time between scans of all queues
 HALF_TIME_MARGIN_S = 0.015  # unsent requests are refused this long before half their time: network delay
 MAX_BACKOFF_FAILURES = 4  # consecutive failures at which the back-off stops growing and the node is logged
-COLD_FRACTION = 0.8  # usable fraction of the cold budget: the rest covers random variation and handshakes
+SLOW_START_FRACTION = 0.8  # usable fraction of the cold budget: the rest covers random variation and handshakes
 DEMAND_DECAY = 0.8  # fraction of the past demand kept per round: an average over about five rounds
 PRIOR_REQUESTS = 10.0  # assumed past requests, spread evenly over all shards, until enough have been seen
 # the least utilization assumed for warm nodes; below LOW_UTILIZATION, long latency is not taken for a queue
@@ -111,7 +111,7 @@
                         self._set_deadline(job, at)
         while self.deadlines and self.deadlines[0][0] <= self.now:
             job = heapq.heappop(self.deadlines)[2]
-            if not job.done and (self.now >= job.answer_by or not job.attempts):
+            if not job.done and (self.now >= job.response_deadline or not job.attempts):
                 self._end_unanswered(job)
         if self.now >= self.round_ends_at:
             self._end_round()
@@ -183,9 +183,9 @@
             self._enqueue(job)
 
     def _set_deadline(self, job: Job, at: float) -> None:
-        """Guard 1: the final answer leaves by `at`, two ticks before the time is up."""
-        if at < job.answer_by:
-            job.answer_by = at
+        """Guard 1: the final response is sent by `at`, two ticks before the deadline."""
+        if at < job.response_deadline:
+            job.response_deadline = at
             heapq.heappush(self.deadlines, (at, next(self.sequence), job))
 
     def _flow(self, req: api.Request) -> Flow:
@@ -474,18 +474,18 @@
 
     def _next_job(self, node: Node) -> Job | None:
         # new objects avoid a node that just failed: one that rejects everything would look the fastest
-        best, found = (2, inf), None
+        best, candidate = (2, inf), None
         for queues in filter(
             None, map(self.shard_queues.get, (node.entry.shard, None if node.failures else ANY_SHARD))
         ):
             # an idle node also takes requests that are not promoted yet
             for flow_queues in (queues.ready, queues.waiting) if not node.in_flight else (queues.ready,):
                 for job in self._first_jobs(flow_queues):
-                    order = (0 if self._within_reserve(job) else 1, rank(job.flow))
-                    if order < best and self._meets_target(job, node) and not self._is_blocked(job, node):
-                        best, found = order, (queues, job)
-        if found:
-            queues, job = found
+                    sort_key = (0 if self._within_reserve(job) else 1, rank(job.flow))
+                    if sort_key < best and self._meets_target(job, node) and not self._is_blocked(job, node):
+                        best, candidate = sort_key, (queues, job)
+        if candidate:
+            queues, job = candidate
             return queues.ready[job.flow].popleft() if job.promoted else self._promote_job(queues, job)
 
     def _retries_left(self) -> bool:
@@ -502,7 +502,7 @@
             settings.overload_window or 0.0
         )
 
-    def _cold_budget_left(self, node: Node, units: float) -> bool:
+    def _slow_start_budget_allows(self, node: Node, units: float) -> bool:
         """Guard 4: whether a cold node's budget allows a send; it grows with the slowest warm-up allowed."""
         settings, started_at, window = self.settings, node.entry.started_at, self.settings.overload_window
         if settings.cold_units is None or not window or not settings.warm_up:
@@ -513,7 +513,7 @@
         start = settings.start_capacity or 1.0
         capacity_ratio = start + (1 - start) * max(0.0, self.now - started_at - window) / settings.warm_up
         budget = (
-            COLD_FRACTION
+            SLOW_START_FRACTION
             * settings.cold_units
             * min(1.0, self._shard_fraction(node.entry.shard))
             * capacity_ratio
@@ -524,7 +524,7 @@
             demand = self.demand.get(node.entry.shard, 0.0) / self.rounds * window / ROUND_S
             util = max(MIN_UTILIZATION, self.utilization.get(node.entry.shard, self.utilization[ANY_SHARD]))
             # queues need no allowance here: the windows bound them
-            budget = max(budget, COLD_FRACTION * settings.overload_multiple * capacity_ratio * demand / util)
+            budget = max(budget, SLOW_START_FRACTION * settings.overload_multiple * capacity_ratio * demand / util)
         if budget < settings.max_units:
             # budget under one request: one at a time, its units repaid as debt over as many windows as needed
             node.debt_units = max(-budget, node.debt_units - budget * (self.now - node.debt_at) / window)
@@ -549,7 +549,7 @@
     def _is_blocked(self, job: Job, node: Node) -> bool:
         """Whether a guard forbids this send now."""
         req, cls = job.req, job.cls
-        if job.done or job.in_flight or self.now >= job.answer_by:  # guard 1
+        if job.done or job.in_flight or self.now >= job.response_deadline:  # guard 1
             return True
         if job.attempts and self._attempts_exhausted(job):  # guards 2 and 6
             return True
@@ -576,7 +576,7 @@
             return True
         if not job.attempts and job.flow.volume.limit and job.flow.volume.limit.refill(self.now) < req.units:
             return True  # guard 7
-        return not self._cold_budget_left(node, req.units)
+        return not self._slow_start_budget_allows(node, req.units)
 
     def _send(self, job: Job, node: Node) -> None:
         assert not self._is_blocked(job, node), "a guard forbids this send"
@@ -605,6 +605,6 @@
         # exception: past its latency target, a request would only delay those queued behind it
         timeout = max(
             self.settings.tick,
-            min(job.target_at - self.now, job.answer_by - self.now, overdue_after),
+            min(job.target_at - self.now, job.response_deadline - self.now, overdue_after),
         )
         self.actions.append(api.Send(req.id, node.entry.id, timeout, self._retry_deadline(job) - self.now))
--- a/ochrespan/requests.py
+++ b/ochrespan/requests.py
@@ -56,7 +56,7 @@
     key: str = ""
     hosts: int = 0
     claim: Claim | None = None  # None: no contract is needed
-    repeatable: bool = True  # whether the complete body is available for another attempt
+    replayable: bool = True  # whether the complete body is available for another attempt
     id: str = ""  # assigned by the broker, for log lines
     team: str = ""  # the contract's path, after admission
 
--- a/ochrespan/shutdown_schedule.py
+++ b/ochrespan/shutdown_schedule.py
@@ -11,11 +11,11 @@
 MAX_DEADLINE, KILL_DELAY = timedelta(seconds=3), timedelta(seconds=0.7)
 ACCEPT_FOR = timedelta(seconds=0.8)
 CLOSE_BEFORE_KILL = timedelta(seconds=0.75)  # from then on each response closes its connection
-ANSWER_BEFORE_KILL = timedelta(seconds=0.4)  # by then every request has its final answer
+RESPOND_BEFORE_KILL = timedelta(seconds=0.4)  # by then every request has its final response
 EXIT_BEFORE_KILL = timedelta(seconds=0.3)  # the process exits
 # After an operator's drain clients connect for up to 0.3 s more; 4 s after the call no connection may be idle.
 CLIENTS_LEAVE_AFTER = timedelta(seconds=0.4)
-SILENT_IDLE_AFTER = timedelta(seconds=1)  # a connection without any request for this long counts as idle
+IDLE_WITHOUT_REQUEST_AFTER = timedelta(seconds=1)  # a connection without any request for this long counts as idle
 # Where all deadlines are so short that SIGKILL comes earlier than this, all spans shrink in proportion.
 MIN_FULL_SCHEDULE = ACCEPT_FOR + CLOSE_BEFORE_KILL
 
@@ -26,7 +26,7 @@
 
     accept_until: timedelta  # the end of accepting connections
     close_connections_from: timedelta  # each response closes its connection
-    answer_deadline: timedelta  # every request has its final answer
+    response_deadline: timedelta  # every request has its final response
     exit_at: timedelta
     kill_at: timedelta  # the earliest SIGKILL
 
@@ -38,7 +38,7 @@
     return ShutdownSchedule(
         min(ACCEPT_FOR, exit_at),
         kill_at - fraction * CLOSE_BEFORE_KILL,
-        kill_at - fraction * ANSWER_BEFORE_KILL,
+        kill_at - fraction * RESPOND_BEFORE_KILL,
         exit_at,
         kill_at,
     )
--- a/ochrespan/state.py
+++ b/ochrespan/state.py
@@ -60,7 +60,7 @@
     flow: Flow
     accepted_at: float
     target_at: float  # latency target: a request that cannot be answered by then is ended
-    answer_by: float = inf  # the final answer leaves by then
+    response_deadline: float = inf  # the final response is sent by then
     promoted: bool = False  # from its flow queue into the scheduler queue
     done: bool = False  # no further decision, though attempts may be in flight
     attempts: int = 0
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -30,13 +30,13 @@
 def test_shutdown_phases_are_in_order_and_end_before_sigkill(longest, killed):
     schedule = shutdown_schedule([timedelta(seconds=0.05), timedelta(seconds=longest)])
     assert schedule.kill_at == timedelta(seconds=killed)
-    assert schedule.close_connections_from < schedule.answer_deadline < schedule.exit_at < schedule.kill_at
+    assert schedule.close_connections_from < schedule.response_deadline < schedule.exit_at < schedule.kill_at
     assert timedelta(seconds=0.4) < schedule.accept_until <= schedule.exit_at
     assert schedule.kill_at - schedule.exit_at > timedelta(seconds=0.15)
     if longest >= 0.85:
         spans = [
             schedule.kill_at - at
-            for at in (schedule.close_connections_from, schedule.answer_deadline, schedule.exit_at)
+            for at in (schedule.close_connections_from, schedule.response_deadline, schedule.exit_at)
         ]
         assert spans == [timedelta(seconds=s) for s in (0.75, 0.4, 0.3)] and schedule.accept_until == timedelta(
             seconds=0.8
