--- a/ochrespan/broker.py
+++ b/ochrespan/broker.py
@@ -144,14 +144,14 @@
         reservation = None
         if self._gate is not None and request.claim is not None:
             self._check_bounds(request)
-            got = self._gate.admit(self._now(), request)
-            if isinstance(got, NotCovered):
+            admission = self._gate.admit(self._now(), request)
+            if isinstance(admission, NotCovered):
                 self.counts.not_covered += 1
-                return got
-            if isinstance(got, OverBudget):
+                return admission
+            if isinstance(admission, OverBudget):
                 self.counts.over_budget += 1
-                return got
-            reservation, request.plan, request.team = got, got.plan, got.team
+                return admission
+            reservation, request.plan, request.team = admission, admission.plan, admission.team
         pending = None
         try:
             self._check(request)
--- a/ochrespan/contracts/start.py
+++ b/ochrespan/contracts/start.py
@@ -17,12 +17,12 @@
     gc.freeze()
 
 
-def start(section: Contracts, core: CoreComponents) -> Subsystem:
-    """Installs the contract gate in the core."""
-    gate = ContractGate(section.registry, core.broker.now)
-    core.broker.set_admission_gate(gate)
-    core.gate, core.govern_platform = gate, section.platform
-    core.metric_sources.append(gate.metric_samples)
+def start(section: Contracts, components: CoreComponents) -> Subsystem:
+    """Installs the contract gate in the front's components."""
+    gate = ContractGate(section.registry, components.broker.now)
+    components.broker.set_admission_gate(gate)
+    components.gate, components.govern_platform = gate, section.platform
+    components.metric_sources.append(gate.metric_samples)
 
     async def update_periodically() -> None:
         while True:
@@ -30,7 +30,7 @@
             gate.update_quotas()
 
     def reload(new: Contracts) -> None:
-        core.govern_platform = new.platform
+        components.govern_platform = new.platform
         gate.replace(new.registry)
         exempt_from_garbage_collection()
 
--- a/ochrespan/front.py
+++ b/ochrespan/front.py
@@ -72,8 +72,8 @@
     def _reload_configuration(self) -> None:
         try:
             new, fixed = config.reload(os.environ, self._configuration)
-        except config.BadConfig as why:
-            log.error("reload failed; keeping the previous configuration", extra={"why": str(why)})
+        except config.BadConfig as error:
+            log.error("reload failed; keeping the previous configuration", extra={"why": str(error)})
             return
         details = {"discovery": new.discovery, "only_by_restart": ",".join(fixed) or "-"}
         log.info("configuration reloaded", extra=details)
@@ -86,8 +86,8 @@
             self._reload_requested = False
             try:  # in a thread: reading thousands of contracts takes a second and must not delay requests
                 new = await asyncio.to_thread(operator_config.load, path, self._configuration.settings)
-            except config.BadConfig as why:
-                for fault in why.args:
+            except config.BadConfig as error:
+                for fault in error.args:
                     log.error("reload failed; keeping the previous operator's file", extra={"why": fault})
                 continue
             except Exception:
@@ -303,8 +303,8 @@
             from . import operator_config
 
             operator_settings = operator_config.load(path, configuration.settings)
-    except config.BadConfig as why:
-        for fault in why.args:
+    except config.BadConfig as error:
+        for fault in error.args:
             log.error("cannot start", extra={"why": fault})
         return 2
     asyncio.run(serve(configuration, operator_settings, path))
--- a/ochrespan/http2/scheduling.py
+++ b/ochrespan/http2/scheduling.py
@@ -33,10 +33,10 @@
 def parse_priority(value: str, default: Priority) -> Priority:
     """Parses a `priority` field value (RFC 9218, section 4); invalid or out-of-range parameters take the default."""
     urgency, incremental = default.urgency, default.incremental
-    if (found := URGENCY.findall(value)) and 0 <= int(found[-1][:4]) < URGENCY_LEVELS:
-        urgency = int(found[-1])
-    if found := INCREMENTAL.findall(value):
-        incremental = found[-1] != "0"
+    if (matches := URGENCY.findall(value)) and 0 <= int(matches[-1][:4]) < URGENCY_LEVELS:
+        urgency = int(matches[-1])
+    if matches := INCREMENTAL.findall(value):
+        incremental = matches[-1] != "0"
     return Priority(urgency, incremental)
 
 
--- a/ochrespan/http2/start.py
+++ b/ochrespan/http2/start.py
@@ -9,16 +9,16 @@
 from .server import Http2Server
 
 
-def start(section: Http2Config, core: CoreComponents) -> Subsystem:
+def start(section: Http2Config, components: CoreComponents) -> Subsystem:
     """Builds the servers of the configured addresses, with a shared buffer budget."""
     buffers, subsystem = BufferBudget(section.max_buffered_bytes), Subsystem()
-    latency_targets_s = {cls.name: cls.latency_target for cls in core.config.settings.classes.values()}
+    latency_targets_s = {cls.name: cls.latency_target for cls in components.config.settings.classes.values()}
     for name, address in section.listen.items():
         max_body_bytes = MAX_BODY_BYTES if name == "platform" else None
         server = Http2Server(
-            core.handlers[name],
+            components.handlers[name],
             max_body_bytes,
-            core.lifecycle,
+            components.lifecycle,
             section.limits,
             buffers,
             section.stall_timeout,
--- a/ochrespan/metrics/start.py
+++ b/ochrespan/metrics/start.py
@@ -8,11 +8,11 @@
 from .section import Metrics
 
 
-def start(section: Metrics, core: CoreComponents) -> Subsystem:
+def start(section: Metrics, components: CoreComponents) -> Subsystem:
     """One job for each exporter."""
-    core.metric_sources.append(lambda: core_metrics(core.broker))
+    components.metric_sources.append(lambda: core_metrics(components.broker))
     exporters = [
-        kind(sink, core.config.name, core.metric_sources)
+        kind(sink, components.config.name, components.metric_sources)
         for kind, sink in ((Graphite, section.graphite), (Collectd, section.collectd))
         if sink is not None
     ]
--- a/ochrespan/net/framing.py
+++ b/ochrespan/net/framing.py
@@ -171,10 +171,10 @@
         position = self._consume_line(data, position, MAX_CHUNK_LINE_BYTES, "a chunk's size is too long")
         if self._partial_line.endswith(b"\n"):
             line, self._partial_line = self._partial_line, b""
-            found = CHUNK_SIZE_LINE.fullmatch(line)
-            if found is None:
+            size_line_match = CHUNK_SIZE_LINE.fullmatch(line)
+            if size_line_match is None:
                 raise MalformedMessage("a chunk's size cannot be read")
-            self._begin_chunk(int(found[1], 16))
+            self._begin_chunk(int(size_line_match[1], 16))
         return position
 
     def _begin_chunk(self, size: int) -> None:
--- a/ochrespan/net/platform.py
+++ b/ochrespan/net/platform.py
@@ -83,8 +83,8 @@
 
 def parse_request(request: Exchange) -> Request:
     """Parses the platform's headers into a request for the broker."""
-    found = REQUEST_PATH.fullmatch(request.target)
-    if request.method not in ("GET", "PUT") or found is None:
+    path_match = REQUEST_PATH.fullmatch(request.target)
+    if request.method not in ("GET", "PUT") or path_match is None:
         raise MalformedRequest("not a GET or PUT of a volume's data")
     if not TRACE_ID.fullmatch(single_header(request, "X-Trace-Id")):
         raise MalformedRequest("X-Trace-Id is missing or no id")
@@ -101,8 +101,8 @@
     if time_left_ms < 0 or hosts < 0:
         raise MalformedRequest("a figure is below 0")
     return Request(
-        volume=found[1],
-        key=found[2],
+        volume=path_match[1],
+        key=path_match[2],
         cls=single_header(request, "X-Qos"),
         plan=single_header(request, "X-Plan"),
         time_left=timedelta(milliseconds=time_left_ms),
--- a/ochrespan/objects/conditions.py
+++ b/ochrespan/objects/conditions.py
@@ -26,14 +26,14 @@
 def parse_range(header: str | None, size: int) -> tuple[int, int] | None:
     """Begin and exclusive end of the range. None: send the complete object, since there is no range, there are several,
     or the syntax or unit is not supported."""
-    found = RANGE.fullmatch(header.strip()) if header else None
-    if found is None or not (found[1] or found[2]):
+    range_match = RANGE.fullmatch(header.strip()) if header else None
+    if range_match is None or not (range_match[1] or range_match[2]):
         return None
-    if not found[1]:
-        begin, end = size - min(size, int(found[2])), size
+    if not range_match[1]:
+        begin, end = size - min(size, int(range_match[2])), size
     else:
-        begin, end = int(found[1]), min(size, int(found[2]) + 1) if found[2] else size
-        if found[2] and int(found[2]) < int(found[1]):
+        begin, end = int(range_match[1]), min(size, int(range_match[2]) + 1) if range_match[2] else size
+        if range_match[2] and int(range_match[2]) < int(range_match[1]):
             return None  # an invalid range is ignored
     if begin >= end:
         raise RangeNotSatisfiable
--- a/ochrespan/objects/start.py
+++ b/ochrespan/objects/start.py
@@ -12,12 +12,12 @@
 from .uploads import Uploads
 
 
-def start(section: ObjectsConfig, core: CoreComponents) -> Subsystem:
+def start(section: ObjectsConfig, components: CoreComponents) -> Subsystem:
     """Builds the object API and returns its server with the address to listen on."""
-    settings, links = core.config.settings, core.config.links
+    settings, links = components.config.settings, components.config.links
     deadlines = {cls.name: timedelta(seconds=cls.deadline) for cls in settings.classes.values()}
-    store = ChunkStore(core.broker, core.client, links.shards, settings.max_units, deadlines)
+    store = ChunkStore(components.broker, components.client, links.shards, settings.max_units, deadlines)
     uploads = Uploads(store, links.rank, settings.fronts, section.min_part_bytes)
-    front = ObjectFront(section, core.gate, store, uploads, core.lifecycle)
-    core.handlers["objects"] = front.handle
+    front = ObjectFront(section, components.gate, store, uploads, components.lifecycle)
+    components.handlers["objects"] = front.handle
     return Subsystem(fronts=[(Http1Server(front.handle, None), section.listen)])
--- a/ochrespan/objects/store.py
+++ b/ochrespan/objects/store.py
@@ -141,8 +141,8 @@
         """Returns the manifest of the object, or None if it does not exist or was deleted."""
         chunk_name = layout.manifest_chunk_name(scope.bucket, scope.key)
         payload = await self.read(scope, scope.read_class, chunk_name, 1)
-        found = Manifest.decode(payload) if payload is not None else None
-        return None if found is None or found.deleted else found
+        manifest = Manifest.decode(payload) if payload is not None else None
+        return None if manifest is None or manifest.deleted else manifest
 
     async def commit(self, scope: Scope, manifest: Manifest) -> None:
         """Writes the manifest, the last write of an object: until it completes, readers see the previous version."""
--- a/ochrespan/objects/uploads.py
+++ b/ochrespan/objects/uploads.py
@@ -91,12 +91,12 @@
     async def parts(self, scope: Scope, upload_id: str) -> dict[int, Part]:
         """All parts by number, from the lists of all front processes."""
         reads = (self._read_index(scope, upload_id, front_rank) for front_rank in range(self._front_count))
-        found: dict[int, Part] = {}
+        newest_parts: dict[int, Part] = {}
         for index in await asyncio.gather(*reads):
             for number, part in index.items():
-                if number not in found or part.modified_ms > found[number].modified_ms:
-                    found[number] = part
-        return dict(sorted(found.items()))
+                if number not in newest_parts or part.modified_ms > newest_parts[number].modified_ms:
+                    newest_parts[number] = part
+        return dict(sorted(newest_parts.items()))
 
     async def complete(self, scope: Scope, upload_id: str, requested: list[tuple[int, str]]) -> Manifest:
         """Creates the object from the requested parts (number and ETag); raises `InvalidPartList` if they are not
--- a/ochrespan/objects/xml.py
+++ b/ochrespan/objects/xml.py
@@ -38,12 +38,12 @@
         root = SafeTree.fromstring(body, forbid_dtd=True)
     except (ElementTree.ParseError, DefusedXmlException, ValueError) as error:
         raise MalformedXml("the body is not well-formed") from error
-    found = []
+    part_list = []
     for part in root.iter():
         if part.tag.rpartition("}")[2] != "Part":
             continue
         fields = {child.tag.rpartition("}")[2]: (child.text or "").strip() for child in part}
         if not fields.get("PartNumber", "").isdecimal() or not fields.get("ETag"):
             raise MalformedXml("a part needs PartNumber and ETag")
-        found.append((int(fields["PartNumber"]), fields["ETag"]))
-    return found
+        part_list.append((int(fields["PartNumber"]), fields["ETag"]))
+    return part_list
--- a/ochrespan/sections.py
+++ b/ochrespan/sections.py
@@ -34,13 +34,13 @@
     """Collects the errors in one file."""
 
     def __init__(self, file: str) -> None:
-        self.file, self.found = file, list[Fault]()
+        self.file, self.entries = file, list[Fault]()
 
     def __bool__(self) -> bool:
-        return bool(self.found)
+        return bool(self.entries)
 
     def add(self, location: str, found: object, allowed: str) -> None:
-        self.found.append(Fault(location, found if isinstance(found, str) else repr(found), allowed))
+        self.entries.append(Fault(location, found if isinstance(found, str) else repr(found), allowed))
 
     def check_choice(self, location: str, found: str, allowed: Collection[str]) -> bool:
         """Returns whether the name is allowed; records an error if not."""
@@ -51,8 +51,8 @@
         return False
 
     def raise_any(self) -> None:
-        if self.found:
-            raise BadConfig(*(f"{self.file}: {fault}" for fault in self.found))
+        if self.entries:
+            raise BadConfig(*(f"{self.file}: {fault}" for fault in self.entries))
 
 
 def read_table(struct_type: type[S], value: Any, location: str, faults: Faults) -> S | None:
@@ -91,13 +91,13 @@
     if not isinstance(value, list):
         faults.add(f"[[{name}]]", value, "an array of tables")
         return []
-    found = []
+    valid_tables = []
     for i, entry in enumerate(value):
         entry_name = entry.get("name") if isinstance(entry, dict) else None
         location = f"[[{name}]] {entry_name if isinstance(entry_name, str) else i + 1}"
         if (converted := read_table(struct_type, entry, location, faults)) is not None:
-            found.append((location, converted))
-    return found
+            valid_tables.append((location, converted))
+    return valid_tables
 
 
 def read_address(text: str, location: str, faults: Faults) -> tuple[str, int]:
--- a/ochrespan/settings.py
+++ b/ochrespan/settings.py
@@ -30,13 +30,13 @@
     """A line or field that cannot be parsed."""
 
 
-def parse_pairs(words: Iterable[str]) -> Fields:
-    """The name=value words of a line."""
+def parse_pairs(pairs: Iterable[str]) -> Fields:
+    """Parses the name=value pairs of a line."""
     parsed: Fields = {}
-    for word in words:
-        name, separator, value = word.partition("=")
+    for pair in pairs:
+        name, separator, value = pair.partition("=")
         if not separator or not name:
-            raise Malformed(f"'{word}' is not name=value")
+            raise Malformed(f"'{pair}' is not name=value")
         parsed[name] = value
     return parsed
 
--- a/ochrespan/simhost.py
+++ b/ochrespan/simhost.py
@@ -63,8 +63,8 @@
 def read_report(fields: Fields) -> dict[str, float]:
     """The metrics of a load report; those that cannot be parsed are left out."""
     report = {}
-    for word in fields.get("Report", "").split(","):
-        name, separator, value = word.partition(":")
+    for pair in fields.get("Report", "").split(","):
+        name, separator, value = pair.partition(":")
         if separator and name in REPORT_NAMES:
             metric = number_or_none({name: value}, name)
             if metric is not None:
@@ -162,10 +162,10 @@
             self.report_malformed(line, error)
 
     def _handle_line(self, line: str) -> None:
-        keyword, *words = line.split()
+        keyword, *pairs = line.split()
         if keyword == "MARK":
             # every batch with a readable number gets a reply, so the number is parsed before what may be malformed
-            fields = dict(word.partition("=")[::2] for word in words)
+            fields = dict(pair.partition("=")[::2] for pair in pairs)
             self.frame = fields.get("frame", self.frame)
             self.instance, self.entries_due = "", 0
             self.now = seconds(fields, "NowNs", self.now * NS)
@@ -173,20 +173,20 @@
             self._reply()
         elif keyword == "CONTEXT":
             self.instance, self.entries_due = "", 0
-            self.instance = required_text(parse_pairs(words), "I")
+            self.instance = required_text(parse_pairs(pairs), "I")
         elif keyword == "KILL":
             self._remove(self.instance)
         elif keyword == "PROVISION":
-            settings = read_settings(parse_pairs(words))
+            settings = read_settings(parse_pairs(pairs))
             self._remove(self.instance)
             self.schedulers[self.instance] = Scheduler(settings, self.now)
             self.events[self.instance] = []
         elif keyword == "M" and self.entries_due > 0 and self.node_list is not None:
             self.entries_due -= 1
-            self.node_list.entries.append(read_entry(parse_pairs(words)))
+            self.node_list.entries.append(read_entry(parse_pairs(pairs)))
         elif self.instance in self.schedulers:  # events for stopped and unknown instances are dropped
             if keyword == "BACKENDS_CHANGED":
-                fields = parse_pairs(words)
+                fields = parse_pairs(pairs)
                 kind = LIST_KINDS.get(required_text(fields, "Scope"))
                 if kind is None:
                     raise Malformed(f"Scope={fields['Scope']} is not known")
@@ -194,7 +194,7 @@
                 self.entries_due = int(number(fields, "NodesList", 0))
                 self.events.setdefault(self.instance, []).append(self.node_list)
             elif keyword in READERS:
-                self.events.setdefault(self.instance, []).append(READERS[keyword](parse_pairs(words)))
+                self.events.setdefault(self.instance, []).append(READERS[keyword](parse_pairs(pairs)))
 
     def _remove(self, instance: str) -> None:
         for by_instance in (self.schedulers, self.events):
--- a/ochrespan/subsystem.py
+++ b/ochrespan/subsystem.py
@@ -1,4 +1,4 @@
-"""The interface of subsystems. The `start` module of each has `start(section, core) -> Subsystem`."""
+"""The interface of subsystems. The `start` module of each has `start(section, components) -> Subsystem`."""
 
 from __future__ import annotations
 
--- a/ochrespan/suspension.py
+++ b/ochrespan/suspension.py
@@ -58,8 +58,8 @@
         if document["version"] != VERSION:
             raise BadSuspensionFile(f"version: found {document['version']!r}, allowed: {VERSION}")
         return {_server(entry): _suspension(entry) for entry in document["servers"]}
-    except (ValueError, LookupError, TypeError) as why:
-        raise BadSuspensionFile(f"{type(why).__name__}: {why}") from why
+    except (ValueError, LookupError, TypeError) as error:
+        raise BadSuspensionFile(f"{type(error).__name__}: {error}") from error
 
 
 def _server(entry: Any) -> str:
@@ -105,10 +105,10 @@
             return parse(self._path.read_text())
         except FileNotFoundError:
             return None
-        except (OSError, BadSuspensionFile) as why:
+        except (OSError, BadSuspensionFile) as error:
             log.error(
                 "the file of suspended servers is ignored",
-                extra={"path": str(self._path), "why": str(why)},
+                extra={"path": str(self._path), "why": str(error)},
             )
             return None
 
@@ -189,8 +189,8 @@
                 change()
                 self._drop_expired()
                 self._file.write(self._known)
-        except OSError as why:
-            log.error("suspended servers are not kept for an upgrade", extra={"why": str(why)})
+        except OSError as error:
+            log.error("suspended servers are not kept for an upgrade", extra={"why": str(error)})
             change()
 
     def _drop_expired(self) -> None:
--- a/ochrespan/upgrade.py
+++ b/ochrespan/upgrade.py
@@ -50,8 +50,8 @@
     folder = Path(temporary, f"ochrespan-{name.replace(os.sep, '_')}")
     try:
         folder.mkdir(mode=0o700, exist_ok=True)
-    except OSError as why:
-        log.error("no shared folder: upgrades cannot hand over state", extra={"folder": str(folder), "why": str(why)})
+    except OSError as error:
+        log.error("no shared folder: upgrades cannot hand over state", extra={"folder": str(folder), "why": str(error)})
         return None
     return folder
 
@@ -104,9 +104,9 @@
             temporary.replace(
                 self._folder / self._name
             )  # others never see the file under its final name without the lock
-        except OSError as why:
+        except OSError as error:
             log.error(
-                "cannot register for upgrades; other processes of this front are ignored", extra={"why": str(why)}
+                "cannot register for upgrades; other processes of this front are ignored", extra={"why": str(error)}
             )
             self._folder = None
 
@@ -122,8 +122,8 @@
                 return
             try:
                 os.pwrite(self._own_file.fileno(), state.dump(), 0)  # fixed length: never read in part
-            except OSError as why:
-                log.error("cannot publish this process to the other processes of this front", extra={"why": str(why)})
+            except OSError as error:
+                log.error("cannot publish this process to the other processes of this front", extra={"why": str(error)})
 
     def publish_and_read(self, descriptors: int) -> ProcessRegistryView:
         """Publishes the number of open descriptors of this process, and reads what the others have published.
@@ -166,10 +166,10 @@
         if self._folder is None:
             return []
         try:
-            found = [path.name for path in self._folder.glob(f"*{SUFFIX}")]
+            names = [path.name for path in self._folder.glob(f"*{SUFFIX}")]
         except OSError:
             return []
-        return [name for name in found if name != self._name and self._is_alive(name)]
+        return [name for name in names if name != self._name and self._is_alive(name)]
 
     def _is_alive(self, name: str) -> bool:
         assert self._folder is not None
