--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -147,7 +147,7 @@
     asyncio.run(run([Status.OK], gate))
     assert gate.heard_units == 4.0
 
-    async def story():
+    async def scenario():
         broker = Broker(settings())
         broker.set_admission_gate(gate)
         for request in (
@@ -159,5 +159,5 @@
         broker.close()
 
     gate.admitted = 0
-    asyncio.run(story())
+    asyncio.run(scenario())
     assert gate.admitted == 0
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -36,7 +36,7 @@
 """
 
 
-class H2World(FrontHarness):
+class Http2Harness(FrontHarness):
     def __init__(self, nodes: int = 2, more: str = "", contracts: str = "", **changes) -> None:
         self.platform_port, self.objects_port = free_port(), free_port()
         super().__init__(nodes, operator(self.platform_port, self.objects_port, more, contracts), **changes)
@@ -50,8 +50,8 @@
 
 def test_both_handlers_are_served_over_http2():
     async def scenario():
-        async with H2World(1) as world, world.platform() as client, world.object_client() as objects:
-            world.nodes[0].default_response = ""
+        async with Http2Harness(1) as harness, harness.platform() as client, harness.object_client() as objects:
+            harness.nodes[0].default_response = ""
             assert (await client.call("GET", "/up")).status == 200
             got = await client.call("PUT", PATH, b"photo", request_headers("t1", 0, cls="write"))
             assert (got.status, got.ends) == (200, 1)
@@ -60,8 +60,8 @@
             assert (await client.call("GET", PATH, b"", request_headers("t3", 0, cls="made-up"))).status == 400
             long = b"x" * 700_000
             assert (await client.call("PUT", PATH, long, request_headers("t4", 0, cls="write"))).status == 200
-            assert world.nodes[0].stored[PATH] == long
-            assert len(world.nodes[0].received) == 3
+            assert harness.nodes[0].stored[PATH] == long
+            assert len(harness.nodes[0].received) == 3
             body = random_bytes(300_000)
             got = await objects.call("PUT", "/photos/x", body)
             assert got.status == 200 and got.headers["etag"] == f'"{hashlib.md5(body).hexdigest()}"'
@@ -80,16 +80,16 @@
 
 def test_five_hundred_streams_each_end_once_and_no_request_has_two_attempts_in_flight():
     async def scenario():
-        async with H2World(3, "streams = 200") as world:
+        async with Http2Harness(3, "streams = 200") as harness:
             rng = random.Random(3)
-            for node in world.nodes:
+            for node in harness.nodes:
                 node.default_response = "any"
                 node.scripted_responses.extend(
                     rng.choices(("any", "reset", "full", "error", "half", "stall"), (12, 1, 1, 1, 1, 1), k=120)
                 )
             ends: Counter[str] = Counter()
             at_once = asyncio.Semaphore(60)  # the same concurrency on fast and slow machines
-            async with world.platform() as one, world.platform() as two, world.platform() as three:
+            async with harness.platform() as one, harness.platform() as two, harness.platform() as three:
 
                 async def send_limited(number: int) -> None:
                     async with at_once:
@@ -116,14 +116,14 @@
 
                 tasks = [asyncio.create_task(send_limited(n)) for n in range(250)]
                 await wait_until(lambda: ends.total() >= 100)
-                world.publish_state(world.nodes[2], "draining")
+                harness.publish_state(harness.nodes[2], "draining")
                 tasks += [asyncio.create_task(send_limited(n)) for n in range(250, 500)]
                 await asyncio.gather(*tasks)
                 assert ends.total() == 500 and set(ends) <= {"200", "502", "503", "left"} and ends["200"] > 150, ends
                 assert not any(client.goaways for client in (one, two, three))
-            assert not any(node.overlapping_attempts for node in world.nodes)
+            assert not any(node.overlapping_attempts for node in harness.nodes)
             await wait_until(
-                lambda: not any(any(node.in_flight.values()) for node in world.nodes if node.phase == "up")
+                lambda: not any(any(node.in_flight.values()) for node in harness.nodes if node.phase == "up")
             )
 
     run_scenario(scenario())
@@ -131,8 +131,8 @@
 
 def test_a_stream_reset_cancels_its_attempt_without_a_retry():
     async def scenario():
-        async with H2World(1) as world, world.platform() as client:
-            node = world.nodes[0]
+        async with Http2Harness(1) as harness, harness.platform() as client:
+            node = harness.nodes[0]
             node.scripted_responses.append("stall")
             node.default_response = "any"
             stream = client.begin("GET", PATH, request_headers("t1", 0))
@@ -147,8 +147,8 @@
 
 def test_streams_beyond_the_limit_are_refused_and_the_others_continue():
     async def scenario():
-        async with H2World(1, "streams = 3") as world, world.platform() as client:
-            node = world.nodes[0]
+        async with Http2Harness(1, "streams = 3") as harness, harness.platform() as client:
+            node = harness.nodes[0]
             node.scripted_responses.extend(["stall"] * 3)
             node.default_response = "any"
             client.h2.remote_settings.max_concurrent_streams = 100  # a client that ignores the limit
@@ -167,7 +167,7 @@
 
 def test_a_slow_reader_stalls_its_own_stream_only():
     async def scenario():
-        async with H2World(2) as world, world.object_client(window=65_535) as client:
+        async with Http2Harness(2) as harness, harness.object_client(window=65_535) as client:
             body = random_bytes(3 << 20)
             assert (await client.call("PUT", "/photos/large", body)).status == 200
             assert (await client.call("PUT", "/photos/small", b"small")).status == 200
@@ -188,8 +188,8 @@
 
 def test_a_stream_whose_window_is_never_opened_is_reset_after_the_stall_timeout():
     async def scenario():
-        async with H2World(1, "patience_s = 0.3") as world, world.object_client(window=0) as client:
-            async with world.object_client() as other:
+        async with Http2Harness(1, "patience_s = 0.3") as harness, harness.object_client(window=0) as client:
+            async with harness.object_client() as other:
                 assert (await other.call("PUT", "/photos/x", random_bytes(100_000))).status == 200
             got = await client.call("GET", "/photos/x")
             assert got.status == 200 and got.reset == 8 and not got.body  # CANCEL
@@ -201,12 +201,12 @@
 
 def test_a_drain_sends_two_goaways_and_completes_accepted_streams():
     async def scenario():
-        async with H2World(1) as world, world.platform() as client:
-            node = world.nodes[0]
+        async with Http2Harness(1) as harness, harness.platform() as client:
+            node = harness.nodes[0]
             node.default_response, node.delay = "any", 0.3
             open_streams = [client.begin("GET", PATH, request_headers(f"t{n}", 0)) for n in range(3)]
             await wait_until(lambda: len(node.received) == 3)
-            world.stop()
+            harness.stop()
             await wait_until(lambda: len(client.goaways) == 2)
             assert client.goaways == [(2**31 - 1, 0), (open_streams[-1], 0)]
             late = client.begin("GET", PATH, request_headers("late", 0))
@@ -217,15 +217,15 @@
                 None,
             )  # refused, or the connection had ended
             await asyncio.wait_for(client.closed.wait(), 5)
-            assert await asyncio.wait_for(world.process.wait(), 20) == 0
-            assert len(node.received) == 3 and "Traceback" not in world.log
+            assert await asyncio.wait_for(harness.process.wait(), 20) == 0
+            assert len(node.received) == 3 and "Traceback" not in harness.log
 
     run_scenario(scenario())
 
 
 def test_a_hundred_concurrent_parts_on_one_connection():
     async def scenario():
-        async with H2World(2, "streams = 200") as world, world.object_client() as client:
+        async with Http2Harness(2, "streams = 200") as harness, harness.object_client() as client:
             got = await client.call("POST", "/photos/whole?uploads")
             upload = got.body.decode().partition("<UploadId>")[2].partition("<")[0]
             parts = [random_bytes(100_000, seed) for seed in range(120)]
@@ -264,11 +264,11 @@
 )
 def test_contract_refusals_equal_those_of_http1(contract, status, field):
     async def scenario():
-        world = H2World(1, contracts=contract)
-        world.operator = world.operator.replace("[objects]", "[contracts]\nfronts = 1\n[objects]", 1)
-        async with world, world.platform() as client:
+        harness = Http2Harness(1, contracts=contract)
+        harness.operator = harness.operator.replace("[objects]", "[contracts]\nfronts = 1\n[objects]", 1)
+        async with harness, harness.platform() as client:
             got = await client.call("GET", PATH, b"", request_headers("t1", 0))
-            first, headers, body = await world.send_request("t2")
+            first, headers, body = await harness.send_request("t2")
             assert got.status == first == status and bytes(got.body) == body
             assert field is None or (field in got.headers and "Retry-After" in headers)
 
@@ -278,12 +278,12 @@
 @pytest.mark.parametrize("received", [b"", b"PRI * HT", b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\4\0\0\0\0\0"])
 def test_a_connection_without_a_complete_request_is_closed_after_the_http1_timeout(received):
     async def scenario():
-        async with H2World(1) as world:
-            reader, writer = await asyncio.open_connection("127.0.0.1", world.platform_port)
+        async with Http2Harness(1) as harness:
+            reader, writer = await asyncio.open_connection("127.0.0.1", harness.platform_port)
             writer.write(received)
             await asyncio.wait_for(reader.read(), 10)  # 2 s
             writer.close()
-            async with world.platform() as client:
+            async with harness.platform() as client:
                 assert (await client.call("GET", "/up")).status == 200
 
     run_scenario(scenario())
@@ -295,14 +295,14 @@
 @pytest.mark.parametrize("case", HOSTILE, ids=[case.what for case in HOSTILE])
 def test_a_hostile_peer_is_disconnected_without_affecting_other_connections(case):
     async def scenario():
-        async with H2World(1, "streams = 4\nheaders_bytes = 16384") as world, world.platform() as client:
-            node = world.nodes[0]
+        async with Http2Harness(1, "streams = 4\nheaders_bytes = 16384") as harness, harness.platform() as client:
+            node = harness.nodes[0]
             node.default_response = "any"
             node.scripted_responses.append("stall")
             open_streams = client.begin("GET", PATH, request_headers("held", 0))
             await wait_until(lambda: node.received)
             for _ in range(3):
-                reader, writer = await asyncio.open_connection("127.0.0.1", world.platform_port)
+                reader, writer = await asyncio.open_connection("127.0.0.1", harness.platform_port)
                 writer.write(case.preface + case.sent)
                 got = await asyncio.wait_for(reader.read(), 10)  # until the front closes the connection
                 codes = [payload[4:8] for kind, _, payload in sent_frames(got) if kind == GOAWAY]
@@ -311,16 +311,16 @@
                 assert (await client.call("GET", "/up")).status == 200
             node.released.set()
             assert (await client.wait_response(open_streams)).status == 200 and not client.goaways
-            assert "Traceback" not in world.log
-            await wait_until(lambda: "connection ended" in world.log)
+            assert "Traceback" not in harness.log
+            await wait_until(lambda: "connection ended" in harness.log)
 
     run_scenario(scenario())
 
 
 def test_a_peer_that_does_not_read_its_ping_responses_is_disconnected():
     async def scenario():
-        async with H2World(1) as world:
-            reader, writer = await asyncio.open_connection("127.0.0.1", world.platform_port, limit=1024)
+        async with Http2Harness(1) as harness:
+            reader, writer = await asyncio.open_connection("127.0.0.1", harness.platform_port, limit=1024)
             writer.transport.pause_reading()
             writer.write(PREFACE + frame(4))
             with pytest.raises((ConnectionError, TimeoutError)):
@@ -330,8 +330,8 @@
                         await writer.drain()
                         await asyncio.sleep(0.001)
             writer.transport.abort()
-            async with world.platform() as client:
+            async with harness.platform() as client:
                 assert (await client.call("GET", "/up")).status == 200
-            await wait_until(lambda: "too many pings" in world.log)
+            await wait_until(lambda: "too many pings" in harness.log)
 
     run_scenario(scenario())
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -11,7 +11,7 @@
 from .h2client import Client
 from .test_chunk_client import ManualChunkServer
 from .test_client_connections import raw_request
-from .test_http2 import PATH, H2World
+from .test_http2 import PATH, Http2Harness
 
 MAX_CANCEL_DELAY_S = 0.3  # from the disconnect until nothing may be sent any more
 PART_UPLOAD = "PUT /photos/a?partNumber=1&uploadId={} HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\npart"
@@ -39,7 +39,7 @@
 class DisconnectingClient:
     """One request, and the ways in which its client can disconnect."""
 
-    async def begin(self, harness: H2World, way: str, upload: str) -> None:
+    async def begin(self, harness: Http2Harness, way: str, upload: str) -> None:
         self.way = way
         if way == "stream":
             self.client = await Client(harness.platform_port).__aenter__()
@@ -60,7 +60,7 @@
             self.sock.close()
 
 
-async def fill_window(harness: H2World) -> None:
+async def fill_window(harness: Http2Harness) -> None:
     """Starts three requests that stall at the only chunk server: its window is full, further requests wait."""
     harness.nodes[0].default_response = "stall"
     for number in range(3):
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize("way", [*WAYS, "part ended", "part reset", "part stays"])
 def test_request_is_dropped_if_its_client_disconnects_while_it_is_queued(way):
     async def scenario():
-        async with H2World(1) as harness:
+        async with Http2Harness(1) as harness:
             server, harness.open_clients, upload = harness.nodes[0], [], ""
             if way.startswith("part"):
                 _, _, body = await harness.object_request("POST", "/photos/a?uploads")
@@ -103,7 +103,7 @@
 @pytest.mark.parametrize("way", WAYS)
 def test_request_is_dropped_if_its_client_disconnects_between_two_attempts(way):
     async def scenario():
-        async with H2World(1, Limits__MaxAttempts=9) as harness:
+        async with Http2Harness(1, Limits__MaxAttempts=9) as harness:
             server, requester = harness.nodes[0], DisconnectingClient()
             server.default_response = "full"
             await requester.begin(harness, way, "")
@@ -123,7 +123,7 @@
 @pytest.mark.parametrize("way", WAYS)
 def test_request_is_dropped_if_its_client_disconnects_while_a_connection_is_established(way):
     async def scenario():
-        harness = H2World(1, Limits__ConnectTimeoutNs=5000 * MS)
+        harness = Http2Harness(1, Limits__ConnectTimeoutNs=5000 * MS)
         harness.nodes = [UnacceptingServer(0)]
         async with harness:
             requester = DisconnectingClient()
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -57,7 +57,7 @@
 
 
 def test_both_exporters_send_request_metrics():
-    async def story():
+    async def scenario():
         lines: dict[tuple[str, str], float] = {}
         stamps: list[int] = []
 
@@ -73,11 +73,11 @@
             CollectdReceiver, local_addr=("127.0.0.1", 0)
         )
         ports = graphite.sockets[0].getsockname()[1], transport.get_extra_info("sockname")[1]
-        async with FrontHarness(1, sinks(*ports)) as world:
-            world.nodes[0].scripted_responses.extend(["any", "full", "any", "error", "error", "error"])
+        async with FrontHarness(1, sinks(*ports)) as harness:
+            harness.nodes[0].scripted_responses.extend(["any", "full", "any", "error", "error", "error"])
             for name in ("t1", "t2", "t3"):
-                await world.send_request(name)
-            assert (await world.send_request("t4", **{"X-Plan": "made.up"}))[0] == 400  # not counted
+                await harness.send_request(name)
+            assert (await harness.send_request("t4", **{"X-Plan": "made.up"}))[0] == 400  # not counted
             expected = {
                 ("gold-read", "taken"): 3,
                 ("gold-read", "served"): 2,
@@ -94,23 +94,23 @@
             assert (value[0], value[2], round(value[9], 3)) == ("n0", "plant", 0.1)
             assert abs(value[8] - stamps[-1]) < 60
 
-    run_scenario(story())
+    run_scenario(scenario())
 
 
 def test_unavailable_sinks_do_not_delay_requests_and_are_retried():
-    async def story():
+    async def scenario():
         async def never_read(reader, writer):
             await asyncio.Event().wait()  # accepts the connection and never reads
 
         unresponsive = await asyncio.start_server(never_read, "127.0.0.1", 0)
         unresponsive_port, later_port = unresponsive.sockets[0].getsockname()[1], free_port()
         async with (
-            FrontHarness(1, sinks(unresponsive_port, free_port())) as world,
-            FrontHarness(operator=sinks(later_port, free_port()), rank=1, shared=world) as other,
+            FrontHarness(1, sinks(unresponsive_port, free_port())) as harness,
+            FrontHarness(operator=sinks(later_port, free_port()), rank=1, shared=harness) as other,
         ):
-            world.nodes[0].default_response = "any"
+            harness.nodes[0].default_response = "any"
             for number in range(20):
-                assert (await world.send_request(f"a{number}"))[0] == 200
+                assert (await harness.send_request(f"a{number}"))[0] == 200
                 assert (await other.send_request(f"b{number}"))[0] == 200
             await wait_until(lambda: "cannot send metrics to sink" in other.log)
             connected = asyncio.Event()
@@ -118,4 +118,4 @@
             await asyncio.wait_for(connected.wait(), 10)
             server.close()
 
-    run_scenario(story())
+    run_scenario(scenario())
