--- a/ochrespan/contracts/admission.py
+++ b/ochrespan/contracts/admission.py
@@ -16,12 +16,12 @@
 from . import authorization
 from .allocation import MIN_WAIT_US, AllocationRequest, ExceededLimit, allocate
 from .fixed_point import to_micros, to_pico
-from .grants import Allocation, Demand, Grant, NotCovered, OverBudget
+from .grants import AdmissionRequest, Allocation, Grant, NotCovered, OverBudget
 from .levels import Level
 from .terms import Contract, ContractRegistry
 from .tree import LevelTree
 
-__all__ = ["Admission", "Demand", "Grant", "NotCovered", "OverBudget"]
+__all__ = ["Admission", "AdmissionRequest", "Grant", "NotCovered", "OverBudget"]
 
 
 class Admission:
@@ -55,34 +55,34 @@
 
     # ---- authorization ----
 
-    def identify(self, demand: Demand) -> Contract | NotCovered:
+    def identify(self, request: AdmissionRequest) -> Contract | NotCovered:
         """Finds the contract of a request; see `authorization.identify`."""
-        return authorization.identify(self.registry, demand)
+        return authorization.identify(self.registry, request)
 
-    def check_coverage(self, contract: Contract, demand: Demand, now: float) -> NotCovered | None:
+    def check_coverage(self, contract: Contract, request: AdmissionRequest, now: float) -> NotCovered | None:
         """Returns why a contract does not cover the request, or None if it does."""
-        return authorization.check_coverage(contract, demand, now)
+        return authorization.check_coverage(contract, request, now)
 
     # ---- requests ----
 
     def admit(
-        self, now: float, demand: Demand, started_under: Contract | None = None
+        self, now: float, request: AdmissionRequest, started_under: Contract | None = None
     ) -> Grant | NotCovered | OverBudget:
         """Admits or refuses a request.
 
         `started_under` is the contract that admitted earlier requests of the same operation: the operation may finish
         even if that contract, or a class or token of it, has been withdrawn since.
         """
-        contract = started_under or self.identify(demand)
+        contract = started_under or self.identify(request)
         if isinstance(contract, NotCovered):
             return self._count_not_covered(contract)
         leaf = self.levels.get(contract.path)
         if leaf is None:
             removed = NotCovered("withdrawn", contract.path, "the contract is there no longer")
             return self._count_not_covered(removed)
-        if started_under is None and (refusal := self.check_coverage(contract, demand, now)) is not None:
+        if started_under is None and (refusal := self.check_coverage(contract, request, now)) is not None:
             return self._count_not_covered(refusal)
-        result = self._grant(contract, leaf, to_pico(demand.units), to_micros(now))
+        result = self._grant(contract, leaf, to_pico(request.units), to_micros(now))
         match result:
             case Grant():
                 leaf.count("admitted")
@@ -120,7 +120,7 @@
         if grant.completed:
             return False
         allocation_request = AllocationRequest(
-            grant.contract, grant.leaf, grant.path[1:], grant.attempt_cost, 1, to_micros(now)
+            grant.contract, grant.leaf, grant.levels_from_leaf[1:], grant.attempt_cost, 1, to_micros(now)
         )
         allocation = allocate(allocation_request, self._tree.timers, grant.extra_bucket)
         if not isinstance(allocation, Allocation):
--- a/ochrespan/contracts/gate.py
+++ b/ochrespan/contracts/gate.py
@@ -13,7 +13,7 @@
 from . import admission
 from .accounts import accounts, level_statistics
 from .adaptive_quota import AdaptiveQuota
-from .admission import Admission, Demand, Grant
+from .admission import Admission, AdmissionRequest, Grant
 from .terms import Contract, ContractRegistry
 
 log = structlog.get_logger(__name__)
@@ -45,8 +45,10 @@
     def admit(self, now: float, request: core.Request) -> Grant | core.NotCovered | core.OverBudget:
         """Admits one of the core's requests, or returns the reason for refusal."""
         claim = request.claim or core.Claim()
-        demand = Demand(request.cls, request.units, request.plan, claim.token, request.volume, claim.bucket)
-        result = self.admission.admit(now, demand, claim.contract)
+        admission_request = AdmissionRequest(
+            request.cls, request.units, request.plan, claim.token, request.volume, claim.bucket
+        )
+        result = self.admission.admit(now, admission_request, claim.contract)
         if isinstance(result, Grant):
             return result
         if isinstance(result, admission.OverBudget):
@@ -88,12 +90,12 @@
 
     def identify(self, token: str, bucket: str) -> Contract | core.NotCovered:
         """Finds the contract for a token and a bucket, for fronts that need it before they send requests."""
-        result = self.admission.identify(Demand("", 0.0, token=token, bucket=bucket))
+        result = self.admission.identify(AdmissionRequest("", 0.0, token=token, bucket=bucket))
         return result if isinstance(result, Contract) else core.NotCovered(result.rule, result.team, result.reason)
 
     def covers(self, contract: Contract, cls: str) -> core.NotCovered | None:
         """Returns why a contract does not cover a class now, or None if it does."""
-        refusal = self.admission.check_coverage(contract, Demand(cls, 0.0), self.now())
+        refusal = self.admission.check_coverage(contract, AdmissionRequest(cls, 0.0), self.now())
         return refusal and core.NotCovered(refusal.rule, refusal.team, refusal.reason)
 
     def owner(self, bucket: str) -> str:
--- a/ochrespan/contracts/grants.py
+++ b/ochrespan/contracts/grants.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Demand:
+class AdmissionRequest:
     """What a request states about itself; an empty string means not stated."""
 
     cls: str
@@ -74,7 +74,7 @@
 
     contract: Contract
     leaf: Level
-    path: list[Level]  # from the leaf up; the request counts as open at each level
+    levels_from_leaf: list[Level]  # from the leaf up; the request counts as open at each level
     attempt_cost: int  # pico units
     attempts: int = 0  # paid for
     bucket_holds: list[BucketHold] = field(default_factory=list)
@@ -105,7 +105,7 @@
         self.attempts += attempts
         if allocation.draw.own or allocation.draw.borrowed:
             self.draws.append(allocation.draw)
-        for level in self.path:
+        for level in self.levels_from_leaf:
             self._hold_at(level, attempts)
         if first:
             self.extra_bucket = self.leaf.extra_attempts  # a reload may replace the level's bucket
@@ -126,7 +126,7 @@
 
     def release(self, sent: int, ran: int, at: int) -> None:
         """Ends every hold and charges the actual cost: `sent` attempts, of which `ran` may have run."""
-        for level in self.path:
+        for level in self.levels_from_leaf:
             level.open -= 1
         cost = ran * self.attempt_cost
         self._charge_buckets(sent * PICO, cost, at)
--- a/ochrespan/contracts/tree.py
+++ b/ochrespan/contracts/tree.py
@@ -51,7 +51,7 @@
         old, self.registry = self.registry, registry
         removed = [path for path in self.levels if path and path not in registry.levels]
         changed = [path for path in registry.levels if path not in self.levels or not _unchanged(old, registry, path)]
-        rebuild = self._needs_rebuild(old, registry, changed)
+        rebuild = self._record_shape_and_check_rebuild(old, registry, changed)
         for path in self.levels if rebuild else [*removed, *changed]:
             if level := self.levels.get(path):
                 level.end_lending(at)  # at the old rates
@@ -66,7 +66,7 @@
             self._rebuild_funds(min_burst, at)
         self._set_pool_rates(at)
 
-    def _needs_rebuild(self, old: ContractRegistry, new: ContractRegistry, changed: list[str]) -> bool:
+    def _record_shape_and_check_rebuild(self, old: ContractRegistry, new: ContractRegistry, changed: list[str]) -> bool:
         """Whether the installation's settings or the tree's shape have changed, so that all levels must be updated."""
         parent_paths = {terms.parent for terms in new.levels.values()} | {""}
         reshaped = parent_paths != self._parent_paths or any(path in parent_paths for path in changed)
--- a/ochrespan/http2/server.py
+++ b/ochrespan/http2/server.py
@@ -40,7 +40,7 @@
         self.connections: set[Http2Connection] = set()
         self.draining = False
 
-    def connection(self, on_state_change: Callable[[Any], None]) -> Http2Connection:
+    def create_connection(self, on_state_change: Callable[[Any], None]) -> Http2Connection:
         """Creates a connection; `on_state_change` is called on every state change, including CLOSED."""
         return Http2Connection(self, on_state_change)
 
--- a/ochrespan/interface.py
+++ b/ochrespan/interface.py
@@ -15,7 +15,7 @@
     """What a repeated request does."""
 
     SAFE = "safe"  # may always be repeated or refused
-    KEYED = "keyed"  # a group of nodes drops repeats for a time
+    DEDUPLICATED_BY_KEY = "keyed"  # a group of nodes drops repeats for a time
     UNSAFE = "unsafe"  # may be repeated only if it never ran
 
 
--- a/ochrespan/lifecycle.py
+++ b/ochrespan/lifecycle.py
@@ -36,7 +36,7 @@
     def __init__(self) -> None:
         self.phase = Phase.STARTING
         self.has_successor = False  # the new process of an upgrade accepts the new connections
-        self._active = True  # False: an operator has drained this process
+        self._operator_wants_active = True  # False: an operator has drained this process
         self.in_flight = 0  # requests being handled, on all listeners
         self._reached = {phase: asyncio.Event() for phase in Phase}
         self._reached[Phase.STARTING].set()
@@ -44,14 +44,14 @@
     def advance(self, phase: Phase) -> None:
         if PHASE_ORDER[phase] <= PHASE_ORDER[self.phase]:
             return  # a repeated SIGTERM, or one during the shutdown
-        self._enter(Phase.INACTIVE if phase is Phase.READY and not self._active else phase)
+        self._enter(Phase.INACTIVE if phase is Phase.READY and not self._operator_wants_active else phase)
         for earlier in Phase:
             if PHASE_ORDER[earlier] <= PHASE_ORDER[phase]:
                 self._reached[earlier].set()
 
     def deactivate(self) -> None:
         """Drains the process for an operator, after the start if it is not over; no effect during the shutdown."""
-        self._active = False
+        self._operator_wants_active = False
         if self.phase is Phase.READY:
             self._enter(Phase.INACTIVE)
 
@@ -59,7 +59,7 @@
         """Ends a drain; returns False during the shutdown."""
         if PHASE_ORDER[self.phase] >= PHASE_ORDER[Phase.DRAINING]:
             return False
-        self._active = True
+        self._operator_wants_active = True
         if self.phase is Phase.INACTIVE:
             self._enter(Phase.READY)
         return True
--- a/ochrespan/net/http1.py
+++ b/ochrespan/net/http1.py
@@ -100,7 +100,7 @@
             if connection := self._connections.get(request.protocol):
                 self._loop.call_soon(connection.response_written)  # the response is written in this turn of the loop
 
-    def connection(self, on_state_change: Callable[[ClientConnection], None]) -> ClientConnection:
+    def create_connection(self, on_state_change: Callable[[ClientConnection], None]) -> ClientConnection:
         def track(connection: ClientConnection) -> None:
             if connection.closed:
                 self._connections.pop(connection.handler, None)
--- a/ochrespan/net/listener.py
+++ b/ochrespan/net/listener.py
@@ -50,7 +50,7 @@
 
 
 class Server(Protocol):
-    def connection(self, on_state_change: Callable[[Any], None]) -> Any:
+    def create_connection(self, on_state_change: Callable[[Any], None]) -> Any:
         """Creates a connection; `on_state_change` is called on each new state and on close."""
 
     async def shutdown(self, timeout: timedelta) -> None: ...
@@ -98,7 +98,7 @@
     # ---- connections ----
 
     def _make_connection(self) -> Any:
-        return self._server.connection(self._on_state_change)
+        return self._server.create_connection(self._on_state_change)
 
     def _on_state_change(self, connection: Connection) -> None:
         if (previous := self._states.pop(connection, None)) is not None:
--- a/ochrespan/policy/front.py
+++ b/ochrespan/policy/front.py
@@ -232,7 +232,7 @@
         safe_to_retry = (
             (job.first_possible_execution is None and not job.in_flight)
             or job.cls.effect is Effect.SAFE
-            or (job.cls.effect is Effect.KEYED and job.cls.group is Group.ALL)
+            or (job.cls.effect is Effect.DEDUPLICATED_BY_KEY and job.cls.group is Group.ALL)
         )
         self.actions.append(
             api.Refuse(job.req.id, self._retry_after(job)) if safe_to_retry else api.Fail(job.req.id),
@@ -380,9 +380,9 @@
         lift_lagging(list(queues.waiting), self.max_eta)
         t_max = upper_threshold(queues.waiting)
         while True:
-            ready = sum(len(queues.ready[job.flow]) for job in self._first_jobs(queues.ready))
+            ready = sum(len(queues.ready[job.flow]) for job in self._prune_and_yield_first_jobs(queues.ready))
             best, pick = (2, inf), None
-            for job in self._first_jobs(queues.waiting):
+            for job in self._prune_and_yield_first_jobs(queues.waiting):
                 # flows within their reserve come first and are never gated
                 key = (0 if self._within_reserve(job) else 1, job.flow.normalized_usage)
                 if key < best and not (key[0] and is_gated(job.flow.normalized_usage, t_max, ready, length)):
@@ -398,7 +398,7 @@
         job.promoted = True
         return job
 
-    def _first_jobs(self, flow_queues: Queues) -> Iterator[Job]:
+    def _prune_and_yield_first_jobs(self, flow_queues: Queues) -> Iterator[Job]:
         """The first open request of each flow. Drops closed ones, ends those that cannot meet the target."""
         for flow, queue in list(flow_queues.items()):
             while queue:
@@ -480,7 +480,7 @@
         ):
             # an idle node also takes requests that are not promoted yet
             for flow_queues in (queues.ready, queues.waiting) if not node.in_flight else (queues.ready,):
-                for job in self._first_jobs(flow_queues):
+                for job in self._prune_and_yield_first_jobs(flow_queues):
                     order = (0 if self._within_reserve(job) else 1, rank(job.flow))
                     if order < best and self._meets_target(job, node) and not self._is_blocked(job, node):
                         best, found = order, (queues, job)
@@ -555,7 +555,7 @@
             return True
         if (
             job.first_possible_execution
-            and cls.effect is Effect.KEYED
+            and cls.effect is Effect.DEDUPLICATED_BY_KEY
             and cls.group is not Group.ALL
             and (  # guard 2
                 node.entry.zone != job.first_possible_execution[0]
--- a/ochrespan/settings.py
+++ b/ochrespan/settings.py
@@ -12,7 +12,7 @@
 
 NS = 1_000_000_000
 
-EFFECTS = {"free": api.Effect.SAFE, "guarded": api.Effect.KEYED, "single_shot": api.Effect.UNSAFE}
+EFFECTS = {"free": api.Effect.SAFE, "guarded": api.Effect.DEDUPLICATED_BY_KEY, "single_shot": api.Effect.UNSAFE}
 GROUPS = {"all": api.Group.ALL, "zone": api.Group.ZONE, "cell": api.Group.CELL}
 # the metrics of a load report: names in the settings and both protocols -> names in this package
 REPORT_NAMES = {
--- a/tests/contract_helpers.py
+++ b/tests/contract_helpers.py
@@ -5,7 +5,7 @@
 import heapq
 import random
 
-from ochrespan.contracts.admission import Admission, Demand, Grant, NotCovered, OverBudget
+from ochrespan.contracts.admission import Admission, AdmissionRequest, Grant, NotCovered, OverBudget
 from ochrespan.contracts.terms import Budget, Contract, ContractRegistry, Reserve, Terms, token_digest
 
 
@@ -65,7 +65,7 @@
     def request(self, name: str, units: float = 2.0, **others) -> Grant | NotCovered | OverBudget:
         """Sends one request of that team."""
         demand = {"cls": "read", "volume": f"v-{name}"} | others
-        return self.admission.admit(self.now, Demand(units=units, **demand))
+        return self.admission.admit(self.now, AdmissionRequest(units=units, **demand))
 
     def complete(self, grant: Grant, sent: int = 1, ran: int | None = None) -> None:
         """Completes an admitted request."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -11,10 +11,15 @@
 READ = api.RequestClass("read", latency_target=0.5, deadline=4.0, value=2.0, effect=api.Effect.SAFE)
 SAVE = api.RequestClass("save", latency_target=0.6, deadline=4.0, value=2.0, effect=api.Effect.SAFE, in_order=True)
 KEYED = api.RequestClass(
-    "keyed", latency_target=0.6, deadline=4.0, effect=api.Effect.KEYED, group=api.Group.ZONE, window=1.0
+    "keyed", latency_target=0.6, deadline=4.0, effect=api.Effect.DEDUPLICATED_BY_KEY, group=api.Group.ZONE, window=1.0
 )
 KEYED_ALL = api.RequestClass(
-    "keyed-all", latency_target=0.6, deadline=4.0, effect=api.Effect.KEYED, group=api.Group.ALL, window=1.0
+    "keyed-all",
+    latency_target=0.6,
+    deadline=4.0,
+    effect=api.Effect.DEDUPLICATED_BY_KEY,
+    group=api.Group.ALL,
+    window=1.0,
 )
 ONCE = api.RequestClass("once", latency_target=0.6, deadline=4.0, effect=api.Effect.UNSAFE)
 
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -8,7 +8,7 @@
 
 from ochrespan.contracts.accounts import accounts, level_statistics
 from ochrespan.contracts.adaptive_quota import AdaptiveQuota
-from ochrespan.contracts.admission import Admission, Demand, Grant, NotCovered, OverBudget
+from ochrespan.contracts.admission import Admission, AdmissionRequest, Grant, NotCovered, OverBudget
 from ochrespan.contracts.terms import Budget, Terms
 
 from .contract_helpers import SimulatedFront, make_registry, team
@@ -65,7 +65,7 @@
 )
 def test_request_is_attributed_to_its_contract_or_refused_by_rule(demand, expected):
     got = Admission(AUTHORIZATION_REGISTRY, 1_000_000.0).admit(
-        1_000_000.0, Demand(**({"cls": "read", "units": 1.0} | demand))
+        1_000_000.0, AdmissionRequest(**({"cls": "read", "units": 1.0} | demand))
     )
     assert expected == (got.team if isinstance(got, Grant) else got.rule)
 
@@ -78,7 +78,7 @@
         ("new", 1_000_000.4, False),
         ("new", 1_000_000.5, True),
     ):
-        got = admission.admit(now, Demand("read", 1.0, volume=f"v-{name}"))
+        got = admission.admit(now, AdmissionRequest("read", 1.0, volume=f"v-{name}"))
         assert isinstance(got, Grant) == covered, (name, now)
 
 
@@ -436,14 +436,14 @@
         front.admission.replace(make_registry((replace(contract, **change), volumes)), front.now)
     assert isinstance(front.request("a"), NotCovered)
     later = front.admission.admit(
-        front.now, Demand("read", 1.0, volume="v-a"), grant.contract
+        front.now, AdmissionRequest("read", 1.0, volume="v-a"), grant.contract
     )  # a further request of the operation
     assert isinstance(later, Grant)
     front.complete(grant)
     front.complete(later)
     front.check(0)
     front.admission.replace(make_registry(team("b")), front.now)
-    removed = front.admission.admit(front.now, Demand("read", 1.0, volume="v-a"), grant.contract)
+    removed = front.admission.admit(front.now, AdmissionRequest("read", 1.0, volume="v-a"), grant.contract)
     assert removed.rule == "withdrawn"
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -96,7 +96,7 @@
     def __init__(self) -> None:
         self.made: list[asyncio.Protocol] = []
 
-    def connection(self, moved):
+    def create_connection(self, moved):
         class One(asyncio.Protocol):
             state, since, transport, closing = ConnectionState.BUSY, 0.0, None, False
 
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -79,7 +79,9 @@
         effect = cls.effect if cls else Effect.UNSAFE
         if isinstance(action, api.Refuse) and effect is not Effect.SAFE:
             out = any(n == name for n, _ in self.in_flight)
-            assert not (out or self.possibly_run.get(name)) or (effect is Effect.KEYED and cls.group is Group.ALL)
+            assert not (out or self.possibly_run.get(name)) or (
+                effect is Effect.DEDUPLICATED_BY_KEY and cls.group is Group.ALL
+            )
         assert name not in self.ended
         self.ended[name] = self.front.now
 
@@ -96,7 +98,7 @@
         effect = cls.effect if cls else Effect.UNSAFE
         for other, sent_at in self.possibly_run.get(name, []):
             assert effect is not Effect.UNSAFE
-            if effect is Effect.KEYED:
+            if effect is Effect.DEDUPLICATED_BY_KEY:
                 assert now <= sent_at + cls.window
                 assert cls.group is Group.ALL or self.zones[other][0] == node.zone
         if cls and cls.in_order and req.key:
