--- a/ochrespan/config.py
+++ b/ochrespan/config.py
@@ -1,4 +1,6 @@
-"""The platform's configuration of a front: its file and its environment variables."""
+"""Loads the configuration that the hosting platform gives a front: a JSON file, of which environment variables
+override some values.
+"""
 
 from __future__ import annotations
 
@@ -44,7 +46,8 @@
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """Loads the file; environment variables override it. Raises BadConfig with every error found."""
+    """Loads the file that BALANCER_CONFIG names; other variables override values of it. Raises BadConfig with every
+    error found."""
     path = environ.get("BALANCER_CONFIG")
     if not path:
         raise BadConfig("BALANCER_CONFIG is not set")
--- a/ochrespan/contracts/grants.py
+++ b/ochrespan/contracts/grants.py
@@ -1,4 +1,4 @@
-"""The records of one admission: the request's demand, and the grant or refusal."""
+"""The records of one admission: the request, and the grant or refusal."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionRequest:
-    """What a request states about itself; an empty string means not stated."""
+    """What a request that asks for admission states about itself; an empty string means not stated."""
 
     cls: str
     units: float
@@ -74,7 +74,7 @@
 
     contract: Contract
     leaf: Level
-    levels_from_leaf: list[Level]  # from the leaf up; the request counts as open at each level
+    levels_from_leaf: list[Level]  # the leaf and its ancestors; the request counts as open at each
     attempt_cost: int  # pico units
     attempts: int = 0  # paid for
     bucket_holds: list[BucketHold] = field(default_factory=list)
--- a/ochrespan/contracts/section.py
+++ b/ochrespan/contracts/section.py
@@ -30,7 +30,7 @@
 
 
 def read(tables_: Mapping[str, Any], settings: api.Settings, faults: Faults, earlier: Mapping[str, Any]) -> Contracts:
-    """Builds the contract registry; faults are collected in `faults`."""
+    """Builds the contract registry from the tables of organisations, teams and services. Adds errors to `faults`."""
     entry = ContractsTable(platform="open")  # teams without a [contracts] table apply to the object API only
     if "contracts" in tables_:
         entry = read_table(ContractsTable, tables_["contracts"], "[contracts]", faults) or entry
--- a/ochrespan/contracts/tree.py
+++ b/ochrespan/contracts/tree.py
@@ -67,7 +67,8 @@
         self._set_pool_rates(at)
 
     def _record_shape_and_check_rebuild(self, old: ContractRegistry, new: ContractRegistry, changed: list[str]) -> bool:
-        """Whether the installation's settings or the tree's shape have changed, so that all levels must be updated."""
+        """Records which levels have children. Returns whether the installation's settings or the tree's shape have
+        changed, so that all levels must be updated."""
         parent_paths = {terms.parent for terms in new.levels.values()} | {""}
         reshaped = parent_paths != self._parent_paths or any(path in parent_paths for path in changed)
         self._parent_paths = parent_paths
@@ -94,7 +95,7 @@
     # ---- funds ----
 
     def _rebuild_funds(self, min_burst: int, at: int) -> None:
-        """Rebuilds all pools and reserves, if the installation's capacity is configured."""
+        """Recreates all pools and reserves; without a configured capacity of the installation, only removes them."""
         self._timers = TimerQueue()
         balances = {path: level.pool.balance for path, level in self.levels.items() if level.pool is not None}
         for level in self.levels.values():
--- a/ochrespan/control/commands.py
+++ b/ochrespan/control/commands.py
@@ -1,4 +1,4 @@
-"""Parses calls of the control address into typed commands; does not execute them."""
+"""Parses HTTP requests at the control address into typed commands; does not execute them."""
 
 from __future__ import annotations
 
@@ -55,11 +55,11 @@
 
 
 class UnknownPath(ValueError):
-    """No call has this path."""
+    """No command of the control address has this path."""
 
 
 class WrongMethod(ValueError):
-    """The path exists, but with another method."""
+    """The path exists, but only with the method `allowed`."""
 
     def __init__(self, allowed: str) -> None:
         super().__init__(f"this call takes {allowed} only")
@@ -67,7 +67,7 @@
 
 
 def read_command(method: str, target: str) -> Command:
-    """Parses a call. Raises UnknownPath or WrongMethod."""
+    """Parses method and path of a request. Raises UnknownPath or WrongMethod."""
     path = target.partition("?")[0]
     allowed, command = FIXED_PATHS.get(path) or _server_command(path)
     if method != allowed:
--- a/ochrespan/control/front.py
+++ b/ochrespan/control/front.py
@@ -1,4 +1,6 @@
-"""Executes the calls of the control address."""
+"""Handles the operators' HTTP requests at the control address: readiness, metrics, draining and activating this
+process, suspending and resuming chunk servers.
+"""
 
 from __future__ import annotations
 
@@ -25,12 +27,12 @@
 
 log = logging.getLogger(__name__)
 
-MAX_BODY_BYTES = 16 * 1024  # the body of a call is read and ignored
+MAX_BODY_BYTES = 16 * 1024  # the body of a request is read and ignored
 MAX_CONNECTIONS = 24  # concurrent; reserved for operators, clients cannot use them
 
 
 class ControlFront:
-    """Answers each call with one response, which closes the connection."""
+    """Answers each request with one response, which closes the connection."""
 
     def __init__(
         self, lifecycle: Lifecycle, servers: SuspensionController, metrics: Callable[[], Iterator[MetricSample]]
--- a/ochrespan/http2/section.py
+++ b/ochrespan/http2/section.py
@@ -42,7 +42,7 @@
 def read(
     tables: Mapping[str, Any], settings: api.Settings, faults: Faults, earlier: Mapping[str, Any]
 ) -> Http2Config | None:
-    """Parses and validates the table; None if its schema is violated. Adds findings to `faults`."""
+    """Parses and validates the [http2] table; returns None if it violates the schema. Adds each error to `faults`."""
     table = read_table(Http2Table, tables["http2"], "[http2]", faults)
     if table is None:
         return None
--- a/ochrespan/interface.py
+++ b/ochrespan/interface.py
@@ -12,15 +12,15 @@
 
 
 class Effect(Enum):
-    """What a repeated request does."""
+    """Whether and how the requests of a class may be repeated."""
 
     SAFE = "safe"  # may always be repeated or refused
-    DEDUPLICATED_BY_KEY = "keyed"  # a group of nodes drops repeats for a time
+    DEDUPLICATED_BY_KEY = "keyed"  # nodes of a `Group` drop repeats of the same key for a time
     UNSAFE = "unsafe"  # may be repeated only if it never ran
 
 
 class Group(Enum):
-    """Which nodes drop repeats of a keyed request."""
+    """Which nodes drop repeats of a request that is DEDUPLICATED_BY_KEY."""
 
     ALL = "all"
     ZONE = "zone"
@@ -69,7 +69,7 @@
     late_share: float = 0.0
     effect: Effect = Effect.UNSAFE
     group: Group = Group.CELL
-    window: float = 0.0  # how long nodes drop repeats of a keyed request
+    window: float = 0.0  # how long nodes drop repeats, if DEDUPLICATED_BY_KEY
     in_order: bool = False  # requests of one key run one at a time
 
 
--- a/ochrespan/lifecycle.py
+++ b/ochrespan/lifecycle.py
@@ -36,7 +36,7 @@
     def __init__(self) -> None:
         self.phase = Phase.STARTING
         self.has_successor = False  # the new process of an upgrade accepts the new connections
-        self._operator_wants_active = True  # False: an operator has drained this process
+        self._operator_wants_active = True  # False from an operator's drain to the next activation, in any phase
         self.in_flight = 0  # requests being handled, on all listeners
         self._reached = {phase: asyncio.Event() for phase in Phase}
         self._reached[Phase.STARTING].set()
--- a/ochrespan/metrics/section.py
+++ b/ochrespan/metrics/section.py
@@ -39,7 +39,7 @@
 
 
 def read(tables: Mapping[str, Any], settings: api.Settings, faults: Faults, earlier: Mapping[str, Any]) -> Metrics:
-    """Validates the tables; faults are collected in `faults`."""
+    """Parses and validates the exporters' tables, [graphite] and [collectd]. Adds each error to `faults`."""
     return Metrics(**{name: _sink(f"[{name}]", value, faults) for name, value in tables.items()})
 
 
--- a/ochrespan/net/chunk_client.py
+++ b/ochrespan/net/chunk_client.py
@@ -207,7 +207,7 @@
         while segment := await response.content.readany():
             body += segment
             if len(body) > MAX_COMPLETE_RESPONSE_BYTES:
-                raise MalformedResponse("the body is too long")
+                raise MalformedResponse("the response's body exceeds MAX_COMPLETE_RESPONSE_BYTES")
         return UpstreamResponse(response.status, bytes(body), _lower_case_headers(response))
 
     @staticmethod
--- a/ochrespan/net/discovery.py
+++ b/ochrespan/net/discovery.py
@@ -80,7 +80,7 @@
 
 
 def parse_list(listing: Any) -> tuple[bool, int, list[tuple[Node, str]]]:
-    """Returns whether the list is complete, its revision, and its members. Raises InvalidList at the first fault."""
+    """Returns whether the list is complete, its revision, and its members. Raises BadList at the first error."""
     if not isinstance(listing, dict):
         raise BadList(f"the list: found {str(listing)[:60]!r}, allowed: an object")
     for name, kind, allowed in (
@@ -95,7 +95,9 @@
         members_by_id: dict[str, tuple[Node, str]] = {}
         for i, member in enumerate(members):
             if members_by_id.setdefault(member[0].id, member) != member:
-                raise BadList(f"members[{i}].id: found {member[0].id!r} twice with different contents, allowed: once")
+                raise BadList(
+                    f"members[{i}].id: found {member[0].id!r} twice with different contents, allowed: one entry per id"
+                )
     return listing["complete"], listing["revision"], members
 
 
@@ -244,7 +246,7 @@
             self._calls_timeout.reschedule(asyncio.get_running_loop().time())
 
     async def wait_for_first_list(self, span: timedelta) -> None:
-        """Waits for the first list, for at most `span`."""
+        """Waits for the first server list from discovery, for at most `span`."""
         with suppress(TimeoutError):
             async with asyncio.timeout(span.total_seconds()):
                 await self._list_received.wait()
@@ -305,5 +307,5 @@
             async for data in response.content.iter_any():
                 body += data
                 if len(body) > MAX_LIST_BYTES:
-                    raise BadList("the list is too long")
+                    raise BadList("the list exceeds MAX_LIST_BYTES")
             return json.loads(body)
--- a/ochrespan/net/http1.py
+++ b/ochrespan/net/http1.py
@@ -82,7 +82,7 @@
             lingering_time=LINGER_TIMEOUT.total_seconds(),
             **options,
         )
-        self._connections: dict[Any, ClientConnection] = {}  # by aiohttp's handler
+        self._connections: dict[Any, ClientConnection] = {}  # by aiohttp's protocol object, `request.protocol`
         self._loop = asyncio.get_running_loop()
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
--- a/ochrespan/net/load_reports.py
+++ b/ochrespan/net/load_reports.py
@@ -29,6 +29,7 @@
 
 
 def parse_number(location: str, text: str, maximum: float, on_invalid: OnInvalid) -> float | None:
+    """Parses a number from 0 to `maximum`; passes any other value to `on_invalid` and returns None."""
     try:
         number = float(text)
     except ValueError:
--- a/ochrespan/net/responses.py
+++ b/ochrespan/net/responses.py
@@ -86,7 +86,7 @@
         consumed = framer.consume(data)
         if framer.start_line and framer.start_line[1][0:1] == b"1":
             if framer.start_line[1] == b"101":
-                raise MalformedMessage("unsolicited switch of protocols")
+                raise MalformedMessage("101 Switching Protocols, but no Upgrade was requested")
             self._framer = ResponseFramer(MAX_RESPONSE_BODY_BYTES)
         else:
             output += framer.take_output()
--- a/ochrespan/objects/section.py
+++ b/ochrespan/objects/section.py
@@ -37,7 +37,7 @@
 def read(
     tables: Mapping[str, Any], settings: api.Settings, faults: Faults, earlier: Mapping[str, Any]
 ) -> ObjectsConfig | None:
-    """Parses and validates the table; None if its schema is violated. Adds findings to `faults`."""
+    """Parses and validates the [objects] table; returns None if it violates the schema. Adds errors to `faults`."""
     table = read_table(ObjectsTable, tables["objects"], "[objects]", faults)
     contracts = earlier.get("contracts")
     if contracts is None or not contracts.registry.by_bucket:
--- a/ochrespan/policy/front.py
+++ b/ochrespan/policy/front.py
@@ -361,7 +361,8 @@
         in_flight, sent_units = (previous.in_flight, previous.sent_units) if previous else (0, SlidingSum())
         if kind is ListKind.CACHED:
             sent_units.add(self.now, inf)
-        # a random initial debt delays the first send: per window, only as many fronts start as the node bears
+        # A front whose cold budget is below `max_units` repays this random debt before its first send to the node.
+        # That spreads the fronts' first sends over several windows: together they stay within the cold budget.
         debt_units = self.random.random() * self.settings.mean_units
         return Node(
             entry,
@@ -399,7 +400,8 @@
         return job
 
     def _prune_and_yield_first_jobs(self, flow_queues: Queues) -> Iterator[Job]:
-        """The first open request of each flow. Drops closed ones, ends those that cannot meet the target."""
+        """Yields the first open request of each flow; removes closed requests, and ends those that can no longer
+        meet the latency target."""
         for flow, queue in list(flow_queues.items()):
             while queue:
                 job, nodes = queue[0], self.by_shard.get(queue[0].req.shard, ())
--- a/ochrespan/requests.py
+++ b/ochrespan/requests.py
@@ -62,7 +62,7 @@
 
 
 class Unacceptable(ValueError):
-    """The request names something that the settings do not define, or exceeds the units of one request."""
+    """The plan or class is not defined, the shard is below -1, or the units are not above 0 and at most `max_units`."""
 
 
 @dataclass(slots=True, eq=False)
--- a/ochrespan/simhost.py
+++ b/ochrespan/simhost.py
@@ -1,4 +1,5 @@
-"""Runs the scheduling decisions under the simulator: its line protocol to events, and actions back to lines.
+"""Runs the scheduling decisions for an external simulator: turns the lines that it sends into events, and the
+actions of the schedulers into lines of the reply.
 
 One process hosts many front instances. Run as `python -m ochrespan.simhost`: batches come on standard input,
 replies go to standard output.
--- a/ochrespan/state.py
+++ b/ochrespan/state.py
@@ -86,9 +86,9 @@
 
     entry: api.NodeEntry
     usable: bool = True
-    window: float = 0.0  # most attempts in flight
+    window: float = 0.0  # maximum of `in_flight`, adapted to the latencies
     in_flight: int = 0  # attempts
-    unit_time: dict[str, float] = field(default_factory=dict)  # by class: about the least latency per unit
+    unit_time: dict[str, float] = field(default_factory=dict)  # by request class: estimated lowest latency per unit
     queue_wait: float = 0.0  # in the node's queue: moving average as of queue_wait_at
     queue_wait_at: float = 0.0
     last_answered_sent_at: float = 0.0  # time sent of the latest answered attempt
--- a/ochrespan/upgrade.py
+++ b/ochrespan/upgrade.py
@@ -22,7 +22,7 @@
 SUFFIX = ".process"
 START_FIELD = 19  # index in /proc/self/stat after the command name: start in clock ticks since boot
 # The new process of an upgrade must serve within 6 s of its start; the old one serves meanwhile.
-LIST_DEADLINE = timedelta(seconds=3)  # end of the wait for the first list, counted from the start of the process
+LIST_DEADLINE = timedelta(seconds=3)  # the wait for discovery's first server list ends this long after process start
 MIN_LIST_WAIT = timedelta(seconds=0.2)
 
 
@@ -67,7 +67,7 @@
 
 
 def list_wait(age: timedelta) -> timedelta:
-    """How long the new process of an upgrade waits for its first list; `age`: time since its start."""
+    """How long the new process of an upgrade waits for discovery's first server list; `age`: time since its start."""
     return max(MIN_LIST_WAIT, LIST_DEADLINE - age)
 
 
