--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -39,7 +39,7 @@
             max_attempts=3,
             mean_units=2.0,
             max_units=8.0,
-            cold_units=8.0,
+            slow_start_units=8.0,
             start_capacity=0.2,
             warm_up=16.0,
             overload_window=1.0,
--- a/ochrespan/interface.py
+++ b/ochrespan/interface.py
@@ -60,13 +60,13 @@
 
 @dataclass(slots=True)
 class RequestClass:
-    """Requests with the same latency target and the same effect. The decisions do not use `late_share`."""
+    """Requests with the same latency target and the same effect. The decisions do not use `late_value_fraction`."""
 
     name: str
     latency_target: float  # from arrival to response
     deadline: float  # the most time that a request of the class has
     value: float = 1.0  # of a request, relative to other classes
-    late_share: float = 0.0
+    late_value_fraction: float = 0.0
     effect: Effect = Effect.UNSAFE
     group: Group = Group.CELL
     window: float = 0.0  # how long nodes drop repeats, if DEDUPLICATED_BY_KEY
@@ -106,12 +106,12 @@
     max_attempts: int = 1  # of one request
     max_retry_after: float = 0.0
     connect_timeout: float = 0.0
-    report_in_answers: bool = False
+    report_in_responses: bool = False
     mean_units: float = 1.0  # of a request
     max_units: float = 1.0  # of a request
-    share_value: float = 1.0  # value of a request outside its volume's reserve, relative to one within
+    unreserved_value: float = 1.0  # value of a request outside its volume's reserve, relative to one within
     spare_value: float = 1.0  # not used by the decisions
-    cold_units: float | None = None  # that all fronts may send to a node that just started, per overload window
+    slow_start_units: float | None = None  # that all fronts may send to a node that just started, per overload window
     start_capacity: float | None = None  # of a node that just started, as a fraction of its full capacity
     overload_multiple: float | None = None  # of a cold node's capacity: such a load for overload_window makes it fail
     warm_up: float | None = None  # time from start_capacity to full capacity, at most
--- a/ochrespan/policy/front.py
+++ b/ochrespan/policy/front.py
@@ -43,7 +43,7 @@
 SCAN_INTERVAL_S = 0.02  # time between scans of all queues
 HALF_TIME_MARGIN_S = 0.015  # unsent requests are refused this long before half their time: network delay
 MAX_BACKOFF_FAILURES = 4  # consecutive failures at which the back-off stops growing and the node is logged
-SLOW_START_FRACTION = 0.8  # usable fraction of the cold budget: the rest covers random variation and handshakes
+BUDGET_FRACTION = 0.8  # used fraction of the slow-start budget: the rest covers variation and handshakes
 DEMAND_DECAY = 0.8  # fraction of the past demand kept per round: an average over about five rounds
 PRIOR_REQUESTS = 10.0  # assumed past requests, spread evenly over all shards, until enough have been seen
 # the least utilization assumed for warm nodes; below LOW_UTILIZATION, long latency is not taken for a queue
@@ -446,7 +446,7 @@
         """Whether the node's queue is short enough. Exception: windows never narrow below one request, so
         those of lower value, or with a longer latency target than the shortest, wait for shorter queues."""
         wait = self._queue_wait(node)
-        reserve_factor = 1.0 if self._within_reserve(job) else self.settings.share_value**0.5
+        reserve_factor = 1.0 if self._within_reserve(job) else self.settings.unreserved_value**0.5
         relative_value = job.cls.value * job.flow.volume.plan.price * reserve_factor / self.max_value
         relative_value *= min(1.0, self.min_target / job.cls.latency_target) ** 0.5
         return (
@@ -505,7 +505,7 @@
     def _slow_start_budget_allows(self, node: Node, units: float) -> bool:
         """Guard 4: whether a cold node's budget allows a send; it grows with the slowest warm-up allowed."""
         settings, started_at, window = self.settings, node.entry.started_at, self.settings.overload_window
-        if settings.cold_units is None or not window or not settings.warm_up:
+        if settings.slow_start_units is None or not window or not settings.warm_up:
             return True
         sent_units = node.sent_units.total(self.now, window)
         if started_at is None or self._is_warm(node):
@@ -513,18 +513,18 @@
         start = settings.start_capacity or 1.0
         capacity_ratio = start + (1 - start) * max(0.0, self.now - started_at - window) / settings.warm_up
         budget = (
-            SLOW_START_FRACTION
-            * settings.cold_units
+            BUDGET_FRACTION
+            * settings.slow_start_units
             * min(1.0, self._shard_fraction(node.entry.shard))
             * capacity_ratio
             / start
         )
-        # cold_units holds for the worst load; with reported utilization, the actual load may allow more
+        # slow_start_units holds for the worst load; with reported utilization, the actual load may allow more
         if self.utilization and settings.overload_multiple:
             demand = self.demand.get(node.entry.shard, 0.0) / self.rounds * window / ROUND_S
             util = max(MIN_UTILIZATION, self.utilization.get(node.entry.shard, self.utilization[ANY_SHARD]))
             # queues need no allowance here: the windows bound them
-            budget = max(budget, SLOW_START_FRACTION * settings.overload_multiple * capacity_ratio * demand / util)
+            budget = max(budget, BUDGET_FRACTION * settings.overload_multiple * capacity_ratio * demand / util)
         if budget < settings.max_units:
             # budget under one request: one at a time, its units repaid as debt over as many windows as needed
             node.debt_units = max(-budget, node.debt_units - budget * (self.now - node.debt_at) / window)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,7 +13,13 @@
 from .helpers import entry, settings
 
 STEP = 0.02
-COLD = {"cold_units": 24.0, "start_capacity": 0.2, "warm_up": 16.0, "overload_window": 1.0, "overload_multiple": 4.0}
+COLD = {
+    "slow_start_units": 24.0,
+    "start_capacity": 0.2,
+    "warm_up": 16.0,
+    "overload_window": 1.0,
+    "overload_multiple": 4.0,
+}
 FULL = 100.0  # units a second that a warm server serves; the settings assume overload at 4 times the cold fifth
 
 
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -29,7 +29,7 @@
     ),
     st.tuples(st.just("gone"), st.integers(0, 30)),
 )
-COLD = {"cold_units": 20.0, "start_capacity": 0.25, "warm_up": 6.0, "overload_window": 1.0}
+COLD = {"slow_start_units": 20.0, "start_capacity": 0.25, "warm_up": 6.0, "overload_window": 1.0}
 BUDGET = {"retry_budget_base": 2.0, "retry_budget_ratio": 0.2, "retry_budget_window": 3.0}
 
 
@@ -113,7 +113,7 @@
         if not number and req.plan == "capped":
             self.capped_units += req.units
             assert self.capped_units <= 2 * (now - 100.0) + 1e-6, "limit"
-        if node.started_at is not None and self.front.scheduler.settings.cold_units:
+        if node.started_at is not None and self.front.scheduler.settings.slow_start_units:
             sends = self.cold.setdefault(node.id, [])
             sends.append((now, req.units))
             age = now - node.started_at
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -194,7 +194,9 @@
 
 
 def cold_front(**changes) -> FrontDriver:
-    return FrontDriver(nodes=0, cold_units=40.0, start_capacity=0.25, warm_up=10.0, overload_window=2.0, **changes)
+    return FrontDriver(
+        nodes=0, slow_start_units=40.0, start_capacity=0.25, warm_up=10.0, overload_window=2.0, **changes
+    )
 
 
 def serve(front: FrontDriver) -> None:
@@ -425,7 +427,7 @@
     front = FrontDriver()
     front.answer(front.submit())
     node = front.scheduler.nodes["n0"]
-    front.scheduler.settings.share_value = 0.3
+    front.scheduler.settings.unreserved_value = 0.3
     node.queue_wait, node.queue_wait_at = 0.35, front.now
     outside, within = front.submit(volume="spare"), front.submit(plan="paid", volume="owed")
     assert front.sent(within) and not front.sent(outside)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -8,7 +8,7 @@
 
 from .helpers import count_calls, entry, settings
 
-COLD = {"cold_units": 24.0, "start_capacity": 0.25, "warm_up": 16.0, "overload_window": 1.0}
+COLD = {"slow_start_units": 24.0, "start_capacity": 0.25, "warm_up": 16.0, "overload_window": 1.0}
 
 
 class Fleet:
@@ -58,7 +58,7 @@
                     if fleet.rng.random() < 0.3:
                         fleet.step(rank, fleet.rng.choice((1, 2, 2, 3)))
             sums.append(fleet.units(fleet.now - 1, fleet.now))
-            # cold_units grows with the capacity: by 3 times its start in 16 s
+            # slow_start_units grows with the capacity: by 3 times its start in 16 s
             assert sums[-1] <= 24 * (1 + 3 * (second + 1) / 16) * 1.1, (fronts, active, sums)
         assert sum(sums[:3]) >= 4, (fronts, active, sums)
         assert sum(sums) >= 0.2 * sum(24 * (1 + 3 * t / 16) for t in range(14)) * active / fronts
@@ -72,7 +72,9 @@
         for rank in range(200):
             fleet.step(rank, 1)
         sent.append(fleet.units(fleet.now - 1, fleet.now))
-        assert sent[-1] <= 24 * (1 + 3 * idle / 16) * 4  # cold_units is a quarter of the load that overloads the node
+        assert (
+            sent[-1] <= 24 * (1 + 3 * idle / 16) * 4
+        )  # slow_start_units is a quarter of the load that overloads the node
     assert 0 < sent[0] < sent[1] < sent[2] < sent[3], sent
 
 
