--- a/ochrespan/policy/front.py
+++ b/ochrespan/policy/front.py
@@ -43,7 +43,7 @@
 SCAN_INTERVAL_S = 0.02  # time between scans of all queues
 HALF_TIME_MARGIN_S = 0.015  # unsent requests are refused this long before half their time: network delay
 MAX_BACKOFF_FAILURES = 4  # consecutive failures at which the back-off stops growing and the node is logged
-BUDGET_FRACTION = 0.8  # used fraction of the slow-start budget: the rest covers variation and handshakes
+USED_FRACTION = 0.8  # of the slow-start budget: the rest covers variation and handshakes
 DEMAND_DECAY = 0.8  # fraction of the past demand kept per round: an average over about five rounds
 PRIOR_REQUESTS = 10.0  # assumed past requests, spread evenly over all shards, until enough have been seen
 # the least utilization assumed for warm nodes; below LOW_UTILIZATION, long latency is not taken for a queue
@@ -513,7 +513,7 @@
         start = settings.start_capacity or 1.0
         capacity_ratio = start + (1 - start) * max(0.0, self.now - started_at - window) / settings.warm_up
         budget = (
-            BUDGET_FRACTION
+            USED_FRACTION
             * settings.slow_start_units
             * min(1.0, self._shard_fraction(node.entry.shard))
             * capacity_ratio
@@ -524,7 +524,7 @@
             demand = self.demand.get(node.entry.shard, 0.0) / self.rounds * window / ROUND_S
             util = max(MIN_UTILIZATION, self.utilization.get(node.entry.shard, self.utilization[ANY_SHARD]))
             # queues need no allowance here: the windows bound them
-            budget = max(budget, BUDGET_FRACTION * settings.overload_multiple * capacity_ratio * demand / util)
+            budget = max(budget, USED_FRACTION * settings.overload_multiple * capacity_ratio * demand / util)
         if budget < settings.max_units:
             # budget under one request: one at a time, its units repaid as debt over as many windows as needed
             node.debt_units = max(-budget, node.debt_units - budget * (self.now - node.debt_at) / window)
