--- a/ochrespan/control_plane/api/forwarding.py
+++ b/ochrespan/control_plane/api/forwarding.py
@@ -49,11 +49,11 @@
         groups: ReplicaGroups,
         configuration_owner: ConfigurationOwner,
         instance_owner: InstanceOwner,
-        instance_machines: Mapping[int, InstanceStateMachine],
+        instance_state_machines: Mapping[int, InstanceStateMachine],
         peers: PeerClients,
     ) -> None:
         self._groups = groups
-        self._machines = instance_machines
+        self._instance_state_machines = instance_state_machines
         self._peers = peers
         self._handlers: dict[type, Callable[[Any], Response]] = {
             ConfigCommand: configuration_owner.submit,
@@ -116,10 +116,12 @@
         Returns:
             The first response that is not a success, or else a success.
         """
-        known_shards = [shard for shard, machine in self._machines.items() if instance_id in machine.records]
+        known_shards = [
+            shard for shard, machine in self._instance_state_machines.items() if instance_id in machine.records
+        ]
         calls = [
             gevent.spawn(self._forward_to_leader, shard, InstanceEnded(shard, instance_id), CALL_TIMEOUT_S)
-            for shard in known_shards or self._machines
+            for shard in known_shards or self._instance_state_machines
         ]
         for call in calls:
             call.name = f"remove-instance-{instance_id}"
--- a/ochrespan/control_plane/feed/client.py
+++ b/ochrespan/control_plane/feed/client.py
@@ -52,7 +52,7 @@
     def __init__(self, node: str, zone: str, seeds: list[Address], on_change: OnChange | None = None) -> None:
         self.controller: Address | None = None
         self.leaders: dict[int, Address] = {}
-        self._node = node
+        self._node_name = node
         self._zone = zone
         self._choice = ControllerChoice(node, zone, seeds)
         self._draft = DraftTable()
@@ -114,7 +114,7 @@
         try:
             connection = dial(address, self._choice.connect_timeout_s(address))
             connection.set_idle_timeout(FEED_TIMEOUT_S)
-            connection.send(Subscribe(self._node, self._zone, dict(self._draft.offsets), self._cluster))
+            connection.send(Subscribe(self._node_name, self._zone, dict(self._draft.offsets), self._cluster))
             self._read(address, connection, since=monotonic())
         except (OSError, ConnectionClosedError, MessageError, LeaveControllerError):
             self._choice.record_failure(address, monotonic(), random.random())
--- a/ochrespan/control_plane/feed/controller_choice.py
+++ b/ochrespan/control_plane/feed/controller_choice.py
@@ -40,7 +40,7 @@
     """
 
     def __init__(self, node: str, zone: str, seeds: Iterable[Address]) -> None:
-        self._node = node
+        self._node_name = node
         self._zone = zone
         self._candidates: dict[Address, _Candidate] = {}
         self.set_seeds(seeds)
@@ -109,4 +109,4 @@
 
     def _hash(self, address: Address) -> bytes:
         """A hash of router and controller; with a checksum nearly all routers would rank the controllers alike."""
-        return hashlib.blake2b(f"{self._node} {format_address(address)}".encode(), digest_size=8).digest()
+        return hashlib.blake2b(f"{self._node_name} {format_address(address)}".encode(), digest_size=8).digest()
--- a/ochrespan/control_plane/feed/live_routers.py
+++ b/ochrespan/control_plane/feed/live_routers.py
@@ -8,7 +8,7 @@
 
 from ochrespan.common.addresses import Address
 
-from .messages import Presence
+from .messages import ControllerReport
 
 STARTUP_WAIT_S = 2.0  # for this long after its start a controller reports no count, as it does not know most routers
 REPORT_TTL_S = 3.5  # longer than a router takes to move between controllers, so that it is counted throughout
@@ -57,10 +57,10 @@
         reported = (report.routers for report in self._reports.values())
         self._sorted = sorted(self._members.union(self._subscribed_at, *reported))
 
-    def record_report(self, presence: Presence, now: float) -> None:
+    def record_report(self, controller_report: ControllerReport, now: float) -> None:
         """Records the report of another controller."""
-        report = _Report(frozenset(presence.routers), presence.zone, now)
-        self._reports[(presence.ip, presence.port)] = report
+        report = _Report(frozenset(controller_report.routers), controller_report.zone, now)
+        self._reports[(controller_report.ip, controller_report.port)] = report
 
     def subscribers(self) -> list[str]:
         """The recent subscribers of this controller's feed."""
--- a/ochrespan/control_plane/feed/messages.py
+++ b/ochrespan/control_plane/feed/messages.py
@@ -100,7 +100,7 @@
 
 @message("feed.presence")
 @dataclass(slots=True)
-class Presence:
+class ControllerReport:
     """A controller's report to another one.
 
     Attributes:
--- a/ochrespan/control_plane/feed/presence.py
+++ b/ochrespan/control_plane/feed/presence.py
@@ -16,7 +16,7 @@
 from ochrespan.transport.rpc import RpcError, RpcServer
 
 from .live_routers import LiveRouters
-from .messages import Presence, are_different_clusters
+from .messages import ControllerReport, are_different_clusters
 
 log = logging.getLogger(__name__)
 
@@ -63,7 +63,7 @@
 
     def register(self, rpc_server: RpcServer) -> None:
         """Serves the reports of other controllers."""
-        rpc_server.on_request(Presence, self._receive)
+        rpc_server.on_request(ControllerReport, self._receive)
 
     def run(self) -> None:
         """Reports until the greenlet is killed."""
@@ -73,28 +73,28 @@
                     gevent.spawn(self._report_to, controller)
             gevent.sleep(REPORT_INTERVAL_S)
 
-    def _receive(self, presence: Presence) -> Presence:
-        self._record(presence)
-        return self._own_presence()
+    def _receive(self, report: ControllerReport) -> ControllerReport:
+        self._record(report)
+        return self._own_report()
 
     def _report_to(self, controller: Address) -> None:
         try:
-            response = self._peers.call(controller, self._own_presence(), REPORT_TIMEOUT_S)
+            response = self._peers.call(controller, self._own_report(), REPORT_TIMEOUT_S)
         except RpcError as error:
             log.debug("presence report failed peer=%s error=%s", controller, error)
             return
-        if isinstance(response, Presence):
+        if isinstance(response, ControllerReport):
             self._record(response)
 
-    def _record(self, presence: Presence) -> None:
-        if are_different_clusters(presence.cluster, self._groups.cluster()):
+    def _record(self, report: ControllerReport) -> None:
+        if are_different_clusters(report.cluster, self._groups.cluster()):
             return
         now = monotonic()
-        self._live_routers.record_report(presence, now)
-        self._lag_detector.record_offsets(presence.offsets, applied_offsets(self._groups), now)
+        self._live_routers.record_report(report, now)
+        self._lag_detector.record_offsets(report.offsets, applied_offsets(self._groups), now)
 
-    def _own_presence(self) -> Presence:
-        return Presence(
+    def _own_report(self) -> ControllerReport:
+        return ControllerReport(
             *self._address,
             self._zone,
             self._live_routers.subscribers(),
--- a/ochrespan/control_plane/feed/table_publisher.py
+++ b/ochrespan/control_plane/feed/table_publisher.py
@@ -14,7 +14,7 @@
 log = logging.getLogger(__name__)
 
 
-INCOMPLETE_TABLE_WAIT_S = 3.0  # until a first table from controllers without a quorum is published
+UNCONFIRMED_TABLE_WAIT_S = 3.0  # until a first table from controllers without a quorum is published
 PUBLISH_INTERVAL_FACTOR = (
     20.0  # the time until the next table, as a multiple of the time that the data plane took for it
 )
@@ -54,12 +54,16 @@
             self._publish(full_change(self._draft.table))
 
     def publish_first_unconfirmed(self) -> None:
-        """Publishes a first table that no controller with a quorum has confirmed, after INCOMPLETE_TABLE_WAIT_S.
+        """Publishes a first table that no controller with a quorum has confirmed, after UNCONFIRMED_TABLE_WAIT_S.
 
         A router without a table rejects every request, so a table that may be out of date is better than none.
         """
         complete_since = self._draft.complete_since
-        if self.table is None and complete_since is not None and monotonic() - complete_since > INCOMPLETE_TABLE_WAIT_S:
+        if (
+            self.table is None
+            and complete_since is not None
+            and monotonic() - complete_since > UNCONFIRMED_TABLE_WAIT_S
+        ):
             self._publish(full_change(self._draft.table))
 
     def publish_changes(self) -> None:
--- a/ochrespan/control_plane/replication/host.py
+++ b/ochrespan/control_plane/replication/host.py
@@ -43,7 +43,7 @@
         self.settings = settings
         self.call_server = rpc.RpcServer(settings.address)
         self._applier = Applier(machines)
-        self._eligibility = LeaderEligibility()
+        self._leader_eligibility = LeaderEligibility()
         self._reporter = LeadershipReporter()
         self._running: RunningReplicas | None = None
         self._recovery: gevent.Greenlet | None = None
@@ -69,14 +69,14 @@
         self._applier.on_restored = callback
 
     @property
-    def on_leadership(self) -> Callable[[int, bool], None]:
-        """`on_leadership(shard, leads)` runs when this process has gained or lost the leadership of a shard."""
-        return self._reporter.on_leadership
+    def on_leadership_changed(self) -> Callable[[int, bool], None]:
+        """`on_leadership_changed(shard, leads)` runs when this process has gained or lost the leadership of a shard."""
+        return self._reporter.on_leadership_changed
 
-    @on_leadership.setter
-    def on_leadership(self, callback: Callable[[int, bool], None]) -> None:
+    @on_leadership_changed.setter
+    def on_leadership_changed(self, callback: Callable[[int, bool], None]) -> None:
         """Sets the callback in place of the one before."""
-        self._reporter.on_leadership = callback
+        self._reporter.on_leadership_changed = callback
 
     # Start and shutdown
 
@@ -109,7 +109,7 @@
             snapshot = state.log.snapshot
             if snapshot.index and shard in self._applier.machines:
                 self._applier.restore(shard, snapshot.index, snapshot.data)
-        collaborators = ReplicaCollaborators(self._applier, self._eligibility, self._reporter)
+        collaborators = ReplicaCollaborators(self._applier, self._leader_eligibility, self._reporter)
         self._running = RunningReplicas(self.settings, collaborators, recovered)
         log.info(
             "replica host started node=%s replica=%d empty=%s bootstrap=%s",
@@ -198,11 +198,11 @@
 
         0 ends an earlier request.
         """
-        self._eligibility.decline(time.monotonic(), duration_s)
+        self._leader_eligibility.decline(time.monotonic(), duration_s)
 
     def declines_leadership_for(self) -> float:
         """Seconds until the last `decline_leadership` request expires; 0 if there is none."""
-        return self._eligibility.declines_for(time.monotonic())
+        return self._leader_eligibility.declines_for(time.monotonic())
 
     def lease_age_s(self, shard: int) -> float:
         """Seconds since a majority responded to this process as the shard's leader; infinite if it does not lead."""
--- a/ochrespan/control_plane/replication/leadership_reporter.py
+++ b/ochrespan/control_plane/replication/leadership_reporter.py
@@ -16,11 +16,11 @@
     """Compares the state of each replica with its last report, and reports changes.
 
     Attributes:
-        on_leadership: Called with the shard and whether this process leads it, after each change.
+        on_leadership_changed: Called with the shard and whether this process leads it, after each change.
     """
 
     def __init__(self) -> None:
-        self.on_leadership: Callable[[int, bool], None] = lambda *_: None
+        self.on_leadership_changed: Callable[[int, bool], None] = lambda *_: None
         self._led_shards: set[int] = set()
         self._failures_tolerated: dict[int, int | None] = {}  # as last reported, by shard
 
@@ -34,7 +34,7 @@
         else:
             self._led_shards.discard(shard)
         log.info("leadership changed shard=%d leads=%s term=%d", shard, leads, replica.state.term)
-        run_callback(self.on_leadership, shard, leads)
+        run_callback(self.on_leadership_changed, shard, leads)
 
     def report_failures_tolerated(self, shard: int, replica: Replica) -> None:
         """Logs that the number of voters that may fail has changed, for a shard that is led here."""
--- a/ochrespan/control_plane/replication/running_replicas.py
+++ b/ochrespan/control_plane/replication/running_replicas.py
@@ -43,7 +43,7 @@
     """The objects that the replicas use, created before the replicas are recovered from the disk."""
 
     applier: Applier
-    eligibility: LeaderEligibility
+    leader_eligibility: LeaderEligibility
     reporter: LeadershipReporter
 
 
@@ -60,7 +60,7 @@
 
     def __init__(self, settings: HostSettings, collaborators: ReplicaCollaborators, found: RecoveredReplicas) -> None:
         self._applier = collaborators.applier
-        self._eligibility = collaborators.eligibility
+        self._leader_eligibility = collaborators.leader_eligibility
         self._reporter = collaborators.reporter
         bootstrap = BootstrapSettings(settings.address, settings.seeds, settings.bootstrap, settings.fault_tolerance)
         recovered = RecoveredGroups.of_groups(self._applier.machines, found.identity, found.states)
@@ -145,7 +145,7 @@
         is_disk_slow = self.disk.pending_for > SLOW_DISK_S or self.disk.has_failed
         replicas = self.multi_raft.replicas.values()
         has_leaders = all(replica.leader is not None for replica in replicas)
-        withholds_votes = self._eligibility.withholds_votes(now, is_disk_slow, has_leaders)
+        withholds_votes = self._leader_eligibility.withholds_votes(now, is_disk_slow, has_leaders)
         # All replicas of a process withhold their votes, or none does
         if withholds_votes != next(iter(replicas)).state.withholding_votes:
             self.multi_raft.withhold_votes(now, withholds_votes)
--- a/ochrespan/data_plane/placement.py
+++ b/ochrespan/data_plane/placement.py
@@ -14,7 +14,7 @@
 from heapq import nlargest
 
 from .decision_record import ANY, HOME, MOVED
-from .prefill_times import PrefillTimes, prefill_token_cost
+from .prefill_times import PrefillTimes, compute_prefill_cost
 from .server_state import ServerState
 
 CACHE_MISS_FACTOR = 10.0  # cost of a prefix prefill over its own time: other requests at the server wait as well
@@ -85,11 +85,11 @@
     is_prefix_uncached: bool = False  # no server is known to have the shared prefix cached
 
     def prefill_cost(self, is_cached: bool) -> float:
-        """Returns the cost of the prefill, in the unit of `prefill_token_cost`."""
+        """Returns the cost of the prefill, in the unit of `compute_prefill_cost`."""
         return (
-            prefill_token_cost(self.shared_tokens, self.own_tokens)
+            compute_prefill_cost(self.shared_tokens, self.own_tokens)
             if is_cached
-            else prefill_token_cost(0, self.shared_tokens + self.own_tokens)
+            else compute_prefill_cost(0, self.shared_tokens + self.own_tokens)
         )
 
 
@@ -178,7 +178,7 @@
     def _costs(self, prompt: Prompt) -> tuple[float, float]:
         """Returns the cost of the prefill, in seconds, with the shared prefix cached and with it not cached."""
         cached, uncached = prompt.prefill_cost(True), prompt.prefill_cost(False)
-        return self.prefill_times.seconds_per_token * cached, self.prefill_times.seconds_per_token * (
+        return self.prefill_times.prefill_s_per_cost_unit * cached, self.prefill_times.prefill_s_per_cost_unit * (
             cached + CACHE_MISS_FACTOR * (uncached - cached)
         )
 
--- a/ochrespan/data_plane/prefill_times.py
+++ b/ochrespan/data_plane/prefill_times.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass, field
 
-INITIAL_SECONDS_PER_TOKEN = 1 / 60_000  # before the first observation
+INITIAL_PREFILL_S_PER_COST_UNIT = 1 / 60_000  # before the first observation
 DOUBLE_COST_AT_TOKENS = 40_000.0  # position in the prompt where a token costs twice as much as the first
 # a prompt of at most the first cost updates the base latency, one of at least the second the prefill rate
 SHORT_PROMPT_COST, LONG_PROMPT_COST = 2_000, 4_000
@@ -19,7 +19,7 @@
 MAX_INCREASE_RATIO = 2.0  # observations are capped at this multiple of the estimate
 
 
-def prefill_token_cost(cached_tokens: int, uncached_tokens: int) -> float:
+def compute_prefill_cost(cached_tokens: int, uncached_tokens: int) -> float:
     """Returns the cost of prefilling tokens after others that are cached, in tokens at the start of a prompt."""
     return uncached_tokens * (1.0 + (cached_tokens + uncached_tokens / 2) / DOUBLE_COST_AT_TOKENS)
 
@@ -28,24 +28,28 @@
 class PrefillTimes:
     """Latency estimates of one service."""
 
-    seconds_per_token: float = INITIAL_SECONDS_PER_TOKEN
+    prefill_s_per_cost_unit: float = INITIAL_PREFILL_S_PER_COST_UNIT
     base_latency_s: dict[str, float] = field(default_factory=dict)  # by route, without the prefill
 
     def expected_latency_s(self, route: str, prefill_cost: float, default_base_s: float) -> float:
         """Returns the time to the first chunk at an idle server; the default applies before the first response."""
-        return self.base_latency_s.get(route, default_base_s) + self.seconds_per_token * prefill_cost
+        return self.base_latency_s.get(route, default_base_s) + self.prefill_s_per_cost_unit * prefill_cost
 
     def observe(self, route: str, prefill_cost: float, latency_s: float) -> None:
         """Updates the estimates with the latency of a first chunk, for a prompt of this prefill cost."""
         base_latency_s = self.base_latency_s.get(route)
         if base_latency_s is None:
-            self.base_latency_s[route] = max(MIN_BASE_LATENCY_S, latency_s - self.seconds_per_token * prefill_cost)
+            self.base_latency_s[route] = max(
+                MIN_BASE_LATENCY_S, latency_s - self.prefill_s_per_cost_unit * prefill_cost
+            )
         elif prefill_cost <= SHORT_PROMPT_COST:
             self.base_latency_s[route] = _smoothed(
-                base_latency_s, max(MIN_BASE_LATENCY_S, latency_s - self.seconds_per_token * prefill_cost)
+                base_latency_s, max(MIN_BASE_LATENCY_S, latency_s - self.prefill_s_per_cost_unit * prefill_cost)
             )
         elif prefill_cost >= LONG_PROMPT_COST and latency_s > base_latency_s:
-            self.seconds_per_token = _smoothed(self.seconds_per_token, (latency_s - base_latency_s) / prefill_cost)
+            self.prefill_s_per_cost_unit = _smoothed(
+                self.prefill_s_per_cost_unit, (latency_s - base_latency_s) / prefill_cost
+            )
         else:
             self.base_latency_s[route] = min(base_latency_s, max(MIN_BASE_LATENCY_S, latency_s))
 
--- a/ochrespan/data_plane/quota_admission.py
+++ b/ochrespan/data_plane/quota_admission.py
@@ -28,12 +28,12 @@
     Tokens count when the request reaches its server, so a reservation is renewed if the request is sent much later.
     """
 
-    __slots__ = ("request_count", "tokens", "_quotas", "_tenant", "_reservation")
+    __slots__ = ("request_count", "tokens", "_quota_client", "_tenant", "_reservation")
 
     def __init__(self, quotas: Quotas, tenant: str, tokens: float, request_count: int = 1) -> None:
         self.tokens = tokens
         self.request_count = request_count  # how often tokens were requested, including this time
-        self._quotas = quotas
+        self._quota_client = quotas
         self._tenant = tenant
         self._reservation = quotas.take(tenant, tokens)
 
@@ -49,13 +49,13 @@
 
     def renew(self) -> bool:
         """Renews the reservation; returns whether the request may be sent now."""
-        self._reservation = self._quotas.renew(self._tenant, self._reservation)
+        self._reservation = self._quota_client.renew(self._tenant, self._reservation)
         return self._reservation.allowed
 
     def release(self) -> None:
         """Returns the tokens of a request that will not be sent."""
         if self._reservation.allowed:
-            self._quotas.release(self._tenant, self._reservation)
+            self._quota_client.release(self._tenant, self._reservation)
 
 
 class QuotaAdmission:
@@ -67,7 +67,7 @@
     """
 
     def __init__(self, quotas: Quotas) -> None:
-        self._quotas = quotas
+        self._quota_client = quotas
         self._requested_at: dict[str, float] = {}
 
     def take(self, client: ClientConnection, tenant: str, tokens: float, wait_until: float) -> QuotaReservation:
@@ -84,4 +84,4 @@
 
     def _request_tokens(self, tenant: str, tokens: float, request_count: int = 1) -> QuotaReservation:
         self._requested_at[tenant] = time.monotonic()
-        return QuotaReservation(self._quotas, tenant, tokens, request_count)
+        return QuotaReservation(self._quota_client, tenant, tokens, request_count)
--- a/ochrespan/data_plane/scheduler.py
+++ b/ochrespan/data_plane/scheduler.py
@@ -254,7 +254,7 @@
             now,
             request.id,
             attempt,
-            prefill_times.seconds_per_token * prefill_cost,
+            prefill_times.prefill_s_per_cost_unit * prefill_cost,
             job.prompt.prefix_key if job.prompt.shared_tokens else "",
         )
         if job.servers_reached:
--- a/ochrespan/data_plane/server_state.py
+++ b/ochrespan/data_plane/server_state.py
@@ -29,7 +29,7 @@
 
     sent_at: float
     route: str
-    prefill_cost: float  # of the prompt, in the unit of `prefill_times.prefill_token_cost`
+    prefill_cost: float  # of the prompt, in the unit of `prefill_times.compute_prefill_cost`
     expected_prefill_s: float  # from the start of processing to the first chunk
     expected_wait_s: float  # in the queue of the server, before processing
     has_responded: bool = False
--- a/ochrespan/data_plane/urgency.py
+++ b/ochrespan/data_plane/urgency.py
@@ -36,6 +36,6 @@
 
 
 def server_priority(step: int, prefill_cost: float) -> int:
-    """Returns the `Priority` header of an attempt; `prefill_cost` is that of `prefill_times.prefill_token_cost`."""
+    """Returns the `Priority` header of an attempt; `prefill_cost` is that of `prefill_times.compute_prefill_cost`."""
     size_step = min(MAX_SIZE_STEP, int(log2(max(prefill_cost, SHORT_PROMPT_TOKENS) / SHORT_PROMPT_TOKENS)))
     return size_step + step
--- a/ochrespan/data_plane/watched_socket.py
+++ b/ochrespan/data_plane/watched_socket.py
@@ -28,8 +28,8 @@
     __slots__ = (
         "_sock",
         "_loop",
-        "_reader",
-        "_writer",
+        "_read_watcher",
+        "_write_watcher",
         "_reading_paused",
         "received_limit",
         "received",
@@ -43,17 +43,17 @@
         self._loop = gevent.get_hub().loop
         self.received_limit = received_limit
         self._reading_paused = False
-        self._writer = None
+        self._write_watcher = None
         self.received = bytearray()
         self.ended = False
         self.failed = False
         self.on_event = on_event
-        self._reader = self._loop.io(sock.fileno(), READ)
-        self._reader.start(self._readable)
+        self._read_watcher = self._loop.io(sock.fileno(), READ)
+        self._read_watcher.start(self._on_readable)
 
     @property
     def closed(self) -> bool:
-        return self._reader is None
+        return self._read_watcher is None
 
     def take_received(self) -> bytes:
         """Removes and returns all buffered bytes."""
@@ -64,13 +64,13 @@
 
     def resume_reading(self) -> None:
         """Resumes reading if it was paused and the buffer is below its limit again."""
-        if self._reading_paused and len(self.received) < self.received_limit and self._reader is not None:
+        if self._reading_paused and len(self.received) < self.received_limit and self._read_watcher is not None:
             self._reading_paused = False
-            self._reader.start(self._readable)
+            self._read_watcher.start(self._on_readable)
 
     def receive_available(self) -> None:
         """Reads bytes that have arrived but that the event loop has not processed yet."""
-        if not self.ended and not self._reading_paused and self._reader is not None:
+        if not self.ended and not self._reading_paused and self._read_watcher is not None:
             self._receive()
 
     def try_send(self, data: bytes | bytearray | memoryview) -> int:
@@ -82,13 +82,13 @@
 
     def watch_writable(self) -> None:
         """Calls `on_event` once, as soon as more can be sent."""
-        if self._writer is None:
-            self._writer = self._loop.io(self._sock.fileno(), WRITE)
-        self._writer.start(self._writable)
+        if self._write_watcher is None:
+            self._write_watcher = self._loop.io(self._sock.fileno(), WRITE)
+        self._write_watcher.start(self._on_writable)
 
     @property
     def awaiting_writable(self) -> bool:
-        return self._writer is not None and self._writer.active
+        return self._write_watcher is not None and self._write_watcher.active
 
     def connect_error(self) -> int:
         """The errno of a finished connection attempt, 0 for success."""
@@ -100,25 +100,25 @@
 
     def close(self) -> None:
         """Closes the connection; if there are unread bytes, the kernel sends a reset."""
-        if self._reader is None:
+        if self._read_watcher is None:
             return
-        self._reader.close()
-        self._reader = None
-        if self._writer is not None:
-            self._writer.close()
-            self._writer = None
+        self._read_watcher.close()
+        self._read_watcher = None
+        if self._write_watcher is not None:
+            self._write_watcher.close()
+            self._write_watcher = None
         self.on_event = ignore_event
         with contextlib.suppress(OSError):
             self._sock.close()
 
     def reset(self) -> None:
         """Closes the connection with a reset, so that the peer sees that it was aborted."""
-        if self._reader is not None:
+        if self._read_watcher is not None:
             with contextlib.suppress(OSError):
                 self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
             self.close()
 
-    def _readable(self) -> None:
+    def _on_readable(self) -> None:
         if self._receive():
             self.on_event()
 
@@ -134,12 +134,12 @@
             self.received += data
             if len(self.received) >= self.received_limit:
                 self._reading_paused = True
-                self._reader.stop()
+                self._read_watcher.stop()
         else:
             self.ended = True
-            self._reader.stop()
+            self._read_watcher.stop()
         return True
 
-    def _writable(self) -> None:
-        self._writer.stop()
+    def _on_writable(self) -> None:
+        self._write_watcher.stop()
         self.on_event()
--- a/ochrespan/observability/metrics.py
+++ b/ochrespan/observability/metrics.py
@@ -12,7 +12,7 @@
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
-_NAME = re.compile(r"[a-zA-Z_][a-zA-Z0-9_]*")
+_IDENTIFIER_PATTERN = re.compile(r"[a-zA-Z_][a-zA-Z0-9_]*")
 _ESCAPES = str.maketrans({"\\": r"\\", '"': r"\"", "\n": r"\n"})
 
 LabelValues = tuple[str, ...]
@@ -73,7 +73,7 @@
 
     def _register(self, name: str, family: _Family) -> None:
         for identifier in (name, *family.label_names):
-            if not _NAME.fullmatch(identifier):
+            if not _IDENTIFIER_PATTERN.fullmatch(identifier):
                 raise ValueError(f"found {identifier!r}, allowed letters, digits and underscores")
         if name in self._families:
             raise ValueError(f"metric {name!r} is already registered")
--- a/ochrespan/programs/controller.py
+++ b/ochrespan/programs/controller.py
@@ -81,7 +81,7 @@
         self._membership = MembershipAgent(membership_settings(settings, CONTROLLER_ROLE), self._members_changed)
         self._host.on_applied = self._node.applied
         self._host.on_restored = self._node.restored
-        self._host.on_leadership = self._node.leadership_changed
+        self._host.on_leadership_changed = self._node.leadership_changed
 
     def start(self) -> None:
         """Starts the replicas, joins the membership, and opens the control interface."""
--- a/ochrespan/programs/router_process.py
+++ b/ochrespan/programs/router_process.py
@@ -48,14 +48,14 @@
         self._feed = FeedClient(settings["node"], settings["zone"], seed_peer_addresses(settings), self._table_changed)
         self._membership = MembershipAgent(membership_settings(settings, ROUTER_ROLE), self._members_changed)
         owners = owner_client_for(self._feed, PeerClients())
-        self._quotas = quota_client_for(settings["node"], settings.get("bounds", {}), owners)
+        self._quota_client = quota_client_for(settings["node"], settings.get("bounds", {}), owners)
         prefix_placements = PrefixPlacementClient(owners, scheduler.is_usable)
         self._node = RouterNode(
             listener_or_address(listen_address(settings, "front"), listener),
             listen_address(settings, "ready"),
             _machine_limits(settings),
             scheduler,
-            self._quotas,
+            self._quota_client,
             prefix_placements,
             table_is_fresh=lambda: self._feed.controller is not None,
         )
@@ -89,7 +89,7 @@
 
     def _table_changed(self, table: FleetTable, change: FleetChange) -> None:
         if change.tenants or change.routers:
-            configure_quotas(self._quotas, table)
+            configure_quotas(self._quota_client, table)
         self._node.table_changed(table, change)
 
 
--- a/ochrespan/raft/bootstrap_protocol.py
+++ b/ochrespan/raft/bootstrap_protocol.py
@@ -49,124 +49,133 @@
 class BootstrapProtocol:
     """Sends and receives the proposals of a process, and abandons its bootstrap where another one prevails."""
 
-    def __init__(self, local: LocalGroups, now: float) -> None:
-        self._local = local
+    def __init__(self, local_groups: LocalGroups, now: float) -> None:
+        self._local_groups = local_groups
         self.next_query_at = now
         self._reported_clusters: set[Address] = set()  # processes of other clusters that were logged already
 
     def schedule_query(self, now: float) -> None:
         """Sets the time of the next query: soon, while this initial member waits for the groups to be formed."""
-        awaits_bootstrap = self._local.bootstrap.awaits_bootstrap
+        awaits_bootstrap = self._local_groups.bootstrap.awaits_bootstrap
         self.next_query_at = now + (BOOTSTRAP_QUERY_INTERVAL_S if awaits_bootstrap else QUERY_INTERVAL_S)
 
     def tick(self, now: float) -> None:
         """Proposes a bootstrap if that is allowed by now, and repeats one whose groups have no entry yet."""
-        local = self._local
-        is_member = not local.bootstrap.is_unbootstrapped
+        local_groups = self._local_groups
+        is_member = not local_groups.bootstrap.is_unbootstrapped
         if (
             is_member
-            and local.has_acknowledged_nothing
-            and local.bootstrap.is_stuck(now, any(lacks_leader(now, replica) for replica in local.replicas.values()))
+            and local_groups.has_acknowledged_nothing
+            and local_groups.bootstrap.is_stuck(
+                now, any(lacks_leader(now, replica) for replica in local_groups.replicas.values())
+            )
         ):
             log.warning(
                 "bootstrap abandoned: no commands to come replica=%d",
-                local.bootstrap.identity.replica_id,
+                local_groups.bootstrap.identity.replica_id,
             )
-            local.abandon_bootstrap(now)
+            local_groups.abandon_bootstrap(now)
         self.propose(now)
         if voters := self._voters_without_entries():
             self._announce(now, voters)
 
     def propose(self, now: float) -> None:
         """Forms the groups here and proposes them to the others, if the reports received allow it."""
-        if proposal := self._local.bootstrap.proposal(now):
+        if proposal := self._local_groups.bootstrap.proposal(now):
             self._start_groups(now, proposal)
             self._announce(now, self._voters_without_entries())
 
     def receive_report(self, now: float, envelope: Envelope, message: JoinRequest | JoinResponse) -> None:
         """Stores a process's report about its disk."""
-        self._local.bootstrap.record_report(now, envelope.sender, envelope.address, message, envelope.cluster_id)
+        self._local_groups.bootstrap.record_report(now, envelope.sender, envelope.address, message, envelope.cluster_id)
 
     def receive_proposal(self, now: float, message: BootstrapProposal) -> None:
         """Accepts the proposal of a process of this cluster, or of none, if this process is unbootstrapped."""
-        if self._local.bootstrap.accepts(message):
+        if self._local_groups.bootstrap.accepts(message):
             self._start_groups(now, message)
 
     def receive_from_other_cluster(self, now: float, envelope: Envelope) -> None:
         """Handles the messages between processes of concurrent bootstraps; see the module's docstring."""
-        local = self._local
-        if not local.has_acknowledged_nothing and not any(
+        local_groups = self._local_groups
+        if not local_groups.has_acknowledged_nothing and not any(
             isinstance(message, ClusterInUse) for _, message in envelope.frames
         ):
-            local.send(envelope.address, envelope.sender, ClusterInUse())
+            local_groups.send(envelope.address, envelope.sender, ClusterInUse())
         for group, message in envelope.frames:
             if group != PROCESS_GROUP:
                 continue
             if isinstance(message, ClusterInUse) and self._yields_to(envelope.address):
                 log.warning("bootstrap abandoned: a peer's cluster has commands peer=%s:%d", *envelope.address)
-                local.abandon_bootstrap(now)
+                local_groups.abandon_bootstrap(now)
                 return
-            if isinstance(message, JoinResponse) and message.has_commits and local.has_no_entries:
+            if isinstance(message, JoinResponse) and message.has_commits and local_groups.has_no_entries:
                 log.warning("bootstrap abandoned: a peer has committed entries peer=%s:%d", *envelope.address)
-                local.abandon_bootstrap(now)
+                local_groups.abandon_bootstrap(now)
                 return
             if isinstance(message, BootstrapProposal) and self._prefers(message):
                 self._start_groups(now, message)
                 return
             if isinstance(message, JoinRequest | JoinResponse):
                 self.receive_report(now, envelope, message)
-            if isinstance(message, JoinRequest | BootstrapProposal) and local.has_commits:
-                local.send(envelope.address, 0, build_join_response(local, now, ()))
+            if isinstance(message, JoinRequest | BootstrapProposal) and local_groups.has_commits:
+                local_groups.send(envelope.address, 0, build_join_response(local_groups, now, ()))
         if envelope.address not in self._reported_clusters:
             self._reported_clusters.add(envelope.address)
             log.warning(
                 "message of another cluster ignored peer=%s:%d cluster=%d own_cluster=%d",
                 *envelope.address,
                 envelope.cluster_id,
-                local.bootstrap.identity.cluster_id,
+                local_groups.bootstrap.identity.cluster_id,
             )
 
     def _yields_to(self, address: Address) -> bool:
         """Whether this process leaves its cluster in favour of that of the process at `address`, which is in use."""
-        bootstrap = self._local.bootstrap
+        bootstrap = self._local_groups.bootstrap
         seeds = {*bootstrap.identity.initial_members, *bootstrap.settings.seeds}
-        return self._local.has_acknowledged_nothing and address in seeds
+        return self._local_groups.has_acknowledged_nothing and address in seeds
 
     def _prefers(self, message: BootstrapProposal) -> bool:
         """Whether the proposed bootstrap of another cluster ranks before this process's own and replaces it."""
-        local = self._local
-        own_id = local.bootstrap.identity.replica_id
-        if not local.has_no_entries or local.has_voted or all(member.id != own_id for member in message.members):
+        local_groups = self._local_groups
+        own_id = local_groups.bootstrap.identity.replica_id
+        if (
+            not local_groups.has_no_entries
+            or local_groups.has_voted
+            or all(member.id != own_id for member in message.members)
+        ):
             return False
-        return (not message.has_voted, cluster_id_of(message.members)) < (True, local.bootstrap.identity.cluster_id)
+        return (not message.has_voted, cluster_id_of(message.members)) < (
+            True,
+            local_groups.bootstrap.identity.cluster_id,
+        )
 
     def _voters_without_entries(self) -> tuple[Member, ...]:
         """The initial voters, as long as their groups have no entry here; else none."""
-        local = self._local
-        if local.bootstrap.is_unbootstrapped or not local.has_no_entries:
+        local_groups = self._local_groups
+        if local_groups.bootstrap.is_unbootstrapped or not local_groups.has_no_entries:
             return ()
-        return next(iter(local.replicas.values())).state.configuration.voters
+        return next(iter(local_groups.replicas.values())).state.configuration.voters
 
     def _announce(self, now: float, voters: tuple[Member, ...]) -> None:
         """Sends the bootstrap to its voters, or abandons it if it has stalled.
 
         Until there is an entry, a voter may not have received the proposal, or may have joined a concurrent bootstrap.
         """
-        local = self._local
-        if local.bootstrap.has_stalled(now, voters):
-            log.warning("bootstrap abandoned: no progress replica=%d", local.bootstrap.identity.replica_id)
-            local.abandon_bootstrap(now)
+        local_groups = self._local_groups
+        if local_groups.bootstrap.has_stalled(now, voters):
+            log.warning("bootstrap abandoned: no progress replica=%d", local_groups.bootstrap.identity.replica_id)
+            local_groups.abandon_bootstrap(now)
             self.next_query_at = now
             return
-        message = BootstrapProposal(voters, local.has_voted)
+        message = BootstrapProposal(voters, local_groups.has_voted)
         for member in voters:
-            local.send(member.address, 0, message)
+            local_groups.send(member.address, 0, message)
 
     def _start_groups(self, now: float, message: BootstrapProposal) -> None:
         """Begins every group with the proposed voters."""
-        local = self._local
-        configuration = local.bootstrap.accept(now, message)
-        for replica in local.replicas.values():
+        local_groups = self._local_groups
+        configuration = local_groups.bootstrap.accept(now, message)
+        for replica in local_groups.replicas.values():
             replica.bootstrap(now, configuration)
-        replica_id = local.bootstrap.identity.replica_id
+        replica_id = local_groups.bootstrap.identity.replica_id
         log.info("bootstrap completed replica=%d voters=%d", replica_id, len(configuration.voters))
--- a/ochrespan/raft/leader_balancer.py
+++ b/ochrespan/raft/leader_balancer.py
@@ -11,8 +11,8 @@
 class LeaderBalancer:
     """Transfers groups led here to the voters that should lead them: group n to voter n modulo their number."""
 
-    def __init__(self, local: LocalGroups, now: float) -> None:
-        self._local = local
+    def __init__(self, local_groups: LocalGroups, now: float) -> None:
+        self._local_groups = local_groups
         self._next_transfer_at = now
 
     def tick(self, now: float) -> None:
@@ -23,7 +23,7 @@
 
     def _transfer_one(self, now: float) -> None:
         """Transfers one group to the voter that should lead it, if that voter has been stable for MIN_STABLE_S."""
-        for replica in self._local.replicas.values():
+        for replica in self._local_groups.replicas.values():
             state = replica.state
             voters = state.configuration.voters
             if not replica.is_leader or state.is_preferred_leader or state.configuration.is_joint or not voters:
--- a/ochrespan/raft/log.py
+++ b/ochrespan/raft/log.py
@@ -34,8 +34,8 @@
 
     def _load(self, snapshot: Snapshot, entries: list[Entry]) -> None:
         self.snapshot = snapshot
-        self._start = snapshot.index  # index of the last entry that is no longer retained
-        self._start_term = snapshot.term
+        self._compacted_index = snapshot.index  # index of the last entry that is no longer retained
+        self._compacted_term = snapshot.term
         self._entries: list[Entry] = []
         self._has_commands = False
         self._marker_index: int | None = None
@@ -49,17 +49,17 @@
     @property
     def first_index(self) -> int:
         """Index of the oldest entry that is retained."""
-        return self._start + 1
+        return self._compacted_index + 1
 
     @property
     def last_index(self) -> int:
         """Index of the newest entry."""
-        return self._start + len(self._entries)
+        return self._compacted_index + len(self._entries)
 
     @property
     def last_term(self) -> int:
         """Term of the newest entry."""
-        return self._entries[-1].term if self._entries else self._start_term
+        return self._entries[-1].term if self._entries else self._compacted_term
 
     @property
     def configuration(self) -> MembershipConfig:
@@ -75,7 +75,7 @@
     def has_commands(self) -> bool:
         """Whether there is, or was, a command with content."""
         if not self._has_commands:
-            self._has_commands = self._start > 0 or any(
+            self._has_commands = self._compacted_index > 0 or any(
                 entry.kind == EntryKind.COMMAND and entry.data for entry in self._entries
             )
         return self._has_commands
@@ -91,21 +91,21 @@
 
     def term_at(self, index: int) -> int | None:
         """The term of an entry; None where it isn't known (compacted, or beyond the end)."""
-        if index == self._start:
-            return self._start_term
-        if self._start < index <= self.last_index:
-            return self._entries[index - self._start - 1].term
+        if index == self._compacted_index:
+            return self._compacted_term
+        if self._compacted_index < index <= self.last_index:
+            return self._entries[index - self._compacted_index - 1].term
         return None
 
     def entry(self, index: int) -> Entry:
         """The entry at `index`, which has to be retained."""
-        return self._entries[index - self._start - 1]
+        return self._entries[index - self._compacted_index - 1]
 
     def slice(self, first: int, max_entries: int, max_bytes: int) -> list[Entry]:
         """Entries from `first` on within both limits, but at least one if there is one."""
         chosen: list[Entry] = []
         size = 0
-        offset = first - self._start - 1
+        offset = first - self._compacted_index - 1
         for entry in self._entries[offset : offset + max_entries]:
             size += len(entry.data)
             if chosen and size > max_bytes:
@@ -121,7 +121,7 @@
     def merge(self, previous_index: int, entries: list[Entry]) -> None:
         """Adds a leader's entries: those that match are retained, and the log is truncated at the first conflict."""
         for index, entry in enumerate(entries, previous_index + 1):
-            if index <= self._start:
+            if index <= self._compacted_index:
                 continue
             if index <= self.last_index:
                 if self.term_at(index) == entry.term:
@@ -159,14 +159,14 @@
             oldest = transfer_index
             max_bytes = transfer_retained_bytes
         total_bytes = 0
-        while start > max(self._start, oldest):
+        while start > max(self._compacted_index, oldest):
             total_bytes += len(self.entry(start).data)
             if total_bytes > max_bytes:
                 break
             start -= 1
-        self._start_term = self.term_at(start) or 0
-        del self._entries[: start - self._start]
-        self._start = start
+        self._compacted_term = self.term_at(start) or 0
+        del self._entries[: start - self._compacted_index]
+        self._compacted_index = start
         self.snapshot = snapshot
         later = [pair for pair in self._configurations if pair[0] > start]
         self._configurations = [(start, self.configuration_at(start)), *later]
@@ -175,7 +175,7 @@
         """The first index and the entries that no write has covered; the next `persisted` confirms them."""
         first = self._taken_index + 1
         self._taken_index = self._write_end = self.last_index
-        return first, self._entries[first - self._start - 1 :]
+        return first, self._entries[first - self._compacted_index - 1 :]
 
     def has_unpersisted(self) -> bool:
         """Whether there are entries that no write has covered."""
@@ -194,7 +194,7 @@
 
     def _truncate(self, index: int) -> None:
         """Drops the entries from `index` on; a write in flight no longer covers these indexes."""
-        del self._entries[index - self._start - 1 :]
+        del self._entries[index - self._compacted_index - 1 :]
         if self._marker_index is not None and self._marker_index >= index:
             self._marker_index = None
         while self._configurations[-1][0] >= index:
--- a/ochrespan/raft/multi_raft.py
+++ b/ochrespan/raft/multi_raft.py
@@ -13,7 +13,7 @@
 from .bootstrap_protocol import BootstrapProtocol
 from .cluster_messages import BootstrapProposal, JoinRequest, JoinResponse, LeaveNotice
 from .envelope import PROCESS_GROUP, Envelope
-from .joining import Joining, build_join_request
+from .joining import JoinProtocol, build_join_request
 from .leader_balancer import LeaderBalancer
 from .local_groups import LocalGroups
 from .messages import AppendEntries, AppendEntriesResponse, Heartbeat, InstallSnapshot
@@ -60,13 +60,13 @@
         self.settings = settings
         self.bootstrap = Bootstrap.begin(settings, recovered.identity, random_source, now)
         self.addresses: dict[int, Address] = {}  # by replica id, of processes that have sent to this one
-        self._local = LocalGroups(self.bootstrap, recovered.replicas, random_source, timing or Timing(), now)
-        self.replicas = self._local.replicas
-        self._bootstrap_protocol = BootstrapProtocol(self._local, now)
-        self._joining = Joining(self._local, settings.seeds)
-        self._planned_leave = PlannedLeave(self._local)
-        self._leader_balancer = LeaderBalancer(self._local, now)
-        self.opening = Opening(self._local)
+        self._local_groups = LocalGroups(self.bootstrap, recovered.replicas, random_source, timing or Timing(), now)
+        self.replicas = self._local_groups.replicas
+        self._bootstrap_protocol = BootstrapProtocol(self._local_groups, now)
+        self._join_protocol = JoinProtocol(self._local_groups, settings.seeds)
+        self._planned_leave = PlannedLeave(self._local_groups)
+        self._leader_balancer = LeaderBalancer(self._local_groups, now)
+        self.opening = Opening(self._local_groups)
         self._last_taken_identity = recovered.identity  # what `take_updates` last returned
 
     @property
@@ -77,7 +77,7 @@
     @property
     def may_leave_cluster(self) -> bool:
         """Whether this process may still leave its cluster, which cannot have acknowledged a command yet."""
-        return self._local.has_acknowledged_nothing and self.opening.awaits_others
+        return self._local_groups.has_acknowledged_nothing and self.opening.awaits_others
 
     def tick(self, now: float) -> None:
         """Runs the periodic work that is due."""
@@ -137,7 +137,7 @@
             for to, message in replica.take_messages(snapshot_receivers):
                 if address := self._address_of(replica, to):
                     envelope(address, to).frames.append((group, message))
-        outbox = self._local.outbox
+        outbox = self._local_groups.outbox
         for address, to, message in outbox:
             envelope(address, to).frames.append((PROCESS_GROUP, message))
         outbox.clear()
@@ -159,7 +159,7 @@
 
     def add_contacts(self, addresses: Iterable[Address]) -> None:
         """Adds processes that may know the groups, from changed settings for example."""
-        self._joining.contacts.update(addresses)
+        self._join_protocol.contacts.update(addresses)
 
     def withhold_votes(self, now: float, withholding_votes: bool) -> None:
         """Called when the disk cannot keep up, or can again; until then no replica here leads or campaigns."""
@@ -170,17 +170,17 @@
         """Sends a join request, with the current replica id, to a sender that used another one for this address."""
         if any(isinstance(message, AppendEntries | Heartbeat | InstallSnapshot) for _, message in envelope.frames):
             self.bootstrap.record_existing_group()
-        self._local.send(envelope.address, 0, build_join_request(self._local, now, every_group=True))
+        self._local_groups.send(envelope.address, 0, build_join_request(self._local_groups, now, every_group=True))
 
     def _receive_process_message(self, now: float, envelope: Envelope, message: Any) -> None:
         match message:
             case JoinRequest():
                 self._bootstrap_protocol.receive_report(now, envelope, message)
-                self._joining.receive_request(now, envelope, message)
+                self._join_protocol.receive_request(now, envelope, message)
                 self._bootstrap_protocol.propose(now)
             case JoinResponse():
                 self._bootstrap_protocol.receive_report(now, envelope, message)
-                self._joining.receive_response(message)
+                self._join_protocol.receive_response(message)
                 self._bootstrap_protocol.propose(now)
             case BootstrapProposal():
                 self._bootstrap_protocol.receive_proposal(now, message)
@@ -190,7 +190,7 @@
 
     def _query(self, now: float) -> None:
         self._bootstrap_protocol.tick(now)
-        self._joining.send_requests(now)
+        self._join_protocol.send_requests(now)
 
     def _address_of(self, replica: Replica, member_id: int) -> Address | None:
         if progress := replica.replication.progress.get(member_id):
--- a/ochrespan/raft/opening.py
+++ b/ochrespan/raft/opening.py
@@ -33,11 +33,11 @@
 class Opening:
     """Decides for each group that is led here whether it accepts commands, and appends the markers."""
 
-    def __init__(self, local: LocalGroups) -> None:
-        self._local = local
+    def __init__(self, local_groups: LocalGroups) -> None:
+        self._local_groups = local_groups
         self._proceeds_without_missing = False
         self._has_reported = False
-        local.may_accept_commands = self.is_open
+        local_groups.may_accept_commands = self.is_open
 
     @property
     def awaits_others(self) -> bool:
@@ -50,7 +50,7 @@
 
     def is_open(self, replica: Replica) -> bool:
         """Whether the leader of a group may accept commands, given which initial members have joined."""
-        if self._proceeds_without_missing or self._local.has_commands:
+        if self._proceeds_without_missing or self._local_groups.has_commands:
             return True
         initial_members = self._awaited_members()
         if not initial_members:
@@ -60,12 +60,12 @@
 
     def advance(self, now: float) -> None:
         """Appends the marker in each group that is led here, where all initial members have acknowledged an entry."""
-        if self._proceeds_without_missing or self._local.has_commands:
+        if self._proceeds_without_missing or self._local_groups.has_commands:
             return
         initial_members = self._awaited_members()
         if not initial_members:
             return
-        for replica in self._local.replicas.values():
+        for replica in self._local_groups.replicas.values():
             if replica.state.role is not Role.LEADER or replica.state.log.marker_index is not None:
                 continue
             if not _missing(replica, initial_members, replica.replication.term_start_index):
@@ -77,7 +77,7 @@
         """The initial members that a group which is led here waits for; empty where it accepts commands."""
         initial_members = self._awaited_members()
         missing: set[Address] = set()
-        for replica in self._local.replicas.values():
+        for replica in self._local_groups.replicas.values():
             if replica.state.role is Role.LEADER and not self.is_open(replica):
                 index = replica.state.log.marker_index or replica.replication.term_start_index
                 missing.update(_missing(replica, initial_members, index))
@@ -85,14 +85,14 @@
 
     def _awaited_members(self) -> tuple[Address, ...]:
         """The initial members; none where this is the only one, or where the cluster's first version recorded none."""
-        initial_members = self._local.bootstrap.known_initial_members()
-        return () if initial_members == (self._local.bootstrap.settings.address,) else initial_members
+        initial_members = self._local_groups.bootstrap.known_initial_members()
+        return () if initial_members == (self._local_groups.bootstrap.settings.address,) else initial_members
 
     def _report_missing(self, now: float) -> None:
         """Logs the missing initial members once, after a leader has waited for REPORT_MISSING_AFTER_S."""
         since = [
             replica.state.leader_since or now
-            for replica in self._local.replicas.values()
+            for replica in self._local_groups.replicas.values()
             if replica.state.role is Role.LEADER
         ]
         if self._has_reported or not since or now - min(since) < REPORT_MISSING_AFTER_S:
--- a/ochrespan/raft/planned_leave.py
+++ b/ochrespan/raft/planned_leave.py
@@ -13,8 +13,8 @@
 class PlannedLeave:
     """Repeats the notice of a shutdown that has begun, until the process ends."""
 
-    def __init__(self, local: LocalGroups) -> None:
-        self._local = local
+    def __init__(self, local_groups: LocalGroups) -> None:
+        self._local_groups = local_groups
         self._next_notice_at = float("inf")
         self._transfer_at = float("inf")
 
@@ -32,11 +32,11 @@
         """
         self._next_notice_at = now + LEAVE_INTERVAL_S
         self._transfer_at = min(self._transfer_at, now + MAX_REPLACEMENT_S)
-        own_id = self._local.bootstrap.identity.replica_id
-        for replica in self._local.replicas.values():
+        own_id = self._local_groups.bootstrap.identity.replica_id
+        for replica in self._local_groups.replicas.values():
             leader = replica.leader
             if leader and leader.id != own_id:
-                self._local.send(leader.address, leader.id, LeaveNotice())
+                self._local_groups.send(leader.address, leader.id, LeaveNotice())
             elif replica.state.role is Role.LEADER:
                 replica.leave(now, own_id)
                 if now >= self._transfer_at or not replica.reconfiguration.standbys():
--- a/ochrespan/transport/rpc.py
+++ b/ochrespan/transport/rpc.py
@@ -61,7 +61,7 @@
     def __init__(self, address: Address) -> None:
         self.address = address
         self._connection: Connection | None = None
-        self._numbers = itertools.count(1)
+        self._call_numbers = itertools.count(1)
         self._pending_calls: dict[int, _PendingCall] = {}
         self._dial_ended: Event | None = None  # while a greenlet opens the connection
 
@@ -91,14 +91,14 @@
 
     def _call(self, request: Any) -> Any:
         connection = self._ensure_connected()
-        number = next(self._numbers)
+        call_number = next(self._call_numbers)
         result = AsyncResult()
-        self._pending_calls[number] = _PendingCall(connection, result)
+        self._pending_calls[call_number] = _PendingCall(connection, result)
         try:
-            connection.send(RpcRequest(number, encode(request)))
+            connection.send(RpcRequest(call_number, encode(request)))
             response = result.get()
         finally:
-            self._pending_calls.pop(number, None)
+            self._pending_calls.pop(call_number, None)
         if response.error:
             raise RpcError(response.error)
         return decode(response.body)
--- a/tests/control_plane/feed/test_feed.py
+++ b/tests/control_plane/feed/test_feed.py
@@ -8,7 +8,7 @@
 
 from ochrespan.control_plane.feed.client import FeedClient
 from ochrespan.control_plane.feed.errors import OtherClusterError
-from ochrespan.control_plane.feed.messages import Freshness, Presence, Subscribe
+from ochrespan.control_plane.feed.messages import ControllerReport, Freshness, Subscribe
 from ochrespan.control_plane.feed.server import FeedServer
 from ochrespan.control_plane.feed.table import FleetChange, FleetTable
 from ochrespan.control_plane.quota.router_setup import configure_quotas, owner_client_for, quota_client_for
@@ -253,7 +253,7 @@
 def test_reports_of_controllers_of_another_cluster_are_ignored(world):
     first, stranger = world.controllers[0], world.controllers[1]
     first.groups.cluster_number, stranger.groups.cluster_number = 1, 2
-    presence = Presence("127.0.0.1", 1, "z", ["edge-9"], {0: 10_000}, 2)
+    presence = ControllerReport("127.0.0.1", 1, "z", ["edge-9"], {0: 10_000}, 2)
     first.node._presence._receive(presence)
     assert "edge-9" not in first.node._live_routers.routers()
     assert not any(first.node._lag_detector.lags({0: 5}, 1e9).values())
@@ -273,7 +273,7 @@
 
 
 def test_without_a_quorum_a_router_publishes_an_unconfirmed_table_after_a_wait(world, routers, monkeypatch):
-    monkeypatch.setattr("ochrespan.control_plane.feed.table_publisher.INCOMPLETE_TABLE_WAIT_S", 0.0)
+    monkeypatch.setattr("ochrespan.control_plane.feed.table_publisher.UNCONFIRMED_TABLE_WAIT_S", 0.0)
     world.controllers[0].put_config(configuration(5), 0)
     for controller in world.controllers:
         controller.groups.quorum_ages = dict.fromkeys(controller.groups.quorum_ages, float("inf"))
--- a/tests/control_plane/feed/test_live_routers.py
+++ b/tests/control_plane/feed/test_live_routers.py
@@ -3,14 +3,14 @@
 import pytest
 
 from ochrespan.control_plane.feed.live_routers import STARTUP_WAIT_S, LiveRouters, RouterPosition
-from ochrespan.control_plane.feed.messages import Presence
+from ochrespan.control_plane.feed.messages import ControllerReport
 
 
 def test_live_routers_are_those_of_all_controllers_after_the_startup_wait():
     live_routers = LiveRouters(started_at=0.0)
     live_routers.update_subscribers({"b", "d"}, 1.0)
     assert live_routers.position_of("b", 1.0) == RouterPosition(0, 0)
-    live_routers.record_report(Presence("10.0.0.2", 7500, "z", ["a", "b"]), 1.0)
+    live_routers.record_report(ControllerReport("10.0.0.2", 7500, "z", ["a", "b"]), 1.0)
     live_routers.update_subscribers({"b", "d"}, STARTUP_WAIT_S)
     positions = [live_routers.position_of(each, STARTUP_WAIT_S) for each in "abd"]
     assert positions == [RouterPosition(3, 0), RouterPosition(3, 1), RouterPosition(3, 2)]
--- a/tests/control_plane/replication/test_leadership_reporter.py
+++ b/tests/control_plane/replication/test_leadership_reporter.py
@@ -14,7 +14,7 @@
     caplog.set_level("INFO")
     reporter = LeadershipReporter()
     changes = []
-    reporter.on_leadership = lambda shard, leads: changes.append((shard, leads))
+    reporter.on_leadership_changed = lambda shard, leads: changes.append((shard, leads))
     for leads in (False, True, True, False, False):
         reporter.report_leadership(2, replica(leads))
     assert changes == [(2, True), (2, False)]
@@ -26,7 +26,7 @@
 
 def test_a_callback_that_raises_does_not_repeat_the_report(caplog):
     reporter = LeadershipReporter()
-    reporter.on_leadership = lambda shard, leads: 1 // 0
+    reporter.on_leadership_changed = lambda shard, leads: 1 // 0
     reporter.report_leadership(2, replica(True))
     reporter.report_leadership(2, replica(True))
     assert caplog.messages == ["callback failed"]
--- a/tests/golden/wire_samples.py
+++ b/tests/golden/wire_samples.py
@@ -237,7 +237,7 @@
     ),
     message_case(
         "feed.presence",
-        feed_messages.Presence(
+        feed_messages.ControllerReport(
             ip="10.0.0.1",
             port=8000,
             zone="zone-a",
--- a/tests/support/control_plane_fakes.py
+++ b/tests/support/control_plane_fakes.py
@@ -37,7 +37,7 @@
         self.quorum_ages: dict[int, float] = dict.fromkeys(ALL_SHARDS, 0.0)
         self.on_applied: list[Callable[[int, int, bytes, Any], None]] = []
         self.on_restored: list[Callable[[int], None]] = []
-        self.on_leadership: list[Callable[[int, bool], None]] = []
+        self.on_leadership_changed: list[Callable[[int, bool], None]] = []
         self.lose_results_after_commit = 0
         self.declined_for_s = 0.0
         self.cluster_number = 0
@@ -74,7 +74,7 @@
             self.notify_leadership(shard, True)
 
     def notify_leadership(self, shard: int, is_leader: bool) -> None:
-        for callback in self.on_leadership:
+        for callback in self.on_leadership_changed:
             callback(shard, is_leader)
 
     def propose(self, shard: int, command: bytes, timeout: float) -> Any:
--- a/tests/support/control_plane_world.py
+++ b/tests/support/control_plane_world.py
@@ -92,7 +92,7 @@
         self.node = ControllerNode(settings, collaborators)
         self.groups.on_applied.append(self.node.applied)
         self.groups.on_restored.append(self.node.restored)
-        self.groups.on_leadership.append(self.node.leadership_changed)
+        self.groups.on_leadership_changed.append(self.node.leadership_changed)
         self.node.start()
         self.http: WSGIServer = serve_api(("127.0.0.1", 0), self.node.api)
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ochrespan.data_plane.prefill_times import PrefillTimes, prefill_token_cost
+from ochrespan.data_plane.prefill_times import PrefillTimes, compute_prefill_cost
 from ochrespan.data_plane.scheduler import Outcome
 from ochrespan.data_plane.urgency import PriorityRanks, server_priority
 
@@ -116,14 +116,14 @@
         cost = 1000 + 500 * (round_ % 20)
         queue = 0.0 if round_ % 3 else 1.5
         times.observe("chat", cost, 0.09 + cost / 50_000 + queue)
-    assert 0.7 / 50_000 < times.seconds_per_token < 1.6 / 50_000
+    assert 0.7 / 50_000 < times.prefill_s_per_cost_unit < 1.6 / 50_000
     assert times.expected_latency_s("chat", 5000, 0.0) == pytest.approx(0.09 + 0.1, rel=0.5)
 
 
 def test_tokens_late_in_a_prompt_cost_more():
-    assert prefill_token_cost(0, 1000) < prefill_token_cost(20_000, 1000) < 2 * prefill_token_cost(0, 1000)
-    assert prefill_token_cost(0, 10_000) + prefill_token_cost(10_000, 5000) == pytest.approx(
-        prefill_token_cost(0, 15_000)
+    assert compute_prefill_cost(0, 1000) < compute_prefill_cost(20_000, 1000) < 2 * compute_prefill_cost(0, 1000)
+    assert compute_prefill_cost(0, 10_000) + compute_prefill_cost(10_000, 5000) == pytest.approx(
+        compute_prefill_cost(0, 15_000)
     )
 
 
