--- a/ochrespan/common/addresses.py
+++ b/ochrespan/common/addresses.py
@@ -12,7 +12,7 @@
     """Reads the text form of an address, such as `10.0.0.1:8000`.
 
     Raises:
-        ValueError: The text isn't of this form, or the port is too large.
+        ValueError: The text isn't of this form, or the port exceeds MAX_PORT.
     """
     host, separator, port = text.rpartition(":")
     if not separator or not host or not port.isdigit() or int(port) > MAX_PORT:
--- a/ochrespan/common/validation.py
+++ b/ochrespan/common/validation.py
@@ -103,7 +103,7 @@
     allowed = f"a string of {minimum} to {maximum} characters"
 
     def check(value: Any, where: str, findings: Findings) -> None:
-        """Adds a finding unless the value is such a string."""
+        """Adds a finding unless the value is a string of an allowed length."""
         if not isinstance(value, str) or not minimum <= len(value) <= maximum:
             add_finding(findings, where, show(value), allowed)
 
@@ -127,7 +127,7 @@
     allowed = f"a whole number of {minimum} to {maximum}"
 
     def check(value: Any, where: str, findings: Findings) -> None:
-        """Adds a finding unless the value is such an integer."""
+        """Adds a finding unless the value is an integer in the allowed range."""
         if type(value) is not int or not minimum <= value <= maximum:
             add_finding(findings, where, show(value), allowed)
 
@@ -141,7 +141,7 @@
         allowed += f" and at most {maximum:g}"
 
     def check(value: Any, where: str, findings: Findings) -> None:
-        """Adds a finding unless the value is such a number."""
+        """Adds a finding unless the value is a finite number in the allowed range."""
         finite = type(value) is int or (type(value) is float and math.isfinite(value))
         if not finite or not minimum <= value <= maximum or (above and value == minimum):
             add_finding(findings, where, show(value), allowed)
--- a/ochrespan/control_plane/config/views.py
+++ b/ochrespan/control_plane/config/views.py
@@ -19,11 +19,11 @@
 
 
 class RouteType(enum.StrEnum):
-    """Whether requests of a route may be retried; an unknown type is treated as unsafe."""
+    """Determines whether a request may be executed more than once; an unknown type is treated as UNSAFE."""
 
-    SAFE = "safe"
-    UNSAFE = "unsafe"
-    STREAMING = "streaming"
+    SAFE = "safe"  # idempotent: may be executed more than once
+    UNSAFE = "unsafe"  # must not be executed more than once
+    STREAMING = "streaming"  # a stream of events; may be executed more than once only if the route is `resumable`
 
 
 class QuotaUnit(enum.StrEnum):
--- a/ochrespan/control_plane/feed/messages.py
+++ b/ochrespan/control_plane/feed/messages.py
@@ -101,7 +101,7 @@
 @message("feed.presence")
 @dataclass(slots=True)
 class ControllerReport:
-    """A controller's report to another one.
+    """A report of a controller to another one, which responds with its own.
 
     Attributes:
         ip: IP of the reporting controller.
--- a/ochrespan/control_plane/feed/presence.py
+++ b/ochrespan/control_plane/feed/presence.py
@@ -81,7 +81,7 @@
         try:
             response = self._peers.call(controller, self._own_report(), REPORT_TIMEOUT_S)
         except RpcError as error:
-            log.debug("presence report failed peer=%s error=%s", controller, error)
+            log.debug("controller report failed peer=%s error=%s", controller, error)
             return
         if isinstance(response, ControllerReport):
             self._record(response)
--- a/ochrespan/control_plane/feed/table_publisher.py
+++ b/ochrespan/control_plane/feed/table_publisher.py
@@ -14,7 +14,7 @@
 log = logging.getLogger(__name__)
 
 
-UNCONFIRMED_TABLE_WAIT_S = 3.0  # until a first table from controllers without a quorum is published
+UNCONFIRMED_TABLE_WAIT_S = 3.0  # from a complete draft to a first table that no controller with a quorum has confirmed
 PUBLISH_INTERVAL_FACTOR = (
     20.0  # the time until the next table, as a multiple of the time that the data plane took for it
 )
@@ -54,7 +54,9 @@
             self._publish(full_change(self._draft.table))
 
     def publish_first_unconfirmed(self) -> None:
-        """Publishes a first table that no controller with a quorum has confirmed, after UNCONFIRMED_TABLE_WAIT_S.
+        """Publishes a first table that no controller with a quorum has confirmed.
+
+        Waits until the draft has been complete for UNCONFIRMED_TABLE_WAIT_S.
 
         A router without a table rejects every request, so a table that may be out of date is better than none.
         """
--- a/ochrespan/control_plane/quota/allocation.py
+++ b/ochrespan/control_plane/quota/allocation.py
@@ -119,7 +119,7 @@
         self.level = min(self.level, depth)
 
     def take(self, tokens: float, now: float, allow_debt: bool = False) -> bool:
-        """Takes the tokens if there are enough.
+        """Takes the tokens if there are enough; returns whether there were.
 
         Args:
             tokens: How many to take.
@@ -240,7 +240,7 @@
             self._unused += tokens
 
     def available(self, now: float) -> float:
-        """The number of tokens that may be spent now."""
+        """Drops expired grants and returns the number of tokens that may be spent now."""
         while self._grants and self._grants[0].expires_at <= now:
             expired = self._grants.popleft()
             if expired.epoch == self.epoch:
--- a/ochrespan/control_plane/quota/owner.py
+++ b/ochrespan/control_plane/quota/owner.py
@@ -85,7 +85,10 @@
             bucket.put_back(request.left_over)
         if not bucket.take(request.needed, now, allow_debt=True):
             log.debug(
-                "quota exhausted tenant=%s needed=%.0f available=%.0f", request.tenant, request.needed, bucket.level
+                "tenant quota has too few tokens tenant=%s needed=%.0f available=%.0f",
+                request.tenant,
+                request.needed,
+                bucket.level,
             )
             return Grant(0.0, min(MAX_RETRY_S, bucket.wait_for(request.needed, now)), epoch, owner_age_s)
         return Grant(request.needed + bucket.take_prefetch(request.ahead, now), 0.0, epoch, owner_age_s)
--- a/ochrespan/control_plane/replication/applier.py
+++ b/ochrespan/control_plane/replication/applier.py
@@ -46,10 +46,10 @@
 
     @contextmanager
     def pending_result(self, shard: int, index: int, term: int) -> Iterator[AsyncResult]:
-        """Registers a proposer for the entry that was proposed at `index` in `term`, until the context is left.
+        """Yields an AsyncResult for the entry proposed at `index` in `term`, registered until the context is left.
 
-        The yielded result is the state machine's, or raises OutcomeUnknownError if another entry or a snapshot took the
-        place of the proposed one.
+        Its `get()` returns the state machine's result, or raises OutcomeUnknownError if another entry or a snapshot
+        took the place of the proposed entry.
         """
         proposal = _Proposal(term, AsyncResult())
         self._proposals[shard, index] = proposal
--- a/ochrespan/control_plane/replication/leader_eligibility.py
+++ b/ochrespan/control_plane/replication/leader_eligibility.py
@@ -33,9 +33,11 @@
         """Seconds until the operator's request expires; 0 if there is none."""
         return max(0.0, self._declines_until - now)
 
-    def withholds_votes(self, now: float, is_disk_slow: bool, has_leaders: bool) -> bool:
+    def check_votes_withheld(self, now: float, is_disk_slow: bool, has_leaders: bool) -> bool:
         """Whether this process has to transfer its leadership, and neither vote nor stand in elections.
 
+        Also logs when the disk becomes slow or healthy, and ends an operator's request while a shard has no leader.
+
         Args:
             now: Seconds of the monotonic clock.
             is_disk_slow: The disk rejects writes, or one takes too long.
--- a/ochrespan/control_plane/replication/running_replicas.py
+++ b/ochrespan/control_plane/replication/running_replicas.py
@@ -145,7 +145,7 @@
         is_disk_slow = self.disk.pending_for > SLOW_DISK_S or self.disk.has_failed
         replicas = self.multi_raft.replicas.values()
         has_leaders = all(replica.leader is not None for replica in replicas)
-        withholds_votes = self._leader_eligibility.withholds_votes(now, is_disk_slow, has_leaders)
+        withholds_votes = self._leader_eligibility.check_votes_withheld(now, is_disk_slow, has_leaders)
         # All replicas of a process withhold their votes, or none does
         if withholds_votes != next(iter(replicas)).state.withholding_votes:
             self.multi_raft.withhold_votes(now, withholds_votes)
--- a/ochrespan/data_plane/client_connection.py
+++ b/ochrespan/data_plane/client_connection.py
@@ -250,7 +250,7 @@
             remaining = remaining[self._socket.try_send(remaining) :]
 
     def _wait_until(self, condition: Callable[[], object], deadline: float) -> bool:
-        """Whether the condition was met before the client disconnected and before `deadline`."""
+        """Waits for the condition; False if the client disconnects or `deadline` passes before it is met."""
         if condition():
             return True
         self._expired = False
--- a/ochrespan/data_plane/exchange.py
+++ b/ochrespan/data_plane/exchange.py
@@ -180,7 +180,11 @@
                 raise AttemptEnded(self._failure)
 
     def _report_first_event(self, attempt: Attempt) -> bool:
-        """Notifies the scheduler once the first event, or the head of another response, has arrived; True if so."""
+        """Notifies the scheduler once the first event, or the header of another response, has arrived.
+
+        Returns:
+            Whether it has arrived.
+        """
         if _is_event_response(attempt.response) and not self._ready_events:
             return False
         self._dispatcher.first_event(self._request.id, time.monotonic() - attempt.sent_at)
@@ -259,7 +263,11 @@
         return Outcome.TIMED_OUT if self._expired else None
 
     def _end_attempt(self, outcome: Outcome) -> None:
-        """Releases the attempt's connection and reports the outcome to the scheduler; raises ClientDisconnected."""
+        """Releases the attempt's connection, or abandons it if the response is incomplete, and reports the outcome.
+
+        Raises:
+            ClientDisconnected: The outcome is CANCELLED, which is not reported to the scheduler here.
+        """
         attempt, self._attempt = self._attempt, None
         if attempt.response is not None and attempt.response.complete:
             attempt.release()
--- a/ochrespan/data_plane/flows.py
+++ b/ochrespan/data_plane/flows.py
@@ -11,7 +11,9 @@
 from .urgency import PriorityRanks
 
 WEIGHT_RATIO = 2.0  # weight and initial gain of a flow over those of a flow one rank step lower
-HALF_CONFIDENCE_RESPONSES = 4.0  # responses in a round at which its mean counts half: the mean of a few is noise
+HALF_CONFIDENCE_FIRST_CHUNKS = (
+    4.0  # first chunks in a round at which its mean latency counts half: the mean of a few is noise
+)
 IDLE_TIMEOUT_S = 30.0  # idle flows are removed after this time
 
 
@@ -21,12 +23,12 @@
 
     weight: float
     priority: int = 0
-    responses: int = 0  # in the current ARR round
+    first_chunks_in_round: int = 0  # in the current round of adaptive round robin (`policy/arr.py`)
 
     def record_first_response(self, latency_s: float, latency_target_s: float) -> None:
         """Records the first chunk of a response, `latency_s` seconds after the request arrived."""
         self.latency_excess_s += latency_s - latency_target_s
-        self.responses += 1
+        self.first_chunks_in_round += 1
 
 
 class FlowTable:
@@ -54,13 +56,13 @@
         return self._ranks.step(request.priority)
 
     def end_round(self, now: float) -> None:
-        """Ends the ARR round if it is due: adjusts gains, resets the counters and removes idle flows."""
+        """Ends the round of adaptive round robin if due: adjusts gains, resets the counters and removes idle flows."""
         if now < self._round_ends_at:
             return
         self._round_ends_at = now + ROUND_S
         for key, flow in list(self._flows.items()):
-            end_round(flow, flow.responses / (flow.responses + HALF_CONFIDENCE_RESPONSES))
-            flow.responses = 0
+            end_round(flow, flow.first_chunks_in_round / (flow.first_chunks_in_round + HALF_CONFIDENCE_FIRST_CHUNKS))
+            flow.first_chunks_in_round = 0
             if now - flow.last_used_at > IDLE_TIMEOUT_S:
                 del self._flows[key]
 
--- a/ochrespan/data_plane/prefill_times.py
+++ b/ochrespan/data_plane/prefill_times.py
@@ -1,8 +1,8 @@
-"""Estimates how long the servers of a service need to the first chunk, from the latencies that this router observed.
+"""Estimates how long the servers of a service take to send the first chunk of a response.
 
-The estimate is a base latency per route plus the prefill time of the prompt. A prompt token costs more the longer the
-prompt before it is. Short prompts determine the base latency, long ones the prefill rate. Both estimates follow the
-shortest latencies, since a longer one includes time in a queue.
+An estimate is a base latency per route plus the prefill time of the prompt, both from latencies that this router
+observed. A prompt token costs more the longer the prompt before it is. Short prompts determine the base latency, long
+ones the prefill rate. Both follow the shortest latencies, since a longer one includes time in a queue.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def compute_prefill_cost(cached_tokens: int, uncached_tokens: int) -> float:
-    """Returns the cost of prefilling tokens after others that are cached, in tokens at the start of a prompt."""
+    """Returns the total cost of prefilling the uncached tokens; the unit is the cost of the first token of a prompt."""
     return uncached_tokens * (1.0 + (cached_tokens + uncached_tokens / 2) / DOUBLE_COST_AT_TOKENS)
 
 
@@ -28,7 +28,7 @@
 class PrefillTimes:
     """Latency estimates of one service."""
 
-    prefill_s_per_cost_unit: float = INITIAL_PREFILL_S_PER_COST_UNIT
+    prefill_s_per_cost_unit: float = INITIAL_PREFILL_S_PER_COST_UNIT  # the unit of `compute_prefill_cost`
     base_latency_s: dict[str, float] = field(default_factory=dict)  # by route, without the prefill
 
     def expected_latency_s(self, route: str, prefill_cost: float, default_base_s: float) -> float:
--- a/ochrespan/data_plane/readiness.py
+++ b/ochrespan/data_plane/readiness.py
@@ -38,7 +38,9 @@
         set_drained: Callable[[bool], None],
         registry: MetricsRegistry,
     ) -> None:
-        environment = {"SERVER_NAME": "router"}  # otherwise the library resolves the host name
+        environment = {
+            "SERVER_NAME": "router"
+        }  # a fixed name, as gevent's WSGI server would otherwise look up the host name in DNS
         super().__init__(listener, self._respond, log=None, error_log=None, environ=environment)
         self._is_ready = is_ready
         self._set_drained = set_drained
--- a/ochrespan/data_plane/retry_budget.py
+++ b/ochrespan/data_plane/retry_budget.py
@@ -1,7 +1,8 @@
 """The retry budget of this router over a sliding window.
 
-Each router may retry a ratio of its own first attempts, plus an equal fraction of the slack. The routers need no
-communication to stay within the limits of the fleet: the ratio is linear, and the fractions add up to the slack.
+Per window and service, each router may retry `ratio` times the number of its own first attempts, plus an equal
+fraction of `slack`, the number of retries that all routers together may make whatever the traffic. The routers need not
+communicate: the sum of their budgets is the budget of the fleet.
 """
 
 from __future__ import annotations
--- a/ochrespan/flow_state.py
+++ b/ochrespan/flow_state.py
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class FlowState:
-    """State of one flow that LexAS and ARR read and update."""
+    """State of one flow that LexAS (`policy/gating.py`) and ARR (`policy/arr.py`) read and update."""
 
     normalized_usage: float = 0.0  # allocated units divided by the weight; LexAS calls it eta
     gain: float = 0.0  # ARR serves flows in proportion to their gains
--- a/ochrespan/membership/protocol.py
+++ b/ochrespan/membership/protocol.py
@@ -111,7 +111,7 @@
         return messages
 
     def take_has_changed(self) -> bool:
-        """Whether the alive members have changed since the last call."""
+        """Returns whether the alive members have changed since the last call, and resets that."""
         has_changed = self.table.has_changed
         self.table.has_changed = False
         return has_changed
--- a/ochrespan/observability/logs.py
+++ b/ochrespan/observability/logs.py
@@ -53,7 +53,7 @@
         self._filled_at = now
 
     def take_token(self, now: float) -> bool:
-        """Whether there was a token; counts a dropped line where there was none."""
+        """Takes a token and returns True, or counts a dropped line and returns False if there is none."""
         self._tokens = min(float(BURST), self._tokens + LINES_PER_S * (now - self._filled_at))
         self._filled_at = now
         if self._tokens < 1.0:
--- a/ochrespan/raft/bootstrap.py
+++ b/ochrespan/raft/bootstrap.py
@@ -214,10 +214,11 @@
         self._reset_condition_timers()
         return MembershipConfig.of(message.members)
 
-    def has_stalled(self, now: float, voters: Iterable[Member]) -> bool:
+    def check_stalled(self, now: float, voters: Iterable[Member]) -> bool:
         """Whether a bootstrap with these voters may be abandoned, since it is not going to elect a leader.
 
-        To be called only while the logs here have no entry. Either no initial member has had an entry for
+        To be called only while the logs here have no entry. Also updates the time since when no initial member has had
+        one. Either no initial member has had an entry for
         ABANDON_AFTER_S; or this is a first start with a majority of the initial members, which is enough for another
         bootstrap, while no majority of this bootstrap's voters is reachable.
         """
@@ -240,10 +241,11 @@
         is_overdue = now - self._bootstrapped_at >= ABANDON_FIRST_START_AFTER_S
         return is_overdue and lacks_majority and self._is_majority_in_first_start(now, without_entries)
 
-    def is_stuck(self, now: float, lacks_leader: bool) -> bool:
+    def check_stuck(self, now: float, lacks_leader: bool) -> bool:
         """Whether this process should leave its cluster, which is not going to accept commands, for a new bootstrap.
 
-        To be called only while the cluster cannot have acknowledged a command. True if all other initial members have
+        To be called only while the cluster cannot have acknowledged a command. Also updates the times since when the
+        conditions below have been true. True if all other initial members have
         reported lately, and
 
         - each has been in another cluster or in none for ABANDON_AFTER_S; or
--- a/ochrespan/raft/bootstrap_protocol.py
+++ b/ochrespan/raft/bootstrap_protocol.py
@@ -16,7 +16,7 @@
 - A process in another cluster with committed entries responds to `JoinRequest` and `BootstrapProposal` with a
   `JoinResponse` that says so (`has_commits`). A receiver without entries abandons its own bootstrap: it gets a new
   id and empty replicas, and asks to join.
-- A bootstrap without progress is abandoned as `Bootstrap.has_stalled` decides: for example, if a new id stands
+- A bootstrap without progress is abandoned as `Bootstrap.check_stalled` decides: for example, if a new id stands
   in for a late member, so that no process responds under it, and one of the other voters was lost.
 
 Two clusters with entries arise if an initial member that has lost its disk forms groups with a late one as in a first
@@ -25,7 +25,7 @@
 
 - when a process at the address of a seed says that its own cluster may have acknowledged commands (`ClusterInUse`);
 - when all initial members are reachable, and it is alone in its cluster or a group has had no leader for long
-  (`Bootstrap.is_stuck`).
+  (`Bootstrap.check_stuck`).
 
 All other messages of another cluster are ignored: two deployments may be configured with each other's addresses.
 """
@@ -66,7 +66,7 @@
         if (
             is_member
             and local_groups.has_acknowledged_nothing
-            and local_groups.bootstrap.is_stuck(
+            and local_groups.bootstrap.check_stuck(
                 now, any(lacks_leader(now, replica) for replica in local_groups.replicas.values())
             )
         ):
@@ -119,6 +119,7 @@
                 self.receive_report(now, envelope, message)
             if isinstance(message, JoinRequest | BootstrapProposal) and local_groups.has_commits:
                 local_groups.send(envelope.address, 0, build_join_response(local_groups, now, ()))
+        # Logged once per peer; messages of the types handled above were processed, all others are ignored
         if envelope.address not in self._reported_clusters:
             self._reported_clusters.add(envelope.address)
             log.warning(
@@ -162,7 +163,7 @@
         Until there is an entry, a voter may not have received the proposal, or may have joined a concurrent bootstrap.
         """
         local_groups = self._local_groups
-        if local_groups.bootstrap.has_stalled(now, voters):
+        if local_groups.bootstrap.check_stalled(now, voters):
             log.warning("bootstrap abandoned: no progress replica=%d", local_groups.bootstrap.identity.replica_id)
             local_groups.abandon_bootstrap(now)
             self.next_query_at = now
--- a/ochrespan/raft/leader.py
+++ b/ochrespan/raft/leader.py
@@ -334,7 +334,7 @@
         )
 
     def _record_sent(self, progress: Progress, size: int) -> float:
-        """Counts a message as in flight and returns its stamp."""
+        """Counts a message of `size` bytes as in flight; returns a new stamp to send with it."""
         progress.in_flight += 1
         progress.bytes_in_flight += size
         progress.sent_at = self._state.now
--- a/ochrespan/raft/log.py
+++ b/ochrespan/raft/log.py
@@ -34,7 +34,7 @@
 
     def _load(self, snapshot: Snapshot, entries: list[Entry]) -> None:
         self.snapshot = snapshot
-        self._compacted_index = snapshot.index  # index of the last entry that is no longer retained
+        self._compacted_index = snapshot.index  # last index whose entry is no longer retained
         self._compacted_term = snapshot.term
         self._entries: list[Entry] = []
         self._has_commands = False
--- a/ochrespan/raft/messages.py
+++ b/ochrespan/raft/messages.py
@@ -74,7 +74,7 @@
     term: int
     accepted: bool
     index: int
-    stamp: float
+    stamp: float  # repeated from the leader's message
 
 
 @dataclass(slots=True)
@@ -92,7 +92,7 @@
     """The follower is alive; also sent, with the newer term, to a leader of an older term."""
 
     term: int
-    stamp: float
+    stamp: float  # repeated from the leader's message
     eligible: bool  # whether it may lead: its disk keeps up with the writes
 
 
@@ -117,7 +117,7 @@
     term: int
     index: int
     offset: int
-    stamp: float
+    stamp: float  # repeated from the leader's message
 
 
 @dataclass(slots=True)
--- a/ochrespan/sliding_sum.py
+++ b/ochrespan/sliding_sum.py
@@ -16,6 +16,7 @@
         self.entries.append((now, amount))
 
     def total(self, now: float, window_s: float) -> float:
+        """Returns the sum over the window that ends at `now`, and drops older entries."""
         while self.entries and self.entries[0][0] <= now - window_s:
             self.entries.popleft()
         return sum(amount for _, amount in self.entries)
--- a/ochrespan/transport/rpc.py
+++ b/ochrespan/transport/rpc.py
@@ -32,7 +32,7 @@
 @message("call")
 @dataclass(slots=True)
 class RpcRequest:
-    """A call. `number` is unique among the calls of an `RpcClient`; `body` is an encoded message."""
+    """A call. `number` identifies it and is unique among the calls of an `RpcClient`; `body` is an encoded message."""
 
     number: int
     body: bytes
@@ -41,7 +41,7 @@
 @message("reply")
 @dataclass(slots=True)
 class RpcResponse:
-    """The result of the call with this number: an encoded message or, where the call failed, an error and no body."""
+    """The response to the call `number`: an encoded message or, where the call failed, an error and no body."""
 
     number: int
     body: bytes
--- a/tests/raft/test_bootstrap.py
+++ b/tests/raft/test_bootstrap.py
@@ -349,7 +349,7 @@
         (Member(1, address(1)), Member(2, address(2)), Member(bootstrap.identity.replica_id, address(3)))
     )
     bootstrap.accept(0.1, proposal)
-    assert not bootstrap.has_stalled(10.0, proposal.members)
+    assert not bootstrap.check_stalled(10.0, proposal.members)
 
 
 def test_members_of_crossed_bootstraps_report_that_they_have_no_entry():
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -152,7 +152,7 @@
             tenant = names[running]
             if excess:
                 flow = sched._flows._flows[tenant, "tag"]
-                flow.latency_excess_s, flow.responses = (1.0 if tenant == "late" else -1.0), 8
+                flow.latency_excess_s, flow.first_chunks_in_round = (1.0 if tenant == "late" else -1.0), 8
             served[tenant] += 1
             (send,) = sched.ended(now, running, Outcome.DONE)
             running = send.request_id
@@ -172,7 +172,7 @@
     sched.ended(105.0, "r1", Outcome.LOST)
     sched.first_event(105.1, "r1", 0.1)
     flow = sched._flows._flows["a", "chat"]
-    assert flow.latency_excess_s <= 0 and flow.responses <= 1
+    assert flow.latency_excess_s <= 0 and flow.first_chunks_in_round <= 1
 
 
 def test_a_request_whose_server_is_full_does_not_block_those_behind_it():
