--- a/ochrespan/control_plane/quota/allocation.py
+++ b/ochrespan/control_plane/quota/allocation.py
@@ -223,28 +223,28 @@
 
     def __init__(self) -> None:
         self._grants: deque[_UnspentGrant] = deque()
-        self._unused = 0.0  # to be returned to the owner of `epoch`
+        self._unused_tokens = 0.0  # to be returned to the owner of `epoch`
         self.epoch = 0
 
     def add(self, tokens: float, requested_at: float, epoch: int) -> None:
         """Adds a grant; its lifetime starts when it was requested, which is safe as the owner granted it later."""
         if epoch != self.epoch:
             self.epoch = epoch
-            self._unused = 0.0
+            self._unused_tokens = 0.0
         if tokens > 0:
             self._grants.append(_UnspentGrant(tokens, requested_at + GRANT_LIFETIME_S, epoch))
 
     def put_back(self, tokens: float, epoch: int) -> None:
         """Returns tokens that were taken from a grant of `epoch` and will certainly not be spent."""
         if epoch == self.epoch:
-            self._unused += tokens
+            self._unused_tokens += tokens
 
     def available(self, now: float) -> float:
         """Drops expired grants and returns the number of tokens that may be spent now."""
         while self._grants and self._grants[0].expires_at <= now:
             expired = self._grants.popleft()
             if expired.epoch == self.epoch:
-                self._unused += expired.tokens
+                self._unused_tokens += expired.tokens
         return sum(grant.tokens for grant in self._grants)
 
     def take(self, tokens: float, now: float) -> bool:
@@ -262,6 +262,6 @@
 
     def take_unused(self) -> float:
         """Returns the number of tokens that expired or were put back since the last call."""
-        unused = self._unused
-        self._unused = 0.0
+        unused = self._unused_tokens
+        self._unused_tokens = 0.0
         return unused
--- a/ochrespan/control_plane/replication/lag_detector.py
+++ b/ochrespan/control_plane/replication/lag_detector.py
@@ -22,7 +22,7 @@
     """Compares the applied offsets of other controllers with this one's. Times are seconds of the monotonic clock."""
 
     def __init__(self) -> None:
-        self._missing: dict[int, _MissingOffset] = {}  # by shard: the first offset that was found missing here
+        self._missing_offsets: dict[int, _MissingOffset] = {}  # by shard: the first offset that was found missing here
 
     def record_offsets(self, offsets: Mapping[int, int], applied: Mapping[int, int], now: float) -> None:
         """Records the offsets that another controller has reported.
@@ -33,12 +33,15 @@
             now: Seconds of the monotonic clock.
         """
         for shard, offset in offsets.items():
-            if offset > applied.get(shard, 0) and shard not in self._missing:
-                self._missing[shard] = _MissingOffset(offset, now)
+            if offset > applied.get(shard, 0) and shard not in self._missing_offsets:
+                self._missing_offsets[shard] = _MissingOffset(offset, now)
 
     def lags(self, applied: Mapping[int, int], now: float) -> dict[int, float]:
         """Seconds for which this controller has lagged, by shard; 0 for a shard that is up to date."""
-        for shard, missing in list(self._missing.items()):
+        for shard, missing in list(self._missing_offsets.items()):
             if applied.get(shard, 0) >= missing.offset:
-                del self._missing[shard]
-        return {shard: now - self._missing[shard].since if shard in self._missing else 0.0 for shard in applied}
+                del self._missing_offsets[shard]
+        return {
+            shard: now - self._missing_offsets[shard].since if shard in self._missing_offsets else 0.0
+            for shard in applied
+        }
--- a/ochrespan/control_plane/replication/raft_wire.py
+++ b/ochrespan/control_plane/replication/raft_wire.py
@@ -48,7 +48,7 @@
     LeaveNotice,
     ClusterInUse,
 )
-_TYPE_NUMBERS = {message_type: number for number, message_type in enumerate(_MESSAGE_TYPES)}
+_TYPE_NUMBERS = {message_type: type_number for type_number, message_type in enumerate(_MESSAGE_TYPES)}
 _FIELD_NAMES = {
     message_type: tuple(field.name for field in dataclasses.fields(message_type)) for message_type in _MESSAGE_TYPES
 }
@@ -93,7 +93,7 @@
         TypeError: A frame is not a list, or its message or one of its entries lacks a field.
         IndexError: No message type has that number, or the entries are missing.
     """
-    frames = [(group, _unpack_message(number, fields)) for group, number, *fields in batch.frames]
+    frames = [(group, _unpack_message(type_number, fields)) for group, type_number, *fields in batch.frames]
     return Envelope(batch.cluster, batch.sender, (batch.host, batch.port), batch.to, frames)
 
 
@@ -107,18 +107,18 @@
     return [_TYPE_NUMBERS[message_type], *fields]
 
 
-def _unpack_message(number: int, fields: list[Any]) -> Any:
+def _unpack_message(type_number: int, fields: list[Any]) -> Any:
     """Decodes a message; ignores fields that a later version of the program added."""
-    message_type = _MESSAGE_TYPES[number]
+    message_type = _MESSAGE_TYPES[type_number]
     fields = fields[: len(_FIELD_NAMES[message_type])]
-    if number == _APPEND_ENTRIES:
+    if type_number == _APPEND_ENTRIES:
         fields[_ENTRIES_INDEX] = unpack_entries(fields[_ENTRIES_INDEX])
-    elif number == _PROPOSAL:
+    elif type_number == _PROPOSAL:
         fields[_MEMBERS_INDEX] = tuple(
             Member(replica_id, (host, port)) for replica_id, host, port in fields[_MEMBERS_INDEX]
         )
-    elif number in _ADDRESS_INDICES:
-        for index in _ADDRESS_INDICES[number]:
+    elif type_number in _ADDRESS_INDICES:
+        for index in _ADDRESS_INDICES[type_number]:
             if index < len(fields):  # an earlier version of the program does not send it
                 fields[index] = _unpack_addresses(fields[index])
     return message_type(*fields)
--- a/ochrespan/data_plane/connection_pool.py
+++ b/ochrespan/data_plane/connection_pool.py
@@ -61,14 +61,14 @@
         self.open_count = 0  # idle and in use
         self.closed = False
         self._deadlines = deadlines
-        self._idle: list[ServerConnection] = []  # the most recently used one last
+        self._idle_connections: list[ServerConnection] = []  # the most recently used one last
         self._expiry_timer: Deadline | None = None
         self._waiters: list[Wakeup] = []
 
     @property
     def has_capacity(self) -> bool:
         """Whether `acquire` can return a connection."""
-        return bool(self._idle) or self.open_count < self.max_connections
+        return bool(self._idle_connections) or self.open_count < self.max_connections
 
     def acquire(self, unsafe: bool) -> ServerConnection | None:
         """Returns an idle connection, or a new one that is still connecting; None if the limit is reached.
@@ -76,8 +76,8 @@
         Raises OSError if the connection attempt fails immediately.
         """
         now = time.monotonic()
-        while self._idle:
-            connection = self._idle.pop()
+        while self._idle_connections:
+            connection = self._idle_connections.pop()
             connection.socket.on_event = ignore_event
             if connection.is_usable(now, unsafe):
                 return connection
@@ -104,7 +104,7 @@
             now + UNSAFE_REUSE_MAX_IDLE_S if keep_alive_s is None else connection.reusable_until
         )
         connection.socket.on_event = lambda: self._drop_idle(connection)
-        self._idle.append(connection)
+        self._idle_connections.append(connection)
         if self._expiry_timer is None:
             self._expiry_timer = self._deadlines.schedule(connection.reusable_until, self._close_expired)
         self._notify_next_waiter()
@@ -119,8 +119,8 @@
     def close(self) -> None:
         """Closes idle connections, and those in use once they are released."""
         self.closed = True
-        while self._idle:
-            self.discard(self._idle.pop())
+        while self._idle_connections:
+            self.discard(self._idle_connections.pop())
         if self._expiry_timer is not None:
             self._expiry_timer.cancel()
 
@@ -138,16 +138,16 @@
 
     def _drop_idle(self, connection: ServerConnection) -> None:
         """Closes an idle connection after a disconnect, unexpected bytes or the keep-alive timeout."""
-        self._idle.remove(connection)
+        self._idle_connections.remove(connection)
         self.discard(connection)
 
     def _close_expired(self) -> None:
         self._expiry_timer = None
         now = time.monotonic()
-        for connection in [idle for idle in self._idle if idle.reusable_until <= now]:
+        for connection in [idle for idle in self._idle_connections if idle.reusable_until <= now]:
             self._drop_idle(connection)
-        if self._idle:
-            earliest = min(connection.reusable_until for connection in self._idle)
+        if self._idle_connections:
+            earliest = min(connection.reusable_until for connection in self._idle_connections)
             self._expiry_timer = self._deadlines.schedule(earliest, self._close_expired)
 
 
--- a/ochrespan/data_plane/event_stream.py
+++ b/ochrespan/data_plane/event_stream.py
@@ -13,33 +13,33 @@
 class EventStream:
     """The forwarding state of one client's stream, across all servers that have served it."""
 
-    __slots__ = ("last_id", "error", "_ids_consecutive", "_pending", "_resumed")
+    __slots__ = ("last_id", "error", "_ids_consecutive", "_partial_event", "_resumed")
 
     def __init__(self) -> None:
         self.last_id: int | None = None
         self.error = ""  # why no more events of the current server may be forwarded
         self._ids_consecutive = True  # every id so far was its predecessor plus 1
-        self._pending = b""
+        self._partial_event = b""
         self._resumed = False
 
     @property
     def has_partial_event(self) -> bool:
         """Whether an incomplete event is buffered."""
-        return bool(self._pending)
+        return bool(self._partial_event)
 
     def start_continuation(self) -> None:
         """Prepares for bytes of another server, which must continue after `last_id`."""
         self.error = ""
-        self._pending = b""
+        self._partial_event = b""
         self._resumed = self.last_id is not None
 
     def take_complete_events(self, data: bytes) -> bytes:
         """Returns the events that `data` completes, up to the first one that violates the order of ids."""
-        if self._pending:
-            data = self._pending + data
+        if self._partial_event:
+            data = self._partial_event + data
         end = len(data) if data.endswith(_EVENT_END) else _end_of_events(data, len(data))
-        self._pending = data[end:]
-        if len(self._pending) > MAX_EVENT_BYTES:
+        self._partial_event = data[end:]
+        if len(self._partial_event) > MAX_EVENT_BYTES:
             self.error = "event too long"
         for match in _EVENT_ID.finditer(data, 0, end):
             if not self._accept_id(int(match[1])):
--- a/ochrespan/data_plane/ingress.py
+++ b/ochrespan/data_plane/ingress.py
@@ -201,52 +201,52 @@
         self.max_connections = max_connections
         self.body_memory = BodyMemoryBudget(max_body_bytes)
         self.draining = False
-        self._idle: OrderedDict[ClientConnection, None] = OrderedDict()  # the longest idle one first
-        self._open: set[ClientConnection] = set()
+        self._idle_clients: OrderedDict[ClientConnection, None] = OrderedDict()  # the longest idle one first
+        self._open_clients: set[ClientConnection] = set()
 
     @property
     def open_connections(self) -> int:
-        return len(self._open)
+        return len(self._open_clients)
 
     @property
     def idle_connections_with_request_bytes(self) -> int:
         """The number of idle connections that have received part of a request."""
-        return sum(connection.has_unread_bytes for connection in self._idle)
+        return sum(connection.has_unread_bytes for connection in self._idle_clients)
 
     @property
     def keep_alive_value(self) -> bytes:
         return b"timeout=%d" % max(1, int(self.front.limits.idle_timeout_s * KEEP_ALIVE_FRACTION))
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        self._open.add(connection)
-        self._idle[connection] = None
-        if len(self._open) > self.max_connections:
-            self._close_idle(next((each for each in self._idle if not each.has_unread_bytes), connection))
+        self._open_clients.add(connection)
+        self._idle_clients[connection] = None
+        if len(self._open_clients) > self.max_connections:
+            self._close_idle(next((each for each in self._idle_clients if not each.has_unread_bytes), connection))
 
     def connection_idle(self, connection: ClientConnection) -> None:
-        self._idle[connection] = None
+        self._idle_clients[connection] = None
         if self.draining and not connection.has_unread_bytes:
             self._close_idle(connection)
 
     def connection_active(self, connection: ClientConnection) -> None:
-        self._idle.pop(connection, None)
+        self._idle_clients.pop(connection, None)
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        self._open.discard(connection)
-        self._idle.pop(connection, None)
+        self._open_clients.discard(connection)
+        self._idle_clients.pop(connection, None)
 
     def drain(self) -> None:
         """Sends `Connection: close` with responses from now on, and closes idle connections."""
         self.draining = True
-        for connection in list(self._idle):
+        for connection in list(self._idle_clients):
             if not connection.has_unread_bytes:  # a request that has started to arrive must be served
                 self._close_idle(connection)
 
     def abort_connections(self) -> None:
         """Closes all connections, including those with requests in flight."""
-        for connection in list(self._open):
+        for connection in list(self._open_clients):
             connection.close_and_notify()
 
     def _close_idle(self, connection: ClientConnection) -> None:
-        self._idle.pop(connection, None)
+        self._idle_clients.pop(connection, None)
         connection.close_and_notify()
--- a/ochrespan/membership/protocol.py
+++ b/ochrespan/membership/protocol.py
@@ -178,9 +178,9 @@
         self._period_ends_at = now + PROTOCOL_PERIOD_S * stretch
         target = self._next_target()
         if target is not None:
-            number = self._next_sequence_number()
-            self._probe = _Probe(target, number, now + PROBE_TIMEOUT_S * stretch, self._period_ends_at)
-            self._send(target, Ping(number, self._updates_for(target)))
+            sequence_number = self._next_sequence_number()
+            self._probe = _Probe(target, sequence_number, now + PROBE_TIMEOUT_S * stretch, self._period_ends_at)
+            self._send(target, Ping(sequence_number, self._updates_for(target)))
         self._ping_suspects(target)
 
     def _ping_suspects(self, target: Address | None) -> None:
@@ -216,23 +216,23 @@
             self._send(relayed.origin, Ack(relayed.sequence_number, []))
 
     def _relay_probe(self, now: float, origin: Address, request: PingRequest) -> None:
-        number = self._next_sequence_number()
-        self._relayed_probes[number] = _RelayedProbe(
+        own_sequence_number = self._next_sequence_number()
+        self._relayed_probes[own_sequence_number] = _RelayedProbe(
             origin=origin,
             sequence_number=request.sequence_number,
             nack_at=now + PROBE_TIMEOUT_S * NACK_FRACTION,
             ends_at=now + PROTOCOL_PERIOD_S,
         )
         target = (request.host, request.port)
-        self._send(target, Ping(number, self._updates_for(target)))
+        self._send(target, Ping(own_sequence_number, self._updates_for(target)))
 
     def _advance_relayed_probes(self, now: float) -> None:
-        for number, relayed in list(self._relayed_probes.items()):
+        for own_sequence_number, relayed in list(self._relayed_probes.items()):
             if now >= relayed.nack_at and not relayed.is_nack_sent:
                 relayed.is_nack_sent = True
                 self._send(relayed.origin, Nack(relayed.sequence_number))
             if now >= relayed.ends_at:
-                del self._relayed_probes[number]
+                del self._relayed_probes[own_sequence_number]
 
     def _expire_suspicions(self, now: float) -> None:
         for record in self.table.alive_members():
--- a/ochrespan/raft/opening.py
+++ b/ochrespan/raft/opening.py
@@ -56,7 +56,7 @@
         if not initial_members:
             return True
         marker_index = replica.state.log.marker_index
-        return marker_index is not None and not _missing(replica, initial_members, marker_index)
+        return marker_index is not None and not _missing_members(replica, initial_members, marker_index)
 
     def advance(self, now: float) -> None:
         """Appends the marker in each group that is led here, where all initial members have acknowledged an entry."""
@@ -68,7 +68,7 @@
         for replica in self._local_groups.replicas.values():
             if replica.state.role is not Role.LEADER or replica.state.log.marker_index is not None:
                 continue
-            if not _missing(replica, initial_members, replica.replication.term_start_index):
+            if not _missing_members(replica, initial_members, replica.replication.term_start_index):
                 replica.state.now = now
                 replica.replication.append(EntryKind.COMMAND, MARKER)
         self._report_missing(now)
@@ -80,7 +80,7 @@
         for replica in self._local_groups.replicas.values():
             if replica.state.role is Role.LEADER and not self.is_open(replica):
                 index = replica.state.log.marker_index or replica.replication.term_start_index
-                missing.update(_missing(replica, initial_members, index))
+                missing.update(_missing_members(replica, initial_members, index))
         return sorted(missing)
 
     def _awaited_members(self) -> tuple[Address, ...]:
@@ -102,7 +102,7 @@
             log.warning("commands wait for initial members missing=%s", ",".join(map(format_address, missing)))
 
 
-def _missing(replica: Replica, initial_members: tuple[Address, ...], index: int) -> list[Address]:
+def _missing_members(replica: Replica, initial_members: tuple[Address, ...], index: int) -> list[Address]:
     """The initial members that are no voters, or have not acknowledged the entry at `index` to the leader."""
     state = replica.state
     configuration = state.configuration
--- a/ochrespan/raft/reads.py
+++ b/ochrespan/raft/reads.py
@@ -28,38 +28,38 @@
     def __init__(self, state: ReplicaState, replication: LeaderReplication) -> None:
         self._state = state
         self._replication = replication
-        self._pending: list[PendingRead] = []
+        self._pending_reads: list[PendingRead] = []
 
     def add(self, token: Any) -> None:
         """Begins a read; the caller has checked that this replica leads."""
-        self._pending.append(PendingRead(self._state.stamp(), self._state.commit_index, token))
+        self._pending_reads.append(PendingRead(self._state.stamp(), self._state.commit_index, token))
 
     def take_all(self) -> list[Any]:
         """Tokens of all pending reads: leadership has ended, so they will not be confirmed here."""
-        tokens = [read.token for read in self._pending]
-        self._pending = []
+        tokens = [read.token for read in self._pending_reads]
+        self._pending_reads = []
         return tokens
 
     def take_confirmed(self) -> list[Any]:
         """Tokens of reads that a majority has confirmed and whose state is applied."""
-        if not self._pending:
+        if not self._pending_reads:
             return []
         confirmed_stamp = self._replication.quorum_stamp()
         applied_index = self._state.applied_index
         ready: list[Any] = []
         pending: list[PendingRead] = []
-        for read in self._pending:
+        for read in self._pending_reads:
             if read.stamp <= confirmed_stamp and read.commit_index <= applied_index:
                 ready.append(read.token)
             else:
                 pending.append(read)
-        self._pending = pending
+        self._pending_reads = pending
         return ready
 
     def request_confirmation(self) -> None:
         """Sends a round of heartbeats if the newest read is not covered by the last one."""
         replication = self._replication
-        if not self._pending or self._pending[-1].stamp <= replication.last_broadcast_stamp:
+        if not self._pending_reads or self._pending_reads[-1].stamp <= replication.last_broadcast_stamp:
             return
         is_confirmed = replication.quorum_stamp() >= replication.last_broadcast_stamp
         waited_s = self._state.now - replication.last_broadcast_stamp
