--- a/ochrespan/control_plane/feed/controller_choice.py
+++ b/ochrespan/control_plane/feed/controller_choice.py
@@ -23,6 +23,8 @@
 
 @dataclass(slots=True)
 class _Candidate:
+    """A controller that the router may connect to."""
+
     zone: str = ""
     is_seed: bool = False
     named_at: float = 0.0  # when the feed or membership last listed it
--- a/ochrespan/control_plane/feed/live_routers.py
+++ b/ochrespan/control_plane/feed/live_routers.py
@@ -24,6 +24,8 @@
 
 @dataclass(frozen=True, slots=True)
 class _Report:
+    """The latest report of another controller: the routers that subscribe to its feed."""
+
     routers: frozenset[str]
     zone: str
     received_at: float
--- a/ochrespan/control_plane/feed/shard_snapshots.py
+++ b/ochrespan/control_plane/feed/shard_snapshots.py
@@ -22,6 +22,8 @@
 
 @dataclass(frozen=True, slots=True)
 class _CachedSnapshot:
+    """The encoded state of a shard at an offset."""
+
     offset: int
     encoded_at: float
     encoded: bytes
--- a/ochrespan/control_plane/quota/allocation.py
+++ b/ochrespan/control_plane/quota/allocation.py
@@ -209,6 +209,8 @@
 
 @dataclass(slots=True)
 class _UnspentGrant:
+    """The tokens of a grant that have not been spent, usable until `expires_at`."""
+
     tokens: float
     expires_at: float
     epoch: int
--- a/ochrespan/control_plane/quota/client.py
+++ b/ochrespan/control_plane/quota/client.py
@@ -88,6 +88,8 @@
 
 @dataclass(slots=True)
 class _TenantState:
+    """What this router knows of one tenant's quota; `used_at` is the time of the latest request."""
+
     reserved: ReservedShare
     demand: _Demand
     used_at: float
--- a/ochrespan/control_plane/registry/heartbeats.py
+++ b/ochrespan/control_plane/registry/heartbeats.py
@@ -52,8 +52,8 @@
         self._last_heartbeat_at.pop(instance_id, None)
         self._sequences.pop(instance_id, None)
 
-    def expired(self, registered: Iterable[str], now: float) -> list[str]:
-        """Returns the registered instances without a heartbeat for the full time-out.
+    def check_expired(self, registered: Iterable[str], now: float) -> list[str]:
+        """Returns the registered instances without a heartbeat for the full time-out; records the time of this check.
 
         Has to be called at intervals below `MAX_CHECK_GAP_S`. If most instances seem expired at once, a fault of this
         process or its network is more likely than one of every server: they expire after `MASS_EXPIRY_TIMEOUTS`
--- a/ochrespan/control_plane/registry/owner.py
+++ b/ochrespan/control_plane/registry/owner.py
@@ -103,7 +103,7 @@
 
     def find_expired(self, shard: int, now: float) -> list[str]:
         """Returns the instances to expire in a shard; none if this process does not lead it."""
-        expired = self._monitors[shard].expired(self._machines[shard].records, now)
+        expired = self._monitors[shard].check_expired(self._machines[shard].records, now)
         return expired if expired and self._groups.is_leader(shard) else []
 
     def _expire(self, shard: int, expired: list[str]) -> None:
--- a/ochrespan/data_plane/placement.py
+++ b/ochrespan/data_plane/placement.py
@@ -17,7 +17,9 @@
 from .prefill_times import PrefillTimes, compute_prefill_cost
 from .server_state import ServerState
 
-CACHE_MISS_FACTOR = 10.0  # cost of a prefix prefill over its own time: other requests at the server wait as well
+CACHE_MISS_FACTOR = (
+    10.0  # cost of a prefix prefill as a multiple of its duration: other requests at the server wait too
+)
 MAX_WAIT_FRACTION = 0.25  # cap of the expected wait that counts for a shared prefix, over the latency target
 IN_FLIGHT_COST_S = 0.0005  # by which each request in flight slows a new one down
 CROSS_ZONE_COST_S = 0.003  # latency that is accepted to avoid traffic between zones
--- a/ochrespan/data_plane/retry_budget.py
+++ b/ochrespan/data_plane/retry_budget.py
@@ -10,7 +10,7 @@
 from ..sliding_sum import SlidingSum
 
 SAFETY_FACTOR = (
-    0.85  # fraction of the budget that is used: killed routers have spent theirs, and the number of routers may lag
+    0.85  # fraction of the budget that is used: killed routers have spent theirs, the router count may be outdated
 )
 
 
--- a/ochrespan/raft/follower.py
+++ b/ochrespan/raft/follower.py
@@ -21,7 +21,7 @@
     def __init__(self, state: ReplicaState) -> None:
         self._state = state
         self._received = bytearray()  # contiguous chunks of the snapshot in transfer
-        self._snapshot_key: tuple[int, int] = (0, 0)  # its term and index
+        self._snapshot_key: tuple[int, int] = (0, 0)  # term and index of the snapshot that is being received
 
     def receive_entries(self, leader: int, message: AppendEntries) -> None:
         """Appends entries that continue this log; otherwise responds with the index that the leader should try next."""
--- a/ochrespan/raft/leader.py
+++ b/ochrespan/raft/leader.py
@@ -55,10 +55,10 @@
 
     member: Member
     next_index: int
-    last_contact_at: float  # when its last message arrived
-    stable_since: float  # since when it has been in contact without a long gap
+    last_contact_at: float  # when the last message of the replica arrived
+    stable_since: float  # since when the replica has been in contact without a long gap
     match_index: int = 0
-    stamp: float = float("-inf")  # the newest stamp that it has repeated
+    stamp: float = float("-inf")  # the newest stamp that the replica has repeated (see `messages`)
     eligible: bool = True
     mode: ProgressMode = ProgressMode.PROBE
     in_flight: int = 0  # appends or chunks without a response
@@ -66,10 +66,10 @@
     sent_at: float = float("-inf")
     sent_stamp: float = float("-inf")
     resends: int = 0  # in a row, without anything being acknowledged
-    snapshot: Snapshot | None = None  # the one in transfer, sent completely even if a newer one replaces it meanwhile
-    snapshot_offset: int = 0  # bytes of it that have arrived
+    snapshot: Snapshot | None = None  # in transfer to the replica, sent completely even if there is a newer one
+    snapshot_offset: int = 0  # bytes of the snapshot that have arrived
     snapshot_sent: int = 0
-    commit_index_sent: int = 0  # the highest commit index that it was sent
+    commit_index_sent: int = 0  # the highest commit index that was sent to the replica
     commit_index_sent_at: float = float("-inf")
 
     def resend(self) -> None:
--- a/ochrespan/raft/reconfiguration.py
+++ b/ochrespan/raft/reconfiguration.py
@@ -22,7 +22,7 @@
 
     standbys: tuple[Member, ...]  # learners that have caught up
     lost: tuple[int, ...]  # voters that timed out, shut down, or returned under another id; longest lost first
-    replaced: frozenset[int] = frozenset()  # those of them whose disk is gone: another id has their address
+    replaced: frozenset[int] = frozenset()  # lost voters whose disk is gone: another id has their address
     has_contact_with_all: bool = True  # every voter has lately responded to this leader
 
 
--- a/ochrespan/raft/state.py
+++ b/ochrespan/raft/state.py
@@ -70,8 +70,8 @@
     entries: list[Entry]
 
 
-# A message that may be sent once a write is persisted: number of that write (from 1), receiver, message. One is made
-# for each acknowledgement, so it is a plain tuple.
+# A message that may be sent once a write is persisted: number of that write (from 1), receiver id, message. It
+# is a plain tuple since one is created for each acknowledgement.
 PendingMessage = tuple[int, int, Message]
 
 
--- a/tests/control_plane/registry/test_instances.py
+++ b/tests/control_plane/registry/test_instances.py
@@ -159,7 +159,7 @@
     now = since
     while now + 0.5 <= until:
         now += 0.5
-        if expired := monitor.expired(registered, now):
+        if expired := monitor.check_expired(registered, now):
             return expired, now
     return [], now
 
@@ -180,7 +180,7 @@
 def test_a_monitor_that_was_paused_starts_again():
     monitor = started_monitor(("a", 1, 101.0), ("b", 1, 101.0))
     assert tick(monitor, ["a"], 102.0)[0] == []
-    assert monitor.expired(["a"], 130.0) == []
+    assert monitor.check_expired(["a"], 130.0) == []
     assert tick(monitor, ["a"], 130.0 + TIMEOUT, since=130.0)[0] == []
 
 
