--- a/ochrespan/control_plane/registry/owner.py
+++ b/ochrespan/control_plane/registry/owner.py
@@ -56,7 +56,7 @@
 
     def __init__(self, groups: ReplicaGroups, machines: Mapping[int, InstanceStateMachine], heartbeat_s: float) -> None:
         self._groups = groups
-        self._machines = machines
+        self._state_machines = machines
         self._monitors = {shard: HeartbeatMonitor(heartbeat_timeout_s(heartbeat_s)) for shard in machines}
 
     def leadership_changed(self, shard: int, is_leader: bool) -> None:
@@ -74,7 +74,7 @@
         record = record_from_fields(report.record)
         self._require_leadership(shard)
         self._monitors[shard].record(record.id, record.sequence, monotonic())
-        if not _is_change(self._machines[shard], record):
+        if not _is_change(self._state_machines[shard], record):
             return self._acknowledge_uncommitted(shard)
         return self._commit(shard, RegisterInstance(record_fields(record)))
 
@@ -82,7 +82,7 @@
         """Acknowledges the end of an instance after its removal is committed."""
         shard = request.shard
         self._require_leadership(shard)
-        if self._machines[shard].is_removed(request.id):
+        if self._state_machines[shard].is_removed(request.id):
             return self._acknowledge_uncommitted(shard)
         response = self._commit(shard, RemoveInstance(request.id))
         if response.status == OK:
@@ -103,12 +103,12 @@
 
     def find_expired(self, shard: int, now: float) -> list[str]:
         """Returns the instances to expire in a shard; none if this process does not lead it."""
-        expired = self._monitors[shard].check_expired(self._machines[shard].records, now)
+        expired = self._monitors[shard].check_expired(self._state_machines[shard].records, now)
         return expired if expired and self._groups.is_leader(shard) else []
 
     def _expire(self, shard: int, expired: list[str]) -> None:
         """Proposes an expiry, with sequence numbers: an instance that reports before the commitment does not expire."""
-        records = self._machines[shard].records
+        records = self._state_machines[shard].records
         sequences = {each: records[each].sequence for each in expired if each in records}
         try:
             change = self._groups.propose(shard, encode(ExpireInstances(sequences)), CALL_TIMEOUT_S)
