--- a/ochrespan/data_plane/placement.py
+++ b/ochrespan/data_plane/placement.py
@@ -129,7 +129,7 @@
         return MOVED if server in ranked else ANY
 
     def select(
-        self, now: float, prompt: Prompt, tried: Sequence[str], usable: Callable[[ServerState], bool]
+        self, now: float, prompt: Prompt, tried_ids: Sequence[str], is_usable: Callable[[ServerState], bool]
     ) -> ServerState | None:
         """Returns the server with the lowest expected time among those not tried yet, if it is usable now.
 
@@ -137,13 +137,13 @@
         without goes to any usable server.
         """
         if not prompt.shared_tokens:
-            return self.select_any(now, prompt, tried, usable)
+            return self.select_any(now, prompt, tried_ids, is_usable)
         ranked = self._ranked(prompt)
-        candidates = [s for s in ranked if s.is_healthy(now) and s.server.id not in tried][:AFFINITY_SERVERS]
+        candidates = [s for s in ranked if s.is_healthy(now) and s.server.id not in tried_ids][:AFFINITY_SERVERS]
         if not candidates:
-            return self.select_any(now, prompt, tried, usable)
+            return self.select_any(now, prompt, tried_ids, is_usable)
         selected = self._select_cheapest(now, prompt, candidates)
-        return selected if selected is not None and usable(selected) else None
+        return selected if selected is not None and is_usable(selected) else None
 
     def _ranked(self, prompt: Prompt) -> list[ServerState]:
         """Returns the servers for a prompt in order: the one assigned to its prefix, if known, then by the hash."""
@@ -156,10 +156,12 @@
         )
 
     def select_any(
-        self, now: float, prompt: Prompt, tried: Sequence[str], usable: Callable[[ServerState], bool]
+        self, now: float, prompt: Prompt, tried_ids: Sequence[str], is_usable: Callable[[ServerState], bool]
     ) -> ServerState | None:
         """Returns the usable server with the lowest expected time, wherever the shared prefix is cached."""
-        return self._select_cheapest(now, prompt, [s for s in self._servers if usable(s) and s.server.id not in tried])
+        return self._select_cheapest(
+            now, prompt, [s for s in self._servers if is_usable(s) and s.server.id not in tried_ids]
+        )
 
     def _select_cheapest(self, now: float, prompt: Prompt, servers: Iterable[ServerState]) -> ServerState | None:
         cached_cost_s, uncached_cost_s = self._costs(prompt)
--- a/ochrespan/data_plane/scheduler.py
+++ b/ochrespan/data_plane/scheduler.py
@@ -217,7 +217,7 @@
         """Sends queued requests while a selected server has free capacity."""
         if not pool.queues:
             return
-        queue_length = max(MIN_QUEUE_LENGTH, 2 * sum(ceil(server.window) for server in pool.usable))
+        queue_length = max(MIN_QUEUE_LENGTH, 2 * sum(ceil(server.window) for server in pool.usable_servers))
         while True:
             pool.queues.promote(now, queue_length)
             ready_send = self._next_send(now, pool)
@@ -288,12 +288,12 @@
     def _send_overdue(self, now: float, pool: ServicePool, job: Job) -> bool:
         """Sends an overdue request beyond the window of a server, unless the wait there would be too long."""
 
-        def usable(candidate: ServerState) -> bool:
+        def is_usable(candidate: ServerState) -> bool:
             return candidate.can_exceed_window(now)
 
         placement = pool.placement
-        server = placement.select(now, job.prompt, job.tried_server_ids, usable) or placement.select_any(
-            now, job.prompt, job.tried_server_ids, usable
+        server = placement.select(now, job.prompt, job.tried_server_ids, is_usable) or placement.select_any(
+            now, job.prompt, job.tried_server_ids, is_usable
         )
         if server is None:
             return False
@@ -317,7 +317,7 @@
 
     def _retry_after(self, now: float, pool: ServicePool, job: Job) -> float:
         """Returns the Retry-After in seconds: the shortest expected wait, with jitter to spread the retries."""
-        wait_s = min((server.queue_wait(now) for server in pool.usable), default=inf)
+        wait_s = min((server.queue_wait(now) for server in pool.usable_servers), default=inf)
         return min(0.5 * job.request.latency_target_s, max(wait_s, 0.1 * job.request.latency_target_s)) * (
             0.5 + self._random.random()
         )
--- a/ochrespan/data_plane/service_pool.py
+++ b/ochrespan/data_plane/service_pool.py
@@ -24,7 +24,7 @@
     listed: list[Server] = field(default_factory=list)  # as in the routing table
     routers: int = 0
     servers: dict[str, ServerState] = field(default_factory=dict)
-    usable: list[ServerState] = field(default_factory=list)  # not draining
+    usable_servers: list[ServerState] = field(default_factory=list)  # not draining
     queues: FlowQueues = field(default_factory=FlowQueues)
 
     def set_servers(self, listed: list[Server], routers: int) -> None:
@@ -39,8 +39,8 @@
             state.set_router_count(routers)
             servers[server.id] = state
         self.servers = servers
-        self.usable = [state for state in servers.values() if not state.server.draining]
-        self.placement.set_servers(self.usable)
+        self.usable_servers = [state for state in servers.values() if not state.server.draining]
+        self.placement.set_servers(self.usable_servers)
 
     def set_router_count(self, routers: int) -> None:
         """Adjusts the windows of all servers to the number of routers."""
@@ -68,5 +68,5 @@
 
     def can_eject(self, now: float) -> bool:
         """Returns whether one more server may be ejected without exceeding MAX_EJECTED_FRACTION."""
-        ejected = sum(server.health.is_ejected(now) for server in self.usable)
-        return ejected + 1 <= MAX_EJECTED_FRACTION * len(self.usable)
+        ejected = sum(server.health.is_ejected(now) for server in self.usable_servers)
+        return ejected + 1 <= MAX_EJECTED_FRACTION * len(self.usable_servers)
--- a/ochrespan/membership/agent.py
+++ b/ochrespan/membership/agent.py
@@ -62,9 +62,9 @@
     """
 
     def __init__(self, settings: MembershipSettings, on_change: Callable[[], None]) -> None:
-        own = FleetMember(settings.address, settings.role, settings.zone, settings.node)
+        own_member = FleetMember(settings.address, settings.role, settings.zone, settings.node)
         self._on_change = on_change
-        self._protocol = SwimProtocol(own, settings.seeds, random.SystemRandom(), time.monotonic())
+        self._protocol = SwimProtocol(own_member, settings.seeds, random.SystemRandom(), time.monotonic())
         self._endpoint = DatagramEndpoint(settings.address, self._received)
         self._wake = Event()
         self._greenlet: gevent.Greenlet | None = None
--- a/ochrespan/membership/member_table.py
+++ b/ochrespan/membership/member_table.py
@@ -90,7 +90,7 @@
     """Merges updates about members and hands out those that are to be disseminated.
 
     Attributes:
-        own: This process as a member. It has no record.
+        own_member: This process as a member. It has no record.
         incarnation: This process's own incarnation.
         is_leaving: Whether this process has announced its planned shutdown.
         records: The other members.
@@ -98,8 +98,8 @@
         has_refuted: Whether this process has refuted a suspicion or its death since the flag was cleared.
     """
 
-    def __init__(self, own: FleetMember) -> None:
-        self.own = own
+    def __init__(self, own_member: FleetMember) -> None:
+        self.own_member = own_member
         self.incarnation = 0
         self.is_leaving = False
         self.records: dict[Address, MemberRecord] = {}
@@ -115,7 +115,7 @@
     def merge(self, now: float, update: MemberUpdate) -> None:
         """Applies an update if it overrides the state known here, and queues it for dissemination in that case."""
         address = update.address
-        if address == self.own.address:
+        if address == self.own_member.address:
             self._merge_about_self(update)
             return
         record = self.records.get(address)
@@ -131,9 +131,9 @@
         """Records that this process suspects a member."""
         record = self.records.get(address)
         if record is not None and record.state is MemberState.ALIVE:
-            self.merge(now, self._update_about(record, MemberState.SUSPECT, member_number(self.own.address)))
+            self.merge(now, self._update_about(record, MemberState.SUSPECT, member_number(self.own_member.address)))
         elif record is not None and record.state is MemberState.SUSPECT:
-            self._add_suspecting_member(record, member_number(self.own.address))
+            self._add_suspecting_member(record, member_number(self.own_member.address))
 
     def declare_dead(self, now: float, address: Address) -> None:
         """Declares a member dead whose suspicion has timed out."""
@@ -156,8 +156,10 @@
     def own_update(self) -> MemberUpdate:
         """The update that this process sends about itself."""
         state = MemberState.LEFT if self.is_leaving else MemberState.ALIVE
-        own = self.own
-        return MemberUpdate(*own.address, own.role, own.zone, own.node, state, self.incarnation)
+        own_member = self.own_member
+        return MemberUpdate(
+            *own_member.address, own_member.role, own_member.zone, own_member.node, state, self.incarnation
+        )
 
     def update_for(self, address: Address) -> MemberUpdate | None:
         """The update about another member as known here; None where it isn't in the table."""
@@ -168,7 +170,7 @@
         """At most `count` updates to piggyback on a message, the least transmitted first."""
         updates = []
         for address in self._gossip.take(count, len(self.records)):
-            update = self.own_update() if address == self.own.address else self.update_for(address)
+            update = self.own_update() if address == self.own_member.address else self.update_for(address)
             if update is not None:
                 updates.append(update)
         return updates
@@ -205,15 +207,15 @@
 
         Such an update comes from a suspicion, from a declared death, or from an earlier process at this address.
         """
-        own = self.own_update()
-        is_wrong = update.state != own.state or update.member != self.own
+        current = self.own_update()
+        is_wrong = update.state != current.state or update.member != self.own_member
         if update.incarnation > self.incarnation or (update.incarnation == self.incarnation and is_wrong):
             self.has_refuted |= update.state in (MemberState.SUSPECT, MemberState.DEAD)
             self.incarnation = update.incarnation + 1
             self._announce_self()
 
     def _announce_self(self) -> None:
-        self._gossip.push(self.own.address)
+        self._gossip.push(self.own_member.address)
 
     def _update_for_record(self, record: MemberRecord) -> MemberUpdate:
         return self._update_about(record, record.state, next(iter(record.suspecting_members), 0))
--- a/ochrespan/membership/protocol.py
+++ b/ochrespan/membership/protocol.py
@@ -67,16 +67,18 @@
     and `take_has_changed`.
 
     Args:
-        own: This process as a member.
+        own_member: This process as a member.
         seeds: Where to look for other members.
         random_source: For probe targets, members that probe on behalf of this process, and sync times.
         now: Seconds of the clock that all calls use.
     """
 
-    def __init__(self, own: FleetMember, seeds: tuple[Address, ...], random_source: random.Random, now: float) -> None:
-        self.table = MemberTable(own)
+    def __init__(
+        self, own_member: FleetMember, seeds: tuple[Address, ...], random_source: random.Random, now: float
+    ) -> None:
+        self.table = MemberTable(own_member)
         self.local_health_multiplier = 0  # 0 is healthy; time-outs are stretched by 1 + multiplier
-        self._seeds = tuple(seed for seed in seeds if seed != own.address)
+        self._seeds = tuple(seed for seed in seeds if seed != own_member.address)
         self._random = random_source
         self._outbox: list[tuple[Address, SwimMessage]] = []
         self._last_sequence_number = 0
@@ -102,7 +104,7 @@
         """This process, unless it is leaving, and the members that are alive or suspected, by address."""
         members = [record.member for record in self.table.alive_members()]
         if not self.table.is_leaving:
-            members.append(self.table.own)
+            members.append(self.table.own_member)
         return sorted((member for member in members if role in (None, member.role)), key=lambda member: member.address)
 
     def take_messages(self) -> list[tuple[Address, SwimMessage]]:
@@ -118,7 +120,7 @@
 
     def seeds_changed(self, seeds: tuple[Address, ...]) -> None:
         """Replaces the seeds; the members that are known stay."""
-        self._seeds = tuple(seed for seed in seeds if seed != self.table.own.address)
+        self._seeds = tuple(seed for seed in seeds if seed != self.table.own_member.address)
 
     def leave(self) -> None:
         """Announces the planned shutdown to some members, which disseminate it to the others."""
--- a/tests/test_fleet_model.py
+++ b/tests/test_fleet_model.py
@@ -40,7 +40,7 @@
     for router in model.routers:
         pool = router._pools["llm"]
         assert all(0 < base < 2 for base in pool.placement.prefill_times.base_latency_s.values())
-        assert all(state.excess_wait_s < 10 for state in pool.usable)
+        assert all(state.excess_wait_s < 10 for state in pool.usable_servers)
 
 
 def test_a_hot_subject_does_not_push_over_its_server():
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -100,7 +100,7 @@
         for at in sent_server_ids(submit(sched, number, now, PLAIN, safe=True)):
             assert at
             sched.ended(now, f"r{number}", Outcome.NOT_SENT)
-        ejected = [state for state in sched._pools["llm"].usable if state.health.is_ejected(now)]
+        ejected = [state for state in sched._pools["llm"].usable_servers if state.health.is_ejected(now)]
         assert len(ejected) <= 2
 
 
--- a/tests/test_router_tables.py
+++ b/tests/test_router_tables.py
@@ -58,7 +58,7 @@
 
     def server_caps(self) -> dict[str, float]:
         """The capacity limit of each usable server."""
-        return {state.server.id: state.window_cap for pool in self._pools.values() for state in pool.usable}
+        return {state.server.id: state.window_cap for pool in self._pools.values() for state in pool.usable_servers}
 
 
 class Tables:
