--- a/ochrespan/data_plane/placement.py
+++ b/ochrespan/data_plane/placement.py
@@ -14,10 +14,12 @@
 from heapq import nlargest
 
 from .decision_record import ANY, HOME, MOVED
-from .prefill_times import PrefillTimes, prefill_token_cost
+from .prefill_times import PrefillTimes, compute_prefill_cost
 from .server_state import ServerState
 
-CACHE_MISS_FACTOR = 10.0  # cost of a prefix prefill over its own time: other requests at the server wait as well
+CACHE_MISS_FACTOR = (
+    10.0  # cost of a prefix prefill as a multiple of its duration: other requests at the server wait too
+)
 MAX_WAIT_FRACTION = 0.25  # cap of the expected wait that counts for a shared prefix, over the latency target
 IN_FLIGHT_COST_S = 0.0005  # by which each request in flight slows a new one down
 CROSS_ZONE_COST_S = 0.003  # latency that is accepted to avoid traffic between zones
@@ -85,11 +87,11 @@
     is_prefix_uncached: bool = False  # no server is known to have the shared prefix cached
 
     def prefill_cost(self, is_cached: bool) -> float:
-        """Returns the cost of the prefill, in the unit of `prefill_token_cost`."""
+        """Returns the cost of the prefill, in the unit of `compute_prefill_cost`."""
         return (
-            prefill_token_cost(self.shared_tokens, self.own_tokens)
+            compute_prefill_cost(self.shared_tokens, self.own_tokens)
             if is_cached
-            else prefill_token_cost(0, self.shared_tokens + self.own_tokens)
+            else compute_prefill_cost(0, self.shared_tokens + self.own_tokens)
         )
 
 
@@ -127,7 +129,7 @@
         return MOVED if server in ranked else ANY
 
     def select(
-        self, now: float, prompt: Prompt, tried: Sequence[str], usable: Callable[[ServerState], bool]
+        self, now: float, prompt: Prompt, tried_ids: Sequence[str], is_usable: Callable[[ServerState], bool]
     ) -> ServerState | None:
         """Returns the server with the lowest expected time among those not tried yet, if it is usable now.
 
@@ -135,13 +137,13 @@
         without goes to any usable server.
         """
         if not prompt.shared_tokens:
-            return self.select_any(now, prompt, tried, usable)
+            return self.select_any(now, prompt, tried_ids, is_usable)
         ranked = self._ranked(prompt)
-        candidates = [s for s in ranked if s.is_healthy(now) and s.server.id not in tried][:AFFINITY_SERVERS]
+        candidates = [s for s in ranked if s.is_healthy(now) and s.server.id not in tried_ids][:AFFINITY_SERVERS]
         if not candidates:
-            return self.select_any(now, prompt, tried, usable)
+            return self.select_any(now, prompt, tried_ids, is_usable)
         selected = self._select_cheapest(now, prompt, candidates)
-        return selected if selected is not None and usable(selected) else None
+        return selected if selected is not None and is_usable(selected) else None
 
     def _ranked(self, prompt: Prompt) -> list[ServerState]:
         """Returns the servers for a prompt in order: the one assigned to its prefix, if known, then by the hash."""
@@ -154,10 +156,12 @@
         )
 
     def select_any(
-        self, now: float, prompt: Prompt, tried: Sequence[str], usable: Callable[[ServerState], bool]
+        self, now: float, prompt: Prompt, tried_ids: Sequence[str], is_usable: Callable[[ServerState], bool]
     ) -> ServerState | None:
         """Returns the usable server with the lowest expected time, wherever the shared prefix is cached."""
-        return self._select_cheapest(now, prompt, [s for s in self._servers if usable(s) and s.server.id not in tried])
+        return self._select_cheapest(
+            now, prompt, [s for s in self._servers if is_usable(s) and s.server.id not in tried_ids]
+        )
 
     def _select_cheapest(self, now: float, prompt: Prompt, servers: Iterable[ServerState]) -> ServerState | None:
         cached_cost_s, uncached_cost_s = self._costs(prompt)
@@ -178,7 +182,7 @@
     def _costs(self, prompt: Prompt) -> tuple[float, float]:
         """Returns the cost of the prefill, in seconds, with the shared prefix cached and with it not cached."""
         cached, uncached = prompt.prefill_cost(True), prompt.prefill_cost(False)
-        return self.prefill_times.seconds_per_token * cached, self.prefill_times.seconds_per_token * (
+        return self.prefill_times.prefill_s_per_cost_unit * cached, self.prefill_times.prefill_s_per_cost_unit * (
             cached + CACHE_MISS_FACTOR * (uncached - cached)
         )
 
