--- a/ochrespan/transport/tls.py
+++ b/ochrespan/transport/tls.py
@@ -61,7 +61,7 @@
             versions = self._files.versions()
             if versions != self._versions:
                 self._load(versions)
-                log.info("certificate files of this process reloaded certificate=%s", self._files.certificate)
+                log.info("peer certificates reloaded certificate=%s", self._files.certificate)
         except OSError as error:
             log.error("peer certificates not reloaded, the previous ones stay error=%r", str(error))
 
--- a/tests/transport/test_tls.py
+++ b/tests/transport/test_tls.py
@@ -105,7 +105,7 @@
     assert old.call(Secret("a"), 5.0) == Secret("aa")
     key_files(tmp_path, trustme.CA())
     assert rpc.RpcClient(server.address).call(Secret("b"), 5.0) == Secret("bb")
-    assert "certificate files of this process reloaded" in caplog.text
+    assert "peer certificates reloaded" in caplog.text
     assert old.call(Secret("c"), 5.0) == Secret("cc")
 
 
