--- a/ochrespan/broker.py
+++ b/ochrespan/broker.py
@@ -144,14 +144,14 @@
         reservation = None
         if self._gate is not None and request.claim is not None:
             self._check_bounds(request)
-            got = self._gate.admit(self._now(), request)
-            if isinstance(got, NotCovered):
+            admission = self._gate.admit(self._now(), request)
+            if isinstance(admission, NotCovered):
                 self.counts.not_covered += 1
-                return got
-            if isinstance(got, OverBudget):
+                return admission
+            if isinstance(admission, OverBudget):
                 self.counts.over_budget += 1
-                return got
-            reservation, request.plan, request.team = got, got.plan, got.team
+                return admission
+            reservation, request.plan, request.team = admission, admission.plan, admission.team
         pending = None
         try:
             self._check(request)
@@ -245,13 +245,13 @@
     @staticmethod
     def _attempt_limit(pending: _PendingRequest) -> int:
         """The number of attempts allowed so far; 0: unlimited."""
-        if not pending.request.repeatable:
+        if not pending.request.replayable:
             return 1
         return pending.reservation.attempts if pending.reservation else 0
 
     def _funded_attempts(self, pending: _PendingRequest) -> int:
         """The number of attempts covered by the budgets, after trying to reserve one more; 0: unlimited."""
-        if pending.reservation is None or self._gate is None or not pending.request.repeatable:
+        if pending.reservation is None or self._gate is None or not pending.request.replayable:
             return self._attempt_limit(pending)
         if pending.attempts >= pending.reservation.attempts and pending.attempts < self._settings.max_attempts:
             self._gate.extend(self._now(), pending.reservation)
--- a/ochrespan/control_plane/feed/controller_choice.py
+++ b/ochrespan/control_plane/feed/controller_choice.py
@@ -23,6 +23,8 @@
 
 @dataclass(slots=True)
 class _Candidate:
+    """A controller that the router may connect to."""
+
     zone: str = ""
     is_seed: bool = False
     named_at: float = 0.0  # when the feed or membership last listed it
@@ -40,7 +42,7 @@
     """
 
     def __init__(self, node: str, zone: str, seeds: Iterable[Address]) -> None:
-        self._node = node
+        self._node_name = node
         self._zone = zone
         self._candidates: dict[Address, _Candidate] = {}
         self.set_seeds(seeds)
@@ -109,4 +111,4 @@
 
     def _hash(self, address: Address) -> bytes:
         """A hash of router and controller; with a checksum nearly all routers would rank the controllers alike."""
-        return hashlib.blake2b(f"{self._node} {format_address(address)}".encode(), digest_size=8).digest()
+        return hashlib.blake2b(f"{self._node_name} {format_address(address)}".encode(), digest_size=8).digest()
--- a/ochrespan/control_plane/feed/messages.py
+++ b/ochrespan/control_plane/feed/messages.py
@@ -100,8 +100,8 @@
 
 @message("feed.presence")
 @dataclass(slots=True)
-class Presence:
-    """A controller's report to another one.
+class ControllerReport:
+    """A report of a controller to another one, which responds with its own.
 
     Attributes:
         ip: IP of the reporting controller.
--- a/ochrespan/control_plane/quota/allocation.py
+++ b/ochrespan/control_plane/quota/allocation.py
@@ -119,7 +119,7 @@
         self.level = min(self.level, depth)
 
     def take(self, tokens: float, now: float, allow_debt: bool = False) -> bool:
-        """Takes the tokens if there are enough.
+        """Takes the tokens if there are enough; returns whether there were.
 
         Args:
             tokens: How many to take.
@@ -184,12 +184,12 @@
 
     Attributes:
         terms: The tenant's terms.
-        equal_share: 1 divided by the number of live routers.
+        per_router_fraction: 1 divided by the number of live routers.
     """
 
     def __init__(self, terms: QuotaTerms) -> None:
         self.terms = terms
-        self.equal_share = 0.0
+        self.per_router_fraction = 0.0
         self._granted = SlidingWindowSum(terms.window_s)
         self._spent = SlidingWindowSum(terms.window_s + SEND_DELAY_S)
 
@@ -199,9 +199,9 @@
 
     def take(self, tokens: float, now: float) -> bool:
         """Spends the tokens if this router's share still covers them; returns whether it does."""
-        granted_share = min(1.0, self._granted.total(now) / max(self.terms.max_granted, _MIN_MAX_GRANTED))
-        share = EQUAL_FRACTION * self.equal_share + (1 - EQUAL_FRACTION) * granted_share
-        if self._spent.total(now) + tokens > share * self.terms.reserved:
+        granted_fraction = min(1.0, self._granted.total(now) / max(self.terms.max_granted, _MIN_MAX_GRANTED))
+        fraction = EQUAL_FRACTION * self.per_router_fraction + (1 - EQUAL_FRACTION) * granted_fraction
+        if self._spent.total(now) + tokens > fraction * self.terms.reserved:
             return False
         self._spent.add(tokens, now)
         return True
@@ -209,6 +209,8 @@
 
 @dataclass(slots=True)
 class _UnspentGrant:
+    """The tokens of a grant that have not been spent, usable until `expires_at`."""
+
     tokens: float
     expires_at: float
     epoch: int
@@ -223,28 +225,28 @@
 
     def __init__(self) -> None:
         self._grants: deque[_UnspentGrant] = deque()
-        self._unused = 0.0  # to be returned to the owner of `epoch`
+        self._unused_tokens = 0.0  # to be returned to the owner of `epoch`
         self.epoch = 0
 
     def add(self, tokens: float, requested_at: float, epoch: int) -> None:
         """Adds a grant; its lifetime starts when it was requested, which is safe as the owner granted it later."""
         if epoch != self.epoch:
             self.epoch = epoch
-            self._unused = 0.0
+            self._unused_tokens = 0.0
         if tokens > 0:
             self._grants.append(_UnspentGrant(tokens, requested_at + GRANT_LIFETIME_S, epoch))
 
     def put_back(self, tokens: float, epoch: int) -> None:
         """Returns tokens that were taken from a grant of `epoch` and will certainly not be spent."""
         if epoch == self.epoch:
-            self._unused += tokens
+            self._unused_tokens += tokens
 
     def available(self, now: float) -> float:
-        """The number of tokens that may be spent now."""
+        """Drops expired grants and returns the number of tokens that may be spent now."""
         while self._grants and self._grants[0].expires_at <= now:
             expired = self._grants.popleft()
             if expired.epoch == self.epoch:
-                self._unused += expired.tokens
+                self._unused_tokens += expired.tokens
         return sum(grant.tokens for grant in self._grants)
 
     def take(self, tokens: float, now: float) -> bool:
@@ -262,6 +264,6 @@
 
     def take_unused(self) -> float:
         """Returns the number of tokens that expired or were put back since the last call."""
-        unused = self._unused
-        self._unused = 0.0
+        unused = self._unused_tokens
+        self._unused_tokens = 0.0
         return unused
--- a/ochrespan/control_plane/quota/client.py
+++ b/ochrespan/control_plane/quota/client.py
@@ -88,6 +88,8 @@
 
 @dataclass(slots=True)
 class _TenantState:
+    """What this router knows of one tenant's quota; `used_at` is the time of the latest request."""
+
     reserved: ReservedShare
     demand: _Demand
     used_at: float
@@ -182,7 +184,7 @@
         if state.configure_count != self._configure_count:
             state.configure_count = self._configure_count
             state.reserved.terms = self._terms_of(tenant)
-            state.reserved.equal_share = 1 / self._router_count
+            state.reserved.per_router_fraction = 1 / self._router_count
         state.used_at = now
         return state
 
--- a/ochrespan/membership/protocol.py
+++ b/ochrespan/membership/protocol.py
@@ -67,16 +67,18 @@
     and `take_has_changed`.
 
     Args:
-        own: This process as a member.
+        own_member: This process as a member.
         seeds: Where to look for other members.
         random_source: For probe targets, members that probe on behalf of this process, and sync times.
         now: Seconds of the clock that all calls use.
     """
 
-    def __init__(self, own: FleetMember, seeds: tuple[Address, ...], random_source: random.Random, now: float) -> None:
-        self.table = MemberTable(own)
+    def __init__(
+        self, own_member: FleetMember, seeds: tuple[Address, ...], random_source: random.Random, now: float
+    ) -> None:
+        self.table = MemberTable(own_member)
         self.local_health_multiplier = 0  # 0 is healthy; time-outs are stretched by 1 + multiplier
-        self._seeds = tuple(seed for seed in seeds if seed != own.address)
+        self._seeds = tuple(seed for seed in seeds if seed != own_member.address)
         self._random = random_source
         self._outbox: list[tuple[Address, SwimMessage]] = []
         self._last_sequence_number = 0
@@ -102,7 +104,7 @@
         """This process, unless it is leaving, and the members that are alive or suspected, by address."""
         members = [record.member for record in self.table.alive_members()]
         if not self.table.is_leaving:
-            members.append(self.table.own)
+            members.append(self.table.own_member)
         return sorted((member for member in members if role in (None, member.role)), key=lambda member: member.address)
 
     def take_messages(self) -> list[tuple[Address, SwimMessage]]:
@@ -111,14 +113,14 @@
         return messages
 
     def take_has_changed(self) -> bool:
-        """Whether the alive members have changed since the last call."""
+        """Returns whether the alive members have changed since the last call, and resets that."""
         has_changed = self.table.has_changed
         self.table.has_changed = False
         return has_changed
 
     def seeds_changed(self, seeds: tuple[Address, ...]) -> None:
         """Replaces the seeds; the members that are known stay."""
-        self._seeds = tuple(seed for seed in seeds if seed != self.table.own.address)
+        self._seeds = tuple(seed for seed in seeds if seed != self.table.own_member.address)
 
     def leave(self) -> None:
         """Announces the planned shutdown to some members, which disseminate it to the others."""
@@ -178,9 +180,9 @@
         self._period_ends_at = now + PROTOCOL_PERIOD_S * stretch
         target = self._next_target()
         if target is not None:
-            number = self._next_sequence_number()
-            self._probe = _Probe(target, number, now + PROBE_TIMEOUT_S * stretch, self._period_ends_at)
-            self._send(target, Ping(number, self._updates_for(target)))
+            sequence_number = self._next_sequence_number()
+            self._probe = _Probe(target, sequence_number, now + PROBE_TIMEOUT_S * stretch, self._period_ends_at)
+            self._send(target, Ping(sequence_number, self._updates_for(target)))
         self._ping_suspects(target)
 
     def _ping_suspects(self, target: Address | None) -> None:
@@ -216,23 +218,23 @@
             self._send(relayed.origin, Ack(relayed.sequence_number, []))
 
     def _relay_probe(self, now: float, origin: Address, request: PingRequest) -> None:
-        number = self._next_sequence_number()
-        self._relayed_probes[number] = _RelayedProbe(
+        own_sequence_number = self._next_sequence_number()
+        self._relayed_probes[own_sequence_number] = _RelayedProbe(
             origin=origin,
             sequence_number=request.sequence_number,
             nack_at=now + PROBE_TIMEOUT_S * NACK_FRACTION,
             ends_at=now + PROTOCOL_PERIOD_S,
         )
         target = (request.host, request.port)
-        self._send(target, Ping(number, self._updates_for(target)))
+        self._send(target, Ping(own_sequence_number, self._updates_for(target)))
 
     def _advance_relayed_probes(self, now: float) -> None:
-        for number, relayed in list(self._relayed_probes.items()):
+        for own_sequence_number, relayed in list(self._relayed_probes.items()):
             if now >= relayed.nack_at and not relayed.is_nack_sent:
                 relayed.is_nack_sent = True
                 self._send(relayed.origin, Nack(relayed.sequence_number))
             if now >= relayed.ends_at:
-                del self._relayed_probes[number]
+                del self._relayed_probes[own_sequence_number]
 
     def _expire_suspicions(self, now: float) -> None:
         for record in self.table.alive_members():
--- a/ochrespan/net/http1.py
+++ b/ochrespan/net/http1.py
@@ -82,7 +82,7 @@
             lingering_time=LINGER_TIMEOUT.total_seconds(),
             **options,
         )
-        self._connections: dict[Any, ClientConnection] = {}  # by aiohttp's handler
+        self._connections: dict[Any, ClientConnection] = {}  # by aiohttp's protocol object, `request.protocol`
         self._loop = asyncio.get_running_loop()
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -100,7 +100,7 @@
             if connection := self._connections.get(request.protocol):
                 self._loop.call_soon(connection.response_written)  # the response is written in this turn of the loop
 
-    def connection(self, on_state_change: Callable[[ClientConnection], None]) -> ClientConnection:
+    def create_connection(self, on_state_change: Callable[[ClientConnection], None]) -> ClientConnection:
         def track(connection: ClientConnection) -> None:
             if connection.closed:
                 self._connections.pop(connection.handler, None)
--- a/ochrespan/requests.py
+++ b/ochrespan/requests.py
@@ -56,13 +56,13 @@
     key: str = ""
     hosts: int = 0
     claim: Claim | None = None  # None: no contract is needed
-    repeatable: bool = True  # whether the complete body is available for another attempt
+    replayable: bool = True  # whether the complete body is available for another attempt
     id: str = ""  # assigned by the broker, for log lines
     team: str = ""  # the contract's path, after admission
 
 
 class Unacceptable(ValueError):
-    """The request names something that the settings do not define, or exceeds the units of one request."""
+    """The plan or class is not defined, the shard is below -1, or the units are not above 0 and at most `max_units`."""
 
 
 @dataclass(slots=True, eq=False)
--- a/ochrespan/settings.py
+++ b/ochrespan/settings.py
@@ -12,7 +12,7 @@
 
 NS = 1_000_000_000
 
-EFFECTS = {"free": api.Effect.SAFE, "guarded": api.Effect.KEYED, "single_shot": api.Effect.UNSAFE}
+EFFECTS = {"free": api.Effect.SAFE, "guarded": api.Effect.DEDUPLICATED_BY_KEY, "single_shot": api.Effect.UNSAFE}
 GROUPS = {"all": api.Group.ALL, "zone": api.Group.ZONE, "cell": api.Group.CELL}
 # the metrics of a load report: names in the settings and both protocols -> names in this package
 REPORT_NAMES = {
@@ -30,13 +30,13 @@
     """A line or field that cannot be parsed."""
 
 
-def parse_pairs(words: Iterable[str]) -> Fields:
-    """The name=value words of a line."""
+def parse_pairs(pairs: Iterable[str]) -> Fields:
+    """Parses the name=value pairs of a line."""
     parsed: Fields = {}
-    for word in words:
-        name, separator, value = word.partition("=")
+    for pair in pairs:
+        name, separator, value = pair.partition("=")
         if not separator or not name:
-            raise Malformed(f"'{word}' is not name=value")
+            raise Malformed(f"'{pair}' is not name=value")
         parsed[name] = value
     return parsed
 
@@ -94,7 +94,7 @@
             latency_target=seconds(fields, prefix + "ObjectiveNs", deadline * NS),
             deadline=deadline,
             value=number(fields, prefix + "Value", 1),
-            late_share=number(fields, prefix + "LateShare", 0),
+            late_value_fraction=number(fields, prefix + "LateShare", 0),
             effect=EFFECTS.get(fields.get(prefix + "Effect", ""), api.Effect.UNSAFE),
             group=GROUPS.get(fields.get(prefix + "Group", ""), api.Group.CELL),
             window=seconds(fields, prefix + "WindowNs", 0),
@@ -129,12 +129,12 @@
         max_attempts=int(number(fields, "Limits.MaxAttempts", 1)),
         max_retry_after=seconds(fields, "Limits.MaxRetryAfterNs", 0),
         connect_timeout=seconds(fields, "Limits.ConnectTimeoutNs", 0),
-        report_in_answers=fields.get("Report.How") == "answers",
+        report_in_responses=fields.get("Report.How") == "answers",
         mean_units=number(fields, "Extra.UsualUnits", 1),
         max_units=number(fields, "Extra.MostUnits", 1),
-        share_value=number(fields, "Extra.ShareWorth", 1),
+        unreserved_value=number(fields, "Extra.ShareWorth", 1),
         spare_value=number(fields, "Extra.SpareWorth", 1),
-        cold_units=optional_number(fields, "Extra.YoungLimit"),
+        slow_start_units=optional_number(fields, "Extra.YoungLimit"),
         start_capacity=optional_number(fields, "Obligations.StartCapacity"),
         overload_multiple=optional_number(fields, "Obligations.FallMultiple"),
         warm_up=optional_number(fields, "Obligations.WarmUpNs", NS),
--- a/ochrespan/state.py
+++ b/ochrespan/state.py
@@ -60,7 +60,7 @@
     flow: Flow
     accepted_at: float
     target_at: float  # latency target: a request that cannot be answered by then is ended
-    answer_by: float = inf  # the final answer leaves by then
+    response_deadline: float = inf  # the final response is sent by then
     promoted: bool = False  # from its flow queue into the scheduler queue
     done: bool = False  # no further decision, though attempts may be in flight
     attempts: int = 0
@@ -86,9 +86,9 @@
 
     entry: api.NodeEntry
     usable: bool = True
-    window: float = 0.0  # most attempts in flight
+    window: float = 0.0  # maximum of `in_flight`, adapted to the latencies
     in_flight: int = 0  # attempts
-    unit_time: dict[str, float] = field(default_factory=dict)  # by class: about the least latency per unit
+    unit_time: dict[str, float] = field(default_factory=dict)  # by request class: estimated lowest latency per unit
     queue_wait: float = 0.0  # in the node's queue: moving average as of queue_wait_at
     queue_wait_at: float = 0.0
     last_answered_sent_at: float = 0.0  # time sent of the latest answered attempt
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -8,7 +8,7 @@
 
 from ochrespan.contracts.accounts import accounts, level_statistics
 from ochrespan.contracts.adaptive_quota import AdaptiveQuota
-from ochrespan.contracts.admission import Admission, Demand, Grant, NotCovered, OverBudget
+from ochrespan.contracts.admission import Admission, AdmissionRequest, Grant, NotCovered, OverBudget
 from ochrespan.contracts.terms import Budget, Terms
 
 from .contract_helpers import SimulatedFront, make_registry, team
@@ -65,7 +65,7 @@
 )
 def test_request_is_attributed_to_its_contract_or_refused_by_rule(demand, expected):
     got = Admission(AUTHORIZATION_REGISTRY, 1_000_000.0).admit(
-        1_000_000.0, Demand(**({"cls": "read", "units": 1.0} | demand))
+        1_000_000.0, AdmissionRequest(**({"cls": "read", "units": 1.0} | demand))
     )
     assert expected == (got.team if isinstance(got, Grant) else got.rule)
 
@@ -78,7 +78,7 @@
         ("new", 1_000_000.4, False),
         ("new", 1_000_000.5, True),
     ):
-        got = admission.admit(now, Demand("read", 1.0, volume=f"v-{name}"))
+        got = admission.admit(now, AdmissionRequest("read", 1.0, volume=f"v-{name}"))
         assert isinstance(got, Grant) == covered, (name, now)
 
 
@@ -151,7 +151,7 @@
     front.check(0)
     for level in front.admission.levels.values():
         assert not any(b.held for b in (level.units, level.attempts, level.extra_attempts, level.reserve) if b)
-        assert not any(window.held or window.held_earlier for window in level.windows) and not level.open
+        assert not any(window.held or window.reserved_earlier for window in level.windows) and not level.open
 
 
 @pytest.mark.parametrize(
@@ -221,7 +221,7 @@
     while isinstance(got := front.request("a"), Grant):
         grants.append(got)
     assert got.wait_s > 0 and sum(g.attempts for g in grants) == 50  # the admitted requests hold all 50 attempts
-    assert grants[0].attempts == 3 and len(grants) > 30  # retries are held from the upper half of the bucket only
+    assert grants[0].attempts == 3 and len(grants) > 30  # retries are reserved from the upper half of the bucket only
     assert (
         not front.admission.extend(front.now, grants[-1]) and grants[-1].attempts == 1
     )  # no attempt is left for a retry
@@ -374,7 +374,7 @@
     for grant in grants:
         front.complete(grant)
     window = front.admission.levels["a"].windows[0]
-    assert (window.held, window.spent, window.held_earlier) == (24 * 10**12, 0, 0)
+    assert (window.held, window.spent, window.reserved_earlier) == (24 * 10**12, 0, 0)
     front.now = edge - 5  # back across the boundary: the old window does not become current again
     assert isinstance(front.request("a", 8.0), Grant) and not isinstance(front.request("a", 8.0), Grant)
     front.check()
@@ -436,14 +436,14 @@
         front.admission.replace(make_registry((replace(contract, **change), volumes)), front.now)
     assert isinstance(front.request("a"), NotCovered)
     later = front.admission.admit(
-        front.now, Demand("read", 1.0, volume="v-a"), grant.contract
+        front.now, AdmissionRequest("read", 1.0, volume="v-a"), grant.contract
     )  # a further request of the operation
     assert isinstance(later, Grant)
     front.complete(grant)
     front.complete(later)
     front.check(0)
     front.admission.replace(make_registry(team("b")), front.now)
-    removed = front.admission.admit(front.now, Demand("read", 1.0, volume="v-a"), grant.contract)
+    removed = front.admission.admit(front.now, AdmissionRequest("read", 1.0, volume="v-a"), grant.contract)
     assert removed.rule == "withdrawn"
 
 
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -29,7 +29,7 @@
     ),
     st.tuples(st.just("gone"), st.integers(0, 30)),
 )
-COLD = {"cold_units": 20.0, "start_capacity": 0.25, "warm_up": 6.0, "overload_window": 1.0}
+COLD = {"slow_start_units": 20.0, "start_capacity": 0.25, "warm_up": 6.0, "overload_window": 1.0}
 BUDGET = {"retry_budget_base": 2.0, "retry_budget_ratio": 0.2, "retry_budget_window": 3.0}
 
 
@@ -79,7 +79,9 @@
         effect = cls.effect if cls else Effect.UNSAFE
         if isinstance(action, api.Refuse) and effect is not Effect.SAFE:
             out = any(n == name for n, _ in self.in_flight)
-            assert not (out or self.possibly_run.get(name)) or (effect is Effect.KEYED and cls.group is Group.ALL)
+            assert not (out or self.possibly_run.get(name)) or (
+                effect is Effect.DEDUPLICATED_BY_KEY and cls.group is Group.ALL
+            )
         assert name not in self.ended
         self.ended[name] = self.front.now
 
@@ -96,7 +98,7 @@
         effect = cls.effect if cls else Effect.UNSAFE
         for other, sent_at in self.possibly_run.get(name, []):
             assert effect is not Effect.UNSAFE
-            if effect is Effect.KEYED:
+            if effect is Effect.DEDUPLICATED_BY_KEY:
                 assert now <= sent_at + cls.window
                 assert cls.group is Group.ALL or self.zones[other][0] == node.zone
         if cls and cls.in_order and req.key:
@@ -111,7 +113,7 @@
         if not number and req.plan == "capped":
             self.capped_units += req.units
             assert self.capped_units <= 2 * (now - 100.0) + 1e-6, "limit"
-        if node.started_at is not None and self.front.scheduler.settings.cold_units:
+        if node.started_at is not None and self.front.scheduler.settings.slow_start_units:
             sends = self.cold.setdefault(node.id, [])
             sends.append((now, req.units))
             age = now - node.started_at
