--- a/ochrespan/control_plane/registry/owner.py
+++ b/ochrespan/control_plane/registry/owner.py
@@ -113,7 +113,7 @@
         try:
             change = self._groups.propose(shard, encode(ExpireInstances(sequences)), CALL_TIMEOUT_S)
         except (OutcomeUnknownError, NotLeaderError) as error:
-            log.info("outcome of instance expiry unknown shard=%d error=%r", shard, str(error))
+            log.info("instance expiry undecided shard=%d error=%r", shard, str(error))
             return  # the next check proposes it again
         for instance_id in change.removed:
             self._monitors[shard].forget(instance_id)
--- a/ochrespan/data_plane/ingress.py
+++ b/ochrespan/data_plane/ingress.py
@@ -147,7 +147,7 @@
         elif isinstance(v, ClientDisconnected | TimeoutError):
             self.connection.close()
         elif isinstance(v, ResponseAborted):
-            log.info("response aborted path=%s reason=%s", self.path, v)
+            log.info("answer broken off path=%s reason=%s", self.path, v)
             self._abort_response()
         else:
             log.error("request failed path=%s", self.path, exc_info=(t, v, tb))
