--- a/benchmarks/admission_cost.py
+++ b/benchmarks/admission_cost.py
@@ -20,7 +20,7 @@
 import time
 from pathlib import Path
 
-from examples.teams import TEAMS, Testbed, play
+from examples.teams import TEAMS, Testbed, run_load
 from ochrespan.contracts.admission import Admission, Demand, Grant
 from ochrespan.contracts.terms import Budget, Contract, ContractRegistry, Reserve, Terms
 
@@ -83,9 +83,9 @@
     async with Testbed(1, slots=100) as testbed:
         await asyncio.sleep(1.5)
         before = cpu_of(testbed.processes[0].pid)
-        found = await play(testbed, TEAMS, 10.0)
+        found = await run_load(testbed, TEAMS, 10.0)
         spent = cpu_of(testbed.processes[0].pid) - before
-    return spent / sum(got.asked for got in found.values())
+    return spent / sum(got.sent for got in found.values())
 
 
 def main() -> None:
--- a/benchmarks/http2_load.py
+++ b/benchmarks/http2_load.py
@@ -76,7 +76,7 @@
     numbers = iter(range(10**9))
     path = f"/api/{VOLUME}/{0:016x}"
     for server in testbed.servers:
-        server.kept[path] = b"photo"
+        server.chunks[path] = b"photo"
     found: dict[tuple[int, str], list[tuple[float, float]]] = {}
     for _ in range(rounds):
         for at_once in (1, 10, 100):
@@ -148,7 +148,7 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "operator.toml")
         path.write_text(operator(platform, objects, free_port()))
-        async with Testbed(1, slow=0.0, slots=100, operator=path) as testbed:
+        async with Testbed(1, response_delay_s=0.0, slots=100, operator=path) as testbed:
             await throughput(testbed, platform, seconds, rounds)
             await latency(objects, seconds)
 
--- a/benchmarks/teams_run.py
+++ b/benchmarks/teams_run.py
@@ -15,7 +15,7 @@
 import tempfile
 from pathlib import Path
 
-from examples.teams import Team, Testbed, play
+from examples.teams import Team, Testbed, run_load
 
 from .machine import machine
 
@@ -55,31 +55,31 @@
         path = Path(folder, "operator.toml")
         path.write_text(OPERATOR)
         shares: dict[str, list[float]] = {"alone": [], "beside the surge": [], "without contracts": []}
-        async with Testbed(fronts, slow=0.02, slots=1, operator=path) as testbed:
+        async with Testbed(fronts, response_delay_s=0.02, slots=1, operator=path) as testbed:
             await asyncio.sleep(2)
-            found = await play(testbed, (QUIET, EAGER, FLOOD), seconds)
+            found = await run_load(testbed, (QUIET, EAGER, FLOOD), seconds)
             for team in (QUIET, EAGER, FLOOD):
                 got = found[team.name]
-                asked = got.asked * 2 / seconds
+                asked = got.sent * 2 / seconds
                 wanted = min(asked, team.budget)
-                error = got.units_a_second / wanted - 1
-                in_burst = abs(got.units_a_second - wanted) * seconds <= BURSTS[team.name]
+                error = got.served_units_per_s / wanted - 1
+                in_burst = abs(got.served_units_per_s - wanted) * seconds <= BURSTS[team.name]
                 held = abs(error) <= 0.02 or in_burst
                 good = good and held
                 print(
-                    f"{team.name:6} asked {asked:6.1f}, contract {wanted:6.1f}, got {got.units_a_second:6.1f} "
+                    f"{team.name:6} asked {asked:6.1f}, contract {wanted:6.1f}, got {got.served_units_per_s:6.1f} "
                     f"({error:+.1%}{', within one burst' if in_burst else ''}), over budget {got.statuses[429]}, "
-                    f"refused {got.statuses[503]}, in time {got.in_time / max(1, got.asked):.1%}",
+                    f"refused {got.statuses[503]}, in time {got.in_time / max(1, got.sent):.1%}",
                     flush=True,
                 )
             for pair in range(pairs):
                 for words, teams in (("alone", (QUIET,)), ("beside the surge", (QUIET, FLOOD, EAGER))):
-                    got = (await play(testbed, teams, seconds / 4, seed=pair + 2))["quiet"]
-                    shares[words].append(got.in_time / got.asked)
-        async with Testbed(fronts, slow=0.02, slots=1, operator=None) as testbed:
+                    got = (await run_load(testbed, teams, seconds / 4, seed=pair + 2))["quiet"]
+                    shares[words].append(got.in_time / got.sent)
+        async with Testbed(fronts, response_delay_s=0.02, slots=1, operator=None) as testbed:
             for pair in range(pairs):
-                got = (await play(testbed, (QUIET, FLOOD, EAGER), seconds / 4, seed=pair + 2))["quiet"]
-                shares["without contracts"].append(got.in_time / got.asked)
+                got = (await run_load(testbed, (QUIET, FLOOD, EAGER), seconds / 4, seed=pair + 2))["quiet"]
+                shares["without contracts"].append(got.in_time / got.sent)
     for words, got in shares.items():
         print(
             f"the quiet team's share in time, {words}: median {statistics.median(got):.1%} "
--- a/examples/embed_coordination.py
+++ b/examples/embed_coordination.py
@@ -2,9 +2,9 @@
 
     python examples/embed_coordination.py
 
-The library decides; its user does the I/O. Here messages go over lists, updates count as written at once, and time is
-a number. A program of yours puts its own transport, disk and steady clock there, as the replica host in
-`ochrespan/control_plane/replication/host.py` does.
+The library decides; its user does the I/O. Here messages are passed in memory, updates count as persisted at once, and
+time is simulated. A program that embeds the library provides its own transport, disk and monotonic clock, as the
+replica host in `ochrespan/control_plane/replication/host.py` does.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 
 
 class Register:
-    """The state machine: it keeps the last command."""
+    """The state machine: its value is the last applied command."""
 
     value = b"nothing"
 
 
 class Replicas:
-    """Three processes, as far as this example needs them."""
+    """Three simulated processes, each with a replica of the group and a register."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -44,7 +44,7 @@
             self.processes[seed] = MultiRaft(settings, recovered, random_source, self.now)
 
     def run(self, seconds: float) -> None:
-        """Lets time pass, in ticks."""
+        """Advances the simulated time in steps of TICK_S, and delivers all messages after each."""
         end = self.now + seconds
         while self.now < end:
             self.now += TICK_S
@@ -54,33 +54,33 @@
                 pass
 
     def leader(self) -> MultiRaft | None:
-        """The process that leads the group."""
+        """The process whose replica is the leader of the group, if any."""
         return next((process for process in self.processes.values() if process.replicas[GROUP].is_leader), None)
 
     def kill(self, process: MultiRaft) -> None:
-        """Ends a process for good."""
+        """Removes a process permanently; messages to it are dropped."""
         del self.processes[process.settings.address]
 
     def _step(self) -> bool:
-        """Moves what every process has put out; returns whether there was anything."""
-        moved = False
+        """Persists updates, applies committed entries and delivers messages; returns whether there were any."""
+        progressed = False
         for address, process in list(self.processes.items()):
             if process.take_updates():
-                process.persisted(self.now)  # a real program writes and syncs the updates first
-                moved = True
+                process.persisted(self.now)  # a real program writes the updates to disk and syncs them first
+                progressed = True
             for index, entry in process.replicas[GROUP].take_committed():
                 if entry.kind == EntryKind.COMMAND:
                     self.registers[address].value = entry.data
                     print(f"{self.now:6.2f} s  {address[0]} applies entry {index}: {entry.data.decode()}")
             for receiver, envelope in process.take_envelopes():
-                moved = True
+                progressed = True
                 if receiver in self.processes:
                     self.processes[receiver].receive(self.now, envelope)
-        return moved
+        return progressed
 
 
 def main() -> None:
-    """Loses the leader and keeps the register."""
+    """Kills the leader, and changes the register again through its successor."""
     replicas = Replicas()
     replicas.run(2.0)
     first = replicas.leader()
--- a/examples/fleet.py
+++ b/examples/fleet.py
@@ -1,4 +1,4 @@
-"""A complete router fleet on loopback: three controllers, two routers and two stand-in engines, each a process.
+"""A complete router fleet on loopback: three controllers, two routers and two simulated engines, each a process.
 
     python -m examples.fleet
 
@@ -31,7 +31,7 @@
 ROUTERS = ("127.0.0.21", "127.0.0.22")
 ENGINES = ("127.0.0.31", "127.0.0.32")
 HOST, KEY, SERVICE = "models.example", "example-key", "engines"
-EVENTS = 12  # in the stream
+EVENTS = 12  # number of events in the stream
 EVENT_INTERVAL_S = 0.15
 HEARTBEAT_S = 1.0
 START_TIMEOUT_S = 20.0
@@ -186,7 +186,7 @@
 
 
 def run_scenario(fleet: Fleet) -> list[int]:
-    """Plays the example against a started fleet; returns the ids of the events that the client has read."""
+    """Runs the scenario on a started fleet; returns the ids of the events that the client has read."""
     ports = fleet.ports
     body = json.dumps(configuration()).encode()
     wait_for_status(
@@ -217,7 +217,7 @@
 
 
 def run_engine(name: str, address: str, controls: list[str]) -> None:
-    """Runs a stand-in engine until it is killed: registers it, and streams numbered events."""
+    """Runs a simulated engine until it is killed: registers it, and streams numbered events."""
     import gevent
     from gevent import monkey
     from gevent.pywsgi import WSGIServer
--- a/examples/ports.py
+++ b/examples/ports.py
@@ -6,13 +6,13 @@
 import socket
 from contextlib import suppress
 
-LOWEST, HIGHEST = 11_000, 31_000  # below the ports that the system gives to clients
+MIN_PORT, PORT_LIMIT = 11_000, 31_000  # exclusive limit; below the ephemeral ports that the system assigns to clients
 
 
 def free_port() -> int:
-    """A port that none listens on, and that no client takes before a front does."""
+    """A port without a listener, outside the ephemeral range so that no client takes it before a front binds it."""
     while True:
-        port = random.SystemRandom().randrange(LOWEST, HIGHEST)
+        port = random.SystemRandom().randrange(MIN_PORT, PORT_LIMIT)
         with socket.socket() as probe, suppress(OSError):
             probe.bind(("127.0.0.1", port))
             return port
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -8,22 +8,24 @@
 
 from aiohttp import web
 
-DISCOVERY = 8500
+DISCOVERY_PORT = 8500
 FIRST_PORT = 9101
 
 
 class ChunkServer:
-    """Holds one shard. Like the platform's, it starts a request once it has all of it."""
+    """A chunk server of one shard. Like the platform's, it processes a request after reading its whole body."""
 
-    def __init__(self, shard: int, slow: float, address: str = "", slots: int = 1000, quiet: bool = False) -> None:
-        self.shard, self.slow, self.quiet = shard, slow, quiet
+    def __init__(
+        self, shard: int, response_delay_s: float, address: str = "", slots: int = 1000, quiet: bool = False
+    ) -> None:
+        self.shard, self.response_delay_s, self.quiet = shard, response_delay_s, quiet
         self.address = address or f"127.0.0.1:{FIRST_PORT + shard}"
-        self.slots = asyncio.Semaphore(slots)  # requests at work at once; the others wait in turn
-        self.phase, self.kept, self.working = "up", dict[str, bytes](), 0
+        self.slots = asyncio.Semaphore(slots)  # requests processed concurrently; further ones wait in FIFO order
+        self.phase, self.chunks, self.in_flight = "up", dict[str, bytes](), 0
 
     @property
     def entry(self) -> dict[str, object]:
-        """Its entry in the list of chunk servers."""
+        """The entry of this server in discovery's list of chunk servers."""
         return {
             "id": f"toy-{self.shard}",
             "host_port": self.address,
@@ -40,60 +42,62 @@
         body = await request.read()
         if self.phase != "up":
             return web.Response(status=503, headers={"X-Never-Ran": "1"})
-        self.working += 1
+        self.in_flight += 1
         try:
             async with self.slots:
-                await asyncio.sleep(self.slow)
+                await asyncio.sleep(self.response_delay_s)
         finally:
-            self.working -= 1
-        load = {"Endpoint-Load-Metrics": f"TEXT depth={self.working}, load_share={min(1.0, self.working / 4):.2f}"}
+            self.in_flight -= 1
+        load_headers = {
+            "Endpoint-Load-Metrics": f"TEXT depth={self.in_flight}, load_share={min(1.0, self.in_flight / 4):.2f}"
+        }
         if not self.quiet:
             print(f"shard {self.shard}: {request.method} {request.path}", flush=True)
         if request.method == "PUT":
-            self.kept[request.path] = body
-            return web.Response(headers=load)
-        if request.path not in self.kept:
-            return web.Response(status=404, headers=load)
-        return web.Response(body=self.kept[request.path], headers=load)
+            self.chunks[request.path] = body
+            return web.Response(headers=load_headers)
+        if request.path not in self.chunks:
+            return web.Response(status=404, headers=load_headers)
+        return web.Response(body=self.chunks[request.path], headers=load_headers)
 
 
 class Discovery:
-    """Answers with the list of chunk servers, at once or when it changes."""
+    """Serves the list of chunk servers by long polling, at once if it is newer than the client's revision."""
 
     def __init__(self, servers: list[ChunkServer]) -> None:
         self.servers, self.revision = servers, 1
-        self.news = asyncio.Condition()
+        self.updated = asyncio.Condition()
 
     async def change(self, server: ChunkServer, phase: str) -> None:
-        """Puts a chunk server into another phase and tells whoever waits."""
-        async with self.news:
+        """Changes the phase of a chunk server and notifies the waiting requests."""
+        async with self.updated:
             server.phase = phase
             self.revision += 1
-            self.news.notify_all()
+            self.updated.notify_all()
 
     async def handle(self, request: web.BaseRequest) -> web.Response:
-        """One call for the list."""
+        """Responds once the revision exceeds `after`, or after `wait_ms` with an empty, incomplete list."""
         after = int(request.query.get("after", -1))
-        wait = int(request.query.get("wait_ms", 0)) / 1000
+        wait_s = int(request.query.get("wait_ms", 0)) / 1000
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(wait), self.news:
-                await self.news.wait_for(lambda: self.revision > after)
+            async with asyncio.timeout(wait_s), self.updated:
+                await self.updated.wait_for(lambda: self.revision > after)
         changed = self.revision > after
         members = [server.entry for server in self.servers] if changed else []
         return web.json_response({"revision": self.revision, "complete": changed, "members": members})
 
 
-async def main(nodes: int, slow: float, drain: float) -> None:
-    """Serves until it is ended."""
-    servers = [ChunkServer(shard, slow) for shard in range(nodes)]
+async def main(nodes: int, response_delay_s: float, drain_after_s: float) -> None:
+    """Serves until the process is ended; after `drain_after_s`, if it is positive, the last chunk server drains."""
+    servers = [ChunkServer(shard, response_delay_s) for shard in range(nodes)]
     discovery = Discovery(servers)
     loop = asyncio.get_running_loop()
     for server in servers:
         await loop.create_server(web.Server(server.handle), "127.0.0.1", FIRST_PORT + server.shard)
-    await loop.create_server(web.Server(discovery.handle), "127.0.0.1", DISCOVERY)
-    print(f"{nodes} chunk servers from port {FIRST_PORT}, discovery on {DISCOVERY}", flush=True)
-    if drain > 0:
-        await asyncio.sleep(drain)
+    await loop.create_server(web.Server(discovery.handle), "127.0.0.1", DISCOVERY_PORT)
+    print(f"{nodes} chunk servers from port {FIRST_PORT}, discovery on {DISCOVERY_PORT}", flush=True)
+    if drain_after_s > 0:
+        await asyncio.sleep(drain_after_s)
         await discovery.change(servers[-1], "draining")
         print(f"shard {servers[-1].shard} drains", flush=True)
     await asyncio.Event().wait()
@@ -104,6 +108,6 @@
     parser.add_argument("--nodes", type=int, default=3, help="SlotsTotal in config.json must say the same")
     parser.add_argument("--slow", type=float, default=0.01, help="seconds for each answer")
     parser.add_argument("--drain", type=float, default=0.0, help="drain the last node after so many seconds")
-    told = parser.parse_args()
+    options = parser.parse_args()
     with contextlib.suppress(KeyboardInterrupt):
-        asyncio.run(main(told.nodes, told.slow, told.drain))
+        asyncio.run(main(options.nodes, options.slow, options.drain))
