--- a/benchmarks/front_parts.py
+++ b/benchmarks/front_parts.py
@@ -1,11 +1,12 @@
-"""How far budgets parted among fronts that share nothing are off, at 1 to 64 fronts with uneven use.
+"""The error of a team budget that is divided among independent fronts, for 1 to 64 fronts with uneven load.
 
     python -m benchmarks.front_parts [--seconds 120]
 
-Every front runs the real admissions on one virtual clock, and one team asks through them for more than its budget, or
-for half of it, with its requests spread evenly, by Zipf's law, or through one front that changes every 15 s. An
-answer tells a front what others were served for the volume since the last one (`X-Served-Elsewhere`), 50 ms late.
-Error: what the team got over what its contract and its demand allow, less one. Peak: the most in any one second.
+All fronts run the real admission code on one virtual clock. One team requests four times its budget, or half of it,
+with its requests spread evenly, by Zipf's law, or through one front that changes every 15 s. A response tells a front
+how many units other fronts were served for the volume since its last one (`X-Served-Elsewhere`), with a delay of 50 ms.
+Error: the served rate relative to what contract and demand allow, minus one. Peak: the maximum of any one second,
+relative to the same.
 """
 
 from __future__ import annotations
@@ -20,95 +21,100 @@
 
 from .machine import machine
 
-RATE, UNITS, STEP, LATE = 200.0, 2.0, 0.01, 0.05
+BUDGET_UNITS_PER_S, UNITS_PER_REQUEST, STEP_S, REPORT_DELAY_S = 200.0, 2.0, 0.01, 0.05
 
 
 class Front:
-    """One front with its admissions, and what it has heard of the others."""
-
-    def __init__(self, fronts: int, parts: str) -> None:
-        book = ContractRegistry(None, fronts, 2.0, 1)
-        book.add(Contract(Terms("a", "team", budget=Budget(units_per_s=RATE)), "gold", frozenset({"read"})))
-        book.set_owner("a", ["v"], ())
-        self.admission = Admission(book, 0.0)
-        self.part = AdaptiveQuota(RATE, fronts) if parts == "heard" else None
-        self.told = 0.0  # of what all were served, as of its last answer
-        self.mine = 0.0  # of that, its own
-
-    def ask(self, now: float) -> bool:
-        """One request; whether it was served."""
-        got = self.admission.admit(now, Demand("read", UNITS, volume="v"))
-        if not isinstance(got, Grant):
-            if self.part:
-                self.part.record_refusal()
+    """One front with its admission control and, in the mode `adaptive`, a quota that follows the load of the others."""
+
+    def __init__(self, fronts: int, quota_mode: str) -> None:
+        registry = ContractRegistry(None, fronts, 2.0, 1)
+        registry.add(
+            Contract(Terms("a", "team", budget=Budget(units_per_s=BUDGET_UNITS_PER_S)), "gold", frozenset({"read"}))
+        )
+        registry.set_owner("a", ["v"], ())
+        self.admission = Admission(registry, 0.0)
+        self.quota = AdaptiveQuota(BUDGET_UNITS_PER_S, fronts) if quota_mode == "adaptive" else None
+        self.total_units = 0.0  # served by all fronts, as of its last report
+        self.own_units = 0.0  # served by this front since then
+
+    def send_request(self, now: float) -> bool:
+        """Requests admission for one request; returns whether it was served."""
+        decision = self.admission.admit(now, Demand("read", UNITS_PER_REQUEST, volume="v"))
+        if not isinstance(decision, Grant):
+            if self.quota:
+                self.quota.record_refusal()
             return False
-        self.admission.complete(now, got, 1, 1)
-        if self.part:
-            self.part.record_spent(UNITS)
+        self.admission.complete(now, decision, 1, 1)
+        if self.quota:
+            self.quota.record_spent(UNITS_PER_REQUEST)
         return True
 
-    def hear(self, served: float) -> None:
-        """An answer that tells how much all fronts have served so far."""
-        if self.part:
-            self.part.record_spent_elsewhere(max(0.0, served - self.told - self.mine))
-        self.told, self.mine = served, 0.0
+    def receive_total(self, served_units: float) -> None:
+        """Handles a report of the units that all fronts have served so far."""
+        if self.quota:
+            self.quota.record_spent_elsewhere(max(0.0, served_units - self.total_units - self.own_units))
+        self.total_units, self.own_units = served_units, 0.0
 
-    def step(self, now: float) -> None:
-        """Lets its share of the budget move."""
-        if self.part and (scale := self.part.update(now)) is not None:
-            self.admission.rescale("a", scale, now)
+    def update_quota(self, now: float) -> None:
+        """Updates the front's fraction of the budget."""
+        if self.quota and (fraction_of_budget := self.quota.update(now)) is not None:
+            self.admission.rescale("a", fraction_of_budget, now)
 
 
-def weights(fronts: int, shape: str, now: float) -> list[float]:
-    """Which part of the demand comes through each front."""
-    if shape == "even":
+def demand_fractions(fronts: int, pattern: str, now: float) -> list[float]:
+    """The fraction of the demand that each front receives at a time."""
+    if pattern == "even":
         return [1 / fronts] * fronts
-    if shape == "zipf":
-        whole = sum(1 / (i + 1) for i in range(fronts))
-        return [1 / (i + 1) / whole for i in range(fronts)]
+    if pattern == "zipf":
+        total = sum(1 / (i + 1) for i in range(fronts))
+        return [1 / (i + 1) / total for i in range(fronts)]
     return [float(i == int(now // 15) % fronts) for i in range(fronts)]
 
 
-def run(fronts: int, parts: str, shape: str, demand: float, seconds: float) -> tuple[float, float]:
-    """The error, and the peak over the allowed, both after the first 20 s."""
-    lot = random.Random(f"{fronts} {shape} {demand}")
-    room = [Front(fronts, parts) for _ in range(fronts)]
-    served, answers = 0.0, deque[tuple[float, Front]]()
-    by_second: list[float] = []
-    for tick in range(int(seconds / STEP)):
-        now = tick * STEP
-        if tick % round(1 / STEP) == 0:
-            by_second.append(0.0)
-        while answers and answers[0][0] <= now:
-            _, front = answers.popleft()
-            front.hear(served)
-        for front, weight in zip(room, weights(fronts, shape, now), strict=True):
-            mean = demand * weight * STEP / UNITS
-            for _ in range(int(mean) + (lot.random() < mean % 1)):
-                if front.ask(now):
-                    served += UNITS
-                    front.mine += UNITS
-                    by_second[-1] += UNITS
-                    answers.append((now + LATE, front))
-            front.step(now)
-    later = by_second[20:]
-    allowed = min(RATE, demand)
-    return sum(later) / len(later) / allowed - 1, max(later) / allowed
+def run(fronts: int, quota_mode: str, pattern: str, demand_units_per_s: float, seconds: float) -> tuple[float, float]:
+    """Error and peak as the module describes them, both measured after the first 20 s."""
+    random_source = random.Random(f"{fronts} {pattern} {demand_units_per_s}")
+    all_fronts = [Front(fronts, quota_mode) for _ in range(fronts)]
+    served_units, pending_reports = 0.0, deque[tuple[float, Front]]()
+    units_by_second: list[float] = []
+    for tick in range(int(seconds / STEP_S)):
+        now = tick * STEP_S
+        if tick % round(1 / STEP_S) == 0:
+            units_by_second.append(0.0)
+        while pending_reports and pending_reports[0][0] <= now:
+            _, front = pending_reports.popleft()
+            front.receive_total(served_units)
+        for front, fraction in zip(all_fronts, demand_fractions(fronts, pattern, now), strict=True):
+            mean_requests = demand_units_per_s * fraction * STEP_S / UNITS_PER_REQUEST
+            for _ in range(int(mean_requests) + (random_source.random() < mean_requests % 1)):
+                if front.send_request(now):
+                    served_units += UNITS_PER_REQUEST
+                    front.own_units += UNITS_PER_REQUEST
+                    units_by_second[-1] += UNITS_PER_REQUEST
+                    pending_reports.append((now + REPORT_DELAY_S, front))
+            front.update_quota(now)
+    measured = units_by_second[20:]
+    allowed_units_per_s = min(BUDGET_UNITS_PER_S, demand_units_per_s)
+    return sum(measured) / len(measured) / allowed_units_per_s - 1, max(measured) / allowed_units_per_s
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--seconds", type=float, default=120.0)
-    chosen = parser.parse_args()
-    print(f"{machine()}; budget {RATE:g} units a second, {chosen.seconds:g} virtual seconds")
+    options = parser.parse_args()
+    print(f"{machine()}; budget {BUDGET_UNITS_PER_S:g} units a second, {options.seconds:g} virtual seconds")
     print("fronts  use      demand   even: error  peak    heard: error  peak")
     for fronts in (1, 2, 4, 8, 16, 32, 64):
-        for shape in ("even", "zipf", "moving"):
-            for demand in (0.5 * RATE, 4 * RATE):
-                even, heard = (run(fronts, parts, shape, demand, chosen.seconds) for parts in ("even", "heard"))
+        for pattern in ("even", "zipf", "moving"):
+            for demand_units_per_s in (0.5 * BUDGET_UNITS_PER_S, 4 * BUDGET_UNITS_PER_S):
+                even, adaptive = (
+                    run(fronts, quota_mode, pattern, demand_units_per_s, options.seconds)
+                    for quota_mode in ("even", "adaptive")
+                )
                 print(
-                    f"{fronts:6}  {shape:7}  {demand:6.0f}   {even[0]:+11.1%}  {even[1]:4.2f}    "
-                    f"{heard[0]:+12.1%}  {heard[1]:4.2f}",
+                    f"{fronts:6}  {pattern:7}  {demand_units_per_s:6.0f}   {even[0]:+11.1%}  {even[1]:4.2f}    "
+                    f"{adaptive[0]:+12.1%}  {adaptive[1]:4.2f}",
                     flush=True,
                 )
 
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -4,9 +4,9 @@
 
 Three controllers and two routers run on loopback from this checkout's programs, while an operator keeps changing the
 configuration. Each process in turn is stopped and started again from the other checkout, controllers with their data
-folders: the upgrade stops them by SIGTERM, the way back by SIGKILL. After each, every acknowledged change has to be in
-the configuration's history, as one sequence of versions, and both routers have to serve the newest version. No log may
-contain an exception or a malformed message. The exit status is 0 if all of this holds.
+directories: the upgrade stops them by SIGTERM, the downgrade by SIGKILL. After each, every acknowledged change has to
+be in the configuration's history, as one sequence of versions, and both routers have to serve the newest version. No
+log may contain an exception or a malformed message. The exit status is 0 if all of this holds.
 """
 
 from __future__ import annotations
@@ -34,22 +34,22 @@
 from examples.fleet import CONTROLLERS, HOST, KEY, ROUTERS, SERVICE, Ports, configuration, settings_for
 from ochrespan.programs.fleetctl_commands.control_client import ControlClient
 
-HERE = Path(__file__).parent.parent
+REPOSITORY = Path(__file__).parent.parent
 CONTROLLER_MODULE, ROUTER_MODULE = "ochrespan.programs.controller", "ochrespan.programs.router"
 CHANGE_INTERVAL_S = 0.1
 TIMEOUT_S = 30.0
 POLL_INTERVAL_S = 0.05
 REQUEST_DEADLINE_MS = 300
-NO_ROUTE = HTTPStatus.NOT_FOUND
-NO_INSTANCE = HTTPStatus.SERVICE_UNAVAILABLE  # as no instances run here, every request that has a route ends so
-MIXED_S = 1.0  # how long the fleet runs in mixed versions after each replacement
+NO_ROUTE_STATUS = HTTPStatus.NOT_FOUND
+NO_INSTANCE_STATUS = HTTPStatus.SERVICE_UNAVAILABLE  # no instances run here, so every request with a route gets this
+MIXED_VERSIONS_S = 1.0  # time that the fleet runs with mixed versions after each replacement
 VERSION_METRIC = re.compile(r"^ochrespan_configuration_version (\S+)$", re.MULTILINE)
 LOGGED_FAULTS = ("Traceback", "bad raft message", "malformed raft message", "callback failed", "command failed")
 
 
 @dataclass(frozen=True)
-class Program:
-    """The program of one checkout, and the names of its two main modules."""
+class Release:
+    """The checkout of one release, and the names of its two main modules."""
 
     checkout: Path
     controller_module: str = CONTROLLER_MODULE
@@ -61,37 +61,37 @@
 
 
 class Fleet:
-    """The processes. Their settings files, logs and data folders outlive a process, which the next one takes over."""
+    """The processes. Settings files, logs and data directories outlive a process, and its successor uses them again."""
 
-    def __init__(self, folder: Path) -> None:
+    def __init__(self, directory: Path) -> None:
         self.ports = Ports()
-        self._folder = folder
+        self._directory = directory
         self._processes: dict[str, Popen] = {}
         for ip in (*CONTROLLERS, *ROUTERS):
-            settings = settings_for(ip, ip, self.ports, folder)
+            settings = settings_for(ip, ip, self.ports, directory)
             self._settings_path(ip).write_text(yaml.safe_dump(settings))
 
-    def start(self, ip: str, program: Program) -> None:
-        """Starts the process of an address from a checkout's program."""
+    def start(self, ip: str, release: Release) -> None:
+        """Starts the process of an address from a release."""
         environment = {
             **os.environ,
-            "PYTHONPATH": str(program.checkout),
+            "PYTHONPATH": str(release.checkout),
             "OCHRESPAN_SETTINGS": str(self._settings_path(ip)),
         }
-        command = [sys.executable, "-m", program.module_for(ip)]
+        command = [sys.executable, "-m", release.module_for(ip)]
         with self._log_path(ip).open("ab") as log:
-            self._processes[ip] = Popen(command, cwd=program.checkout, env=environment, stderr=log)
+            self._processes[ip] = Popen(command, cwd=release.checkout, env=environment, stderr=log)
 
-    def end(self, ip: str, number: signal.Signals) -> None:
-        """Sends a signal to the process of an address, and waits for its end."""
+    def stop(self, ip: str, stop_signal: signal.Signals) -> None:
+        """Sends a signal to the process of an address, and waits until it exits."""
         process = self._processes.pop(ip)
-        process.send_signal(number)
+        process.send_signal(stop_signal)
         process.wait(TIMEOUT_S)
 
     def close(self) -> None:
         """Kills the processes that still run."""
         for ip in list(self._processes):
-            self.end(ip, signal.SIGKILL)
+            self.stop(ip, signal.SIGKILL)
 
     def logged_faults(self) -> list[str]:
         """The lines of all logs that contain one of LOGGED_FAULTS."""
@@ -121,15 +121,15 @@
         return get(ip, port, "/api/readyz")[0] == HTTPStatus.OK
 
     def route_status(self, ip: str, path: str) -> int:
-        """The status of a router's response: NO_ROUTE, or NO_INSTANCE where it has a route for the path."""
+        """A router's response status: NO_INSTANCE_STATUS if it has a route for the path, else NO_ROUTE_STATUS."""
         headers = {"Host": HOST, "X-Credential": KEY, "X-Request-Id": path, "X-Deadline-Ms": str(REQUEST_DEADLINE_MS)}
         return get(ip, self.ports.front, path, headers)[0]
 
     def _settings_path(self, ip: str) -> Path:
-        return self._folder / f"{ip}.yaml"
+        return self._directory / f"{ip}.yaml"
 
     def _log_path(self, ip: str) -> Path:
-        return self._folder / f"{ip}.log"
+        return self._directory / f"{ip}.log"
 
 
 class Operator:
@@ -167,7 +167,7 @@
 
 
 class History:
-    """The configuration's history, collected by repeated reads: a controller keeps the latest changes only."""
+    """The configuration's history, collected by repeated reads: a controller retains only the latest changes."""
 
     def __init__(self, client: ControlClient) -> None:
         self.builds_on: dict[int, int] = {}
@@ -203,27 +203,32 @@
         client.close()
 
 
-def wait_until(condition: Callable[[], Any], what: str) -> Any:
+def wait_until(condition: Callable[[], Any], description: str) -> Any:
     """Polls until the condition is truthy, and returns its value; ends the run after TIMEOUT_S."""
     deadline = time.monotonic() + TIMEOUT_S
     while not (value := condition()):
         if time.monotonic() > deadline:
-            raise SystemExit(f"not in {TIMEOUT_S:g} s: {what}")
+            raise SystemExit(f"timed out after {TIMEOUT_S:g} s: {description}")
         gevent.sleep(POLL_INTERVAL_S)
     return value
 
 
-def replace_all(fleet: Fleet, program: Program, number: signal.Signals, operator: Operator, history: History) -> None:
+def replace_all(
+    fleet: Fleet, release: Release, stop_signal: signal.Signals, operator: Operator, history: History
+) -> None:
     """Replaces one process after the other; each has to catch up before the next one is replaced."""
     for ip in (*CONTROLLERS, *ROUTERS):
-        before = operator.version
-        fleet.end(ip, number)
-        fleet.start(ip, program)
+        version_before = operator.version
+        fleet.stop(ip, stop_signal)
+        fleet.start(ip, release)
         wait_until(lambda ip=ip: fleet.is_ready(ip), f"{ip} ready")
-        wait_until(lambda ip=ip, before=before: fleet.version_at(ip) > before, f"{ip} at a version above {before}")
-        gevent.sleep(MIXED_S)
+        wait_until(
+            lambda ip=ip, version_before=version_before: fleet.version_at(ip) > version_before,
+            f"{ip} at a version above {version_before}",
+        )
+        gevent.sleep(MIXED_VERSIONS_S)
         history.read()
-        print(f"{ip} replaced by {number.name}, version {operator.version} acknowledged", flush=True)
+        print(f"{ip} replaced by {stop_signal.name}, version {operator.version} acknowledged", flush=True)
 
 
 def check(fleet: Fleet, operator: Operator, history: History) -> list[str]:
@@ -240,27 +245,27 @@
     for ip in ROUTERS:
         newest_status = fleet.route_status(ip, path_of(newest))
         previous_status = fleet.route_status(ip, path_of(newest - 1))
-        if (newest_status, previous_status) != (NO_INSTANCE, NO_ROUTE):
+        if (newest_status, previous_status) != (NO_INSTANCE_STATUS, NO_ROUTE_STATUS):
             statuses = f"{newest_status} and {previous_status}"
             faults.append(f"{ip} responds with {statuses} at the paths of versions {newest} and {newest - 1}")
     return faults + fleet.logged_faults()
 
 
-def run_upgrades(fleet: Fleet, own: Program, other: Program) -> list[str]:
-    """Upgrades the fleet to the other program and back; returns the faults found."""
+def run_upgrades(fleet: Fleet, own_release: Release, other_release: Release) -> list[str]:
+    """Upgrades the fleet to the other release and back; returns the faults found."""
     for ip in (*CONTROLLERS, *ROUTERS):
-        fleet.start(ip, own)
+        fleet.start(ip, own_release)
     operator = Operator(fleet.client())
     history = History(fleet.client())
     operator.submit()
     for ip in ROUTERS:
         wait_until(lambda ip=ip: fleet.is_ready(ip), f"{ip} ready")
     faults: list[str] = []
-    for program, number in ((other, signal.SIGTERM), (own, signal.SIGKILL)):
-        operating = gevent.spawn(operator.run)
-        replace_all(fleet, program, number, operator, history)
-        operating.kill()
-        operator.submit()  # may repeat the change that was under way
+    for release, stop_signal in ((other_release, signal.SIGTERM), (own_release, signal.SIGKILL)):
+        operator_greenlet = gevent.spawn(operator.run)
+        replace_all(fleet, release, stop_signal, operator, history)
+        operator_greenlet.kill()
+        operator.submit()  # may repeat the change that was in progress when the greenlet was killed
         faults += check(fleet, operator, history)
     print(
         f"{len(operator.acknowledged)} changes acknowledged, the slowest in {operator.max_latency_s:.2f} s", flush=True
@@ -276,10 +281,10 @@
     :param other_router: the module of its router
     """
     with ExitStack() as stack:
-        folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="ochrespan-mixed-")))
-        fleet = Fleet(folder)
+        directory = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="ochrespan-mixed-")))
+        fleet = Fleet(directory)
         stack.callback(fleet.close)
-        faults = run_upgrades(fleet, Program(HERE), Program(other.resolve(), other_controller, other_router))
+        faults = run_upgrades(fleet, Release(REPOSITORY), Release(other.resolve(), other_controller, other_router))
     print(
         "\n".join(faults) if faults else "every acknowledged change is in the history, and the routers serve the newest"
     )
