--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -1,9 +1,9 @@
-"""What each mechanism of the scheduler is worth: switched off, one by one, over modelled engines.
+"""The contribution of each mechanism of the scheduler: disabled one by one, in the simulation with modelled engines.
 
     python -m benchmarks.ablation --seeds 12
 
-Switches are replaced names of modules, so the program has no conditions for them. The differences are paired by seed,
-with Student's 95% interval. They are the model's: a bench with processes and networks may differ.
+A switch patches names in the program's modules, so the program needs no conditions for it. The differences are paired
+by seed, with Student's 95% interval. They hold for the simulation: runs with processes and networks may differ.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 
 import defopt
 
-from benchmarks.engine_model import EngineFigures
-from benchmarks.fleet_model import FleetModel, worth_of
+from benchmarks.engine_model import EngineParameters
+from benchmarks.fleet_model import FleetModel, earned_fraction
 from benchmarks.paired_rounds import interval
 from ochrespan.data_plane import flow_queues, flows, placement, scheduler, server_state, service_pool, urgency
 from ochrespan.data_plane.decision_record import HOME
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """A modelled one: engines, routers and load."""
+    """A simulated deployment: engines, routers and load."""
 
     name: str
     routers: int
@@ -38,112 +38,119 @@
     load: float
     seconds: float = 20.0
     tenants: int = 5
-    figures: EngineFigures = EngineFigures()
+    parameters: EngineParameters = EngineParameters()
 
 
 @dataclass(frozen=True)
 class Switch:
-    """A mechanism, and the names that are replaced to do without it."""
+    """A mechanism, and the replacements (owner, name, value) that disable it."""
 
     name: str
-    replaced: tuple[tuple[object, str, object], ...]
+    replacements: tuple[tuple[object, str, object], ...]
 
 
-SMALL = EngineFigures(
-    batch=16, queue=16, step_s=0.012, step_s_per_request=0.0004, prompt_tokens_per_s=25_000.0, memory_tokens=120_000
+SMALL_ENGINE = EngineParameters(
+    batch=16,
+    queue=16,
+    step_s=0.012,
+    step_s_per_request=0.0004,
+    prompt_tokens_per_s=25_000.0,
+    cache_capacity_tokens=120_000,
 )
 DEPLOYMENTS = (
     Deployment("usual load", 9, 6, 1.0),
     Deployment("twice the load", 9, 6, 2.0),
     Deployment("many routers", 56, 45, 1.5, 12.0, 16),
-    Deployment("few places", 56, 10, 0.35, 20.0, 16, SMALL),
+    Deployment("few places", 56, 10, 0.35, 20.0, 16, SMALL_ENGINE),
 )
 
 
-def _same(value: float, *_: object) -> float:
+def _identity(value: float, *_: object) -> float:
     return value
 
 
-def _nothing(*_: object) -> None:
+def _do_nothing(*_: object) -> None:
     return None
 
 
-def _counted_as_kept(placed: placement.Placement, now: float, server: ServerState, prompt: placement.Prompt) -> bool:
-    """As if every home had read what it keeps."""
+def _count_as_cached(
+    placement_policy: placement.Placement, now: float, server: ServerState, prompt: placement.Prompt
+) -> bool:
+    """Regards the prompt's prefix as cached at its affinity server even before the first prefill."""
     return (
         not prompt.shared_tokens
         or server.has_cached(prompt.prefix_key, now)
-        or placed.choice_label(prompt, server) == HOME
+        or placement_policy.choice_label(prompt, server) == HOME
     )
 
 
-def _not_dealt(model: FleetModel, parts: object) -> tuple[str, bool]:
+def _no_affinity_server(model: FleetModel, segments: object) -> tuple[str, bool]:
     return "", False
 
 
-def _zero(*_: object) -> float:
+def _always_zero(*_: object) -> float:
     return 0.0
 
 
-def _never(*_: object) -> bool:
+def _always_false(*_: object) -> bool:
     return False
 
 
 SWITCHES = (
     Switch("LexAS, upper threshold", ((flow_queues, "upper_threshold", lambda flows: inf),)),
-    Switch("LexAS, lower threshold", ((flow_queues, "lift_lagging", _nothing),)),
+    Switch("LexAS, lower threshold", ((flow_queues, "lift_lagging", _do_nothing),)),
     Switch("ARR, gains on misses", ((arr, "GAIN_STEP", 0.0),)),
-    Switch("ARR, pick by (a + 1) / delta", ((flow_queues, "rank", _zero),)),
+    Switch("ARR, pick by (a + 1) / delta", ((flow_queues, "rank", _always_zero),)),
     Switch("weights by urgency", ((flows, "WEIGHT_RATIO", 1.0),)),
-    Switch("window, narrowing", ((server_state, "narrowed", _same),)),
+    Switch("window, narrowing", ((server_state, "narrowed", _identity),)),
     Switch("window, cap under the capacity", ((server_state, "HEADROOM", 1e9),)),
     Switch("Priority by size", ((urgency, "MAX_SIZE_STEP", 0),)),
     Switch("Priority by rank", ((urgency, "RANK_STEPS", 0),)),
-    Switch("homes dealt by their owner", ((FleetModel, "_home", _not_dealt),)),
-    Switch("first readings count whole", ((placement.Placement, "is_prefix_cached", _counted_as_kept),)),
+    Switch("homes dealt by their owner", ((FleetModel, "_affinity_server", _no_affinity_server),)),
+    Switch("first readings count whole", ((placement.Placement, "is_prefix_cached", _count_as_cached),)),
     Switch("leaving a home", ((placement, "MAX_WAIT_FRACTION", 0.0),)),
     Switch("staying at a home", ((placement, "CACHE_MISS_FACTOR", 1.0),)),
     Switch("refusal by hopeless waits", ((scheduler, "MAX_SERVER_WAIT_RATIO", inf),)),
     Switch("sending beyond the window", ((scheduler.Scheduler, "_send_overdue", lambda *_: False),)),
-    Switch("ejection", ((service_pool.ServicePool, "can_eject", _never),)),
-    Switch("judging silence", ((service_pool.ServicePool, "record_abandoned", _nothing),)),
+    Switch("ejection", ((service_pool.ServicePool, "can_eject", _always_false),)),
+    Switch("judging silence", ((service_pool.ServicePool, "record_abandoned", _do_nothing),)),
     Switch("price of new connections", ((placement, "NEW_CONNECTION_FRACTION", 0.0),)),
     Switch("price of other zones", ((placement, "CROSS_ZONE_COST_S", 0.0),)),
     Switch("price of requests out", ((placement, "IN_FLIGHT_COST_S", 0.0),)),
 )
 
 
-def worth_without(deployment: Deployment, switch: Switch | None, seed: int) -> float:
-    """The worth of one play, with or without a mechanism."""
-    with ExitStack() as replaced:
-        for owner, name, value in switch.replaced if switch is not None else ():
-            replaced.enter_context(patch.object(owner, name, value))
+def value_without(deployment: Deployment, switch: Switch | None, seed: int) -> float:
+    """The earned fraction of the offered value in one run, with all mechanisms or without one."""
+    with ExitStack() as replacements:
+        for owner, name, value in switch.replacements if switch is not None else ():
+            replacements.enter_context(patch.object(owner, name, value))
         model = FleetModel(
-            deployment.routers, deployment.servers, deployment.load, seed, figures=deployment.figures,
-            tenants=deployment.tenants, deals_homes=True,
+            deployment.routers, deployment.servers, deployment.load, seed, parameters=deployment.parameters,
+            tenants=deployment.tenants, assigns_affinity=True,
         )  # fmt: skip
         model.run(deployment.seconds)
-        return worth_of(model)
+        return earned_fraction(model)
 
 
-def _play(place: tuple[int, int, int]) -> float:
-    """By numbers, as switches can not be sent to another process; -1 is the whole scheduler."""
-    deployment, switch, seed = place
-    return worth_without(DEPLOYMENTS[deployment], SWITCHES[switch] if switch >= 0 else None, seed)
+def _run_trial(trial: tuple[int, int, int]) -> float:
+    """Runs (deployment, switch, seed), by indexes because switches cannot be pickled; switch -1 disables nothing."""
+    deployment, switch, seed = trial
+    return value_without(DEPLOYMENTS[deployment], SWITCHES[switch] if switch >= 0 else None, seed)
 
 
-def table(seeds: int, play_all: Callable[[list[tuple[int, int, int]]], list[float]]) -> list[str]:
-    """A line for each mechanism: what the worth loses without it, in each deployment."""
-    places = [(d, s, seed) for d in range(len(DEPLOYMENTS)) for s in range(-1, len(SWITCHES)) for seed in range(seeds)]
-    worths = dict(zip(places, play_all(places), strict=True))
+def table(seeds: int, run_trials: Callable[[list[tuple[int, int, int]]], list[float]]) -> list[str]:
+    """The table's lines, one per mechanism: the change of the earned fraction without it, in each deployment."""
+    trials = [(d, s, seed) for d in range(len(DEPLOYMENTS)) for s in range(-1, len(SWITCHES)) for seed in range(seeds)]
+    values = dict(zip(trials, run_trials(trials), strict=True))
     lines = ["| without | " + " | ".join(each.name for each in DEPLOYMENTS) + " |"]
     lines.append("| --- " * (len(DEPLOYMENTS) + 1) + "|")
-    whole = [mean(worths[d, -1, seed] for seed in range(seeds)) for d in range(len(DEPLOYMENTS))]
-    lines.append("| nothing: the worth | " + " | ".join(f"{worth:.4f}" for worth in whole) + " |")
+    baselines = [mean(values[d, -1, seed] for seed in range(seeds)) for d in range(len(DEPLOYMENTS))]
+    lines.append("| nothing: the worth | " + " | ".join(f"{baseline:.4f}" for baseline in baselines) + " |")
     for number, switch in enumerate(SWITCHES):
         cells = []
         for d in range(len(DEPLOYMENTS)):
-            changes = [worths[d, number, seed] - worths[d, -1, seed] for seed in range(seeds)]
+            changes = [values[d, number, seed] - values[d, -1, seed] for seed in range(seeds)]
             cells.append(f"{mean(changes):+.4f} ({interval(changes):.4f})")
         lines.append(f"| {switch.name} | " + " | ".join(cells) + " |")
     return lines
@@ -152,11 +159,11 @@
 def run(*, seeds: int = 12, jobs: int = 2) -> int:
     """Prints the table.
 
-    :param seeds: plays of each deployment
-    :param jobs: at the same time
+    :param seeds: runs of each deployment
+    :param jobs: concurrent processes
     """
     with ProcessPoolExecutor(jobs) as pool:
-        for line in table(seeds, lambda places: list(pool.map(_play, places, chunksize=seeds))):
+        for line in table(seeds, lambda trials: list(pool.map(_run_trial, trials, chunksize=seeds))):
             print(line)
     return 0
 
--- a/tests/test_ablation.py
+++ b/tests/test_ablation.py
@@ -1,27 +1,27 @@
-"""The ablation: switches replace names for one play only, and its table tells the paired differences."""
+"""The ablation: a switch patches names for one run only, and the table shows the paired differences."""
 
 import pytest
 
 from benchmarks import ablation
-from benchmarks.ablation import DEPLOYMENTS, SWITCHES, table, worth_without
+from benchmarks.ablation import DEPLOYMENTS, SWITCHES, table, value_without
 
 
 @pytest.mark.parametrize("switch", SWITCHES, ids=lambda switch: switch.name)
-def test_a_switch_names_what_the_program_has_and_puts_it_back(switch):
-    before = [getattr(owner, name) for owner, name, _ in switch.replaced]
-    small = ablation.Deployment("small", 2, 2, 1.0, 2.0)
-    assert 0.0 < worth_without(small, switch, 1) <= 1.0
-    assert [getattr(owner, name) for owner, name, _ in switch.replaced] == before
+def test_a_switch_patches_existing_names_and_restores_them(switch):
+    before = [getattr(owner, name) for owner, name, _ in switch.replacements]
+    deployment = ablation.Deployment("small", 2, 2, 1.0, 2.0)
+    assert 0.0 < value_without(deployment, switch, 1) <= 1.0
+    assert [getattr(owner, name) for owner, name, _ in switch.replacements] == before
 
 
 def test_the_table_has_a_line_for_each_mechanism_with_the_paired_difference():
-    asked = []
+    requested = []
 
-    def play_all(places):
-        asked.extend(places)
-        return [0.9 if switch < 0 else 0.8 + 0.01 * seed for _, switch, seed in places]
+    def run_trials(trials):
+        requested.extend(trials)
+        return [0.9 if switch < 0 else 0.8 + 0.01 * seed for _, switch, seed in trials]
 
-    lines = table(2, play_all)
-    assert len(lines) == 3 + len(SWITCHES) and len(asked) == 2 * len(DEPLOYMENTS) * (1 + len(SWITCHES))
+    lines = table(2, run_trials)
+    assert len(lines) == 3 + len(SWITCHES) and len(requested) == 2 * len(DEPLOYMENTS) * (1 + len(SWITCHES))
     assert lines[2].startswith("| nothing: the worth | 0.9000")
     assert lines[3].startswith(f"| {SWITCHES[0].name} | -0.0950 (")
