--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -21,7 +21,7 @@
 
 from benchmarks.engine_model import EngineParameters
 from benchmarks.fleet_model import FleetModel, earned_fraction
-from benchmarks.paired_rounds import interval
+from benchmarks.paired_rounds import confidence_half_width
 from ochrespan.data_plane import flow_queues, flows, placement, scheduler, server_state, service_pool, urgency
 from ochrespan.data_plane.decision_record import HOME
 from ochrespan.data_plane.server_state import ServerState
@@ -151,7 +151,7 @@
         cells = []
         for d in range(len(DEPLOYMENTS)):
             changes = [values[d, number, seed] - values[d, -1, seed] for seed in range(seeds)]
-            cells.append(f"{mean(changes):+.4f} ({interval(changes):.4f})")
+            cells.append(f"{mean(changes):+.4f} ({confidence_half_width(changes):.4f})")
         lines.append(f"| {switch.name} | " + " | ".join(cells) + " |")
     return lines
 
