--- a/benchmarks/config_checks.py
+++ b/benchmarks/config_checks.py
@@ -1,8 +1,8 @@
-"""How long a controller's other greenlets wait while a configuration is checked, by its size.
+"""How long other greenlets of a controller are blocked while a configuration is validated, by its size.
 
     python -m benchmarks.config_checks
 
-A leader's heartbeats are such greenlets: they are due every 120 ms, and a follower campaigns after 600 ms without one.
+A leader sends heartbeats from such a greenlet every 120 ms, and a follower starts an election after 600 ms without one.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 
 
 def measure(routes: int, timeout_ms: float) -> tuple[int, int, float, float]:
-    """Bytes of the body, status, seconds until the answer, and the longest wait of another greenlet in seconds."""
+    """Returns body size, status, response time in s, and the maximum wait of another greenlet in s."""
     world = World(members=3)
-    listed = [route(f"r{number}", timeout_ms=timeout_ms) for number in range(routes)]
-    body = json.dumps(configuration(5, *listed)).encode()
-    longest_s = 0.0
+    route_documents = [route(f"r{number}", timeout_ms=timeout_ms) for number in range(routes)]
+    body = json.dumps(configuration(5, *route_documents)).encode()
+    max_wait_s = 0.0
 
     def tick() -> None:
-        nonlocal longest_s
+        nonlocal max_wait_s
         while True:
-            began = time.perf_counter()
+            started_at = time.perf_counter()
             gevent.sleep(TICK_S)
-            longest_s = max(longest_s, time.perf_counter() - began - TICK_S)
+            max_wait_s = max(max_wait_s, time.perf_counter() - started_at - TICK_S)
 
-    ticking = gevent.spawn(tick)
+    tick_greenlet = gevent.spawn(tick)
     gevent.sleep(0.01)
     statuses: list[str] = []
     environment = {
@@ -45,24 +45,24 @@
         "CONTENT_LENGTH": str(len(body)),
         "wsgi.input": io.BytesIO(body),
     }
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     world.controllers[0].node.api(environment, lambda status, _headers: statuses.append(status))
-    took_s = time.perf_counter() - began
-    ticking.kill()
+    response_time_s = time.perf_counter() - started_at
+    tick_greenlet.kill()
     world.close()
-    return len(body), int(statuses[0].split()[0]), took_s, longest_s
+    return len(body), int(statuses[0].split()[0]), response_time_s, max_wait_s
 
 
 def run(*, routes: list[int] | None = None) -> int:
-    """Prints a row for each number of routes, valid and wrong.
+    """Prints a row for each number of routes, with a valid and with an invalid configuration.
 
     :param routes: numbers of routes
     """
     print(COLUMNS.format("bytes", "routes", "status", "answer ms", "longest ms"))
     for count in routes or [100, 1000, 3000, 10_000, 30_000]:
         for timeout_ms in (8000, 0):
-            size, status, took_s, longest_s = measure(count, timeout_ms)
-            print(COLUMNS.format(size, count, status, f"{took_s * 1e3:.1f}", f"{longest_s * 1e3:.1f}"))
+            size, status, response_time_s, max_wait_s = measure(count, timeout_ms)
+            print(COLUMNS.format(size, count, status, f"{response_time_s * 1e3:.1f}", f"{max_wait_s * 1e3:.1f}"))
     return 0
 
 
--- a/benchmarks/core_times.py
+++ b/benchmarks/core_times.py
@@ -1,11 +1,11 @@
-"""Times of the replicas with real sockets and disks: election after a kill, planned shutdown, a command.
+"""Latencies of the replicas: a command, an election after a kill, a planned shutdown.
 
     python -m benchmarks.core_times main --rounds 20
     python -m benchmarks.core_times simulated --rounds 20
 
-`main`: three replica hosts run as processes of their own on loopback addresses; the parent proposes through calls to
-them. `simulated`: the same in virtual time, with links and syncs of 0.5 to 2 ms, so that the load of this machine makes
-no difference.
+`main`: three replica hosts run as processes on loopback addresses, with real sockets and disks; the parent proposes
+commands by RPC. `simulated`: the same in virtual time, with link delays and disk syncs of 0.5 to 2 ms, so that the
+load of this machine has no influence.
 """
 
 from __future__ import annotations
@@ -34,8 +34,8 @@
 from tests.support.raft_simulation.world import World
 
 CALL_TIMEOUT_S = 1.0
-RETRY_S = 0.005
-SETTLE_S = 1.5
+RETRY_INTERVAL_S = 0.005
+STABILIZATION_S = 1.5
 STEP_S = 0.001
 WARM_UP_S = 6.0
 RESTART_S = 1.0
@@ -77,11 +77,11 @@
 
 
 def serve(*, number: int, port: int, folder: str) -> int:
-    """One replica host, until SIGTERM.
+    """Runs one replica host until SIGTERM.
 
-    :param number: last part of its address
+    :param number: last octet of its address
     :param port: its port
-    :param folder: its disk
+    :param folder: its data directory
     """
     seeds = tuple((f"127.0.0.{seed}", port) for seed in (1, 2, 3))
     host = ReplicaHost(HostSettings(seeds[number - 1], seeds, folder, 64, True, 1, f"core-{number}"), {0: Counter()})
@@ -93,17 +93,17 @@
             return Proposed(False)
         return Proposed(True)
 
-    ended = gevent.event.Event()
-    gevent.signal_handler(signal.SIGTERM, ended.set)
+    terminated = gevent.event.Event()
+    gevent.signal_handler(signal.SIGTERM, terminated.set)
     host.call_server.on_request(Propose, propose)
     host.start()
-    ended.wait()
+    terminated.wait()
     host.stop()
     return 0
 
 
-class Core:
-    """The three processes and a client for each."""
+class ReplicaProcesses:
+    """The three replica host processes, and an RPC client for each."""
 
     def __init__(self, folder: str) -> None:
         with socket.socket() as sock:
@@ -132,24 +132,24 @@
         ]
         self._processes[number] = subprocess.Popen(command)
 
-    def end(self, number: int, sent: signal.Signals) -> None:
-        """Sends a process a signal that ends it."""
-        self._processes[number].send_signal(sent)
+    def stop_process(self, number: int, stop_signal: signal.Signals) -> None:
+        """Sends a process a signal that ends it, without waiting."""
+        self._processes[number].send_signal(stop_signal)
 
     def restart(self, number: int) -> None:
         """Starts a process again once it has ended, and gives the group time to stabilise."""
         self._processes[number].wait()
         self.start(number)
-        gevent.sleep(SETTLE_S)
+        gevent.sleep(STABILIZATION_S)
 
     def propose(self) -> int:
-        """Proposes until a process has committed the command; its number."""
+        """Proposes until a process has committed the command; returns its number."""
         while True:
             for number, caller in self._callers.items():
                 with contextlib.suppress(rpc.RpcError):
                     if caller.call(Propose(b"command"), CALL_TIMEOUT_S).done:
                         return number
-            gevent.sleep(RETRY_S)
+            gevent.sleep(RETRY_INTERVAL_S)
 
     def close(self) -> None:
         """Kills the processes."""
@@ -158,89 +158,89 @@
             process.wait()
 
 
-def measure(name: str, rounds: int, one: Callable[[], float]) -> None:
-    """Prints the median and the maximum of several times in seconds."""
-    times = [one() * 1000 for _ in range(rounds)]
+def measure(name: str, rounds: int, measure_once: Callable[[], float]) -> None:
+    """Measures durations in seconds; prints their median and maximum in milliseconds."""
+    times = [measure_once() * 1000 for _ in range(rounds)]
     print(f"{name}: median {statistics.median(times):.1f} ms, largest of {rounds} {max(times):.1f} ms")
 
 
 def main(*, rounds: int = 20) -> int:
-    """Measures each time.
+    """Measures with processes.
 
-    :param rounds: how often each is measured
+    :param rounds: measurements of each duration
     """
     with tempfile.TemporaryDirectory() as folder:
-        core = Core(folder)
+        replicas = ReplicaProcesses(folder)
         try:
-            leader = core.propose()
-            gevent.sleep(SETTLE_S)
+            leader = replicas.propose()
+            gevent.sleep(STABILIZATION_S)
 
-            def acknowledgement() -> float:
-                began = time.monotonic()
-                core.propose()
-                return time.monotonic() - began
+            def acknowledgement_s() -> float:
+                started_at = time.monotonic()
+                replicas.propose()
+                return time.monotonic() - started_at
 
-            def after(sent: signal.Signals) -> float:
+            def takeover_s(stop_signal: signal.Signals) -> float:
                 nonlocal leader
-                leader, ended = core.propose(), time.monotonic()
-                core.end(leader, sent)
-                core.propose()
-                took = time.monotonic() - ended
-                core.restart(leader)
-                return took
-
-            measure("command acknowledged", rounds, acknowledgement)
-            measure("command acknowledged after a kill of the leader", rounds, lambda: after(signal.SIGKILL))
-            measure("command acknowledged after SIGTERM of the leader", rounds, lambda: after(signal.SIGTERM))
+                leader, stopped_at = replicas.propose(), time.monotonic()
+                replicas.stop_process(leader, stop_signal)
+                replicas.propose()
+                duration_s = time.monotonic() - stopped_at
+                replicas.restart(leader)
+                return duration_s
+
+            measure("command acknowledged", rounds, acknowledgement_s)
+            measure("command acknowledged after a kill of the leader", rounds, lambda: takeover_s(signal.SIGKILL))
+            measure("command acknowledged after SIGTERM of the leader", rounds, lambda: takeover_s(signal.SIGTERM))
         finally:
-            core.close()
+            replicas.close()
     return 0
 
 
-def until_led(world: World, began: float) -> float:
-    """Seconds until shard 0 has a leader again that may respond."""
+def wait_for_leader(world: World, started_at: float) -> float:
+    """Runs until shard 0 has a leader; returns the seconds since `started_at`."""
     while world.leader(0) is None:
         world.run(STEP_S)
-    return world.now - began
+    return world.now - started_at
 
 
-def after_loss(seed: int, end: Callable[[Node], None]) -> float:
-    """Seconds without a leader after that of shard 0 was ended."""
+def leaderless_s(seed: int, stop_process: Callable[[Node], None]) -> float:
+    """Seconds without a leader after the leader of shard 0 was stopped."""
     world = World(seed)
     world.run(WARM_UP_S + seed * STEP_S)
-    until_led(world, world.now)  # leadership may be on its way to another at this moment
-    end(world.leader(0))
-    return until_led(world, world.now)
+    wait_for_leader(world, world.now)  # a transfer of leadership may be in progress
+    stop_process(world.leader(0))
+    return wait_for_leader(world, world.now)
 
 
-def after_loss_of_all(seed: int) -> float:
-    """Seconds from the return of all machines, which lost power at once, until every shard has a leader."""
+def recovery_after_power_loss_s(seed: int) -> float:
+    """Seconds from the restart of all machines, after a simultaneous power loss, until every shard has a leader."""
     world = World(seed)
     world.run(WARM_UP_S + seed * STEP_S)
     nodes = list(world.nodes.values())
     for node in nodes:
         node.lose_power()
     world.run(RESTART_S)
-    began = world.now
+    started_at = world.now
     for node in nodes:
         node.start(world.seeds, bootstrap=False)
     while any(world.leader(shard) is None for shard in world.shards):
         world.run(STEP_S)
-    return world.now - began
+    return world.now - started_at
 
 
-def acknowledged(seed: int) -> float:
+def acknowledged_after_s(seed: int) -> float:
     """Seconds from a proposal at the leader to its acknowledgement."""
     world = World(seed)
     world.run(WARM_UP_S)
-    began = world.now
+    started_at = world.now
     world.propose(0)
     while not world.checks.acked[0]:
         world.run(STEP_S)
-    return world.now - began
+    return world.now - started_at
 
 
-def after_first_start(seed: int, absent: int | None = None) -> float:
+def first_start_s(seed: int, absent: int | None = None) -> float:
     """Seconds from the first start of the seeds, within 0.3 s of each other, until every shard has a leader.
 
     :param absent: a seed that does not start
@@ -248,51 +248,51 @@
     world = World(seed)
     if absent is not None:
         next(node for node in world.nodes.values() if node.address == world.seeds[absent]).start = lambda *_: None
-    began = world.now
+    started_at = world.now
     while any(world.leader(shard) is None for shard in world.shards):
         world.run(STEP_S)
-    return world.now - began
+    return world.now - started_at
 
 
-def after_replacement(seed: int) -> float:
+def replacement_s(seed: int) -> float:
     """Seconds from the start of an empty machine at another address until it is a voter of every group."""
     world = World(seed)
     world.run(WARM_UP_S)
-    until_led(world, world.now)
-    gone = world.leader(0)
-    gone.lose_power()
-    del world.nodes[gone.address]
+    wait_for_leader(world, world.now)
+    lost_node = world.leader(0)
+    lost_node.lose_power()
+    del world.nodes[lost_node.address]
     world.run(RESTART_S)
-    began = world.now
-    new = world.add(len(world.seeds) + 1)
-    new.start(world.seeds, bootstrap=False)
+    started_at = world.now
+    new_node = world.add(len(world.seeds) + 1)
+    new_node.start(world.seeds, bootstrap=False)
     while not all(
         replica.state.is_voter and not replica.state.configuration.is_joint
-        for replica in new.multi_raft.replicas.values()
+        for replica in new_node.multi_raft.replicas.values()
     ):
         world.run(STEP_S)
-    return world.now - began
+    return world.now - started_at
 
 
 def simulated(*, rounds: int = 20) -> int:
-    """Measures under virtual time.
+    """Measures in virtual time.
 
-    :param rounds: seeds for each time
+    :param rounds: seeds for each duration
     """
     seeds = iter(range(rounds * 8))
-    measure("leaders after the first start", rounds, lambda: after_first_start(next(seeds)))
-    measure("the same without one seed", rounds, lambda: after_first_start(next(seeds), absent=rounds % 3))
-    measure("command acknowledged", rounds, lambda: acknowledged(next(seeds)))
-    measure("leader after a kill", rounds, lambda: after_loss(next(seeds), Node.kill))
-    measure("leader after a loss of power", rounds, lambda: after_loss(next(seeds), Node.lose_power))
-    measure("leader after a planned shutdown", rounds, lambda: after_loss(next(seeds), leave))
-    measure("leaders after all lost power", rounds, lambda: after_loss_of_all(next(seeds)))
-    measure("replacement is a voter", rounds, lambda: after_replacement(next(seeds)))
+    measure("leaders after the first start", rounds, lambda: first_start_s(next(seeds)))
+    measure("the same without one seed", rounds, lambda: first_start_s(next(seeds), absent=rounds % 3))
+    measure("command acknowledged", rounds, lambda: acknowledged_after_s(next(seeds)))
+    measure("leader after a kill", rounds, lambda: leaderless_s(next(seeds), Node.kill))
+    measure("leader after a loss of power", rounds, lambda: leaderless_s(next(seeds), Node.lose_power))
+    measure("leader after a planned shutdown", rounds, lambda: leaderless_s(next(seeds), leave))
+    measure("leaders after all lost power", rounds, lambda: recovery_after_power_loss_s(next(seeds)))
+    measure("replacement is a voter", rounds, lambda: replacement_s(next(seeds)))
     return 0
 
 
 def leave(node: Node) -> None:
-    """A planned shutdown: the transfer of leadership, and the end once another leads."""
+    """A planned shutdown: transfers leadership, and runs until the node is no longer leader."""
     node.multi_raft.leave(node.world.now)
     node.pump()
     while node.multi_raft.replicas[0].state.role is Role.LEADER:
--- a/benchmarks/machine.py
+++ b/benchmarks/machine.py
@@ -1,4 +1,4 @@
-"""What a measurement says of where it was made."""
+"""A description of the machine, for the output of benchmarks."""
 
 from __future__ import annotations
 
@@ -7,6 +7,9 @@
 
 
 def machine() -> str:
-    """Cores, memory, processor and Python version in one line."""
-    pages = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE")
-    return f"{os.cpu_count()} cores, {pages / 2**30:.0f} GiB, {platform.machine()}, Python {platform.python_version()}"
+    """Cores, memory, architecture and Python version in one line."""
+    memory_bytes = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE")
+    return (
+        f"{os.cpu_count()} cores, {memory_bytes / 2**30:.0f} GiB, {platform.machine()}, "
+        f"Python {platform.python_version()}"
+    )
--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -1,10 +1,10 @@
-"""What one event costs the decision module, at 12 to 1,200 chunk servers, as ratios within one run.
+"""Processor time per event of the scheduler, for 12 to 1,200 chunk servers, as ratios within one run.
 
     python -m benchmarks.module_cost [--servers 12 60 200 1200] [--rounds 15] [--events 2000]
 
-Every size is timed in turn in each round, so that the ratios hold while the machine's speed drifts; the figure is the
-median over the rounds of a size's time over that of the first size in the same round. A front works with the same
-24 shards and 40 volumes whatever the size: the rest of the fleet is only known to it.
+Every size is timed in turn in each round, so that the ratios hold while the machine's speed drifts; printed is the
+median over the rounds of the ratio to the first size in the same round. Requests use the same 24 shards and 40 volumes
+at each size; the other servers are only in the scheduler's list.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 from .machine import machine
 
-USED, VOLUMES = 24, 40
+USED_SHARDS, VOLUME_COUNT = 24, 40
 READ = api.RequestClass("read", latency_target=0.5, deadline=4.0, effect=api.Effect.SAFE)
 
 
 class Front:
-    """One module with a fleet of servers; each kind of event can be given to it again and again."""
+    """One scheduler with a fleet of servers, and a method for each kind of event."""
 
     def __init__(self, servers: int) -> None:
         self.settings = api.Settings(
@@ -44,61 +44,61 @@
             warm_up=16.0,
             overload_window=1.0,
         )
-        self.now, self.count, self.lot = 1000.0, 0, random.Random(servers)
-        self.head = Scheduler(self.settings, self.now)
+        self.now, self.event_count, self.random_source = 1000.0, 0, random.Random(servers)
+        self.scheduler = Scheduler(self.settings, self.now)
         self.nodes = [api.NodeEntry(f"n{i}", shard=i) for i in range(servers)]
-        self.head.handle(self.now, [api.NodeList(api.ListKind.FULL, self.nodes)])
+        self.scheduler.handle(self.now, [api.NodeList(api.ListKind.FULL, self.nodes)])
 
-    def served(self) -> None:
-        """A request and its answer."""
-        self.count += 1
+    def request_and_response(self) -> None:
+        """A request and its outcome."""
+        self.event_count += 1
         self.now += 0.003
-        name, shard = f"r{self.count}", self.lot.randrange(min(USED, len(self.nodes)))
-        volume = f"v{self.lot.randrange(VOLUMES)}"
-        self.head.handle(self.now, [api.Request(name, volume, "read", "gold", 4.0, 2, shard, fronts=2)])
+        name, shard = f"r{self.event_count}", self.random_source.randrange(min(USED_SHARDS, len(self.nodes)))
+        volume = f"v{self.random_source.randrange(VOLUME_COUNT)}"
+        self.scheduler.handle(self.now, [api.Request(name, volume, "read", "gold", 4.0, 2, shard, fronts=2)])
         report = {"queue": 0.0, "util": 0.5}
-        self.head.handle(self.now, [api.Outcome(name, 0, f"n{shard}", api.Status.OK, 0.05, True, report)])
+        self.scheduler.handle(self.now, [api.Outcome(name, 0, f"n{shard}", api.Status.OK, 0.05, True, report)])
 
     def timer(self) -> None:
-        """A look at what waits; every second the end of a round."""
+        """A timer event every 20 ms: checks waiting requests, and ends a round every second."""
         self.now += 0.02
-        self.head.handle(self.now, [api.Timer(1)])
+        self.scheduler.handle(self.now, [api.Timer(1)])
 
-    def news(self) -> None:
-        """One server drains and is listed again."""
+    def list_change(self) -> None:
+        """One server is listed as draining, then as ready again."""
         self.now += 0.003
-        entry = self.nodes[self.count % len(self.nodes)]
-        self.count += 1
+        entry = self.nodes[self.event_count % len(self.nodes)]
+        self.event_count += 1
         for state in (api.NodeState.DRAINING, api.NodeState.READY):
             changed = api.NodeEntry(entry.id, entry.shard, state)
-            self.head.handle(self.now, [api.NodeList(api.ListKind.DELTA, [changed])])
+            self.scheduler.handle(self.now, [api.NodeList(api.ListKind.DELTA, [changed])])
 
 
 EVENTS: dict[str, Callable[[Front], None]] = {
-    "request and answer": Front.served,
+    "request and answer": Front.request_and_response,
     "timer": Front.timer,
-    "list change": Front.news,
+    "list change": Front.list_change,
 }
 
 
 def main() -> None:
-    parse = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parse.add_argument("--servers", type=int, nargs="+", default=[12, 60, 200, 1200])
-    parse.add_argument("--rounds", type=int, default=15)
-    parse.add_argument("--events", type=int, default=2000)
-    told = parse.parse_args()
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser.add_argument("--servers", type=int, nargs="+", default=[12, 60, 200, 1200])
+    parser.add_argument("--rounds", type=int, default=15)
+    parser.add_argument("--events", type=int, default=2000)
+    options = parser.parse_args()
     print(machine())
-    fronts = [Front(size) for size in told.servers]
-    print("event".ljust(20), *(f"{size:>16}" for size in told.servers))
-    for name, give in EVENTS.items():
+    fronts = [Front(size) for size in options.servers]
+    print("event".ljust(20), *(f"{size:>16}" for size in options.servers))
+    for name, handle_event in EVENTS.items():
         times: list[list[float]] = []
-        for _ in range(told.rounds):
+        for _ in range(options.rounds):
             row = []
             for front in fronts:
-                began = time.process_time()
-                for _ in range(told.events):
-                    give(front)
-                row.append((time.process_time() - began) / told.events)
+                started_at = time.process_time()
+                for _ in range(options.events):
+                    handle_event(front)
+                row.append((time.process_time() - started_at) / options.events)
             times.append(row)
         cells = []
         for i in range(len(fronts)):
--- a/tests/test_own_sites.py
+++ b/tests/test_own_sites.py
@@ -1,10 +1,10 @@
-"""Deployments made from another: what changes, what stays, and that the written file reads back the same."""
+"""Variants of a deployment: what changes, what stays, and that the written file parses to the same document."""
 
 import tomllib
 
 import pytest
 
-from benchmarks.own_sites import VARIANTS, made, to_toml
+from benchmarks.own_sites import VARIANTS, make_variant, to_toml
 
 SITE = {
     "name": "shops", "thin": 0.5, "light": True, "note": 'a "quoted" \\ word',
@@ -29,8 +29,8 @@
 
 
 @pytest.mark.parametrize("variant", VARIANTS)
-def test_a_variant_is_written_as_a_file_of_its_own_and_leaves_the_original_alone(variant):
-    changed = made(SITE, variant)
+def test_a_variant_round_trips_through_toml_and_leaves_the_original_unchanged(variant):
+    changed = make_variant(SITE, variant)
     assert tomllib.loads(to_toml(changed)) == changed
     assert changed["name"] == f"shops-{variant}" and SITE["name"] == "shops"
     assert "small" not in changed["day"][0] and "small" in SITE["day"][0]
@@ -38,7 +38,7 @@
 
 
 def test_few_places_has_few_slow_engines_and_less_traffic():
-    changed = made(SITE, "few-places")
+    changed = make_variant(SITE, "few-places")
     engines = changed["services"][0]
     assert sum(group["count"] for group in engines["servers"]) == 10 / SITE["thin"]
     assert (engines["slots"], engines["llm"]["batch"], engines["llm"]["step_ms"]) == (16, 16, 12.0)
@@ -47,14 +47,14 @@
 
 
 def test_tiny_prompts_have_many_tenants():
-    changed = made(SITE, "tiny-prompts")
+    changed = make_variant(SITE, "tiny-prompts")
     stream = changed["classes"][0]["stream"]
     assert (stream["prompt_tokens"]["mean"], stream["chain"][0]["tokens"]["max"]) == (150.0, 2000.0)
     assert changed["tenants"]["count"] == 60
 
 
-def test_one_zone_keeps_as_many_machines_that_count():
-    changed = made(SITE, "one-zone")
+def test_one_zone_keeps_the_number_of_voters():
+    changed = make_variant(SITE, "one-zone")
     assert [(m["class"], m["zone"], m["count"]) for m in changed["machines"]] == [("front", "a", 4), ("core", "a", 5)]
     assert changed["traffic"] == [{"zone": "a", "per_s": 100.0}] and changed["day"][0]["traffic"] == []
     assert all(group["zone"] == "a" for service in changed["services"] for group in service["servers"])
