--- a/benchmarks/soak_core.py
+++ b/benchmarks/soak_core.py
@@ -43,7 +43,7 @@
     :param kinds: `late` or `wire` selects those kinds of faults instead of the default
     :param harsh: also lose disks during other faults, once the previous loss is repaired; partitions last up to 20 s
     """
-    started_at, orders, reads, failed_seeds = time.monotonic(), 0, 0, 0
+    started_at, commands, reads, failed_seeds = time.monotonic(), 0, 0, 0
     for seed in range(first, first + count):
         world = World(seed, size, tolerated)
         fault_interval_s = world.random.choice(HARSH_FAULT_INTERVALS_S) if harsh else 1.0
@@ -52,10 +52,10 @@
         except Exception as error:  # noqa: BLE001 - any failure is a finding: its seed reproduces it, and the others run
             failed_seeds += 1
             print(f"seed={seed} {type(error).__name__} {error}", flush=True)
-        orders += sum(map(len, world.checks.acked.values()))
+        commands += sum(map(len, world.checks.acked.values()))
         reads += world.checks.reads
     duration_s = time.monotonic() - started_at
-    print(f"seeds={count} broken={failed_seeds} orders={orders} reads={reads} seconds={duration_s:.1f}")
+    print(f"seeds={count} broken={failed_seeds} orders={commands} reads={reads} seconds={duration_s:.1f}")
     return 1 if failed_seeds else 0
 
 
--- a/benchmarks/worth_lost.py
+++ b/benchmarks/worth_lost.py
@@ -146,7 +146,7 @@
     stream = document.get("stream")
     size = 0.0
     if stream:
-        prompt = stream["prompt_tokens"]["mean"] + sum(part["tokens"]["mean"] for part in stream.get("chain", ()))
+        prompt = stream["prompt_tokens"]["mean"] + sum(segment["tokens"]["mean"] for segment in stream.get("chain", ()))
         size = prompt + OUTPUT_TOKEN_WEIGHT * tokens_per_event * stream["pieces"]["mean"]
     value = float(document["worth"])
     gap = stream.get("gap_aim_ms", 0.0) if stream else 0.0
--- a/tests/test_fleet_model.py
+++ b/tests/test_fleet_model.py
@@ -54,8 +54,10 @@
     engine = Engine(
         EngineParameters(cache_capacity_tokens=5000), lambda at, name: None, lambda at, name: completed.append(name)
     )
-    for number, parts in enumerate(((("a", 2000), ("x", 500)), (("a", 2000), ("y", 500)), (("b", 4000), ("z", 500)))):
-        assert engine.offer(engine.now, Work(f"r{number}", parts, 3, 0, engine.now))
+    for number, segments in enumerate(
+        ((("a", 2000), ("x", 500)), (("a", 2000), ("y", 500)), (("b", 4000), ("z", 500)))
+    ):
+        assert engine.offer(engine.now, Work(f"r{number}", segments, 3, 0, engine.now))
         while engine.busy:
             engine.step()
     assert completed == ["r0", "r1", "r2"]
