--- a/benchmarks/soak_core.py
+++ b/benchmarks/soak_core.py
@@ -1,7 +1,7 @@
 """Longer runs of the Raft simulation tests: more seeds, and searches with larger budgets.
 
     python -m benchmarks.soak_core run --size 5 --tolerated 2 --first 0 --count 1000
-    python -m benchmarks.soak_core first_starts --count 1000
+    python -m benchmarks.soak_core first-starts --count 1000
     python -m benchmarks.soak_core explore --timeouts 2 --crashes 1 --max-states 300000
 
 All exit with status 1 at a violation, and print the seed or the budget that reproduces it.
